--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -12,7 +12,7 @@
 import click
 import simpy
 
-from myrtlespar.emulate.engine import Engine
+from myrtlespar.simulation.event_loop import Engine
 
 WIDTH = 1000  # timers at a time
 
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -13,7 +13,7 @@
 
 import click
 
-from myrtlespar.ops.management import KINDS, Figures, exposition
+from myrtlespar.admin.commands import KINDS, Figures, exposition
 
 NAMES = ("render", "fetch", "order")
 
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -14,10 +14,10 @@
 
 import click
 
-from myrtlespar.emulate.engine import Engine
-from myrtlespar.emulate.limits import Fleet
-from myrtlespar.quota.terms import GrantTerms, Limit
-from myrtlespar.quota.use import Window
+from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.quota.usage_windows import Window
+from myrtlespar.simulation.event_loop import Engine
+from myrtlespar.simulation.limits import Fleet
 
 PHASES = {"calm": (6, 15), "moved": (17, 25), "cut": (29, 39), "healed": (46, 55)}
 HOT = 0.8
--- a/benchmarks/fleet_cases.py
+++ b/benchmarks/fleet_cases.py
@@ -1,8 +1,8 @@
 """All scripts of a folder on real processes, grown to so many members, over some seeds and loads: promises held, and
 the run that came nearest to each limit.
 
-    python -m benchmarks.fleet_cases rehearsals/limits --members 12 --seeds 5 --over 2,10
-    python -m benchmarks.fleet_cases rehearsals/membership --seeds 5
+    python -m benchmarks.fleet_cases fault_scenarios/limits --members 12 --seeds 5 --over 2,10
+    python -m benchmarks.fleet_cases fault_scenarios/membership --seeds 5
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 import click
 
-from myrtlespar.standins.fleet.play import play
-from myrtlespar.standins.fleet.script import Script, read
+from myrtlespar.fleet_tests.runner import play
+from myrtlespar.fleet_tests.script import Script, read
 
 DRIFT = 0.01  # members' clocks run slow, true and fast by this in turn, as far as the settings allow
 
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -16,12 +16,12 @@
 
 import click
 
-from myrtlespar.quota.terms import GrantTerms, Limit
-from myrtlespar.standins.fabric.faults import Rule
-from myrtlespar.standins.fleet.limits import judge_limits
-from myrtlespar.standins.fleet.load import Crowd
-from myrtlespar.standins.fleet.script import parse
-from myrtlespar.standins.fleet.starter import FleetRun
+from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.load_generator import Crowd
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import parse
+from myrtlespar.quota.settings import GrantTerms, Limit
 
 SLACK_MS = 250.0
 SCRIPT = """
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -21,8 +21,8 @@
 import yaml
 
 from benchmarks.served_path import cpu_s
-from myrtlespar.standins import ROOT, Tile
-from myrtlespar.standins.fabric.relay import PORTS
+from myrtlespar.fakes import ROOT, Tile
+from myrtlespar.fault_proxy.relay import PORTS
 
 HELPERS = 6
 
@@ -42,11 +42,11 @@
     """Some members in this process, for a bounded time."""
     import gevent
 
-    from myrtlespar.counters import Counters
     from myrtlespar.membership.member import Member
-    from myrtlespar.membership.standing import Electorate
-    from myrtlespar.membership.terms import Terms
-    from myrtlespar.net.peers import Peers
+    from myrtlespar.membership.quorum import Electorate
+    from myrtlespar.membership.settings import Terms
+    from myrtlespar.net.peer_transport import Peers
+    from myrtlespar.runtime.counters import Counters
 
     def make(n: int, now: float) -> Member:
         return Member(f"m{n}", f"s{n % 3}", f"{host(n)}:{port}", int(time.time() * 1000), "cost", Terms(),
@@ -75,7 +75,7 @@
 
 def imports(root: Path) -> int:
     """Modules that the server loads before it reads its configuration."""
-    code = "import sys, myrtlespar.serve; print(len(sys.modules))"
+    code = "import sys, myrtlespar.server.main; print(len(sys.modules))"
     return int(subprocess.run([sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True,
                               env={**os.environ, "PYTHONPATH": str(root)}).stdout)
 
--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -15,9 +15,9 @@
 
 import click
 
-from myrtlespar.emulate.play import play as emulated
-from myrtlespar.standins.fleet.play import percentile, play
-from myrtlespar.standins.fleet.script import parse
+from myrtlespar.fleet_tests.runner import percentile, play
+from myrtlespar.fleet_tests.script import parse
+from myrtlespar.simulation.runner import play as emulated
 
 SITES = "fleet: {sites: {a: %d, b: %d, c: %d}}\n"
 KILLS = """
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -16,14 +16,14 @@
 
 import click
 
-from myrtlespar.emulate.limits import Fleet
-from myrtlespar.quota.agent import Agent
-from myrtlespar.quota.terms import GrantTerms, Limit
-from myrtlespar.standins.fleet.judge import SLACK_MS
-from myrtlespar.standins.fleet.limits import judge_limits
-from myrtlespar.standins.fleet.script import parse
-from myrtlespar.standins.fleet.starter import FleetRun
-from myrtlespar.standins.thrift_client import Client
+from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fleet_tests.invariants import SLACK_MS
+from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import parse
+from myrtlespar.quota.limit_coordinator import Agent
+from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.simulation.limits import Fleet
 
 SHARE = 0.8  # of all demand, at one member
 
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -12,8 +12,8 @@
 
 import click
 
-from myrtlespar.emulate.engine import Engine
-from myrtlespar.quota.repeats import Repeats, RepeatTerms
+from myrtlespar.quota.retry_budget import Repeats, RepeatTerms
+from myrtlespar.simulation.event_loop import Engine
 
 PER_S, MOST, AFTER_MS = 10.0, 3, 200.0
 BEGIN, END, STOP = 10_000.0, 30_000.0, 40_000.0
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -19,13 +19,13 @@
 
 import click
 
-from myrtlespar.emulate.baseline import baseline
-from myrtlespar.emulate.fleet import Fleet, real
-from myrtlespar.emulate.play import OBSERVERS
+from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fleet_tests.runner import percentile
 from myrtlespar.membership.messages import State
-from myrtlespar.membership.terms import Terms
-from myrtlespar.standins.fabric.faults import Rule
-from myrtlespar.standins.fleet.play import percentile
+from myrtlespar.membership.settings import Terms
+from myrtlespar.simulation.baseline import baseline
+from myrtlespar.simulation.fleet import Fleet, real
+from myrtlespar.simulation.runner import OBSERVERS
 
 LOSS = {"drop": 0.05, "jitter_ms": 50.0}
 
--- a/benchmarks/fleet_tight.py
+++ b/benchmarks/fleet_tight.py
@@ -12,9 +12,9 @@
 
 import click
 
-from myrtlespar.emulate.play import play
-from myrtlespar.membership.terms import Terms
-from myrtlespar.standins.fleet.script import parse
+from myrtlespar.fleet_tests.script import parse
+from myrtlespar.membership.settings import Terms
+from myrtlespar.simulation.runner import play
 
 NINE = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: %g\nevents:\n"
 HARD = "  - {at_s: 0, link: [all, all], drop: 0.2, delay_ms: 50, jitter_ms: 150}\n"
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -21,7 +21,7 @@
 
 import click
 
-from myrtlespar.standins import ROOT, Client, Tile, tile
+from myrtlespar.fakes import ROOT, Client, Tile, tile
 
 OPEN = 24  # requests at a time on the connection
 
--- a/myrtlespar/__init__.py
+++ b/myrtlespar/__init__.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from myrtlespar.decide import Policy
-    from myrtlespar.interface import Settings
+    from myrtlespar.policy.messages import Settings
+    from myrtlespar.policy.policy import Policy
 
 __all__ = ["Policy", "Settings"]
 
@@ -14,11 +14,11 @@
 def __getattr__(name: str) -> Any:
     """Loaded when asked for: guards the start, which takes signals over first, against a wait for the module."""
     if name == "Policy":
-        from myrtlespar.decide import Policy
+        from myrtlespar.policy.policy import Policy
 
         return Policy
     if name == "Settings":
-        from myrtlespar.interface import Settings
+        from myrtlespar.policy.messages import Settings
 
         return Settings
     raise AttributeError(name)
--- a/myrtlespar/__main__.py
+++ b/myrtlespar/__main__.py
@@ -11,10 +11,10 @@
         from myrtlespar.cli import main as command
 
         return command()
-    from myrtlespar.early_signals import EarlySignals
+    from myrtlespar.runtime.startup_signals import EarlySignals
 
     early_signals = EarlySignals()  # before all that takes time to load
-    from myrtlespar.serve import main as serve
+    from myrtlespar.server.main import main as serve
 
     return serve(early_signals)
 
--- a/myrtlespar/cli/__init__.py
+++ b/myrtlespar/cli/__init__.py
@@ -7,9 +7,9 @@
 import click
 
 from myrtlespar.cli.check import check
+from myrtlespar.cli.demo import trial
 from myrtlespar.cli.fleet import fleet
 from myrtlespar.cli.serve import import_files, serve, version
-from myrtlespar.cli.trial import trial
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
--- a/myrtlespar/importer.py
+++ b/myrtlespar/cli/apache_importer.py
@@ -1,6 +1,6 @@
 """Turns mod_jk worker files and Apache BalancerMember lines into an operator's file.
 
-    python -m myrtlespar.importer workers.properties [httpd.conf ...] > deploy/ajp.toml
+    python -m myrtlespar.cli.apache_importer workers.properties [httpd.conf ...] > deploy/ajp.toml
 
 What it can't take is told on standard error with its line and key; the exit status is then 1.
 """
@@ -215,7 +215,7 @@
 def main(paths: list[str]) -> int:
     """Import files, each by its kind."""
     if not paths:
-        print("usage: python -m myrtlespar.importer FILE ...", file=sys.stderr)
+        print("usage: python -m myrtlespar.cli.apache_importer FILE ...", file=sys.stderr)
         return 2
     out = Imported()
     for path in paths:
--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -37,9 +37,9 @@
     """
     if ctx.invoked_subcommand is not None:
         return None
-    from myrtlespar.check import command
-    from myrtlespar.check.explore import Bounds
-    from myrtlespar.check.scenarios import ALL, QUICK
+    from myrtlespar.model_checker import command
+    from myrtlespar.model_checker.explore import Bounds
+    from myrtlespar.model_checker.scenarios import ALL, QUICK
 
     folder = Path(save) if save else None
     if planted:
@@ -59,7 +59,7 @@
 @click.argument("file", type=click.Path())
 def trace(file: str) -> int:
     """Accept or reject a recorded run: the log of a server with `[trace] transitions = true`."""
-    from myrtlespar.check.trace import check_trace
+    from myrtlespar.model_checker.trace_checker import check_trace
 
     return check_trace(Path(file))
 
@@ -68,7 +68,7 @@
 @click.option("--verify", type=click.Path(), help="Fail if this file differs from what would be printed.")
 def tables(verify: str | None) -> int:
     """Print the tables and diagrams of all machines, as Markdown."""
-    from myrtlespar.check.diagrams import document
+    from myrtlespar.model_checker.diagrams import document
 
     text = document()
     if verify is None:
--- a/myrtlespar/cli/trial.py
+++ b/myrtlespar/cli/demo.py
@@ -17,6 +17,6 @@
     """
     from pathlib import Path
 
-    from myrtlespar.standins.burst import burst
+    from myrtlespar.fakes.smoke_load import burst
 
     return burst(requests, seed, Path(keep) if keep else None)
--- a/myrtlespar/cli/fleet.py
+++ b/myrtlespar/cli/fleet.py
@@ -24,8 +24,8 @@
     """
     from pathlib import Path
 
-    from myrtlespar.standins.fleet.play import closing, play
-    from myrtlespar.standins.fleet.script import ScriptError, read
+    from myrtlespar.fleet_tests.runner import closing, play
+    from myrtlespar.fleet_tests.script import ScriptError, read
 
     try:
         found = read(Path(script))
@@ -49,9 +49,9 @@
     """
     from pathlib import Path
 
-    from myrtlespar.emulate.play import play
-    from myrtlespar.standins.fleet.play import closing
-    from myrtlespar.standins.fleet.script import ScriptError, read
+    from myrtlespar.fleet_tests.runner import closing
+    from myrtlespar.fleet_tests.script import ScriptError, read
+    from myrtlespar.simulation.runner import play
 
     try:
         found = read(Path(script), members)
@@ -75,7 +75,7 @@
     """
     import os
 
-    from myrtlespar.check.fleet import command
+    from myrtlespar.model_checker.fleet import command
 
     jobs = jobs or os.cpu_count() or 1
     status = 0
@@ -99,7 +99,7 @@
     """One member's view, over its management ADDRESS (HOST:PORT), as a table."""
     import json
 
-    from myrtlespar.cli.fleetview import ask, table
+    from myrtlespar.cli.fleet_tables import ask, table
 
     found = ask(address)
     if isinstance(found, str):
@@ -117,7 +117,7 @@
 @click.option("--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 3600), help="Between looks.")
 def watch(addresses: tuple[str, ...], seconds: float, every: float) -> int:
     """All members, live: who believes what, over their management ADDRESSES."""
-    from myrtlespar.cli.fleetview import watching
+    from myrtlespar.cli.fleet_tables import watching
 
     return watching(addresses, seconds, every)
 
@@ -135,6 +135,6 @@
     """
     from pathlib import Path
 
-    from myrtlespar.standins.fleet.trial import trial as run_trial
+    from myrtlespar.fleet_tests.demo import trial as run_trial
 
     return run_trial(seed, Path(keep) if keep else None)
--- a/myrtlespar/cli/limitsview.py
+++ b/myrtlespar/cli/limit_tables.py
@@ -8,11 +8,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.cli.fleetview import age, ask
+from myrtlespar.cli.fleet_tables import age, ask
 from myrtlespar.config import ConfigError
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.quota.budget import AHEAD_S
-from myrtlespar.quota.terms import Counts, GrantTerms, Kind, Limit, Of
+from myrtlespar.quota.settings import Counts, GrantTerms, Kind, Limit, Of
 
 
 def shown(addresses: Sequence[str]) -> int:
--- a/myrtlespar/cli/limits.py
+++ b/myrtlespar/cli/limits.py
@@ -13,7 +13,7 @@
     ctx.obj = addresses
     if ctx.invoked_subcommand is not None:
         return None
-    from myrtlespar.cli.limitsview import shown
+    from myrtlespar.cli.limit_tables import shown
 
     if not addresses:
         raise click.ClickException("--at: at least one management address is wanted")
@@ -25,7 +25,7 @@
 @click.pass_obj
 def explain(addresses: tuple[str, ...], name: str) -> int:
     """Why the last request under limit NAME was refused, at each member: which number, from whom, how old."""
-    from myrtlespar.cli.limitsview import explained
+    from myrtlespar.cli.limit_tables import explained
 
     if not addresses:
         raise click.ClickException("--at: at least one management address is wanted")
@@ -36,7 +36,7 @@
 @click.argument("file", type=click.Path())
 def bound(file: str) -> int:
     """The promises of a settings FILE in numbers, before it is used."""
-    from myrtlespar.cli.limitsview import bounds
+    from myrtlespar.cli.limit_tables import bounds
 
     fault = bounds(file)
     if fault:
--- a/myrtlespar/cli/serve.py
+++ b/myrtlespar/cli/serve.py
@@ -11,7 +11,7 @@
 
     SIGHUP reads the configuration again, SIGUSR1 logs the counters. Exit status 0 is a drain carried out.
     """
-    from myrtlespar.serve import main
+    from myrtlespar.server.main import main
 
     return main()
 
@@ -23,7 +23,7 @@
 
     The result goes to standard output, what could not be taken to standard error with status 1.
     """
-    from myrtlespar.importer import main
+    from myrtlespar.cli.apache_importer import main
 
     return main(list(files))
 
--- a/myrtlespar/config.py
+++ b/myrtlespar/config.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar import interface as api
-from myrtlespar.limits import Limits
-from myrtlespar.settings import FaultySetting, MissingSetting, read_settings
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.settings import FaultySetting, MissingSetting, read_settings
+from myrtlespar.resource_limits import Limits
 
 Address = tuple[str, int]
 LEAST_DESCRIPTORS, LEAST_PLACES = 24, 4  # what the program itself takes is about half of that
--- a/myrtlespar/standins/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -4,11 +4,11 @@
 are no models of speed.
 """
 
-from myrtlespar.standins.ajp_peers import Gateway, Servlet
-from myrtlespar.standins.base import WAIT_S, Server, exactly, until
-from myrtlespar.standins.neighbours import Kernel, Roster, Store
-from myrtlespar.standins.program import ROOT, Tile, settings, tile
-from myrtlespar.standins.thrift_client import Client
+from myrtlespar.fakes.ajp_peers import Gateway, Servlet
+from myrtlespar.fakes.server_process import ROOT, Tile, settings, tile
+from myrtlespar.fakes.tcp_server import WAIT_S, Server, exactly, until
+from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fakes.upstreams import Kernel, Roster, Store
 
 __all__ = ["ROOT", "WAIT_S", "Client", "Gateway", "Kernel", "Roster", "Server", "Servlet", "Store", "Tile",
            "exactly", "settings", "tile", "until"]
--- a/myrtlespar/standins/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from myrtlespar.standins.base import WAIT_S, Server, exactly
+from myrtlespar.fakes.tcp_server import WAIT_S, Server, exactly
 
 
 def text(value: str) -> bytes:
--- a/myrtlespar/standins/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -1,6 +1,6 @@
 """A stand-in for the engine: etcd's v3 API as published, as much of it as the project uses, in memory.
 
-    python -m myrtlespar.standins.etcd     # prints its port; runs until its standard input ends
+    python -m myrtlespar.fakes.etcd     # prints its port; runs until its standard input ends
 
 One lock orders all changes; each change of a key is a revision. A lease that runs out deletes its keys; watchers hear
 of every change. State is kept while the process lives: ending it is losing the engine's data."""
--- a/myrtlespar/standins/scripted.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -8,8 +8,8 @@
 import time
 from typing import Any
 
-from myrtlespar.standins.base import until
-from myrtlespar.standins.neighbours import Kernel
+from myrtlespar.fakes.tcp_server import until
+from myrtlespar.fakes.upstreams import Kernel
 
 SHORT_S = 0.4  # for what may well never come
 
--- a/myrtlespar/standins/program.py
+++ b/myrtlespar/fakes/server_process.py
@@ -15,8 +15,8 @@
 from types import MappingProxyType
 from typing import Any
 
-from myrtlespar.standins.base import WAIT_S, until
-from myrtlespar.standins.neighbours import Kernel, Roster, Store
+from myrtlespar.fakes.tcp_server import WAIT_S, until
+from myrtlespar.fakes.upstreams import Kernel, Roster, Store
 
 ROOT = Path(__file__).parent.parent.parent
 CLASSES = [("render", "free", 2400.0, 6100.0, 1.0), ("fetch", "free", 1100.0, 2700.0, 2.0),
--- a/myrtlespar/standins/burst.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -14,9 +14,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.standins.ajp_peers import Gateway
-from myrtlespar.standins.program import CLASSES, Tile, tile
-from myrtlespar.standins.thrift_client import Client
+from myrtlespar.fakes.ajp_peers import Gateway
+from myrtlespar.fakes.server_process import CLASSES, Tile, tile
+from myrtlespar.fakes.thrift_client import Client
 
 OPERATOR = """
 [idempotency]
--- a/myrtlespar/standins/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -15,8 +15,8 @@
 from thriftpy2.thrift import TMessageType
 from thriftpy2.transport import TMemoryBuffer
 
-from myrtlespar.net.thriftwire import encode, idl
-from myrtlespar.standins.base import WAIT_S, exactly, until
+from myrtlespar.fakes.tcp_server import WAIT_S, exactly, until
+from myrtlespar.net.codec.thrift import encode, idl
 
 
 class Client:
--- a/myrtlespar/standins/neighbours.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import Any
 
-from myrtlespar.standins.base import WAIT_S, Server
+from myrtlespar.fakes.tcp_server import WAIT_S, Server
 
 
 class Kernel(Server):
--- a/myrtlespar/standins/fabric/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -23,7 +23,7 @@
 from gevent.fileobject import FileObjectThread
 from gevent.server import StreamServer
 
-from myrtlespar.standins.fabric.faults import SERVICES, Faults, Rule
+from myrtlespar.fault_proxy.faults import SERVICES, Faults, Rule
 
 PORTS = range(20000, 32000, 4)  # below those that the system gives to callers
 CHUNK = 16384
--- a/myrtlespar/fleet/engine.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -8,10 +8,10 @@
 import structlog
 from gevent.event import Event
 
-from myrtlespar.counters import Counters
 from myrtlespar.fleet.settings import EngineSettings
-from myrtlespar.net.etcd import Etcd
-from myrtlespar.quota.agent import Agent, Effect
+from myrtlespar.net.etcd_client import Etcd
+from myrtlespar.quota.limit_coordinator import Agent, Effect
+from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
 
--- a/myrtlespar/fleet/limits.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -15,22 +15,22 @@
 from msgspec.structs import replace
 
 from myrtlespar.config import ConfigError
-from myrtlespar.counters import Counters
 from myrtlespar.fleet.settings import FleetSettings, limits_fault
-from myrtlespar.net import vaultfile
+from myrtlespar.net import budget_file as vaultfile
+from myrtlespar.net.codec.limits import MAGIC, Letter, decode, encode
 from myrtlespar.net.codec.peer import DATAGRAM_MOST, OtherVersion, Spoilt
-from myrtlespar.net.codec.quota import MAGIC, Letter, decode, encode
-from myrtlespar.net.peers import Peers
-from myrtlespar.net.peers import monotonic_ms as true_ms
-from myrtlespar.quota.agent import Agent, Effect, range_of
-from myrtlespar.quota.holder import ROOM, Room
+from myrtlespar.net.peer_transport import Peers
+from myrtlespar.net.peer_transport import monotonic_ms as true_ms
+from myrtlespar.quota.admission_queue import Places
+from myrtlespar.quota.grant_holder import ROOM, Room
+from myrtlespar.quota.limit_coordinator import Agent, Effect, range_of
 from myrtlespar.quota.messages import Keep, Tell
-from myrtlespar.quota.places import Places
-from myrtlespar.quota.repeats import Repeats
-from myrtlespar.quota.terms import Counts, Limit, Of, prefix
+from myrtlespar.quota.retry_budget import Repeats
+from myrtlespar.quota.settings import Counts, Limit, Of, prefix
+from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
-    from myrtlespar.fleet.engine import Engine
+    from myrtlespar.fleet.lease_source import Engine
 
 log = structlog.get_logger()
 HELD_MOST = 8  # of one caller: its connections carry so many unanswered, and it has other work on them
@@ -101,7 +101,7 @@
         if self._file is not None:
             gevent.spawn(self._keep)
         if self.settings.engine is not None:  # loaded only where one is set
-            from myrtlespar.fleet.engine import Engine
+            from myrtlespar.fleet.lease_source import Engine
 
             self.engine = Engine(self.settings.engine, self.settings.fleet, self.agent, self.now, self._carry,
                                  self.counters)
--- a/myrtlespar/fleet/wiring.py
+++ b/myrtlespar/fleet/node.py
@@ -12,16 +12,16 @@
 import structlog
 
 from myrtlespar.config import Config, ConfigError
-from myrtlespar.counters import Counters
 from myrtlespar.fleet.settings import FleetSettings, read_fleet
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import Changed, Note, Stands, State
-from myrtlespar.membership.reach import broken
-from myrtlespar.membership.standing import FLEET, Standing, step_fault
-from myrtlespar.net.peers import Peers, Taken, monotonic_ms
+from myrtlespar.membership.quorum import FLEET, Standing, step_fault
+from myrtlespar.membership.reachability import broken
+from myrtlespar.net.peer_transport import Peers, Taken, monotonic_ms
+from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
-    from myrtlespar.fleet.limits import Limits
+    from myrtlespar.fleet.limits_driver import Limits
 
 log = structlog.get_logger()
 
@@ -39,7 +39,7 @@
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
             raise ConfigError("engine: needs the libraries of requirements-engine.txt")
         if settings.limits or settings.repeats is not None:  # loaded only where some are set
-            from myrtlespar.fleet.limits import Limits
+            from myrtlespar.fleet.limits_driver import Limits
 
             self.limits = Limits(settings, classes, self.peers, counters, seed, key_of)
         for scope in self.roll.even():
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -10,11 +10,11 @@
 import yaml
 
 from myrtlespar.config import ConfigError
-from myrtlespar.membership.standing import Electorate
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.quorum import Electorate
+from myrtlespar.membership.settings import Terms
 from myrtlespar.net.codec.peer import good_address, good_name, split
-from myrtlespar.quota.repeats import RepeatTerms
-from myrtlespar.quota.terms import GrantTerms, Kind, Limit
+from myrtlespar.quota.retry_budget import RepeatTerms
+from myrtlespar.quota.settings import GrantTerms, Kind, Limit
 
 KEY = "MYRTLESPAR_FLEET"
 
@@ -52,8 +52,8 @@
     state: str = ""  # a folder that outlives the process, for budgets
     engine: EngineSettings | None = None  # in place of majority leases
     datagrams_per_s: int = 2000  # more are dropped and counted, so that a flood can't take the core
-    clock_rate: float = 1.0  # rehearsals of a clock that runs fast or slow: what limits go by
-    wall_shift_ms: int = 0  # rehearsals of a wrong clock: added to the wall clock, which matters for lives only
+    clock_rate: float = 1.0  # fault_scenarios of a clock that runs fast or slow: what limits go by
+    wall_shift_ms: int = 0  # fault_scenarios of a wrong clock: added to the wall clock, which matters for lives only
 
     @property
     def roll(self) -> Electorate:
--- a/myrtlespar/standins/fleet/trial.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -8,11 +8,11 @@
 from rich.console import Console
 from rich.table import Table
 
+from myrtlespar.fleet_tests.invariants import Belief
+from myrtlespar.fleet_tests.runner import closing, play
+from myrtlespar.fleet_tests.script import parse
 from myrtlespar.membership.messages import State
-from myrtlespar.membership.standing import FLEET, Standing
-from myrtlespar.standins.fleet.judge import Belief
-from myrtlespar.standins.fleet.play import closing, play
-from myrtlespar.standins.fleet.script import parse
+from myrtlespar.membership.quorum import FLEET, Standing
 
 SCRIPT = """
 fleet: {sites: {a: 3, b: 3, c: 3}}
--- a/myrtlespar/standins/fleet/truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from myrtlespar.standins.fabric.faults import Faults, Rule
+from myrtlespar.fault_proxy.faults import Faults, Rule
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlespar/standins/fleet/judge.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
+from myrtlespar.fleet_tests.ground_truth import Moment, Truth
 from myrtlespar.membership.messages import HERE, State
-from myrtlespar.membership.standing import FLEET, judge
-from myrtlespar.membership.terms import Terms
-from myrtlespar.standins.fleet.truth import Moment, Truth
+from myrtlespar.membership.quorum import FLEET, judge
+from myrtlespar.membership.settings import Terms
 
 SLACK_MS = 250.0  # for processes that share cores, and for log lines on their way
 
--- a/myrtlespar/standins/fleet/limits.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from myrtlespar.quota.terms import GrantTerms, Limit, Of
+from myrtlespar.quota.settings import GrantTerms, Limit, Of
 
 SLACK_PART = 0.3  # at most this part of a window is left out for the way from the decision to the kernel
 Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
--- a/myrtlespar/standins/fleet/load.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from myrtlespar.standins.fleet.script import Load
-from myrtlespar.standins.fleet.starter import FleetRun
-from myrtlespar.standins.program import CLASSES
-from myrtlespar.standins.thrift_client import Client
+from myrtlespar.fakes.server_process import CLASSES
+from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import Load
 
 LIST_S = 1.0  # between looks at the roster's list
 STEP_S = 0.005
--- a/myrtlespar/standins/fleet/starter.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -19,16 +19,16 @@
 import msgspec
 import yaml
 
+from myrtlespar.fakes.server_process import ROOT, settings
+from myrtlespar.fakes.tcp_server import WAIT_S, until
+from myrtlespar.fakes.upstreams import Kernel, Roster, Store
+from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fault_proxy.relay import bind_host, relay_host, service_host
+from myrtlespar.fleet_tests.ground_truth import Deed
+from myrtlespar.fleet_tests.invariants import Belief
+from myrtlespar.fleet_tests.script import Script
 from myrtlespar.membership.messages import State
-from myrtlespar.membership.standing import FLEET, Standing
-from myrtlespar.standins.base import WAIT_S, until
-from myrtlespar.standins.fabric.faults import Rule
-from myrtlespar.standins.fabric.relay import bind_host, relay_host, service_host
-from myrtlespar.standins.fleet.judge import Belief
-from myrtlespar.standins.fleet.script import Script
-from myrtlespar.standins.fleet.truth import Deed
-from myrtlespar.standins.neighbours import Kernel, Roster, Store
-from myrtlespar.standins.program import ROOT, settings
+from myrtlespar.membership.quorum import FLEET, Standing
 
 STOP_MS = 2500
 JOINING = "fleet: joining"
@@ -38,7 +38,7 @@
     """The relay's process, and its control."""
 
     def __init__(self, members: Sequence[str], seed: int, services: dict[str, int]) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.standins.fabric.relay"], cwd=ROOT,
+        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.fault_proxy.relay"], cwd=ROOT,
                                         stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
         self._lock = threading.Lock()
         self.port = int(self.ask(members=list(members), seed=seed, services=services)["port"])
@@ -71,7 +71,7 @@
     """The engine's stand-in, a process of its own."""
 
     def __init__(self) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.standins.etcd"], cwd=ROOT,
+        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.fakes.etcd"], cwd=ROOT,
                                         stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
         assert self.process.stdout is not None
         self.port = int(json.loads(self.process.stdout.readline())["port"])
--- a/myrtlespar/standins/fleet/play.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.membership.terms import Terms
-from myrtlespar.quota.terms import GrantTerms
-from myrtlespar.standins.fleet.judge import SLACK_MS, Verdict, judge_members
-from myrtlespar.standins.fleet.limits import judge_limits
-from myrtlespar.standins.fleet.load import Crowd, judge_orders
-from myrtlespar.standins.fleet.script import Script, Step
-from myrtlespar.standins.fleet.starter import FleetRun
-from myrtlespar.standins.fleet.truth import Deed, Truth
+from myrtlespar.fleet_tests.ground_truth import Deed, Truth
+from myrtlespar.fleet_tests.invariants import SLACK_MS, Verdict, judge_members
+from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.load_generator import Crowd, judge_orders
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import Script, Step
+from myrtlespar.membership.settings import Terms
+from myrtlespar.quota.settings import GrantTerms
 
 
 def act(run: FleetRun, step: Step) -> None:
--- a/myrtlespar/standins/fleet/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -10,9 +10,9 @@
 import msgspec
 import yaml
 
+from myrtlespar.fault_proxy.faults import SERVICES, Rule, resolve
 from myrtlespar.net.codec.peer import good_name
-from myrtlespar.quota.terms import Limit
-from myrtlespar.standins.fabric.faults import SERVICES, Rule, resolve
+from myrtlespar.quota.settings import Limit
 
 JUDGED = ("members", "limits", "orders")  # what this build judges
 NAMED = ("members", "limits", "verdicts", "orders", "site")
--- a/myrtlespar/succession.py
+++ b/myrtlespar/handover/driver.py
@@ -5,10 +5,10 @@
 import gevent
 import structlog
 
-from myrtlespar.clock import from_wall, to_wall, unix_ms, wall_ms
-from myrtlespar.core import Core
-from myrtlespar.net.handover_folder import HandoverFolder
-from myrtlespar.ops.handover import Stand, Successor, answer_of, encode, known_of
+from myrtlespar.handover.folder import HandoverFolder
+from myrtlespar.handover.keys_file import Stand, Successor, answer_of, encode, known_of
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import from_wall, to_wall, unix_ms, wall_ms
 
 log = structlog.get_logger()
 LOOK_S = 0.05  # between looks for an old process's keys
--- a/myrtlespar/membership/spread.py
+++ b/myrtlespar/membership/dissemination.py
@@ -8,7 +8,7 @@
 from heapq import nsmallest
 
 from myrtlespar.membership.messages import Row, Rumour, State
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.settings import Terms
 
 MOST = 512  # statements waiting to be told; the most told ones make room
 
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -8,6 +8,7 @@
 from collections.abc import Sequence
 from random import Random
 
+from myrtlespar.membership.dissemination import Bucket, aged
 from myrtlespar.membership.messages import (
     ALIVE,
     FAILED,
@@ -29,14 +30,13 @@
     State,
     Sync,
 )
+from myrtlespar.membership.outbox import Voice
+from myrtlespar.membership.probe_rounds import Rounds
 from myrtlespar.membership.probing import Suspicion, Timers
-from myrtlespar.membership.reach import Differ, Reach
-from myrtlespar.membership.rounds import Rounds
-from myrtlespar.membership.spread import Bucket, aged
-from myrtlespar.membership.standing import Electorate, Standings
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.quorum import Electorate, Standings
+from myrtlespar.membership.reachability import Differ, Reach
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import MOST, Entry, View
-from myrtlespar.membership.voice import Voice
 
 
 class Member:
--- a/myrtlespar/membership/voice.py
+++ b/myrtlespar/membership/outbox.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from myrtlespar.membership.dissemination import Bucket, Spread, weight
 from myrtlespar.membership.messages import ALIVE, Body, Effect, Packet, Rumour, Send
-from myrtlespar.membership.spread import Bucket, Spread, weight
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import View
 
 DATAGRAM = 1200  # bytes of one at the most
--- a/myrtlespar/membership/rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from myrtlespar.membership.messages import Ack, Nack, Note, Ping, Relay, Rumour
+from myrtlespar.membership.outbox import Voice
 from myrtlespar.membership.probing import Prober, Timers
-from myrtlespar.membership.reach import Reach
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.reachability import Reach
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import Entry, View
-from myrtlespar.membership.voice import Voice
 
 
 class Rounds:
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -8,7 +8,7 @@
 from heapq import heapify, heappop, heappush
 from random import Random
 
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import View
 
 PROBES_MOST = 256  # in hand at a time, those made for others included
--- a/myrtlespar/membership/reach.py
+++ b/myrtlespar/membership/reachability.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
+from myrtlespar.membership.dissemination import Spread
 from myrtlespar.membership.messages import Row
-from myrtlespar.membership.spread import Spread
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import Entry, View, row_stamp
 
 
--- a/myrtlespar/check/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -10,14 +10,14 @@
 
 import yaml
 
-from myrtlespar.check import twins
-from myrtlespar.check.copying import freeze, thaw, unpack
-from myrtlespar.check.events import EVENTS, begin, show
-from myrtlespar.check.explore import Bounds, Result, Used, explore, limit_steps, step
-from myrtlespar.check.plants import PLANTS
-from myrtlespar.check.rules import RULES, Watch, unused
-from myrtlespar.check.scenarios import ALL, QUICK
-from myrtlespar.check.world import Event
+from myrtlespar.model_checker import process_pair as twins
+from myrtlespar.model_checker.events import EVENTS, begin, show
+from myrtlespar.model_checker.explore import Bounds, Result, Used, explore, limit_steps, step
+from myrtlespar.model_checker.invariants import RULES, Watch, unused
+from myrtlespar.model_checker.mutants import PLANTS
+from myrtlespar.model_checker.scenarios import ALL, QUICK
+from myrtlespar.model_checker.state_encoding import freeze, thaw, unpack
+from myrtlespar.model_checker.world import Event
 
 LONGEST = 15  # events of a counter-example of a planted bug
 HOLDS, FELL, FAULTY, NO_VERDICT = 0, 1, 2, 3
@@ -121,7 +121,7 @@
         if plant and plant not in PLANTS:
             raise Faulty(f"--plant: no planted bug named {plant!r}")
         if real:
-            from myrtlespar.check.real import play
+            from myrtlespar.model_checker.replay_on_process import play
 
             seen = play(ALL[scenario], events, plant)
             for line in seen.lines:
@@ -130,8 +130,8 @@
                 print(f"fell: {rule}: {RULES[rule]}")
             return FELL if seen.fell else HOLDS
         if plant:  # the machines are loaded already: another process has to
-            return subprocess.run([sys.executable, "-m", "myrtlespar.check.hunt", plant, "--replay", str(path)],
-                                  check=False).returncode
+            module = "myrtlespar.model_checker.mutation_testing"
+            return subprocess.run([sys.executable, "-m", module, plant, "--replay", str(path)], check=False).returncode
         lines = story(scenario, events)
     except Faulty as error:
         print(f"myrtlespar: {error}", file=sys.stderr)
@@ -144,7 +144,7 @@
     """Find every planted bug, each in a process of its own. A survivor is a hole in the checker."""
 
     def hunt(name: str) -> tuple[str, str]:
-        words = [sys.executable, "-m", "myrtlespar.check.hunt", name, "--seconds", str(seconds)]
+        words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--seconds", str(seconds)]
         if folder is not None:
             words += ["--save", str(folder)]
         done = subprocess.run(words, capture_output=True, text=True, check=False)
--- a/myrtlespar/check/diagrams.py
+++ b/myrtlespar/model_checker/diagrams.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.table import Table
-from myrtlespar.check.rules import RULES
+from myrtlespar.model_checker.invariants import RULES
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.transition_table import Table
 
 HEAD = """# The machines, from the code
 
--- a/myrtlespar/check/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -4,14 +4,10 @@
 
 from collections.abc import Callable
 
-from myrtlespar.attempt import calls
-from myrtlespar.attempt.commands import GAP, NEXT, RENUMBERED
-from myrtlespar.attempt.connection import Be, Conn, ConnState
-from myrtlespar.attempt.process import Act, Say, Stage
-from myrtlespar.attempt.tries import STARTED
-from myrtlespar.check.environment import Item
-from myrtlespar.check.scenarios import Scenario
-from myrtlespar.check.world import (
+from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.model_checker.environment import Item
+from myrtlespar.model_checker.scenarios import Scenario
+from myrtlespar.model_checker.world import (
     DONE,
     DUE_MS,
     IDS,
@@ -24,8 +20,12 @@
     World,
     nowhere,
 )
-from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines import dependency_calls as calls
+from myrtlespar.state_machines.attempts import STARTED
+from myrtlespar.state_machines.client_connection import Be, Conn, ConnState
+from myrtlespar.state_machines.engine_link import GAP, NEXT, RENUMBERED
+from myrtlespar.state_machines.process import Act, Say, Stage
 
 REFUSED = Answer(Kind.REFUSED, retry_after_ms=500.0)
 HANDOVER_MS = 2700.0  # SIGKILL after a hand-over: the deadline of two ticks, and 0.7 s
--- a/myrtlespar/check/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlespar.check.copying import Plain, digest, freeze, thaw, unpack
-from myrtlespar.check.events import apply, begin
-from myrtlespar.check.rules import Watch, fallen
-from myrtlespar.check.scenarios import Scenario
-from myrtlespar.check.world import Event, World
+from myrtlespar.model_checker.events import apply, begin
+from myrtlespar.model_checker.invariants import Watch, fallen
+from myrtlespar.model_checker.scenarios import Scenario
+from myrtlespar.model_checker.state_encoding import Plain, digest, freeze, thaw, unpack
+from myrtlespar.model_checker.world import Event, World
 
 CHUNK = 200  # states handed to a worker at a time
 STEP_S = 1.0  # of processor time for one event, a thousand times what one takes
--- a/myrtlespar/check/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -9,15 +9,15 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from myrtlespar.check.plants import Plant, plant
+from myrtlespar.model_checker.mutants import Plant, plant
 
 LONGEST = 3  # faults of a counter-example
-AREAS = {"members": "myrtlespar.check.fleet", "limits": "myrtlespar.check.quota"}
+AREAS = {"members": "myrtlespar.model_checker.fleet", "limits": "myrtlespar.model_checker.quota"}
 
 
 def plants(area: str) -> Mapping[str, Plant]:
     """The planted bugs of an area."""
-    found: Mapping[str, Plant] = importlib.import_module(f"{AREAS[area]}.plants").PLANTS
+    found: Mapping[str, Plant] = importlib.import_module(f"{AREAS[area]}.mutants").PLANTS
     return found
 
 
@@ -45,7 +45,7 @@
 def planted(area: str, jobs: int, seconds: float) -> int:
     """Find every planted bug. A survivor is a hole in the explorer."""
     def hunt(name: str) -> tuple[str, str]:
-        words = [sys.executable, "-m", "myrtlespar.check.fleet.command", area, name, str(seconds)]
+        words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
         done = subprocess.run(words, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
 
--- a/myrtlespar/check/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -7,9 +7,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from myrtlespar.check.fleet.world import FAULTS_MS, HOP_MS, NAMES, TERMS, WARM_MS, Fault, World, begin, faults
 from myrtlespar.membership.messages import HERE, State
-from myrtlespar.membership.standing import FLEET, Standing, judge
+from myrtlespar.membership.quorum import FLEET, Standing, judge
+from myrtlespar.model_checker.fleet.world import FAULTS_MS, HOP_MS, NAMES, TERMS, WARM_MS, Fault, World, begin, faults
 
 STEPS_MOST = 20_000  # of one run; more is a machine that does not come to rest
 ALL = frozenset(("losses", "packets", "crash", "cut", "stop", "leave"))
--- a/myrtlespar/check/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -10,8 +10,8 @@
 
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Packet, Send, Stands, State, Sync
-from myrtlespar.membership.standing import Electorate
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.quorum import Electorate
+from myrtlespar.membership.settings import Terms
 
 NAMES = ("a", "b", "c")
 HOP_MS = 1.0
--- a/myrtlespar/check/rules.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.calls import Stand
-from myrtlespar.attempt.commands import Link, Sent
-from myrtlespar.attempt.keys import Key
-from myrtlespar.attempt.table import Row, Table
-from myrtlespar.attempt.tries import OWED, STARTED, Try
-from myrtlespar.check.world import IDS, OVERDUE_MS, WAITS, World
+from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITS, World
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.attempts import OWED, STARTED, Try
+from myrtlespar.state_machines.dependency_calls import Stand
+from myrtlespar.state_machines.engine_link import Link, Sent
+from myrtlespar.state_machines.idempotency_keys import Key
+from myrtlespar.state_machines.transition_table import Row, Table
 
 RULES = {
     "one answer": "What was read whole gets one final answer, never a second.",
--- a/myrtlespar/check/hunt.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -7,7 +7,7 @@
 
 import click
 
-from myrtlespar.check.plants import PLANTS, plant
+from myrtlespar.model_checker.mutants import PLANTS, plant
 
 
 @click.command()
@@ -18,14 +18,14 @@
 def main(name: str, seconds: float, save: str | None, replay: str | None) -> None:
     """Print one line: found, with the rule and the number of events, or survived."""
     plant(name)
-    from myrtlespar.check import command
-    from myrtlespar.check.explore import Bounds, explore
-    from myrtlespar.check.scenarios import ALL
+    from myrtlespar.model_checker import command
+    from myrtlespar.model_checker.explore import Bounds, explore
+    from myrtlespar.model_checker.scenarios import ALL
 
     if replay is not None:
         sys.exit(command.replay(Path(replay), False, ""))
     if PLANTS[name].scenario == "twins":
-        from myrtlespar.check import twins
+        from myrtlespar.model_checker import process_pair as twins
 
         sys.exit(twins.hunted(twins.explore(), command.LONGEST))
     found = explore(ALL[PLANTS[name].scenario], Bounds(seconds))
--- a/myrtlespar/check/twins.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -10,13 +10,13 @@
 import time
 from dataclasses import dataclass, field
 
-from myrtlespar.attempt.desk import FAILED, Desk, Effect, Terms
-from myrtlespar.attempt.keys import Keys
-from myrtlespar.attempt.process import Act, Process
-from myrtlespar.attempt.tries import STARTED, Do, Try
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
-from myrtlespar.ops.handover import Stand, Successor, answer_of, encode, known_of
+from myrtlespar.handover.keys_file import Stand, Successor, answer_of, encode, known_of
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines.attempts import STARTED, Do, Try
+from myrtlespar.state_machines.idempotency_keys import Keys
+from myrtlespar.state_machines.process import Act, Process
+from myrtlespar.state_machines.request_tracker import FAILED, Desk, Effect, Terms
 
 Event = tuple[str, ...]
 SENT_MOST = 3  # tries of the key in a run
--- a/myrtlespar/check/quota/engine.py
+++ b/myrtlespar/model_checker/quota/engine.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.session import Do, Reply, Request
+from myrtlespar.quota.lease_session import Do, Reply, Request
 
 TTL_MS, FAST = 240.0, 1.02  # of its leases; how fast its clock is
 
--- a/myrtlespar/check/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -7,8 +7,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from myrtlespar.check.quota.faults import faults
-from myrtlespar.check.quota.world import (
+from myrtlespar.model_checker.quota.faults import faults
+from myrtlespar.model_checker.quota.world import (
     BUDGET,
     HAND,
     LESS,
--- a/myrtlespar/check/quota/faults.py
+++ b/myrtlespar/model_checker/quota/faults.py
@@ -4,7 +4,7 @@
 
 from itertools import permutations
 
-from myrtlespar.check.quota.world import NAMES, Fault, World
+from myrtlespar.model_checker.quota.world import NAMES, Fault, World
 
 
 def cuts() -> list[tuple[tuple[str, str], ...]]:
--- a/myrtlespar/check/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlespar.check.quota.engine import Engine
-from myrtlespar.quota.agent import Agent, Effect
+from myrtlespar.model_checker.quota.engine import Engine
 from myrtlespar.quota.budget import Entry, period
+from myrtlespar.quota.limit_coordinator import Agent, Effect
 from myrtlespar.quota.messages import Keep, Tell
-from myrtlespar.quota.terms import GrantTerms, Kind, Limit
+from myrtlespar.quota.settings import GrantTerms, Kind, Limit
 
 NAMES = ("a", "b", "c")
 HOP_MS = 1.0
--- a/myrtlespar/check/real.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.check.events import show
-from myrtlespar.check.scenarios import Scenario
-from myrtlespar.check.world import IDS, Event
-from myrtlespar.standins.ajp_peers import Gateway
-from myrtlespar.standins.base import until
-from myrtlespar.standins.burst import OPERATOR
-from myrtlespar.standins.program import tile
-from myrtlespar.standins.scripted import ScriptedKernel
-from myrtlespar.standins.thrift_client import Client
+from myrtlespar.fakes.ajp_peers import Gateway
+from myrtlespar.fakes.scripted_engine import ScriptedKernel
+from myrtlespar.fakes.server_process import tile
+from myrtlespar.fakes.smoke_load import OPERATOR
+from myrtlespar.fakes.tcp_server import until
+from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.model_checker.events import show
+from myrtlespar.model_checker.scenarios import Scenario
+from myrtlespar.model_checker.world import IDS, Event
 
 CLASSES = {True: "order", False: "render"}
 
@@ -38,7 +38,7 @@
 
     def __init__(self, s: Scenario, plant: str, tmp: Path) -> None:
         self.s, self.kernel = s, ScriptedKernel()
-        program = ("myrtlespar.check.plants", plant) if plant else ("myrtlespar",)
+        program = ("myrtlespar.model_checker.mutants", plant) if plant else ("myrtlespar",)
         self.tile = tile(tmp, operator=OPERATOR, kernel=self.kernel, program=program)
         self.clients: dict[int, Client | Gateway] = {}
         self.sent: set[int] = set()
--- a/myrtlespar/check/copying.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -9,15 +9,10 @@
 
 import xxhash
 
-from myrtlespar.attempt.calls import Call, Calls, Connection
-from myrtlespar.attempt.commands import Command, Commands
-from myrtlespar.attempt.connection import ConnState
-from myrtlespar.attempt.desk import Desk
-from myrtlespar.attempt.keys import Entry, Keys
-from myrtlespar.attempt.process import Process
-from myrtlespar.check.environment import KernelModel, PolicyModel
-from myrtlespar.check.scenarios import Scenario
-from myrtlespar.check.world import (
+from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.model_checker.environment import KernelModel, PolicyModel
+from myrtlespar.model_checker.scenarios import Scenario
+from myrtlespar.model_checker.world import (
     FLUSH_MS,
     GRACE_MS,
     IDS,
@@ -31,7 +26,12 @@
     nowhere,
     quiet,
 )
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.state_machines.client_connection import ConnState
+from myrtlespar.state_machines.dependency_calls import Call, Calls, Connection
+from myrtlespar.state_machines.engine_link import Command, Commands
+from myrtlespar.state_machines.idempotency_keys import Entry, Keys
+from myrtlespar.state_machines.process import Process
+from myrtlespar.state_machines.request_tracker import Desk
 
 Plain = tuple[Any, ...]
 KINDS = {kind.value: kind for kind in Kind}
--- a/myrtlespar/check/trace.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.table import Table
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.transition_table import Table
 
 BEGINS = {"try": ("READ",), "key": ("FREE", "OWNED", "KNOWN"), "process": ("SERVING",), "link": ("DOWN",),
           "command": ("KEPT",), "call": ("WAITING",), "wire": ("OPENING",), "connection": ("IDLE",)}
--- a/myrtlespar/check/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -5,18 +5,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlespar.attempt import calls, commands
-from myrtlespar.attempt.connection import Be, Conn, ConnState
-from myrtlespar.attempt.connection import Do as ConnDo
-from myrtlespar.attempt.desk import Desk, Effect, Terms
-from myrtlespar.attempt.keys import Keys
-from myrtlespar.attempt.process import Process, Stage
-from myrtlespar.attempt.tries import Do
-from myrtlespar.attempt.tries import Try as State
-from myrtlespar.check.environment import KernelModel, PolicyModel
-from myrtlespar.check.scenarios import Scenario
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
+from myrtlespar.model_checker.environment import KernelModel, PolicyModel
+from myrtlespar.model_checker.scenarios import Scenario
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines import dependency_calls as calls
+from myrtlespar.state_machines import engine_link as commands
+from myrtlespar.state_machines.attempts import Do
+from myrtlespar.state_machines.attempts import Try as State
+from myrtlespar.state_machines.client_connection import Be, Conn, ConnState
+from myrtlespar.state_machines.client_connection import Do as ConnDo
+from myrtlespar.state_machines.idempotency_keys import Keys
+from myrtlespar.state_machines.process import Process, Stage
+from myrtlespar.state_machines.request_tracker import Desk, Effect, Terms
 
 Event = tuple[Any, ...]
 TICK_MS = 1000.0
--- a/myrtlespar/net/mgmt.py
+++ b/myrtlespar/net/admin_server.py
@@ -12,12 +12,12 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.clock import unix_ms
+from myrtlespar.admin.commands import LINE_MOST, Figures, ManagementCommands
 from myrtlespar.config import Address
-from myrtlespar.counters import Counters
-from myrtlespar.limits import Limits
 from myrtlespar.net.listener import Acceptor, bind_in_time
-from myrtlespar.ops.management import LINE_MOST, Figures, ManagementCommands
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
 
--- a/myrtlespar/net/workers.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -8,13 +8,13 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Config, Worker
-from myrtlespar.core import Core
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
-from myrtlespar.net import ajpwire as wire
-from myrtlespar.net.links import Closed, Reader, connect
+from myrtlespar.net.codec import ajp as wire
+from myrtlespar.net.connections import Closed, Reader, connect
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
 
--- a/myrtlespar/net/ajp.py
+++ b/myrtlespar/net/ajp_front.py
@@ -12,15 +12,15 @@
 import gevent
 from gevent import socket
 
-from myrtlespar.attempt.connection import Be, Conn
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Address, Config, PathRule
-from myrtlespar.core import Core
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.net import ajpwire as wire
 from myrtlespar.net.client_connection import ClientConnection
-from myrtlespar.net.links import Closed, Unfinished
+from myrtlespar.net.codec import ajp as wire
+from myrtlespar.net.connections import Closed, Unfinished
 from myrtlespar.net.listener import Listener
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.state_machines.client_connection import Be, Conn
 
 SESSION = re.compile(r"jsessionid=[^;,\s]*?\.([A-Za-z0-9_-]+)(?:$|[;,\s?/])", re.I)
 HOP_HEADERS = ("connection", "transfer-encoding", "content-length", "keep-alive")
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -6,10 +6,10 @@
 
 from gevent import socket
 
-from myrtlespar.attempt.connection import Be, ConnState, Do
-from myrtlespar.clock import unix_ms
-from myrtlespar.limits import Limits
-from myrtlespar.net.links import Outbox, OutboxBudget, Reader
+from myrtlespar.net.connections import Outbox, OutboxBudget, Reader
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.state_machines.client_connection import Be, ConnState, Do
 
 
 class ClientConnection:
--- a/myrtlespar/net/links.py
+++ b/myrtlespar/net/connections.py
@@ -12,7 +12,7 @@
 from gevent import Greenlet, socket
 
 from myrtlespar.config import Address
-from myrtlespar.limits import Limits
+from myrtlespar.resource_limits import Limits
 
 READ_BYTES = 16384  # at a time
 TRANSIENT = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
--- a/myrtlespar/net/store.py
+++ b/myrtlespar/net/dependency_client.py
@@ -5,12 +5,12 @@
 import gevent
 import structlog
 
-from myrtlespar.attempt.calls import Bounds, Calls, Close, Connection, Open, Order, Send
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Address, Config
-from myrtlespar.core import Core
-from myrtlespar.interface import Outcome
-from myrtlespar.net.links import Closed, Outbox, Reader, connect
+from myrtlespar.net.connections import Closed, Outbox, Reader, connect
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.state_machines.dependency_calls import Bounds, Calls, Close, Connection, Open, Order, Send
 
 log = structlog.get_logger()
 # BUSY and VOID prove that the call never ran; ERR and LATE prove nothing.
--- a/myrtlespar/net/kernel.py
+++ b/myrtlespar/net/engine_client.py
@@ -10,15 +10,26 @@
 import gevent
 import structlog
 
-from myrtlespar.attempt.commands import GAP, NEXT, RENUMBERED, Command, Commands, End, Greet, Mark, Order, Write
-from myrtlespar.attempt.desk import NEVER_RAN
-from myrtlespar.attempt.tries import STARTED
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Address, Config
-from myrtlespar.core import Core
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Effect, Outcome
-from myrtlespar.net.links import Closed, Outbox, Reader, connect
+from myrtlespar.net.connections import Closed, Outbox, Reader, connect
+from myrtlespar.policy.messages import Effect, Outcome
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.state_machines.attempts import STARTED
+from myrtlespar.state_machines.engine_link import (
+    GAP,
+    NEXT,
+    RENUMBERED,
+    Command,
+    Commands,
+    End,
+    Greet,
+    Mark,
+    Order,
+    Write,
+)
+from myrtlespar.state_machines.request_tracker import NEVER_RAN
 
 log = structlog.get_logger()
 ENDS = {"PASS": Outcome.OK, "FAIL": Outcome.ERROR, "KILLED": Outcome.STOPPED, "NOOP": Outcome.MOOT}
--- a/myrtlespar/net/etcd.py
+++ b/myrtlespar/net/etcd_client.py
@@ -12,7 +12,7 @@
 import grpc
 
 from myrtlespar.net.codec.etcd import DELETE, EQUAL, METHODS, TARGET_CREATE, TARGET_LEASE, TYPES
-from myrtlespar.quota.session import Do, Reply, Request
+from myrtlespar.quota.lease_session import Do, Reply, Request
 
 
 class Etcd:
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -11,13 +11,13 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Address
-from myrtlespar.core import Core
-from myrtlespar.limits import Limits
 from myrtlespar.net.client_connection import ClientConnection
-from myrtlespar.net.links import OutboxBudget, accepted
-from myrtlespar.supervision import run_for_good
+from myrtlespar.net.connections import OutboxBudget, accepted
+from myrtlespar.request_coordinator import Core
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.runtime.supervision import run_for_good
 
 log = structlog.get_logger()
 NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})  # what accept says for the moment
--- a/myrtlespar/net/peers.py
+++ b/myrtlespar/net/peer_transport.py
@@ -18,10 +18,9 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from myrtlespar.counters import Counters
+from myrtlespar.membership.dissemination import Bucket
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Send, Stands, Sync
-from myrtlespar.membership.spread import Bucket
 from myrtlespar.net.codec.peer import (
     BESIDE,
     HEAD,
@@ -34,6 +33,7 @@
     encode,
     split,
 )
+from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
 AT_ONCE = 32  # datagrams read before others get a turn
--- a/myrtlespar/net/roster.py
+++ b/myrtlespar/net/registry_client.py
@@ -11,11 +11,11 @@
 from gevent import socket
 from gevent.event import Event
 
-from myrtlespar.clock import unix_ms
 from myrtlespar.config import Address, Config
-from myrtlespar.core import Core
-from myrtlespar.net.kernel import Kernel
-from myrtlespar.net.links import connect
+from myrtlespar.net.connections import connect
+from myrtlespar.net.engine_client import Kernel
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
 
--- a/myrtlespar/net/thrift.py
+++ b/myrtlespar/net/thrift_front.py
@@ -9,17 +9,17 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.attempt.connection import Be, Conn
-from myrtlespar.clock import unix_ms, wall_ms
 from myrtlespar.config import Config
-from myrtlespar.core import Core
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Effect, Signal
-from myrtlespar.net import thriftwire as wire
 from myrtlespar.net.client_connection import ClientConnection
-from myrtlespar.net.links import Closed, Ended, Unfinished
+from myrtlespar.net.codec import thrift as wire
+from myrtlespar.net.codec.thrift import PROTOCOL_ERROR, UNKNOWN_METHOD, BadCall, BadMessage, idl
+from myrtlespar.net.connections import Closed, Ended, Unfinished
 from myrtlespar.net.listener import Listener
-from myrtlespar.net.thriftwire import PROTOCOL_ERROR, UNKNOWN_METHOD, BadCall, BadMessage, idl
+from myrtlespar.policy.messages import Effect, Signal
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms, wall_ms
+from myrtlespar.state_machines.client_connection import Be, Conn
 
 log = structlog.get_logger()
 TOKEN, KEY_CHARS = "token", 200  # the field that the tries of one guarded request share
--- a/myrtlespar/decide.py
+++ b/myrtlespar/policy/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of myrtlespar. The types it speaks are in myrtlespar/interface.py.
+"""Every decision of myrtlespar. The types it speaks are in myrtlespar/policy/messages.py.
 
 The mechanism is delayed rejection: while an overload flag is up, costly arrivals are set aside and refused
 only after a timer, cheap work runs first, and set-aside work still gets a forced turn. See docs/design.md.
@@ -10,8 +10,8 @@
 import math
 from collections import deque
 
-from myrtlespar import interface as api
-from myrtlespar.interface import Effect, Outcome, Signal
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import Effect, Outcome, Signal
 
 TICK_MS = 50.0  # ms between housekeeping ticks; also at most half the answer slack, so no due time is missed
 OVERLOAD_AT = 0.25  # O, part of the tightest slack: later answers would start to pass their aim
--- a/myrtlespar/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -5,7 +5,7 @@
 import sys
 from typing import Any
 
-from myrtlespar import interface as api
+from myrtlespar.policy import messages as api
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 SIGNALS = {"floor": api.Signal.LEVEL, "allowance": api.Signal.CREDIT, "weight": api.Signal.WEIGHT}
--- a/myrtlespar/quota/places.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from myrtlespar.quota.agent import Agent
-from myrtlespar.quota.holder import ROOM, Room
-from myrtlespar.quota.terms import Of
+from myrtlespar.quota.grant_holder import ROOM, Room
+from myrtlespar.quota.limit_coordinator import Agent
+from myrtlespar.quota.settings import Of
 
 
 class Places:
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -14,11 +14,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.holder import ROOM, Room
+from myrtlespar.quota.grant_holder import ROOM, Room
 from myrtlespar.quota.lease import Life
 from myrtlespar.quota.messages import Draw, Drawn, Reserve, Reserved
-from myrtlespar.quota.terms import GrantTerms, Limit
-from myrtlespar.quota.use import Window
+from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.quota.usage_windows import Window
 
 AHEAD_S = 1.0  # of its demand a member has in hand
 AHEAD = 2  # times what is short a keeper reserves at once, and at least a hundredth of the budget
--- a/myrtlespar/quota/holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.quota.messages import Want
-from myrtlespar.quota.terms import GrantTerms, Kind, Limit, Of
-from myrtlespar.quota.use import Hand, Window
+from myrtlespar.quota.settings import GrantTerms, Kind, Limit, Of
+from myrtlespar.quota.usage_windows import Hand, Window
 
 
 @dataclass(slots=True)
--- a/myrtlespar/quota/keeper.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -11,7 +11,7 @@
 from myrtlespar.quota.budget import Chest
 from myrtlespar.quota.lease import Life
 from myrtlespar.quota.messages import Want
-from myrtlespar.quota.terms import GrantTerms, Limit
+from myrtlespar.quota.settings import GrantTerms, Limit
 
 FIRM = 0.8  # of its average is a holder's part while there is not enough for all
 
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.quota.messages import AskLease, Promise
-from myrtlespar.quota.terms import GrantTerms
+from myrtlespar.quota.settings import GrantTerms
 
 Life = tuple[str, int]  # a member's name, and the boot of its life
 
--- a/myrtlespar/quota/session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from myrtlespar.quota.terms import GrantTerms
+from myrtlespar.quota.settings import GrantTerms
 
 
 class Do(StrEnum):
--- a/myrtlespar/quota/agent.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -12,9 +12,10 @@
 import msgspec
 
 from myrtlespar.quota.budget import Entry, Pocket, Purse, Vault, period
-from myrtlespar.quota.holder import ROOM, Holder, Room
-from myrtlespar.quota.keeper import Book
+from myrtlespar.quota.grant_holder import ROOM, Holder, Room
+from myrtlespar.quota.grant_ledger import Book
 from myrtlespar.quota.lease import Candidacy, Life, Voter
+from myrtlespar.quota.lease_session import Reply, Request, Session
 from myrtlespar.quota.messages import (
     Ask,
     AskLease,
@@ -30,8 +31,7 @@
     Tell,
     Want,
 )
-from myrtlespar.quota.session import Reply, Request, Session
-from myrtlespar.quota.terms import GrantTerms, Limit, Of
+from myrtlespar.quota.settings import GrantTerms, Limit, Of
 
 WANTS_MOST = 11  # of one ask, so that it fits a datagram
 HOLDS_MOST = 14  # of one promise
--- a/myrtlespar/core.py
+++ b/myrtlespar/request_coordinator.py
@@ -10,21 +10,21 @@
 import structlog
 from gevent.event import Event
 
-from myrtlespar import interface as api
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.desk import Desk, Effect, Terms
-from myrtlespar.attempt.keys import Keys
-from myrtlespar.attempt.lost_runs import LostRuns
-from myrtlespar.attempt.process import Act, Process
-from myrtlespar.attempt.table import report as impossible
-from myrtlespar.attempt.tries import OWED, Do, Try
-from myrtlespar.clock import unix_ms
-from myrtlespar.counters import Counters
-from myrtlespar.decide import Policy
+from myrtlespar.admin.commands import Figures, ManagementCommands
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
-from myrtlespar.limits import Limits
-from myrtlespar.ops.management import Figures, ManagementCommands
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.policy import Policy
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.runtime.counters import Counters
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.attempts import OWED, Do, Try
+from myrtlespar.state_machines.idempotency_keys import Keys
+from myrtlespar.state_machines.lost_runs import LostRuns
+from myrtlespar.state_machines.process import Act, Process
+from myrtlespar.state_machines.request_tracker import Desk, Effect, Terms
+from myrtlespar.state_machines.transition_table import report as impossible
 
 log = structlog.get_logger()
 # Bound once: looking a member up in its class costs as much as a step of a table.
--- a/myrtlespar/supervision.py
+++ b/myrtlespar/runtime/supervision.py
@@ -10,7 +10,7 @@
 import gevent
 import structlog
 
-from myrtlespar.counters import Counters
+from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
 RESTART_PAUSE_S = 0.05  # before a part that failed goes on
--- a/myrtlespar/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -4,8 +4,8 @@
 
 import structlog
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.table import Row, Table
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.transition_table import Row, Table
 
 log = structlog.get_logger()
 
--- /dev/null
+++ b/myrtlespar/server/__init__.py
@@ -0,0 +1,1 @@
+"""Start, reload, drain and hand-over of one server process."""
--- a/myrtlespar/serve.py
+++ b/myrtlespar/server/main.py
@@ -10,26 +10,26 @@
 import gevent
 import structlog
 
-from myrtlespar.attempt.process import Act, Say
-from myrtlespar.clock import unix_ms
+from myrtlespar.admin.commands import Figures
 from myrtlespar.config import Config, ConfigError, load, needs_restart
-from myrtlespar.core import Core
-from myrtlespar.counters import Counters
-from myrtlespar.early_signals import EarlySignals, ignore_signals
-from myrtlespar.log_output import LogOutput, complain, log_to_standard_output, open_standard_descriptors
-from myrtlespar.net.ajp import AjpFront
-from myrtlespar.net.handover_folder import HandoverFolder
-from myrtlespar.net.kernel import Kernel
+from myrtlespar.handover.driver import KeySuccession
+from myrtlespar.handover.folder import HandoverFolder
+from myrtlespar.net.admin_server import Mgmt
+from myrtlespar.net.ajp_backends import engines
+from myrtlespar.net.ajp_front import AjpFront
+from myrtlespar.net.dependency_client import Store
+from myrtlespar.net.engine_client import Kernel
 from myrtlespar.net.listener import AddressTaken
-from myrtlespar.net.mgmt import Mgmt
-from myrtlespar.net.roster import Roster
-from myrtlespar.net.store import Store
-from myrtlespar.net.thrift import ThriftFront
-from myrtlespar.net.workers import engines
-from myrtlespar.ops.management import Figures
-from myrtlespar.succession import KeySuccession
-from myrtlespar.supervision import report_uncaught, run_for_good
-from myrtlespar.tracing import trace_to_log
+from myrtlespar.net.registry_client import Roster
+from myrtlespar.net.thrift_front import ThriftFront
+from myrtlespar.request_coordinator import Core
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.runtime.counters import Counters
+from myrtlespar.runtime.log_output import LogOutput, complain, log_to_standard_output, open_standard_descriptors
+from myrtlespar.runtime.startup_signals import EarlySignals, ignore_signals
+from myrtlespar.runtime.supervision import report_uncaught, run_for_good
+from myrtlespar.runtime.tracing import trace_to_log
+from myrtlespar.state_machines.process import Act, Say
 
 if TYPE_CHECKING:  # loaded only where an operator sets the fleet up
     from myrtlespar.fleet import Fleet
--- a/myrtlespar/emulate/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -6,7 +6,6 @@
 from collections.abc import Sequence
 from random import Random
 
-from myrtlespar.emulate.fleet import Make
 from myrtlespar.membership.messages import (
     ALIVE,
     FAILED,
@@ -21,7 +20,8 @@
     Send,
     Sync,
 )
-from myrtlespar.membership.standing import Electorate, Standings
+from myrtlespar.membership.quorum import Electorate, Standings
+from myrtlespar.simulation.fleet import Make
 
 BEAT_MS = 500.0
 SILENCE_MS = 1500.0
--- a/myrtlespar/emulate/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -8,17 +8,17 @@
 from random import Random
 from typing import Protocol
 
-from myrtlespar.emulate.engine import Engine
+from myrtlespar.fault_proxy.faults import Faults
+from myrtlespar.fleet_tests.ground_truth import Deed
+from myrtlespar.fleet_tests.invariants import Belief
+from myrtlespar.fleet_tests.script import Step
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Packet, Send, Stands, Sync
-from myrtlespar.membership.standing import Electorate
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.quorum import Electorate
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import stamp
 from myrtlespar.net.codec.peer import encode
-from myrtlespar.standins.fabric.faults import Faults
-from myrtlespar.standins.fleet.judge import Belief
-from myrtlespar.standins.fleet.script import Step
-from myrtlespar.standins.fleet.truth import Deed
+from myrtlespar.simulation.event_loop import Engine
 
 HOP_MS, HOP_JITTER_MS = 0.4, 0.4  # one way within a site or between near ones, as on loopback through the relay
 START_MS = 300.0  # from the start of a process to its first packet
--- a/myrtlespar/emulate/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from myrtlespar.emulate.engine import Engine
-from myrtlespar.net.codec.quota import Letter, encode
-from myrtlespar.quota.agent import Agent, Effect
+from myrtlespar.net.codec.limits import Letter, encode
+from myrtlespar.quota.admission_queue import Places
+from myrtlespar.quota.limit_coordinator import Agent, Effect
 from myrtlespar.quota.messages import Message, Tell
-from myrtlespar.quota.places import Places
-from myrtlespar.quota.terms import GrantTerms, Limit
+from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.simulation.event_loop import Engine
 
 
 @dataclass(slots=True)
--- a/myrtlespar/emulate/play.py
+++ b/myrtlespar/simulation/runner.py
@@ -6,13 +6,13 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from myrtlespar.emulate.baseline import baseline
-from myrtlespar.emulate.fleet import Fleet, real
-from myrtlespar.membership.terms import Terms
-from myrtlespar.standins.fleet.judge import judge_members
-from myrtlespar.standins.fleet.play import figures
-from myrtlespar.standins.fleet.script import Script
-from myrtlespar.standins.fleet.truth import Deed, Truth
+from myrtlespar.fleet_tests.ground_truth import Deed, Truth
+from myrtlespar.fleet_tests.invariants import judge_members
+from myrtlespar.fleet_tests.runner import figures
+from myrtlespar.fleet_tests.script import Script
+from myrtlespar.membership.settings import Terms
+from myrtlespar.simulation.baseline import baseline
+from myrtlespar.simulation.fleet import Fleet, real
 
 SETTLE_MS = 6000.0  # from the first start to the script's beginning
 PAIRED_MOST = 64  # members whose every pair is judged; in larger fleets so many observers are
--- a/myrtlespar/simhost.py
+++ b/myrtlespar/simulator_adapter.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from myrtlespar import interface as api
-from myrtlespar.decide import Policy
-from myrtlespar.settings import FaultySetting, Json, MissingSetting, read_settings
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.policy import Policy
+from myrtlespar.policy.settings import FaultySetting, Json, MissingSetting, read_settings
 
 OUTCOMES = {
     100: api.Outcome.OK,
--- a/myrtlespar/attempt/connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -4,7 +4,7 @@
 
 from enum import IntEnum, auto
 
-from myrtlespar.attempt.table import Row, Table
+from myrtlespar.state_machines.transition_table import Row, Table
 
 
 class Conn(IntEnum):
--- a/myrtlespar/attempt/calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, auto
 
-from myrtlespar.attempt.table import Row, Table
-from myrtlespar.interface import Outcome
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines.transition_table import Row, Table
 
 
 class Wire(IntEnum):
--- a/myrtlespar/attempt/commands.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import IntEnum, auto
 
-from myrtlespar.attempt.table import Row, Table
+from myrtlespar.state_machines.transition_table import Row, Table
 
 
 class Link(IntEnum):
--- a/myrtlespar/attempt/keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, auto
 
-from myrtlespar.attempt.table import Row, Table
 from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.state_machines.transition_table import Row, Table
 
 
 class Key(IntEnum):
--- a/myrtlespar/attempt/desk.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from myrtlespar.attempt.keys import Keys, Slot, Then
-from myrtlespar.attempt.process import Process
-from myrtlespar.attempt.tries import LAST_OUTWARD, OWED, STARTED, TRY, Do, On, Try
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines.attempts import LAST_OUTWARD, OWED, STARTED, TRY, Do, On, Try
+from myrtlespar.state_machines.idempotency_keys import Keys, Slot, Then
+from myrtlespar.state_machines.process import Process
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
 DO_DELIVER, DO_DELIVER_FAILED, DO_FREE_KEY, DO_LEAVE = Do.DELIVER, Do.DELIVER_FAILED, Do.FREE_KEY, Do.LEAVE
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -22,9 +22,9 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.net.thriftwire import encode, idl
-from myrtlespar.standins import Client, Tile, until
-from myrtlespar.standins.neighbours import Kernel
+from myrtlespar.fakes import Client, Tile, until
+from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.net.codec.thrift import encode, idl
 
 GIVE_UP_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}
 SLACK_MS = 600.0  # 100 of the settings, 50 of the protocol's page, the rest for a busy machine
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -6,7 +6,7 @@
 import os
 from pathlib import Path
 
-from myrtlespar.standins import Tile, until
+from myrtlespar.fakes import Tile, until
 
 START = """import importlib, json, os, runpy, sys
 sys.path.insert(0, os.getcwd())
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from myrtlespar import interface as api
-from myrtlespar.decide import Policy
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.policy import Policy
 
 SAFE = api.RequestClass(aim_ms=2000, give_up_ms=6000, calls=True, skip_worth=0.5)
 COSTLY = api.RequestClass(aim_ms=2000, give_up_ms=6000, worth=0.2)
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from myrtlespar.standins import settings
+from myrtlespar.fakes import settings
 
 
 def classes(*rows: tuple[str, str, float]) -> dict[str, Any]:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from myrtlespar import interface as api
-from myrtlespar.simhost import READERS, BadInput, Host, parse, read_settings, serve
+from myrtlespar.policy import messages as api
+from myrtlespar.simulator_adapter import READERS, BadInput, Host, parse, read_settings, serve
 
 ROOT = Path(__file__).parent.parent
 
@@ -129,7 +129,7 @@
 
 def test_bad_line_ends_the_process_with_one_plain_line() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "myrtlespar.simhost"],
+        [sys.executable, "-m", "myrtlespar.simulator_adapter"],
         input='{"sim_time_ms":0,"backends":[]}\nnope\n',
         capture_output=True,
         text=True,
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from myrtlespar.net import ajpwire as wire
-from myrtlespar.standins import Client, Gateway, Servlet, Tile, exactly, tile, until
+from myrtlespar.fakes import Client, Gateway, Servlet, Tile, exactly, tile, until
+from myrtlespar.net.codec import ajp as wire
 
 OPERATOR = """
 [idempotency]
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -8,25 +8,26 @@
 
 import pytest
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.attempt.commands import Command, Commands, End, Link, Mark, Write
-from myrtlespar.attempt.desk import Desk, Terms
-from myrtlespar.attempt.keys import Keys
-from myrtlespar.attempt.process import Process, Say, Stage
-from myrtlespar.attempt.table import Row, Table
-from myrtlespar.attempt.tries import TRY, Do, On, Try
-from myrtlespar.check import command, twins
-from myrtlespar.check.diagrams import document
-from myrtlespar.check.explore import Bounds, explore
-from myrtlespar.check.plants import PLANTS
-from myrtlespar.check.real import play
-from myrtlespar.check.scenarios import ALL
-from myrtlespar.check.trace import check_trace
-from myrtlespar.check.world import Event
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
-from myrtlespar.standins import ROOT
-from myrtlespar.standins.burst import burst
+from myrtlespar.fakes import ROOT
+from myrtlespar.fakes.smoke_load import burst
+from myrtlespar.model_checker import command
+from myrtlespar.model_checker import process_pair as twins
+from myrtlespar.model_checker.diagrams import document
+from myrtlespar.model_checker.explore import Bounds, explore
+from myrtlespar.model_checker.mutants import PLANTS, normalized_source
+from myrtlespar.model_checker.replay_on_process import play
+from myrtlespar.model_checker.scenarios import ALL
+from myrtlespar.model_checker.trace_checker import check_trace
+from myrtlespar.model_checker.world import Event
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.state_machines import TABLES
+from myrtlespar.state_machines.attempts import TRY, Do, On, Try
+from myrtlespar.state_machines.engine_link import Command, Commands, End, Link, Mark, Write
+from myrtlespar.state_machines.idempotency_keys import Keys
+from myrtlespar.state_machines.process import Process, Say, Stage
+from myrtlespar.state_machines.request_tracker import Desk, Terms
+from myrtlespar.state_machines.transition_table import Row, Table
 
 REFUSED = Answer(Kind.REFUSED)
 
@@ -69,7 +70,7 @@
                                   "hand-over leaves with answers owed",
                                   "key forgotten at its outcome", "requests taken after the close"])
 def test_a_planted_bug_is_found(name: str, tmp_path: Path) -> None:
-    words = [sys.executable, "-m", "myrtlespar.check.hunt", name, "--save", str(tmp_path)]
+    words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--save", str(tmp_path)]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0 and done.stdout.startswith("found"), done.stdout + done.stderr
     kept = tmp_path / f"{name.replace(' ', '-')}.yaml"
@@ -81,7 +82,7 @@
 @pytest.mark.parametrize("name", ["key hand-over dropped", "starts behind the hand-over",
                                   "given-up connection used again"])  # the last one's machine does not end
 def test_a_planted_bug_of_two_processes_or_without_an_end_is_found(name: str) -> None:
-    words = [sys.executable, "-m", "myrtlespar.check.hunt", name]
+    words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0 and done.stdout.startswith("found"), done.stdout + done.stderr
 
@@ -93,12 +94,12 @@
 
 def test_every_planted_bug_changes_one_place() -> None:
     for plant in PLANTS.values():
-        text = (ROOT / f"{plant.module.replace('.', '/')}.py").read_text()
+        text = normalized_source(ROOT / f"{plant.module.replace('.', '/')}.py")
         assert text.count(plant.old) == 1 and plant.old != plant.new, plant.name
 
 
 def test_the_printed_tables_are_those_of_the_code() -> None:
-    assert (ROOT / "docs" / "attempt-tables.md").read_text() == document()
+    assert (ROOT / "docs" / "state-machines.md").read_text() == document()
 
 
 # What the checker found in the program as it was, each with its shortest trace.
@@ -242,7 +243,7 @@
 @pytest.mark.parametrize(("words", "status", "said"), [
     (["check", "--scenario", "moon"], 2, "no scenario named 'moon'"), (["check", "--jobs", "0"], 2, "--jobs"),
     (["check"], 2, "say --quick"), (["check", "trace", "/nowhere"], 2, "can't be read"), (["moon"], 2, "moon"),
-    (["check", "tables", "--verify", "docs/attempt-tables.md"], 0, ""), (["version"], 0, "0.1"),
+    (["check", "tables", "--verify", "docs/state-machines.md"], 0, ""), (["version"], 0, "0.1"),
     (["check", "--scenario", "once", "--states", "50", "--jobs", "1"], 3, "no verdict")])
 def test_the_command_line_says_what_is_wrong(words: list[str], status: int, said: str) -> None:
     done = subprocess.run([sys.executable, "-m", "myrtlespar", *words], cwd=ROOT, capture_output=True, text=True,
@@ -252,8 +253,8 @@
 
 
 def test_serving_loads_no_tool() -> None:
-    tools = "('click', 'yaml', 'xxhash', 'myrtlespar.check', 'myrtlespar.standins')"
-    code = f"import sys, myrtlespar.serve; print([m for m in {tools} if m in sys.modules])"
+    tools = "('click', 'yaml', 'xxhash', 'myrtlespar.model_checker', 'myrtlespar.fakes')"
+    code = f"import sys, myrtlespar.server.main; print([m for m in {tools} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlespar.standins import Client, Tile, tile, until
+from myrtlespar.fakes import Client, Tile, tile, until
 
 STEPPING_CLOCK = """import os, runpy, signal, sys, time
 sys.path.insert(0, os.getcwd())
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""What comes in the moment in which the program closes a connection. docs/crossings.md lists the crossings."""
+"""What comes in the moment in which the program closes a connection. docs/race-conditions.md lists the crossings."""
 
 import json
 import signal
@@ -10,11 +10,11 @@
 
 import pytest
 
-from myrtlespar.counters import Counters
-from myrtlespar.limits import Limits
-from myrtlespar.net.thrift import Link
-from myrtlespar.net.thriftwire import encode, idl
-from myrtlespar.standins import Client, Kernel, settings, tile, until
+from myrtlespar.fakes import Client, Kernel, settings, tile, until
+from myrtlespar.net.codec.thrift import encode, idl
+from myrtlespar.net.thrift_front import Link
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.counters import Counters
 from tests.gates import Gate
 
 # So much other work of the loop stands in front of the word to the reader that its connection is shut: the
@@ -50,7 +50,7 @@
 
 
 def test_a_request_whose_end_just_came_is_taken_though_its_time_is_over(tmp_path: Path) -> None:
-    gate = Gate(tmp_path, "myrtlespar.net.links:Reader.begun", "args[0]._data",
+    gate = Gate(tmp_path, "myrtlespar.net.connections:Reader.begun", "args[0]._data",
                 "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
                 "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)")
     with tile(tmp_path, start=gate.start) as running:
@@ -87,7 +87,7 @@
     """The old address accepts and says nothing, as a kernel does that starts later."""
     (tmp_path / "held.py").write_text("""import json, os, runpy, sys
 sys.path.insert(0, os.getcwd())
-import myrtlespar.net.kernel as kernel
+import myrtlespar.net.engine_client as kernel
 from gevent.event import Event
 moved, connect, move = Event(), kernel.connect, kernel.Kernel.move
 def held(*args):
@@ -117,7 +117,7 @@
     """Each answer takes 5 ms to hand over, as with a small share of a core; the kill comes on time."""
     (tmp_path / "slow.py").write_text("""import os, runpy, sys, time
 sys.path.insert(0, os.getcwd())
-from myrtlespar.net.thrift import Link
+from myrtlespar.net.thrift_front import Link
 answer = Link._answer
 def slow(*args):
     end = time.perf_counter() + 0.005
@@ -147,7 +147,7 @@
 def test_a_client_that_reads_slowly_gets_every_answer_though_its_bytes_cross_our_close(
         tmp_path: Path, why: str) -> None:
     """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
-    gate = Gate(tmp_path, "myrtlespar.net.links:Outbox.finish")
+    gate = Gate(tmp_path, "myrtlespar.net.connections:Outbox.finish")
     with tile(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 import pytest
 
 from myrtlespar.config import ConfigError, load
-from myrtlespar.standins import ROOT, Client, settings, tile
+from myrtlespar.fakes import ROOT, Client, settings, tile
 from tests.sites import GUARDED, classes
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -9,15 +9,15 @@
 import gevent
 import pytest
 
-from myrtlespar.net.etcd import Etcd
-from myrtlespar.quota.agent import Agent
-from myrtlespar.quota.session import Do, Reply, Request, Session
-from myrtlespar.quota.terms import GrantTerms, Limit
-from myrtlespar.standins import ROOT
-from myrtlespar.standins.base import until
-from myrtlespar.standins.etcd import State, serve
-from myrtlespar.standins.fleet.play import play
-from myrtlespar.standins.fleet.script import ScriptError, parse, read
+from myrtlespar.fakes import ROOT
+from myrtlespar.fakes.etcd import State, serve
+from myrtlespar.fakes.tcp_server import until
+from myrtlespar.fleet_tests.runner import play
+from myrtlespar.fleet_tests.script import ScriptError, parse, read
+from myrtlespar.net.etcd_client import Etcd
+from myrtlespar.quota.lease_session import Do, Reply, Request, Session
+from myrtlespar.quota.limit_coordinator import Agent
+from myrtlespar.quota.settings import GrantTerms, Limit
 
 TERMS = GrantTerms()
 
@@ -135,7 +135,7 @@
 
 @pytest.mark.fleet
 def test_a_strict_limit_holds_under_an_engine_that_is_cut_off_and_keepers_that_die() -> None:
-    done = play(read(ROOT / "rehearsals/limits/engine.yaml"), 3, say=lambda line: None)
+    done = play(read(ROOT / "fault_scenarios/limits/engine.yaml"), 3, say=lambda line: None)
     assert done["broken"] == [] and done["limits"]["order-farms"]["most"] > 16
 
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,8 +1,8 @@
 """What the policy learns of costs, callers and further tries."""
 
 
-from myrtlespar import interface as api
-from myrtlespar.interface import Outcome
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import Outcome
 from tests.helpers import Server
 
 
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -17,19 +17,19 @@
 import pytest
 import yaml
 
+from myrtlespar.fakes import ROOT, Client, until
+from myrtlespar.fleet_tests.process_launcher import FleetRun, Member
+from myrtlespar.fleet_tests.runner import play
+from myrtlespar.fleet_tests.script import parse, read
 from myrtlespar.membership.messages import ALIVE, Packet, Ping, Rumour
 from myrtlespar.net.codec.peer import encode
-from myrtlespar.standins import ROOT, Client, until
-from myrtlespar.standins.fleet.play import play
-from myrtlespar.standins.fleet.script import parse, read
-from myrtlespar.standins.fleet.starter import FleetRun, Member
 
 pytestmark = pytest.mark.fleet
 SLACK_MS = 4000.0  # machines that run tests are slow now and then
 THREE = "fleet: {sites: {a: 3}}\nlength_s: 5\n"
 
 
-@pytest.mark.parametrize("path", sorted((ROOT / "rehearsals" / "membership").glob("*.yaml")), ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", sorted((ROOT / "fault_scenarios" / "membership").glob("*.yaml")), ids=lambda p: p.stem)
 def test_a_rehearsal_keeps_every_promise(path: Path) -> None:
     done = play(read(path), 1, say=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
@@ -40,7 +40,7 @@
         assert done["replaced"] == 6 and done["outcomes"].get("lost", 0) == 0
 
 
-@pytest.mark.parametrize("path", sorted((ROOT / "rehearsals" / "limits").glob("*.yaml")), ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", sorted((ROOT / "fault_scenarios" / "limits").glob("*.yaml")), ids=lambda p: p.stem)
 def test_a_rehearsal_keeps_every_limit(path: Path) -> None:
     done = play(read(path), 1, say=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlespar.standins import ROOT, Gateway, Servlet, tile
+from myrtlespar.fakes import ROOT, Gateway, Servlet, tile
 
 WORKERS = """# a farm
 worker.base.type=ajp13
@@ -31,7 +31,7 @@
 
 def imported(tmp: Path, name: str, text: str) -> tuple[dict[str, Any], list[str], int]:
     (tmp / name).write_text(text)
-    done = subprocess.run([sys.executable, "-m", "myrtlespar.importer", str(tmp / name)], cwd=ROOT,
+    done = subprocess.run([sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp / name)], cwd=ROOT,
                           capture_output=True, text=True, check=False)
     problems = [line.split(f"{name}: ", 1)[1] for line in done.stderr.splitlines()]
     return tomllib.loads(done.stdout), problems, done.returncode
@@ -87,7 +87,7 @@
     (tmp_path / "w.properties").write_text(
         f"worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=one\nworker.one.port={servlet.port}\n"
         "worker.one.host=127.0.0.1\n")
-    done = subprocess.run([sys.executable, "-m", "myrtlespar.importer", str(tmp_path / "w.properties")],
+    done = subprocess.run([sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp_path / "w.properties")],
                           cwd=ROOT, capture_output=True, text=True, check=True)
     front = '[ajp]\nlisten = "127.0.0.1:0"\n[[ajp.map]]\npath = "/"\nclass = "fetch"\nto = "lb"\n'
     with tile(tmp_path, operator=front + done.stdout) as server:
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from myrtlespar.attempt.commands import NEXT, OLD, RENUMBERED, Command, Commands
-from myrtlespar.standins import Client, Tile, settings, tile, until
-from myrtlespar.standins.neighbours import Kernel
+from myrtlespar.fakes import Client, Tile, settings, tile, until
+from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.state_machines.engine_link import NEXT, OLD, RENUMBERED, Command, Commands
 
 HUGE = "1" + "0" * 400  # a whole number that no float holds
 
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from pathlib import Path
 
-from myrtlespar.standins import tile, until
-from myrtlespar.standins.neighbours import Kernel
+from myrtlespar.fakes import tile, until
+from myrtlespar.fakes.upstreams import Kernel
 from tests.fault_injection import TracedClient, TracedKernel
 from tests.test_standard_streams import free_port
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,23 +11,24 @@
 from hypothesis import strategies as st
 
 from benchmarks.fleet_change import played as lowered
-from myrtlespar.check.fleet.command import plants
-from myrtlespar.check.quota.explore import explore
-from myrtlespar.check.quota.world import HAND, RATE, Setting, begin
 from myrtlespar.config import ConfigError
+from myrtlespar.fakes import ROOT
 from myrtlespar.fleet.settings import limits_fault, read_fleet
-from myrtlespar.net import vaultfile
+from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.runner import play
+from myrtlespar.fleet_tests.script import read
+from myrtlespar.model_checker.fleet.command import plants
+from myrtlespar.model_checker.mutants import normalized_source
+from myrtlespar.model_checker.quota.explore import explore
+from myrtlespar.model_checker.quota.world import HAND, RATE, Setting, begin
+from myrtlespar.net import budget_file as vaultfile
+from myrtlespar.net.codec.limits import KEY_MOST, Letter, decode, encode
 from myrtlespar.net.codec.peer import DATAGRAM_MOST, Spoilt
-from myrtlespar.net.codec.quota import KEY_MOST, Letter, decode, encode
-from myrtlespar.quota.agent import HOLDS_MOST, WANTS_MOST, keeper_of
-from myrtlespar.quota.keeper import divide
+from myrtlespar.quota.grant_ledger import divide
+from myrtlespar.quota.limit_coordinator import HOLDS_MOST, WANTS_MOST, keeper_of
 from myrtlespar.quota.messages import Ask, Grants, Promise, Want
-from myrtlespar.quota.terms import GrantTerms, Kind, Limit
-from myrtlespar.quota.use import Window
-from myrtlespar.standins import ROOT
-from myrtlespar.standins.fleet.limits import judge_limits
-from myrtlespar.standins.fleet.play import play
-from myrtlespar.standins.fleet.script import read
+from myrtlespar.quota.settings import GrantTerms, Kind, Limit
+from myrtlespar.quota.usage_windows import Window
 
 
 @given(st.lists(st.floats(0, 400), max_size=200), st.integers(1, 20))
@@ -82,14 +83,14 @@
 @pytest.mark.parametrize("name", ["a lapsed grant is free at once", "a voter promises two", "others are not counted",
                                   "a new life uses its share at once"])
 def test_a_planted_bug_of_limits_is_found(name: str) -> None:
-    words = [sys.executable, "-m", "myrtlespar.check.fleet.command", "limits", name, "300"]
+    words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", "limits", name, "300"]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0 and done.stdout.startswith("found"), done.stdout + done.stderr
 
 
 def test_every_planted_bug_of_limits_changes_one_place() -> None:
     for plant in plants("limits").values():
-        text = (ROOT / f"{plant.module.replace('.', '/')}.py").read_text()
+        text = normalized_source(ROOT / f"{plant.module.replace('.', '/')}.py")
         assert text.count(plant.old) == 1 and plant.old != plant.new, plant.name
 
 
@@ -164,7 +165,7 @@
 @pytest.mark.parametrize("name", ["the lesser share is set aside in a change", "a vault is not written down",
                                   "what is given up is kept until the engine knows"])
 def test_a_planted_bug_of_later_parts_is_found(name: str) -> None:
-    words = [sys.executable, "-m", "myrtlespar.check.fleet.command", "limits", name, "300"]
+    words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", "limits", name, "300"]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0 and done.stdout.startswith("found"), done.stdout + done.stderr
 
@@ -227,7 +228,7 @@
 
 @pytest.mark.fleet
 def test_a_budget_survives_the_restart_of_all_members() -> None:
-    done = play(read(ROOT / "rehearsals/limits/budget-restarted.yaml"), 5, say=lambda line: None)
+    done = play(read(ROOT / "fault_scenarios/limits/budget-restarted.yaml"), 5, say=lambda line: None)
     assert done["broken"] == [] and done["limits"]["order-day"]["most"] > 100
 
 
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from myrtlespar.attempt.lost_runs import LostRuns
-from myrtlespar.standins import Client, settings, tile, until
-from myrtlespar.standins.neighbours import Kernel
+from myrtlespar.fakes import Client, settings, tile, until
+from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.state_machines.lost_runs import LostRuns
 
 
 def test_a_surplus_counts_once_it_has_held_for_the_whole_window() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from myrtlespar import interface as api
-from myrtlespar.interface import Outcome
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import Outcome
 from tests.helpers import Server, answers
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,9 +13,12 @@
 from hypothesis import strategies as st
 
 from myrtlespar.config import ConfigError
-from myrtlespar.emulate.fleet import Fleet, real
-from myrtlespar.emulate.play import play
+from myrtlespar.fault_proxy.faults import Faults, Rule
 from myrtlespar.fleet.settings import read_fleet
+from myrtlespar.fleet_tests.ground_truth import Truth
+from myrtlespar.fleet_tests.invariants import Belief, judge_members
+from myrtlespar.fleet_tests.script import ScriptError, parse
+from myrtlespar.membership.dissemination import Spread
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     ALIVE,
@@ -33,16 +36,13 @@
     Send,
     Sync,
 )
-from myrtlespar.membership.reach import broken
-from myrtlespar.membership.spread import Spread
-from myrtlespar.membership.standing import ACTS, Electorate, Standing, judge, step_fault
-from myrtlespar.membership.terms import Terms
+from myrtlespar.membership.quorum import ACTS, Electorate, Standing, judge, step_fault
+from myrtlespar.membership.reachability import broken
+from myrtlespar.membership.settings import Terms
 from myrtlespar.membership.view import Entry, Pool
 from myrtlespar.net.codec import peer
-from myrtlespar.standins.fabric.faults import Faults, Rule
-from myrtlespar.standins.fleet.judge import Belief, judge_members
-from myrtlespar.standins.fleet.script import ScriptError, parse
-from myrtlespar.standins.fleet.truth import Truth
+from myrtlespar.simulation.fleet import Fleet, real
+from myrtlespar.simulation.runner import play
 
 TERMS = Terms()
 ROLL = Electorate(1, {"x": ("a", "b", "c")})
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from myrtlespar.attempt.process import Act, Process, Stage
-from myrtlespar.net.thriftwire import encode as encode_message
-from myrtlespar.net.thriftwire import idl
-from myrtlespar.ops.handover import Known, Refused, Stand, Successor, decode, encode
-from myrtlespar.ops.management import LINE_MOST, Figures, ManagementCommands, exposition
-from myrtlespar.standins import ROOT, Client, tile, until
-from myrtlespar.standins.base import exactly
+from myrtlespar.admin.commands import LINE_MOST, Figures, ManagementCommands, exposition
+from myrtlespar.fakes import ROOT, Client, tile, until
+from myrtlespar.fakes.tcp_server import exactly
+from myrtlespar.handover.keys_file import Known, Refused, Stand, Successor, decode, encode
+from myrtlespar.net.codec.thrift import encode as encode_message
+from myrtlespar.net.codec.thrift import idl
+from myrtlespar.state_machines.process import Act, Process, Stage
 
 KIND = {"success": "succeeded", "refused": "declined", "failed": "aborted"}
 
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("value", ["nowhere", "taken"])
 def test_a_bad_management_address_is_one_line_and_exit_2(tmp_path: Path, value: str) -> None:
 
-    from myrtlespar.standins.program import settings
+    from myrtlespar.fakes.server_process import settings
 
     config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:9", "store": "127.0.0.1:9",
               "roster": "127.0.0.1:9", "seed": "1", "settings": settings(), "mgmt": value}
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,11 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlespar.counters import Counters
-from myrtlespar.decide import FOR_ROOM, Policy
-from myrtlespar.fleet.limits import HELD_MOST, Limits
+from myrtlespar.fleet.limits_driver import HELD_MOST, Limits
 from myrtlespar.fleet.settings import read_fleet
-from myrtlespar.interface import (
+from myrtlespar.policy.messages import (
     Arrival,
     Call,
     CallEnded,
@@ -24,10 +22,12 @@
     Settings,
     Tick,
 )
-from myrtlespar.quota.agent import Agent
-from myrtlespar.quota.places import Places
-from myrtlespar.quota.repeats import Repeats, RepeatTerms
-from myrtlespar.quota.terms import GrantTerms, Limit, prefix
+from myrtlespar.policy.policy import FOR_ROOM, Policy
+from myrtlespar.quota.admission_queue import Places
+from myrtlespar.quota.limit_coordinator import Agent
+from myrtlespar.quota.retry_budget import Repeats, RepeatTerms
+from myrtlespar.quota.settings import GrantTerms, Limit, prefix
+from myrtlespar.runtime.counters import Counters
 
 
 def places(amount: int) -> Places:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from myrtlespar.attempt.tries import Try
-from myrtlespar.core import Core
-from myrtlespar.counters import Counters
 from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.interface import Outcome
-from myrtlespar.limits import Limits
-from myrtlespar.settings import read_settings
-from myrtlespar.standins import Client, Store, Tile, exactly, settings, tile, until
+from myrtlespar.fakes import Client, Store, Tile, exactly, settings, tile, until
+from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.settings import read_settings
+from myrtlespar.request_coordinator import Core
+from myrtlespar.resource_limits import Limits
+from myrtlespar.runtime.counters import Counters
+from myrtlespar.state_machines.attempts import Try
 
 
 @pytest.fixture
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -9,7 +9,7 @@
 
 
 def test_policy_is_short_enough_to_read_aloud() -> None:
-    lines = (ROOT / "myrtlespar" / "decide.py").read_text().splitlines()
+    lines = (ROOT / "myrtlespar" / "policy" / "policy.py").read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 800
 
 
@@ -20,7 +20,7 @@
 
 
 def test_policy_names_its_interface_first() -> None:
-    assert "myrtlespar/interface.py" in (ROOT / "myrtlespar" / "decide.py").read_text().split('"""')[1]
+    assert "myrtlespar/policy/messages.py" in (ROOT / "myrtlespar" / "policy" / "policy.py").read_text().split('"""')[1]
 
 
 def test_readme_example_runs_as_printed() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_race_conditions.py
@@ -1,4 +1,6 @@
-"""Requests, answers, ends and signals that cross each other, forced by the stand-ins. docs/crossings.md lists them."""
+"""Requests, answers, ends and signals that cross each other, forced by the stand-ins.
+
+`docs/race-conditions.md` lists them."""
 
 import contextlib
 import itertools
@@ -12,9 +14,9 @@
 
 import pytest
 
-from myrtlespar.net.thriftwire import encode, idl
-from myrtlespar.standins import Client, Kernel, Tile, tile, until
-from myrtlespar.standins.scripted import ScriptedKernel
+from myrtlespar.fakes import Client, Kernel, Tile, tile, until
+from myrtlespar.fakes.scripted_engine import ScriptedKernel
+from myrtlespar.net.codec.thrift import encode, idl
 from tests.sites import GUARDED, classes
 
 
@@ -91,12 +93,12 @@
 @pytest.mark.parametrize("moment", ["early", "import", "config", "listen"])
 def test_a_signal_at_any_moment_of_the_start_neither_kills_nor_is_lost(tmp_path: Path, sent: str, moment: str) -> None:
     """The signal is raised by the process itself, at a line of its start."""
-    hooks = {"early": "import myrtlespar.early_signals as e; old = e.EarlySignals.__init__\n"
+    hooks = {"early": "import myrtlespar.runtime.startup_signals as e; old = e.EarlySignals.__init__\n"
                       "def at(s): old(s); raise_()\ne.EarlySignals.__init__ = at",
              "import": "sys.meta_path.insert(0, type('F', (), {'find_spec': staticmethod(\n"
-                       "    lambda name, *a: raise_() if name == 'myrtlespar.serve' else None)}))",
-             "config": "import myrtlespar.early_signals as e; old = e.EarlySignals.__init__\n"
-                       "def at(s):\n    old(s)\n    import myrtlespar.serve as v; load = v.load\n"
+                       "    lambda name, *a: raise_() if name == 'myrtlespar.server.main' else None)}))",
+             "config": "import myrtlespar.runtime.startup_signals as e; old = e.EarlySignals.__init__\n"
+                       "def at(s):\n    old(s)\n    import myrtlespar.server.main as v; load = v.load\n"
                        "    def late(): c = load(); raise_(); v.load = load; return c\n    v.load = late\n"
                        "e.EarlySignals.__init__ = at",
              "listen": "import myrtlespar.net.listener as n; old = n.Listener.start\n"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The four rules, one or more tests each."""
 
-from myrtlespar import interface as api
-from myrtlespar.interface import Outcome
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import Outcome
 from tests.helpers import Server, answers
 
 
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from myrtlespar.standins import Client, tile, until
+from myrtlespar.fakes import Client, tile, until
 
 EXAMPLES = 25
 SLACK_MS = 500.0  # over a due time: 150 of the pages, the rest for a busy machine
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from myrtlespar.standins import Client, Tile, tile, until
+from myrtlespar.fakes import Client, Tile, tile, until
 
 PIPE_BYTES = 4096  # the least that the system gives a pipe
 
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -19,11 +19,11 @@
 import pytest
 
 from myrtlespar.exchange import Answer, Kind
-from myrtlespar.net.handover_folder import HandoverFolder
-from myrtlespar.net.links import connect
-from myrtlespar.ops.handover import Known, Refused, decode, encode, known_of
-from myrtlespar.standins import Client, settings, tile, until
-from myrtlespar.standins.program import ROOT
+from myrtlespar.fakes import Client, settings, tile, until
+from myrtlespar.fakes.server_process import ROOT
+from myrtlespar.handover.folder import HandoverFolder
+from myrtlespar.handover.keys_file import Known, Refused, decode, encode, known_of
+from myrtlespar.net.connections import connect
 from tests.gates import Gate
 from tests.sites import GUARDED
 from tests.test_standard_streams import free_port, reach
@@ -108,7 +108,7 @@
 
 def test_keys_that_are_left_between_two_looks_are_not_missed(tmp_path: Path) -> None:
     """The successor read the folder, then the old process left its keys and ended, then the successor saw it gone."""
-    gate = Gate(tmp_path, "myrtlespar.net.handover_folder:HandoverFolder.claim",
+    gate = Gate(tmp_path, "myrtlespar.handover.folder:HandoverFolder.claim",
                 "calls.append(1) or len(calls) == 2", "calls = []")
     port = free_port()
     (tmp_path / "old").mkdir()
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from myrtlespar.standins import Client, Tile, tile, until
+from myrtlespar.fakes import Client, Tile, tile, until
 
 PLANTED = """import os, runpy, sys
 sys.path.insert(0, os.getcwd())
