--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -12,14 +12,14 @@
 import click
 import simpy
 
-from myrtlespar.simulation.event_loop import Engine
+from myrtlespar.simulation.event_loop import EventLoop
 
 WIDTH = 1000  # timers at a time
 
 
 def own(events: int) -> float:
-    """Events a second of `Engine`."""
-    engine = Engine()
+    """Events a second of `EventLoop`."""
+    engine = EventLoop()
 
     def again(n: int) -> None:
         engine.at(engine.now + 1.0 + n % 7, again, n)
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -13,7 +13,7 @@
 
 import click
 
-from myrtlespar.admin.commands import KINDS, Figures, exposition
+from myrtlespar.admin.commands import KINDS, MetricsSnapshot, exposition
 
 NAMES = ("render", "fetch", "order")
 
@@ -27,7 +27,7 @@
     count = (time.process_time() - began) * 1e6 / answers
     began = time.process_time()
     for _ in range(1000):
-        exposition(Figures(NAMES, [list(row) for row in ends], [0, 0, 0], 0))
+        exposition(MetricsSnapshot(NAMES, [list(row) for row in ends], [0, 0, 0], 0))
     return count, (time.process_time() - began) * 1e3
 
 
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -14,10 +14,10 @@
 
 import click
 
-from myrtlespar.quota.settings import GrantTerms, Limit
-from myrtlespar.quota.usage_windows import Window
-from myrtlespar.simulation.event_loop import Engine
-from myrtlespar.simulation.limits import Fleet
+from myrtlespar.quota.settings import GrantSettings, Limit
+from myrtlespar.quota.usage_windows import UsageWindow
+from myrtlespar.simulation.event_loop import EventLoop
+from myrtlespar.simulation.limits import SimulatedLimits
 
 PHASES = {"calm": (6, 15), "moved": (17, 25), "cut": (29, 39), "healed": (46, 55)}
 HOT = 0.8
@@ -27,9 +27,9 @@
     """One counter for all. Without it nothing is let in, as the limit is strict."""
 
     def __init__(self, names: list[str], limit: Limit, seed: int, hop_ms: float, hold_ms: float) -> None:
-        self.engine, self.dice, self.limit, self.hop_ms, self.hold_ms = Engine(), Random(seed), limit, hop_ms, hold_ms
+        self.engine, self.dice, self.limit, self.hop_ms, self.hold_ms = EventLoop(), Random(seed), limit, hop_ms, hold_ms
         self.names, self.rates = names, dict.fromkeys(names, 0.0)
-        self.meter = Window(float(limit.window_ms))
+        self.meter = UsageWindow(float(limit.window_ms))
         self.starts_by: Counter[tuple[str, int]] = Counter()
         self.lone: frozenset[str] = frozenset()
         for name in names:
@@ -62,8 +62,8 @@
     """One run."""
     names = [f"m{n}" for n in range(members)]
     limit = Limit(per_s=per_s, standing=1.0 if kind == "static" else 0.1)
-    fleet: Fleet | Central = Central(names, limit, seed, 1.0, 1000.0) if kind == "central" else \
-        Fleet(members, limit, GrantTerms(), seed, hold_ms=1000.0)
+    fleet: SimulatedLimits | Central = Central(names, limit, seed, 1.0, 1000.0) if kind == "central" else \
+        SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
     fleet.run(3000)
     lone = frozenset(names[-(members // 3):])
     for hot, until in ((names[0], 15_000), (names[-1], 25_000)):
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -16,12 +16,12 @@
 
 import click
 
-from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fleet_tests.limit_invariants import judge_limits
-from myrtlespar.fleet_tests.load_generator import Crowd
+from myrtlespar.fleet_tests.load_generator import LoadGenerator
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
-from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.quota.settings import GrantSettings, Limit
 
 SLACK_MS = 250.0
 SCRIPT = """
@@ -34,12 +34,12 @@
 
 def played(seed: int) -> dict[str, Any]:
     """One run: broken promises and figures."""
-    script, terms = parse(SCRIPT), GrantTerms()
+    script, terms = parse(SCRIPT), GrantSettings()
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
             run.begin()
-            crowd = Crowd(run)
+            crowd = LoadGenerator(run)
             crowd.begin()
             began, behind = time.monotonic(), set[str]()
 
@@ -53,7 +53,7 @@
 
             lower = {"order-farms": {"per_s": 12.0, "before": 30.0}}
             wait(4)
-            cut = Rule(frozenset(("a1", "a2", "b1", "b2")), frozenset(("c1", "c2")), False, True)
+            cut = FaultRule(frozenset(("a1", "a2", "b1", "b2")), frozenset(("c1", "c2")), False, True)
             run.fabric.on(1, cut)
             wait(5)
             run.relimit([name for name in run.members if name != "c1"], 2, lower)
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -21,7 +21,7 @@
 import yaml
 
 from benchmarks.served_path import cpu_s
-from myrtlespar.fakes import ROOT, Tile
+from myrtlespar.fakes import ROOT, ServerProcess
 from myrtlespar.fault_proxy.relay import PORTS
 
 HELPERS = 6
@@ -43,16 +43,16 @@
     import gevent
 
     from myrtlespar.membership.member import Member
-    from myrtlespar.membership.quorum import Electorate
-    from myrtlespar.membership.settings import Terms
-    from myrtlespar.net.peer_transport import Peers
+    from myrtlespar.membership.quorum import VoterSet
+    from myrtlespar.membership.settings import MembershipSettings
+    from myrtlespar.net.peer_transport import PeerTransport
     from myrtlespar.runtime.counters import Counters
 
     def make(n: int, now: float) -> Member:
-        return Member(f"m{n}", f"s{n % 3}", f"{host(n)}:{port}", int(time.time() * 1000), "cost", Terms(),
-                      Electorate(0, {}), [f"{host(1)}:{port}"], Random(n), now)
+        return Member(f"m{n}", f"s{n % 3}", f"{host(n)}:{port}", int(time.time() * 1000), "cost", MembershipSettings(),
+                      VoterSet(0, {}), [f"{host(1)}:{port}"], Random(n), now)
 
-    peers = [Peers(f"{host(n)}:{port}", "cost", f"m{n}", 2000, Counters(), lambda now, n=n: make(n, now),  # type: ignore[misc]
+    peers = [PeerTransport(f"{host(n)}:{port}", "cost", f"m{n}", 2000, Counters(), lambda now, n=n: make(n, now),  # type: ignore[misc]
                    lambda effect: None) for n in range(first, first + count)]
     for one in peers:
         one.open()
@@ -60,7 +60,7 @@
     gevent.sleep(seconds)
 
 
-def member(folder: Path, port: int, on: bool, root: Path = ROOT) -> Tile:
+def member(folder: Path, port: int, on: bool, root: Path = ROOT) -> ServerProcess:
     """The real program, with the fleet on or off."""
     folder.mkdir()
     if on:
@@ -68,7 +68,7 @@
             "fleet": "cost", "site": "s0", "bind": f"{host(0)}:{port}", "name": "m0", "seeds": [f"{host(1)}:{port}"]}))
         os.environ["MYRTLESPAR_FLEET"] = str(folder / "fleet.yaml")
     try:
-        return Tile(folder, mgmt=True, root=root)
+        return ServerProcess(folder, mgmt=True, root=root)
     finally:
         os.environ.pop("MYRTLESPAR_FLEET", None)
 
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -16,14 +16,14 @@
 
 import click
 
-from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fleet_tests.invariants import SLACK_MS
 from myrtlespar.fleet_tests.limit_invariants import judge_limits
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
-from myrtlespar.quota.limit_coordinator import Agent
-from myrtlespar.quota.settings import GrantTerms, Limit
-from myrtlespar.simulation.limits import Fleet
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.settings import GrantSettings, Limit
+from myrtlespar.simulation.limits import SimulatedLimits
 
 SHARE = 0.8  # of all demand, at one member
 
@@ -32,7 +32,7 @@
     """Orders to one member at these rates (until when in seconds, a second), at times by chance."""
     dice, n, at = Random(seed), 0, 0.0
     many = 1 + int(max(rate for _, rate in rates) // 20)  # a connection carries a bounded number unanswered
-    clients = [Client(run.listen(name)[1], run.listen(name)[0]) for _ in range(many)]
+    clients = [ThriftClient(run.listen(name)[1], run.listen(name)[0]) for _ in range(many)]
     for until, rate in rates:
         while rate > 0 and n < 200_000:
             at += dice.expovariate(rate)
@@ -44,7 +44,7 @@
             try:
                 clients[n % many].send("order", body, peer="1")
             except OSError:  # it was idle for long, and was closed
-                clients[n % many] = Client(run.listen(name)[1], run.listen(name)[0])
+                clients[n % many] = ThriftClient(run.listen(name)[1], run.listen(name)[0])
                 clients[n % many].send("order", body, peer="1")
         at = until
         time.sleep(max(0.0, began + at - time.monotonic()))
@@ -77,10 +77,10 @@
                     for body, at, end in member.kernel.runs]
         finally:
             run.close()
-    most = {slack: judge_limits(script.limits, runs, GrantTerms(), wall, wall + 22_000, slack,
+    most = {slack: judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack,
                                 {})[1]["order-farms"]["most"]
             for slack in (0.0, 25.0, 50.0, 100.0)}  # of the way from a decision to its kernel
-    broken, _ = judge_limits(script.limits, runs, GrantTerms(), wall, wall + 22_000, SLACK_MS, {})
+    broken, _ = judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, SLACK_MS, {})
     seconds = [0] * 22
     for _, at, _ in runs:
         if 0 <= at - wall < 22_000:
@@ -93,7 +93,7 @@
 def decisions(count: int) -> None:
     """Microseconds of one decision."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
-    agent = Agent(("a", 1), GrantTerms(), limits, frozenset(("a",)), 0.0)
+    agent = LimitCoordinator(("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
     for key in limits:  # alone it is its own keeper
         agent.look(5000.0, key)
     for n in range(200):
@@ -123,7 +123,7 @@
     """One large fleet in virtual time: ten starts a second a member, demand twice that, 80% at one member, moved after
     12 s; then 10,000 callers' keys, each touched about once, and silence."""
     per_s = 10.0 * size
-    fleet = Fleet(size, Limit(per_s=per_s), GrantTerms(), seed, sizes=True, hold_ms=1000.0)
+    fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, sizes=True, hold_ms=1000.0)
     fleet.run(3000)
     demand, began = per_s * 2, time.monotonic()
     for hot, until in ((0, 15_000), (size - 1, 27_000)):
@@ -134,7 +134,7 @@
         fleet.run(until)
     starts = [fleet.seen.starts[n] / per_s for n in range(27)]
     back = next((n - 15 for n in range(15, 27) if starts[n] >= 0.9 * sum(starts[8:15]) / 7), None)
-    cold = Fleet(size, Limit(per_s=5.0, by="peer"), GrantTerms(), seed, keys=10_000, sizes=True)
+    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, keys=10_000, sizes=True)
     for name in cold.names:
         cold.rates[name] = 10_000 / 4 / size
     cold.run(4000)
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -12,8 +12,8 @@
 
 import click
 
-from myrtlespar.quota.retry_budget import Repeats, RepeatTerms
-from myrtlespar.simulation.event_loop import Engine
+from myrtlespar.quota.retry_budget import RetryBudget, RetryBudgetSettings
+from myrtlespar.simulation.event_loop import EventLoop
 
 PER_S, MOST, AFTER_MS = 10.0, 3, 200.0
 BEGIN, END, STOP = 10_000.0, 30_000.0, 40_000.0
@@ -23,9 +23,9 @@
 class Outage:
     """One run."""
 
-    def __init__(self, members: int, terms: RepeatTerms | None, deaf: float, seed: int) -> None:
-        self.engine, self.dice = Engine(), Random(seed)
-        self.budgets = [Repeats(terms) for _ in range(members)] if terms is not None else []
+    def __init__(self, members: int, terms: RetryBudgetSettings | None, deaf: float, seed: int) -> None:
+        self.engine, self.dice = EventLoop(), Random(seed)
+        self.budgets = [RetryBudget(terms) for _ in range(members)] if terms is not None else []
         self.deaf = deaf
         self.members = members
         self.requests = self.tries = self.taken = self.calm_lost = self.calm = 0
@@ -69,7 +69,7 @@
     """Print one JSON line a run."""
     for size in members.split(","):
         for seed in range(1, seeds + 1):
-            for budget in (RepeatTerms(share, burst), None):
+            for budget in (RetryBudgetSettings(share, burst), None):
                 run = Outage(int(size), budget, deaf, seed)
                 run.engine.run(STOP + 5000)
                 row = {"members": int(size), "seed": seed, "share": budget.share if budget else None, "deaf": deaf,
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -19,12 +19,12 @@
 
 import click
 
-from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fleet_tests.runner import percentile
-from myrtlespar.membership.messages import State
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.messages import MemberState
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.simulation.baseline import baseline
-from myrtlespar.simulation.fleet import Fleet, real
+from myrtlespar.simulation.fleet import SimulatedFleet, real
 from myrtlespar.simulation.runner import OBSERVERS
 
 LOSS = {"drop": 0.05, "jitter_ms": 50.0}
@@ -35,11 +35,11 @@
     return {site: tuple(f"{site}{n + 1}" for n in range(size // 3 + (size % 3 > k))) for k, site in enumerate("abc")}
 
 
-def settled(size: int, seed: int, plain: bool = False, terms: Terms | None = None, sizes: bool = True) -> Fleet:
+def settled(size: int, seed: int, plain: bool = False, terms: MembershipSettings | None = None, sizes: bool = True) -> SimulatedFleet:
     """A fleet that has joined and has nothing left to tell; only the baseline has to join here."""
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1:1 + max(1, OBSERVERS // 3)]]
-    fleet = Fleet(sites, baseline() if plain else real(terms or Terms()), seed, observers, sizes=sizes)
+    fleet = SimulatedFleet(sites, baseline() if plain else real(terms or MembershipSettings()), seed, observers, sizes=sizes)
     if plain:
         fleet.begin(400.0 + 2 * size)
     else:
@@ -61,14 +61,14 @@
         fleet.down(victim)
         fleet.run(start + min(seconds, 12.0) * 1000)
         rows = [b for b in fleet.beliefs if b.subject == victim and b.at > start]
-        suspected = [b.at - start for b in rows if b.state == State.SUSPECT]
-        known = [b.at - start for b in rows if b.state == State.FAILED]
+        suspected = [b.at - start for b in rows if b.state == MemberState.SUSPECT]
+        known = [b.at - start for b in rows if b.state == MemberState.FAILED]
         out |= {"first_suspected_ms": round(min(suspected, default=0), 1), "known": len(known),
                 "known_median_ms": percentile(known, 0.5), "known_worst_ms": percentile(known, 1.0),
                 "spread_ms": round(max(known, default=0) - min(known, default=0), 1)}
     elif part == "cut":
         a, rest = frozenset(fleet.sites["a"]), frozenset(fleet.sites["b"] + fleet.sites["c"])
-        fleet.faults.put(1, Rule(a, rest, cut=True))
+        fleet.faults.put(1, FaultRule(a, rest, cut=True))
         fleet.run(start + 10_000)
         fleet.faults.drop(1)
         healed = fleet.engine.now
@@ -92,13 +92,13 @@
 def health(job: tuple[bool, int, float]) -> dict[str, Any]:
     """False failures of well members while every third one stops for 0.2 to 6 s again and again, under loss."""
     on, seed, seconds = job
-    terms = Terms() if on else Terms(health_most=0, late_ms=86_400_000)
+    terms = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
-    fleet, dice = Fleet(sites, real(terms), seed, sizes=False), Random(seed)
+    fleet, dice = SimulatedFleet(sites, real(terms), seed, sizes=False), Random(seed)
     fleet.begin()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.faults.put(1, Rule(names, names, **LOSS))
+    fleet.faults.put(1, FaultRule(names, names, **LOSS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
@@ -109,7 +109,7 @@
             fleet.engine.at(at + length, fleet.go_on, name)
             at += length
     fleet.run(6000 + seconds * 1000)
-    wrong = [b for b in fleet.beliefs if b.state == State.FAILED and b.kind == "member" and b.subject not in sick]
+    wrong = [b for b in fleet.beliefs if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick]
     events = {(b.subject, round(b.at / 3000)) for b in wrong}
     days = (len(names) - len(sick)) * seconds / 86_400
     return {"part": "health", "on": on, "seed": seed, "false_failures": len(events),
--- a/benchmarks/fleet_tight.py
+++ b/benchmarks/fleet_tight.py
@@ -13,7 +13,7 @@
 import click
 
 from myrtlespar.fleet_tests.script import parse
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.simulation.runner import play
 
 NINE = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: %g\nevents:\n"
@@ -69,7 +69,7 @@
                   + (f", such as {broken[0]}" if broken else ""))
         lengths = list(pool.map(stopped, [(ms, seed) for ms in range(1000, 3000, 100) for seed in range(1, seeds + 1)]))
     shortest = min((ms for ms, failed in lengths if failed), default=0)
-    pause = Terms().pause_ms()
+    pause = MembershipSettings().pause_ms()
     bad = bad or 0 < shortest <= pause
     print(f"silence taken for no failure: the shortest that was, {shortest} ms, promised none up to {pause:.0f} ms, "
           f"ratio {pause / shortest if shortest else 0:.2f}")
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -21,7 +21,7 @@
 
 import click
 
-from myrtlespar.fakes import ROOT, Client, Tile, tile
+from myrtlespar.fakes import ROOT, ServerProcess, ThriftClient, server_process
 
 OPEN = 24  # requests at a time on the connection
 
@@ -32,7 +32,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def scrape(server: Tile, stop: threading.Event) -> None:
+def scrape(server: ServerProcess, stop: threading.Event) -> None:
     """METRICS every 0.5 s, bounded."""
     for _ in range(1000):
         if stop.wait(0.5):
@@ -42,11 +42,11 @@
 
 def measure(root: Path, requests: int, figures: bool = False) -> float:
     """Microseconds of CPU for one request: four in five answered by the kernel at once, some with a call."""
-    with tempfile.TemporaryDirectory() as tmp, tile(Path(tmp), root=root, mgmt=figures) as server:
+    with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), root=root, mgmt=figures) as server:
         stop = threading.Event()
         if figures:
             threading.Thread(target=scrape, args=(server, stop), daemon=True).start()
-        client, sent = Client(server.ports[0]), 0
+        client, sent = ThriftClient(server.ports[0]), 0
         end = time.monotonic() + 120
         began = 0.0
         while len(client.answers) < requests + 200 and time.monotonic() < end:
--- a/myrtlespar/__main__.py
+++ b/myrtlespar/__main__.py
@@ -11,9 +11,9 @@
         from myrtlespar.cli import main as command
 
         return command()
-    from myrtlespar.runtime.startup_signals import EarlySignals
+    from myrtlespar.runtime.startup_signals import StartupSignals
 
-    early_signals = EarlySignals()  # before all that takes time to load
+    early_signals = StartupSignals()  # before all that takes time to load
     from myrtlespar.server.main import main as serve
 
     return serve(early_signals)
--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class MetricsSnapshot:
     """Counts since the process started: per class `ends[c]` = (served, refused, failed) and `forwards[c]`
     (runs handed to the kernel); `outstanding` is the requests taken and not yet answered."""
 
@@ -29,7 +29,7 @@
     return name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def exposition(figures: Figures) -> bytes:
+def exposition(figures: MetricsSnapshot) -> bytes:
     """The figures as Prometheus text exposition, each family with its TYPE line."""
     out: list[str] = []
     rows = list(zip(map(_label, figures.names), figures.ends, figures.forwards, strict=True))
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class ManagementCommands:
+class AdminCommands:
     """Pause state and the answers to operators' lines.
 
     `ready` is whether the process takes clients: listening, with its kernel up, and not handing over."""
@@ -58,7 +58,7 @@
         """What a health check is told: bad from PAUSE until RESUME, else what the policy says."""
         return policy_good and not self.paused
 
-    def line(self, raw: bytes, now: float, ready: bool, figures: Figures | None = None) -> tuple[bytes, bool]:
+    def line(self, raw: bytes, now: float, ready: bool, figures: MetricsSnapshot | None = None) -> tuple[bytes, bool]:
         """The reply to one whole line, and whether the connection is to be closed after it.
 
         `figures` is asked for by METRICS only; without it METRICS is an error naming that."""
--- a/myrtlespar/cli/demo.py
+++ b/myrtlespar/cli/demo.py
@@ -17,6 +17,6 @@
     """
     from pathlib import Path
 
-    from myrtlespar.fakes.smoke_load import burst
+    from myrtlespar.fakes.smoke_load import run_smoke_load
 
-    return burst(requests, seed, Path(keep) if keep else None)
+    return run_smoke_load(requests, seed, Path(keep) if keep else None)
--- a/myrtlespar/cli/limit_tables.py
+++ b/myrtlespar/cli/limit_tables.py
@@ -12,7 +12,7 @@
 from myrtlespar.config import ConfigError
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.quota.budget import AHEAD_S
-from myrtlespar.quota.settings import Counts, GrantTerms, Kind, Limit, Of
+from myrtlespar.quota.settings import CountedUnit, CountedWork, GrantSettings, Limit, LimitKind
 
 
 def shown(addresses: Sequence[str]) -> int:
@@ -75,23 +75,23 @@
     return status
 
 
-def promises(limit: Limit, terms: GrantTerms, members: int) -> list[tuple[str, str]]:
+def promises(limit: Limit, terms: GrantSettings, members: int) -> list[tuple[str, str]]:
     """Each promise of one limit in numbers."""
     pool, each = terms.shares(limit, members)
-    if limit.of is Of.BUDGET:
+    if limit.of is CountedUnit.BUDGET:
         return [("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
                 ("over", "0, over restarts of any or all members whose state folders are kept"),
                 ("lost with a keeper", f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what "
                                        "was short"),
                 ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
                 ("without a majority", "what is drawn is spent, nothing more is drawn")]
-    runs = "calls to the store" if limit.counts is Counts.CALLS else "runs"
-    what = f"starts in any {limit.window_ms} ms" if limit.of is Of.RATE else f"{runs} at once"
-    if limit.kind is Kind.ADVISORY:
+    runs = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
+    what = f"starts in any {limit.window_ms} ms" if limit.of is CountedUnit.RATE else f"{runs} at once"
+    if limit.kind is LimitKind.ADVISORY:
         return [("limit", f"{limit.amount} {what}"), ("promise", "none: it is counted only")]
     return [
         ("limit", f"{limit.amount} {what}"),
-        ("over", f"{terms.over(limit)}" + ("" if limit.kind is Kind.STRICT else
+        ("over", f"{terms.over(limit)}" + ("" if limit.kind is LimitKind.STRICT else
                                            f", for at most {terms.over_ms(limit):.0f} ms after a keeper's change")),
         ("granted by keepers", f"{pool}"),
         ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
--- a/myrtlespar/config.py
+++ b/myrtlespar/config.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.settings import FaultySetting, MissingSetting, read_settings
-from myrtlespar.resource_limits import Limits
+from myrtlespar.policy.settings import InvalidSetting, MissingSetting, read_settings
+from myrtlespar.resource_limits import ResourceLimits
 
 Address = tuple[str, int]
 LEAST_DESCRIPTORS, LEAST_PLACES = 24, 4  # what the program itself takes is about half of that
@@ -35,7 +35,7 @@
 
     path: str
     cls: int
-    worth: float = 0.5
+    priority_weight: float = 0.5
     kb: float = 20.0
     to: str = ""  # a worker or balancer; empty is the kernel
 
@@ -76,7 +76,7 @@
     seed: int
     settings: api.Settings
     class_names: tuple[str, ...]
-    limits: Limits
+    limits: ResourceLimits
     thrift_key: str = ""  # the field of a Thrift request that holds an idempotency key
     ajp: Ajp = field(default_factory=Ajp)
     trace: bool = False  # a log line for each step of each machine
@@ -175,7 +175,7 @@
         settings = read_settings(rows.table("settings").rows)
     except MissingSetting as error:
         raise ConfigError(str(error).replace("missing setting ", "settings.") + ": missing") from None
-    except FaultySetting as error:
+    except InvalidSetting as error:
         raise ConfigError(f"settings.{error}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"settings: {type(error).__name__}: {error}") from None
@@ -209,7 +209,7 @@
     return rows.address("store") if needed or rows.rows.get("store") is not None else None
 
 
-def _limits(rows: Table, settings: api.Settings) -> Limits:
+def _limits(rows: Table, settings: api.Settings) -> ResourceLimits:
     """Sizes and times that follow what this process may have and how long repeats may come."""
     own = rows.table("limits")
     sockets = int(own.number("sockets", 1024, LEAST_DESCRIPTORS, 1e6))
@@ -219,12 +219,12 @@
     spare_kb = 1024 * (own.number("memory_mb", 192, 1, 1e6) - BASE_MB)
     windows = [kind.window_ms for kind in settings.classes if kind.effect is api.Effect.KEYED]
     keys_kb = spare_kb * KEYS_PART if windows else 0.0
-    links = max(1, min(Limits().store_links, sockets // 12))
+    links = max(1, min(ResourceLimits().store_links, sockets // 12))
     spare = min(SPARE_DESCRIPTORS, sockets * 3 // 4)
     # With less memory than the program takes a few places are had all the same: nobody else can serve here.
     places = max(LEAST_PLACES, min(sockets - spare - links, int((spare_kb - keys_kb) / CONNECTION_KB)))
     unsent = max(LEAST_UNSENT, int(1024 * spare_kb * UNSENT_PART))
-    limits = replace(Limits(), store_links=links, connections=places, outboxes_bytes=unsent,
+    limits = replace(ResourceLimits(), store_links=links, connections=places, outboxes_bytes=unsent,
                      stop_ms=rows.number("stop_ms", 3000, 0, 1e7))
     if windows:  # a run is remembered from its end on, its window counts from before it began
         limits = replace(limits, key_ms=max(windows), keys=max(1, int(keys_kb / KEY_KB)))
@@ -234,7 +234,7 @@
 def _on_sockets(settings: api.Settings) -> api.Settings:
     """The settings as far as the sockets carry them: the platform's page has no message that stops a run, nor one
     that goes on without a call. Guards against decisions that nothing carries out: such a run would hang."""
-    return replace(settings, can_stop=False, classes=[replace(kind, skip_worth=0.0) for kind in settings.classes])
+    return replace(settings, can_stop=False, classes=[replace(kind, degraded_weight=0.0) for kind in settings.classes])
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
@@ -276,7 +276,7 @@
     keys, ajp = rows.table("idempotency"), rows.table("ajp")
     # Guards guarded classes against an operator's time that is shorter than their window.
     least_ms = max((kind.window_ms for kind in config.settings.classes if kind.effect is api.Effect.KEYED), default=0.0)
-    limits = replace(config.limits, key_ms=max(least_ms, keys.number("remember_ms", Limits().key_ms, 1, 1e8)),
+    limits = replace(config.limits, key_ms=max(least_ms, keys.number("remember_ms", ResourceLimits().key_ms, 1, 1e8)),
                      keys=int(keys.number("most", config.limits.keys, 1, 1e6)))
     thrift_key, key_header = keys.text("thrift_field", ""), keys.text("ajp_header", "").lower()
     keys.done()
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 
-class Kind(enum.Enum):
+class AnswerKind(enum.Enum):
     """The three final answers."""
 
     SERVED = "served"
@@ -19,7 +19,7 @@
 class Answer:
     """A final answer. `status` and `headers` are set only by servers whose answers carry them."""
 
-    kind: Kind
+    kind: AnswerKind
     body: bytes = b""
     retry_after_ms: float = 0.0
     last: bool = False
@@ -33,14 +33,14 @@
 
     Only the desk moves `state`; it sees to it that `deliver` is called once at the most."""
 
-    __slots__ = ("again", "arrived", "body", "call_body", "cls", "deliver", "due", "front", "headers", "id", "kb",
+    __slots__ = ("arrived", "body", "call_body", "cls", "deliver", "due", "front", "headers", "id", "is_retry", "kb",
                  "key", "method", "query", "rank", "route", "sender", "state", "target", "uri")
 
     def __init__(self, id: str, front: str, cls: int, body: bytes, arrived: float,
                  deliver: Callable[[Exchange, Answer], None]) -> None:
         self.id, self.front, self.cls, self.body, self.arrived = id, front, cls, body, arrived
         self.deliver = deliver
-        self.kb, self.rank, self.sender, self.again = 1.0, 0.0, 0, False
+        self.kb, self.rank, self.sender, self.is_retry = 1.0, 0.0, 0, False
         self.due = 0.0  # set by the desk from the class
         self.key = ""  # idempotency key, where the front supplies one
         self.target = ""  # the back end that runs it; empty is the kernel
--- a/myrtlespar/fakes/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -4,11 +4,25 @@
 are no models of speed.
 """
 
-from myrtlespar.fakes.ajp_peers import Gateway, Servlet
-from myrtlespar.fakes.server_process import ROOT, Tile, settings, tile
-from myrtlespar.fakes.tcp_server import WAIT_S, Server, exactly, until
-from myrtlespar.fakes.thrift_client import Client
-from myrtlespar.fakes.upstreams import Kernel, Roster, Store
+from myrtlespar.fakes.ajp_peers import FakeAjpServer, FakeGateway
+from myrtlespar.fakes.server_process import ROOT, ServerProcess, server_process, settings
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly, until
+from myrtlespar.fakes.thrift_client import ThriftClient
+from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
 
-__all__ = ["ROOT", "WAIT_S", "Client", "Gateway", "Kernel", "Roster", "Server", "Servlet", "Store", "Tile",
-           "exactly", "settings", "tile", "until"]
+__all__ = [
+           "ROOT",
+           "WAIT_S",
+           "FakeAjpServer",
+           "FakeDependency",
+           "FakeEngine",
+           "FakeGateway",
+           "FakeRegistry",
+           "FakeServer",
+           "ServerProcess",
+           "ThriftClient",
+           "exactly",
+           "server_process",
+           "settings",
+           "until",
+]
--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from myrtlespar.fakes.tcp_server import WAIT_S, Server, exactly
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly
 
 
 def text(value: str) -> bytes:
@@ -15,7 +15,7 @@
     return struct.pack(">H", len(value)) + value.encode() + b"\0"
 
 
-class Gateway:
+class FakeGateway:
     """A web server that speaks AJP13 to the program, written from the protocol's page."""
 
     def __init__(self, port: int, secret: str = "s3") -> None:
@@ -90,7 +90,7 @@
         return self.answer()
 
 
-class Servlet(Server):
+class FakeAjpServer(FakeServer):
     """An AJP server: answers a request with its name, path and body; `script` holds what else it may do."""
 
     def __init__(self, name: str) -> None:
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -34,7 +34,7 @@
     keys: set[bytes] = field(default_factory=set)
 
 
-class State:
+class EtcdState:
     """Keys, leases and watchers under one lock."""
 
     def __init__(self) -> None:
@@ -94,10 +94,10 @@
             time.sleep(LOOK_S)
 
 
-class Service:
+class EtcdService:
     """The methods, by the words of the codec's table."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: EtcdState) -> None:
         self.state = state
 
     def range(self, request: Any, _: grpc.ServicerContext) -> Any:
@@ -194,9 +194,9 @@
             self.state.watchers.remove(entry)
 
 
-def serve(state: State) -> tuple[grpc.Server, int]:
+def serve(state: EtcdState) -> tuple[grpc.Server, int]:
     """Listen on a free port of 127.0.0.1."""
-    server, service = grpc.server(ThreadPoolExecutor(THREADS)), Service(state)
+    server, service = grpc.server(ThreadPoolExecutor(THREADS)), EtcdService(state)
     by_service: dict[str, dict[str, Any]] = {}
     for word, (path, request, response, streams) in METHODS.items():
         _, name, method = path.split("/")
@@ -214,7 +214,7 @@
 
 def main() -> int:
     """Serve until the standard input ends."""
-    server, port = serve(State())
+    server, port = serve(EtcdState())
     print(json.dumps({"port": port}), flush=True)
     sys.stdin.read()
     server.stop(0)
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from myrtlespar.fakes.tcp_server import until
-from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.fakes.upstreams import FakeEngine
 
 SHORT_S = 0.4  # for what may well never come
 
 
-class ScriptedKernel(Kernel):
+class ScriptedEngine(FakeEngine):
     """Commands wait in an inbox, notices in an outbox. Greetings and marks pass when it is their turn; gauges that
     are asked for by the way are not answered, as their answers would prove what the script leaves in doubt."""
 
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -14,9 +14,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.fakes.ajp_peers import Gateway
-from myrtlespar.fakes.server_process import CLASSES, Tile, tile
-from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fakes.ajp_peers import FakeGateway
+from myrtlespar.fakes.server_process import CLASSES, ServerProcess, server_process
+from myrtlespar.fakes.thrift_client import ThriftClient
 
 OPERATOR = """
 [idempotency]
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class RequestRecord:
     """What became of one request."""
 
     front: str
@@ -57,24 +57,24 @@
 
 
 @dataclass(slots=True)
-class Burst:
+class SmokeLoad:
     """Everything that was sent."""
 
-    rows: list[Seen] = field(default_factory=list)
+    rows: list[RequestRecord] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def add(self, row: Seen) -> Seen:
+    def add(self, row: RequestRecord) -> RequestRecord:
         """Keep one."""
         with self.lock:
             self.rows.append(row)
         return row
 
 
-def _gateway(port: int, plan: list[tuple[str, bytes, float]], out: Burst) -> None:
-    gateway = Gateway(port)
+def _gateway(port: int, plan: list[tuple[str, bytes, float]], out: SmokeLoad) -> None:
+    gateway = FakeGateway(port)
     for cls, body, pause in plan:
         time.sleep(pause)
-        row = out.add(Seen("ajp", cls, body, time.time() * 1000))
+        row = out.add(RequestRecord("ajp", cls, body, time.time() * 1000))
         try:
             status, _, result, reuse = gateway.ask(f"/{cls}", body)
         except (OSError, EOFError):  # the drain closes what carries nothing
@@ -86,10 +86,10 @@
             return
 
 
-def burst(requests: int, seed: int, keep: Path | None) -> int:
+def run_smoke_load(requests: int, seed: int, keep: Path | None) -> int:
     """Send it, drain, print a table. 0 only if every rule held."""
-    dice, out = random.Random(seed), Burst()
-    with tempfile.TemporaryDirectory() as tmp, tile(Path(tmp), operator=OPERATOR) as server:
+    dice, out = random.Random(seed), SmokeLoad()
+    with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), operator=OPERATOR) as server:
         plan = [(dice.choices([row[0] for row in CLASSES], [47, 36, 17])[0],
                  f"n={n} ms={dice.randrange(5, 90)} calls={dice.randrange(3)}".encode(), dice.uniform(0, 0.02))
                 for n in range(requests)]
@@ -97,13 +97,13 @@
         gateways = [threading.Thread(target=_gateway, args=(server.ports[1], plan[n:third:2], out)) for n in (0, 1)]
         for thread in gateways:
             thread.start()
-        client = Client(server.ports[0])
-        sent: dict[int, Seen] = {}
+        client = ThriftClient(server.ports[0])
+        sent: dict[int, RequestRecord] = {}
         for cls, body, pause in plan[third:]:
             time.sleep(pause)
             while len(sent) - len(client.answers) >= 30:  # a connection carries so many at a time
                 time.sleep(0.005)
-            sent[client.send(cls, body)] = out.add(Seen("thrift", cls, body, time.time() * 1000))
+            sent[client.send(cls, body)] = out.add(RequestRecord("thrift", cls, body, time.time() * 1000))
         status = server.stop()
         client.ended.wait(5)
         for thread in gateways:
@@ -118,7 +118,7 @@
         return _verdict(out.rows, server, status)
 
 
-def _verdict(rows: list[Seen], server: Tile, status: int) -> int:
+def _verdict(rows: list[RequestRecord], server: ServerProcess, status: int) -> int:
     due = {name: give_up for name, _, _, give_up, _ in CLASSES}
     starts = server.kernel.by_body
     rules = {
@@ -135,7 +135,7 @@
     console, table = Console(), Table(title="A burst against the real server, drained at its end")
     for name in ("class", "front", "served", "refused", "failed", "median ms", "slowest ms"):
         table.add_column(name, justify="left" if name in ("class", "front") else "right")
-    groups: dict[tuple[str, str], list[Seen]] = defaultdict(list)
+    groups: dict[tuple[str, str], list[RequestRecord]] = defaultdict(list)
     for row in rows:
         groups[row.cls, row.front].append(row)
     for (cls, front), group in sorted(groups.items()):
--- a/myrtlespar/fakes/tcp_server.py
+++ b/myrtlespar/fakes/tcp_server.py
@@ -32,7 +32,7 @@
     return out
 
 
-class Server:
+class FakeServer:
     """Accepts on a port picked by the system; a thread a connection."""
 
     def __init__(self, port: int = 0) -> None:
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -19,7 +19,7 @@
 from myrtlespar.net.codec.thrift import encode, idl
 
 
-class Client:
+class ThriftClient:
     """A Thrift client proxy on one connection."""
 
     def __init__(self, port: int, host: str = "127.0.0.1", wait_s: float = WAIT_S) -> None:
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -11,10 +11,10 @@
 from collections import Counter
 from typing import Any
 
-from myrtlespar.fakes.tcp_server import WAIT_S, Server
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer
 
 
-class Kernel(Server):
+class FakeEngine(FakeServer):
     """Runs requests as their bodies say: `ms=50 calls=1 end=FAIL`; runs do not slow each other."""
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
             self.note(t="REAP", rid=rid, status=end, time_ms=int((time.time() - began) * 1000), **result)
 
 
-class Store(Server):
+class FakeDependency(FakeServer):
     """Ends calls in the order of `script` (`hang` never), then with OK."""
 
     def __init__(self, port: int = 0) -> None:
@@ -146,7 +146,7 @@
                 link.sendall(f"{id} {end}\r\n".encode())
 
 
-class Roster(Server):
+class FakeRegistry(FakeServer):
     """Takes reports, and tells who reported in the last 3 s."""
 
     def __init__(self) -> None:
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class FaultRule:
     """One fault on all directed links from `first` to `second` (and back unless `one_way`), names resolved."""
 
     first: frozenset[str]
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
+class LinkFaults:
     """The sum of all rules on one directed link. Times in ms, the rest probabilities."""
 
     cut: bool = False
@@ -65,17 +65,17 @@
         return out
 
 
-PLAIN = Link()
+PLAIN = LinkFaults()
 
 
-class Faults:
+class ActiveFaults:
     """The rules in force, and what they make of each link."""
 
     def __init__(self) -> None:
-        self.rules: dict[int, Rule] = {}
-        self._known: dict[tuple[str, str], Link] = {}
+        self.rules: dict[int, FaultRule] = {}
+        self._known: dict[tuple[str, str], LinkFaults] = {}
 
-    def put(self, number: int, rule: Rule) -> None:
+    def put(self, number: int, rule: FaultRule) -> None:
         """A rule comes into force."""
         self.rules[number] = rule
         self._known.clear()
@@ -85,7 +85,7 @@
         self.rules.pop(number, None)
         self._known.clear()
 
-    def link(self, a: str, b: str) -> Link:
+    def link(self, a: str, b: str) -> LinkFaults:
         """The directed link from a to b as it is now."""
         if not self.rules:
             return PLAIN
@@ -95,12 +95,12 @@
         return known
 
 
-def combine(rules: Sequence[Rule]) -> Link:
+def combine(rules: Sequence[FaultRule]) -> LinkFaults:
     """Losses and copies by chance add up as independent ones, delays as they are."""
     kept, single, ordered = 1.0, 1.0, 1.0
     for rule in rules:
         kept, single, ordered = kept * (1 - rule.drop), single * (1 - rule.duplicate), ordered * (1 - rule.reorder)
-    return Link(any(rule.cut for rule in rules), 1 - kept, sum(rule.delay_ms for rule in rules),
+    return LinkFaults(any(rule.cut for rule in rules), 1 - kept, sum(rule.delay_ms for rule in rules),
                 sum(rule.jitter_ms for rule in rules), 1 - single, 1 - ordered)
 
 
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -23,7 +23,7 @@
 from gevent.fileobject import FileObjectThread
 from gevent.server import StreamServer
 
-from myrtlespar.fault_proxy.faults import SERVICES, Faults, Rule
+from myrtlespar.fault_proxy.faults import SERVICES, ActiveFaults, FaultRule
 
 PORTS = range(20000, 32000, 4)  # below those that the system gives to callers
 CHUNK = 16384
@@ -46,13 +46,13 @@
     return f"127.9.{n}.{SERVICES.index(service) + 1}"
 
 
-class Relay:
+class FaultProxy:
     """All sockets of the fabric, and the faults in force."""
 
     def __init__(self, members: list[str], seed: int) -> None:
         self.number = {name: n + 1 for n, name in enumerate(members)}
         self.members, self.seed = members, seed
-        self.faults = Faults()
+        self.faults = ActiveFaults()
         self.dice: dict[tuple[str, str], Random] = {}
         self.targets: dict[tuple[str, str], int] = {}  # service and member ('' for all): a port on 127.0.0.1
         self.counts: Counter[str] = Counter()
@@ -173,7 +173,7 @@
         if "on" in row:
             rule = dict(row["rule"])
             rule["first"], rule["second"] = frozenset(rule["first"]), frozenset(rule["second"])
-            self.faults.put(row["on"], Rule(**rule))
+            self.faults.put(row["on"], FaultRule(**rule))
         elif "off" in row:
             self.faults.drop(row["off"])
         elif "target" in row:
@@ -186,7 +186,7 @@
     """Serve until the control ends."""
     control = FileObjectThread(sys.stdin, "r")
     first = json.loads(control.readline())
-    relay = Relay(first["members"], first["seed"])
+    relay = FaultProxy(first["members"], first["seed"])
     for service, port in first.get("services", {}).items():
         relay.targets[service, ""] = port
     print(json.dumps({"port": relay.open()}), flush=True)
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -17,54 +17,54 @@
 from myrtlespar.config import ConfigError
 from myrtlespar.fleet.settings import FleetSettings, limits_fault
 from myrtlespar.net import budget_file as vaultfile
-from myrtlespar.net.codec.limits import MAGIC, Letter, decode, encode
-from myrtlespar.net.codec.peer import DATAGRAM_MOST, OtherVersion, Spoilt
-from myrtlespar.net.peer_transport import Peers
+from myrtlespar.net.codec.limits import MAGIC, LimitDatagram, decode, encode
+from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessage, UnsupportedPeerVersion
+from myrtlespar.net.peer_transport import PeerTransport
 from myrtlespar.net.peer_transport import monotonic_ms as true_ms
-from myrtlespar.quota.admission_queue import Places
-from myrtlespar.quota.grant_holder import ROOM, Room
-from myrtlespar.quota.limit_coordinator import Agent, Effect, range_of
-from myrtlespar.quota.messages import Keep, Tell
-from myrtlespar.quota.retry_budget import Repeats
-from myrtlespar.quota.settings import Counts, Limit, Of, prefix
+from myrtlespar.quota.admission_queue import AdmissionQueue
+from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
+from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect, shard_of
+from myrtlespar.quota.messages import PersistThenSend, SendMessage
+from myrtlespar.quota.retry_budget import RetryBudget
+from myrtlespar.quota.settings import CountedUnit, CountedWork, Limit, prefix
 from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
-    from myrtlespar.fleet.lease_source import Engine
+    from myrtlespar.fleet.lease_source import LeaseSource
 
 log = structlog.get_logger()
 HELD_MOST = 8  # of one caller: its connections carry so many unanswered, and it has other work on them
 
 
-class Limits:
+class LimitsDriver:
     """Made once the address is ours; until then, and as long as nothing is known, only what needs nobody is let in."""
 
-    def __init__(self, settings: FleetSettings, classes: Sequence[str], peers: Peers, counters: Counters,
+    def __init__(self, settings: FleetSettings, classes: Sequence[str], peers: PeerTransport, counters: Counters,
                  seed: int, key_of: Callable[[str], str] = lambda id: "") -> None:
         """`key_of` tells a request's idempotency key."""
         self.settings, self.peers, self.counters, self.dice = settings, peers, counters, Random(seed)
         self.rate = settings.clock_rate
-        self.agent: Agent | None = None
+        self.agent: LimitCoordinator | None = None
         self.refused: dict[str, int] = {}
         self.admitted: dict[str, int] = {}
         rows = settings.limits.items()
         self._applying, self._calling = ([[(name, limit) for name, limit in rows if limit.cls in ("", cls)
-                                           and limit.counts is what] for cls in classes] for what in Counts)
+                                           and limit.counts is what] for cls in classes] for what in CountedWork)
         self._key_of: Callable[[str], str] = key_of
-        self.repeats = Repeats(settings.repeats) if settings.repeats is not None else None
-        self._keeps: list[Keep] = []
+        self.repeats = RetryBudget(settings.repeats) if settings.repeats is not None else None
+        self._keeps: list[PersistThenSend] = []
         self._keeps_due = Event()
         self._file: Path | None = None
         self._vault: dict[tuple[str, int], int] = {}
-        if any(limit.of is Of.BUDGET for limit in settings.limits.values()):
+        if any(limit.of is CountedUnit.BUDGET for limit in settings.limits.values()):
             self._file = Path(settings.state) / f"budgets-{settings.name}.bin"
             self._read()
         self._no_call: set[str] = set()  # runs whose call found no room yet
-        self.engine: Engine | None = None
+        self.engine: LeaseSource | None = None
         self._sender = 0
-        self.places: Places | None = None
-        self.calls: Places | None = None
-        self._asked: tuple[str, list[str], str, Room] = "", [], "", ROOM  # the last that found no room
+        self.places: AdmissionQueue | None = None
+        self.calls: AdmissionQueue | None = None
+        self._asked: tuple[str, list[str], str, AdmissionCheck] = "", [], "", ADMITTED  # the last that found no room
         self._why: dict[str, dict[str, Any]] = {}
         unknown = {limit.cls for limit in settings.limits.values()} - {"", *classes}
         if unknown:
@@ -78,7 +78,7 @@
         assert self._file is not None
         try:
             self._vault = vaultfile.read(self._file)
-        except vaultfile.Torn as why:
+        except vaultfile.CorruptBudgetFile as why:
             raise ConfigError(f"state: {why} is spoilt: what was spent can't be known") from None
         except OSError as error:
             raise ConfigError(f"state: cannot read {self._file}: {error.strerror}") from None
@@ -92,18 +92,18 @@
             except ConfigError as error:
                 log.error("fleet: no budget is vouched for", error=str(error))
                 self._file = None
-        self.agent = Agent((self.settings.name, boot), self.settings.grants, self.settings.limits, names, now,
+        self.agent = LimitCoordinator((self.settings.name, boot), self.settings.grants, self.settings.limits, names, now,
                            self.settings.limits_version, self.settings.engine is not None, self._vault)
         self.agent.wall_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
-        self.places, self.calls = Places(self.agent), Places(self.agent)
+        self.places, self.calls = AdmissionQueue(self.agent), AdmissionQueue(self.agent)
         self.peers.others[MAGIC[:3]] = self._heard
         gevent.spawn(self._clock)
         if self._file is not None:
             gevent.spawn(self._keep)
         if self.settings.engine is not None:  # loaded only where one is set
-            from myrtlespar.fleet.lease_source import Engine
+            from myrtlespar.fleet.lease_source import LeaseSource
 
-            self.engine = Engine(self.settings.engine, self.settings.fleet, self.agent, self.now, self._carry,
+            self.engine = LeaseSource(self.settings.engine, self.settings.fleet, self.agent, self.now, self._carry,
                                  self.counters)
             gevent.spawn(self.engine.run)
 
@@ -146,28 +146,28 @@
     def _heard(self, data: bytes, _: float) -> None:
         try:
             letter = decode(data)
-        except OtherVersion:
+        except UnsupportedPeerVersion:
             return self.counters.add("limits.other_version")
-        except Spoilt as why:
+        except MalformedPeerMessage as why:
             return self.counters.add(f"limits.spoilt.{str(why).replace(' ', '_')}")
         if letter.fleet != self.settings.fleet or letter.name == self.settings.name or self.agent is None:
             return self.counters.add("limits.foreign")
         self._carry(self.agent.receive(self.now(), (letter.name, letter.boot), letter.message))
 
-    def _carry(self, effects: list[Effect]) -> None:
+    def _carry(self, effects: list[LimitEffect]) -> None:
         assert self.agent is not None
         name, boot = self.agent.me
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, PersistThenSend):
                 self._keeps.append(effect)
                 self._keeps_due.set()
                 continue
-            if not isinstance(effect, Tell):
+            if not isinstance(effect, SendMessage):
                 self.counters.add(f"limits.{effect.what.replace(' ', '_')}")
                 if effect.text and self.counters.rare(f"limits.log.{effect.what}"):
                     log.warning("fleet: " + effect.text)
                 continue
-            data = encode(Letter(self.settings.fleet, name, boot, effect.message))
+            data = encode(LimitDatagram(self.settings.fleet, name, boot, effect.message))
             if len(data) > DATAGRAM_MOST:  # guards the link's promise; keys are too long for one datagram
                 self.counters.add("limits.oversized")
                 continue
@@ -197,7 +197,7 @@
 
     # The policy's port.
 
-    def room(self, id: str, cls: int, sender: int) -> float:
+    def admit(self, id: str, cls: int, sender: int) -> float:
         """0: there is room under every limit, and it is taken. Otherwise in how many ms there may be."""
         applying = self._applying[cls]
         if not applying:
@@ -218,13 +218,13 @@
             self.admitted[name] = self.admitted.get(name, 0) + 1
         return 0.0
 
-    def wait(self, id: str, order: float) -> None:
+    def enqueue(self, id: str, order: float) -> None:
         """It waits for the room that it was just told of; the lowest order is first."""
         if self.places is not None and self._asked[0] == id:
             self.counters.add("limits.held")
             self.places.wait(id, order, self._asked[1], self._sender)
 
-    def turned_away(self, id: str, after_ms: float) -> float:
+    def reject(self, id: str, after_ms: float) -> float:
         """It is refused for want of room: when its caller is to come back, spread over the time behind `after_ms`."""
         asked, _, key, room = self._asked
         if id == asked:
@@ -246,23 +246,23 @@
                                "granted_for_ms": round(room.left_ms), "waiting": len(self.places.waiting)}
         return after_ms * (1 + self.dice.random())
 
-    def ready(self) -> list[str]:
+    def take_ready(self) -> list[str]:
         """Waiting ones that may ask for room again now."""
         places = self.places
         return places.ready(self.now()) if places is not None and places.waiting else []
 
-    def next_ms(self) -> float:
+    def next_ready_ms(self) -> float:
         """In how long the first waiting one may have room; infinity if that is not known."""
         places = self.places
         return places.next_ms(self.now()) if places is not None and places.waiting else float("inf")
 
-    def over(self, id: str) -> None:
+    def release(self, id: str) -> None:
         """It has ended, or will never ask again."""
         self._no_call.discard(id)
         if self.places is not None:
             self.places.over(id)
 
-    def call(self, id: str, cls: int) -> bool:
+    def admit_call(self, id: str, cls: int) -> bool:
         """Whether there is room for a call to the store, under every limit on those; if so, it is taken."""
         applying = self._calling[cls]
         if not applying:
@@ -283,21 +283,21 @@
             self.admitted[name] = self.admitted.get(name, 0) + 1
         return True
 
-    def called(self, id: str, after_ms: float) -> None:
+    def release_call(self, id: str, after_ms: float) -> None:
         """The call is over; the store may have it in hand for so long still."""
         if self.calls is not None and after_ms > 0:
             self.calls.linger(self.now(), id, after_ms)
         elif self.calls is not None:
             self.calls.over(id)
 
-    def tried(self, again: bool) -> bool:
+    def record_attempt(self, again: bool) -> bool:
         """A first try or a repeat was read. False: there is no budget for this repeat."""
         if self.repeats is None or self.repeats.tried(again):
             return True
         self.counters.add("limits.repeat_refused")
         return False
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a caller that is refused now may be left free to try again."""
         if self.repeats is None or self.repeats.may_repeat(self.now()):
             return True
@@ -323,7 +323,7 @@
             rows.append({"key": key, "limit": share.limit.amount, "kind": share.limit.kind.value,
                          "of": share.limit.of.value, "standing": share.standing, "granted": share.granted(now),
                          "granted_for_ms": round(max(0.0, share.until - now)), "used": share.meter.look(now),
-                         "keeper": agent.keeper(key), "range": range_of(key, agent.terms.ranges)})
+                         "keeper": agent.keeper(key), "range": shard_of(key, agent.terms.ranges)})
         kept = [{"range": n, "epoch": one.candidacy.epoch, "since_ms": round(now - one.candidacy.since),
                  "unknown": sorted(one.book.unknown),
                  "out": {key: one.book.outstanding(now, key) for key in one.book.keys}}
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -14,34 +14,34 @@
 from myrtlespar.config import Config, ConfigError
 from myrtlespar.fleet.settings import FleetSettings, read_fleet
 from myrtlespar.membership.member import Member
-from myrtlespar.membership.messages import Changed, Note, Stands, State
-from myrtlespar.membership.quorum import FLEET, Standing, step_fault
+from myrtlespar.membership.messages import CountEvent, MemberChanged, MemberState, QuorumChanged
+from myrtlespar.membership.quorum import FLEET, QuorumStatus, step_fault
 from myrtlespar.membership.reachability import broken
-from myrtlespar.net.peer_transport import Peers, Taken, monotonic_ms
+from myrtlespar.net.peer_transport import PeerAddressInUse, PeerTransport, monotonic_ms
 from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
-    from myrtlespar.fleet.limits_driver import Limits
+    from myrtlespar.fleet.limits_driver import LimitsDriver
 
 log = structlog.get_logger()
 
 
-class Fleet:
+class FleetNode:
     """What `serve` holds when the fleet is on."""
 
     def __init__(self, settings: FleetSettings, path: str, counters: Counters, seed: int,
                  classes: Sequence[str] = (), key_of: Callable[[str], str] = lambda id: "") -> None:
         self.settings, self.path, self.counters, self.seed = settings, path, counters, seed
         self.roll = settings.roll
-        self.peers = Peers(settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters,
+        self.peers = PeerTransport(settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters,
                            self._make, self._changed)
-        self.limits: Limits | None = None
+        self.limits: LimitsDriver | None = None
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
             raise ConfigError("engine: needs the libraries of requirements-engine.txt")
         if settings.limits or settings.repeats is not None:  # loaded only where some are set
-            from myrtlespar.fleet.limits_driver import Limits
+            from myrtlespar.fleet.limits_driver import LimitsDriver
 
-            self.limits = Limits(settings, classes, self.peers, counters, seed, key_of)
+            self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of)
         for scope in self.roll.even():
             log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
 
@@ -53,21 +53,21 @@
         member = Member(own.name, own.site, own.advertise, boot, own.fleet, own.membership, self.roll, own.seeds,
                         Random(self.seed), now)
         for scope, tally in member.standings.scopes.items():
-            self._changed(Stands(scope, tally.now, tally.now))
+            self._changed(QuorumChanged(scope, tally.now, tally.now))
         if self.limits is not None:
             self.limits.begin(boot)
         return member
 
-    def _changed(self, effect: Changed | Stands | Note) -> None:
+    def _changed(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
         """Every change of the view and of one's standing is a line of the log."""
-        if isinstance(effect, Changed):
+        if isinstance(effect, MemberChanged):
             log.info("fleet member", member=effect.name, old=_state(effect.old), new=_state(effect.new),
                      life=[effect.boot, effect.counter], by=effect.by, at=time.time() * 1000)
             if self.limits is not None and self.peers.member is not None:
                 self.limits.here(frozenset(self.peers.member.view.all))
-        elif isinstance(effect, Stands):
-            log.info("fleet standing", scope=effect.scope, old=Standing(effect.old).name.lower(),
-                     new=Standing(effect.new).name.lower(), at=time.time() * 1000)
+        elif isinstance(effect, QuorumChanged):
+            log.info("fleet standing", scope=effect.scope, old=QuorumStatus(effect.old).name.lower(),
+                     new=QuorumStatus(effect.new).name.lower(), at=time.time() * 1000)
         elif effect.text and self.counters.rare(f"fleet.log.{effect.what}"):
             log.warning("fleet: " + effect.text)
 
@@ -118,7 +118,7 @@
             return json.dumps({"name": own.name, "site": own.site, "waiting": True}).encode() + b"\n"
         rows: list[dict[str, Any]] = [
             {"name": name, "site": entry.rumour.site, "address": entry.rumour.address,
-             "state": State(entry.rumour.state).name.lower(), "life": [entry.rumour.boot, entry.rumour.counter],
+             "state": MemberState(entry.rumour.state).name.lower(), "life": [entry.rumour.boot, entry.rumour.counter],
              "for_ms": round(now - entry.since), "evidence_ms": round(now - entry.evidence),
              "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
              "proven_ms": round(now - entry.answered) if entry.answered > 0 else None}
@@ -145,10 +145,10 @@
         member, now = self.peers.member, monotonic_ms()
         if member is None:
             return []
-        counts = {state: 0 for state in State}
+        counts = {state: 0 for state in MemberState}
         for entry in member.view.entries.values():
-            counts[State(entry.rumour.state)] += 1
-        counts[State.ALIVE] += 1
+            counts[MemberState(entry.rumour.state)] += 1
+        counts[MemberState.ALIVE] += 1
         oldest = max((now - entry.evidence for entry in member.view.entries.values() if entry.here), default=0.0)
         report = self.counters.report()
         out = ["# TYPE fleet_members gauge"]
@@ -159,7 +159,7 @@
         gauges = {"oldest_evidence_seconds": oldest / 1000, "local_health": member.rounds.prober.health,
                   "broken_links": len(broken(member.reach.rows)), "disagreements": len(member.differ.lasting),
                   "roll_version": member.standings.electorate.version,
-                  "majority": int(member.standings.scopes[FLEET].now >= Standing.MAJORITY)}
+                  "majority": int(member.standings.scopes[FLEET].now >= QuorumStatus.MAJORITY)}
         for name, value in gauges.items():
             out += [f"# TYPE fleet_{name} gauge", f"fleet_{name} {value:g}"]
         out.append("# TYPE fleet_probe_round_trip_seconds gauge")
@@ -175,16 +175,16 @@
 
 
 def _state(state: int | None) -> str | None:
-    return None if state is None else State(state).name.lower()
+    return None if state is None else MemberState(state).name.lower()
 
 
-def open_fleet(config: Config, counters: Counters, key_of: Callable[[str], str]) -> Fleet:
+def open_fleet(config: Config, counters: Counters, key_of: Callable[[str], str]) -> FleetNode:
     """Read the file and take the address, before any client is taken. ConfigError names the faulty key."""
     settings = read_fleet(config.fleet, config.name)
-    fleet = Fleet(settings, config.fleet, counters, config.seed, config.class_names, key_of)
+    fleet = FleetNode(settings, config.fleet, counters, config.seed, config.class_names, key_of)
     try:
         fleet.peers.open()
-    except Taken:
+    except PeerAddressInUse:
         raise ConfigError(f"bind: {settings.bind} is in use by another program") from None
     except OSError as error:
         raise ConfigError(f"bind: cannot listen on {settings.bind}: {error.strerror}") from None
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -10,16 +10,16 @@
 import yaml
 
 from myrtlespar.config import ConfigError
-from myrtlespar.membership.quorum import Electorate
-from myrtlespar.membership.settings import Terms
-from myrtlespar.net.codec.peer import good_address, good_name, split
-from myrtlespar.quota.retry_budget import RepeatTerms
-from myrtlespar.quota.settings import GrantTerms, Kind, Limit
+from myrtlespar.membership.quorum import VoterSet
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.net.codec.peer import is_valid_address, is_valid_name, split
+from myrtlespar.quota.retry_budget import RetryBudgetSettings
+from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
 KEY = "MYRTLESPAR_FLEET"
 
 
-class Roll(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class VoterSetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Who counts for majorities, by site."""
 
     version: int
@@ -43,12 +43,12 @@
     name: str = ""  # that of the platform's file, if empty
     advertise: str = ""  # `bind`, if empty
     seeds: list[str] = []
-    electorate: Roll | None = None
-    membership: Terms = Terms()
+    electorate: VoterSetSettings | None = None
+    membership: MembershipSettings = MembershipSettings()
     limits: dict[str, Limit] = {}
     limits_version: int = 1  # grows by one with each change of a number; `before` names the one it replaces
-    grants: GrantTerms = GrantTerms()
-    repeats: RepeatTerms | None = None
+    grants: GrantSettings = GrantSettings()
+    repeats: RetryBudgetSettings | None = None
     state: str = ""  # a folder that outlives the process, for budgets
     engine: EngineSettings | None = None  # in place of majority leases
     datagrams_per_s: int = 2000  # more are dropped and counted, so that a flood can't take the core
@@ -56,11 +56,11 @@
     wall_shift_ms: int = 0  # fault_scenarios of a wrong clock: added to the wall clock, which matters for lives only
 
     @property
-    def roll(self) -> Electorate:
+    def roll(self) -> VoterSet:
         """The electorate; version 0 and empty where none is set, so that no majority is claimed."""
         if self.electorate is None:
-            return Electorate(0, {})
-        return Electorate(self.electorate.version, {s: tuple(row) for s, row in self.electorate.sites.items()})
+            return VoterSet(0, {})
+        return VoterSet(self.electorate.version, {s: tuple(row) for s, row in self.electorate.sites.items()})
 
 
 class _Loader(yaml.SafeLoader):
@@ -111,12 +111,12 @@
 
 def _check(found: FleetSettings) -> None:
     for key, value in (("fleet", found.fleet), ("name", found.name), ("site", found.site)):
-        if not good_name(value):
+        if not is_valid_name(value):
             raise ConfigError(f"{key}: expected 1 to 48 printable characters without spaces, got {value!r}")
     places = [("bind", found.bind), ("advertise", found.advertise),
               *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds))]
     for key, value in places:
-        if not good_address(value):
+        if not is_valid_address(value):
             raise ConfigError(f"{key}: expected A.B.C.D:PORT, got {value!r}")
     if split(found.advertise)[0] == "0.0.0.0":
         raise ConfigError(f"advertise: others can't reach {found.advertise}")
@@ -137,7 +137,7 @@
     if fault:
         raise ConfigError(f"grants.{fault}")
     if found.engine is not None:
-        if not good_address(found.engine.address):
+        if not is_valid_address(found.engine.address):
             raise ConfigError(f"engine.address: expected A.B.C.D:PORT, got {found.engine.address!r}")
         if not 1 <= found.engine.ttl_s <= 600:
             raise ConfigError(f"engine.ttl_s: expected 1 to 600, got {found.engine.ttl_s}")
@@ -151,14 +151,14 @@
     if not 1 <= found.limits_version < 2**40:
         raise ConfigError(f"limits_version: expected a number from 1, got {found.limits_version}")
     for name, limit in found.limits.items():
-        if not good_name(name) or "/" in name or len(name) > 32:
+        if not is_valid_name(name) or "/" in name or len(name) > 32:
             raise ConfigError(f"limits.{name}: expected a name of at most 32 characters without spaces and slashes")
         fault = limit.fault()
         if fault:
             raise ConfigError(f"limits.{name}.{fault}")
         if limit.per_day is not None and not found.state:
             raise ConfigError(f"limits.{name}.per_day: needs state, a folder that outlives the process")
-        if limit.kind is not Kind.ADVISORY and not members:
+        if limit.kind is not LimitKind.ADVISORY and not members:
             raise ConfigError(f"limits.{name}.kind: {limit.kind.value} needs an electorate, as else nobody may grant")
 
 
@@ -185,13 +185,13 @@
     return ""
 
 
-def _check_roll(found: FleetSettings, roll: Roll) -> None:
+def _check_roll(found: FleetSettings, roll: VoterSetSettings) -> None:
     if not 1 <= roll.version < 2**53:
         raise ConfigError(f"electorate.version: expected a number from 1, got {roll.version}")
     seen: dict[str, str] = {}
     for site, names in roll.sites.items():
         for n, name in enumerate(names):
-            if not good_name(name) or not good_name(site):
+            if not is_valid_name(name) or not is_valid_name(site):
                 raise ConfigError(f"electorate.sites.{site}[{n}]: expected a name, got {name!r}")
             if name in seen:
                 raise ConfigError(f"electorate.sites.{site}[{n}]: {name} stands twice, also in {seen[name]}")
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -8,11 +8,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.fleet_tests.invariants import Belief
+from myrtlespar.fleet_tests.invariants import ObservedBelief
 from myrtlespar.fleet_tests.runner import closing, play
 from myrtlespar.fleet_tests.script import parse
-from myrtlespar.membership.messages import State
-from myrtlespar.membership.quorum import FLEET, Standing
+from myrtlespar.membership.messages import MemberState
+from myrtlespar.membership.quorum import FLEET, QuorumStatus
 
 SCRIPT = """
 fleet: {sites: {a: 3, b: 3, c: 3}}
@@ -40,7 +40,7 @@
     return closing(done, seed, None)
 
 
-def lines(beliefs: list[Belief], members: tuple[str, ...]) -> Table:
+def lines(beliefs: list[ObservedBelief], members: tuple[str, ...]) -> Table:
     """One row a member: when it came to each standing, and whom it held for failed in between."""
     out = Table(title="What each believed when (seconds from the script's begin)")
     for title in ("member", "standing of the fleet", "failed to it"):
@@ -49,14 +49,14 @@
         mine = [b for b in beliefs if b.observer == name]
         stands = [b for b in mine if b.kind == "standing" and b.subject == FLEET]
         before = [b for b in stands if b.at <= 0][-1:]
-        shown = [f"{max(0.0, b.at) / 1000:.2f} {Standing(b.state or 0).name.lower()}"
+        shown = [f"{max(0.0, b.at) / 1000:.2f} {QuorumStatus(b.state or 0).name.lower()}"
                  for b in before + [b for b in stands if b.at > 0]]
         failed: dict[str, list[Any]] = {}
         for belief in mine:
             if belief.kind == "member" and belief.at > 0:
-                if belief.state == State.FAILED:
+                if belief.state == MemberState.FAILED:
                     failed.setdefault(belief.subject, []).append(f"{belief.at / 1000:.2f}")
-                elif belief.state == State.ALIVE and belief.subject in failed:
+                elif belief.state == MemberState.ALIVE and belief.subject in failed:
                     failed[belief.subject].append(f"-{belief.at / 1000:.2f}")
         out.add_row(name, ", ".join(shown), "  ".join(f"{who} {''.join(when)}" for who, when in sorted(failed.items())))
     return out
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -7,22 +7,22 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from myrtlespar.fault_proxy.faults import Faults, Rule
+from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule
 
 
 @dataclass(frozen=True, slots=True)
-class Deed:
+class FaultAction:
     """Something done: up, down, pause, resume, left, rule_on or rule_off."""
 
     at: float
     kind: str
     name: str = ""
     number: int = 0
-    rule: Rule | None = None
+    rule: FaultRule | None = None
 
 
 @dataclass(slots=True)
-class Moment:
+class TruthInterval:
     """What held from `at` until the next moment. Members that the same rules name are one kind: links are those of
     kinds, so that a moment of thousands of members is small."""
 
@@ -54,19 +54,19 @@
         return not (self.way[one][two] and self.way[two][one])
 
 
-class Truth:
+class GroundTruth:
     """The moments of one run."""
 
-    def __init__(self, members: Sequence[str], deeds: Iterable[Deed], end: float, short_ms: float) -> None:
+    def __init__(self, members: Sequence[str], deeds: Iterable[FaultAction], end: float, short_ms: float) -> None:
         """Stops (SIGSTOP) of at most `short_ms` count as none: nobody may notice them."""
         self.members, self.end = tuple(members), end
         self.deeds = _without_short_stops(sorted(deeds, key=lambda deed: deed.at), short_ms)
-        self.moments: list[Moment] = []
+        self.moments: list[TruthInterval] = []
         self._build()
         self._times = [moment.at for moment in self.moments]
 
     def _build(self) -> None:
-        up, stopped, left, faults = set[str](), set[str](), set[str](), Faults()
+        up, stopped, left, faults = set[str](), set[str](), set[str](), ActiveFaults()
         at = 0.0
         for n, deed in enumerate(self.deeds):
             if deed.kind == "up":
@@ -90,7 +90,7 @@
             if n + 1 == len(self.deeds) or self.deeds[n + 1].at > at:
                 self.moments.append(self._moment(at, up - stopped, left, faults))
 
-    def _moment(self, at: float, well: set[str], left: set[str], faults: Faults) -> Moment:
+    def _moment(self, at: float, well: set[str], left: set[str], faults: ActiveFaults) -> TruthInterval:
         rules = list(faults.rules.values())
         labels: dict[tuple[tuple[bool, bool], ...], int] = {}
         kind = {name: labels.setdefault(tuple((name in r.first, name in r.second) for r in rules), len(labels))
@@ -110,7 +110,7 @@
                     for two in kinds:
                         way[one][two] = way[one][two] or way[mid][two]
         good = all(link.cut or link.good for row in links for link in row)
-        return Moment(at, frozenset(well), frozenset(left), kind, size, firm, good, way)
+        return TruthInterval(at, frozenset(well), frozenset(left), kind, size, firm, good, way)
 
     def spans(self, holds: object) -> list[tuple[float, float]]:
         """The longest spans in which `holds(moment)` is true."""
@@ -125,15 +125,15 @@
                     out.append((moment.at, until))
         return out
 
-    def between(self, start: float, end: float) -> list[Moment]:
+    def between(self, start: float, end: float) -> list[TruthInterval]:
         """All moments that held at some time in [start, end]."""
         first = max(0, bisect_right(self._times, start) - 1)
         return self.moments[first:bisect_right(self._times, end)]
 
 
-def _without_short_stops(deeds: list[Deed], short_ms: float) -> list[Deed]:
-    out: list[Deed] = []
-    stops: dict[str, Deed] = {}
+def _without_short_stops(deeds: list[FaultAction], short_ms: float) -> list[FaultAction]:
+    out: list[FaultAction] = []
+    stops: dict[str, FaultAction] = {}
     for deed in deeds:
         if deed.kind == "resume" and deed.name in stops:
             stop = stops.pop(deed.name)
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -8,16 +8,16 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from myrtlespar.fleet_tests.ground_truth import Moment, Truth
-from myrtlespar.membership.messages import HERE, State
+from myrtlespar.fleet_tests.ground_truth import GroundTruth, TruthInterval
+from myrtlespar.membership.messages import HERE, MemberState
 from myrtlespar.membership.quorum import FLEET, judge
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.settings import MembershipSettings
 
 SLACK_MS = 250.0  # for processes that share cores, and for log lines on their way
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
+class ObservedBelief:
     """What `observer` came to believe: kind is begin (a new process of it), member, or standing."""
 
     at: float
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class InvariantReport:
     """What the judge found. `broken` holds a line for each broken promise, with time and members."""
 
     broken: list[str] = field(default_factory=list)
@@ -48,10 +48,10 @@
 Steps = list[tuple[float, int | None, int]]  # time, state, boot
 
 
-class Beliefs:
+class BeliefHistory:
     """By observer and subject, over time."""
 
-    def __init__(self, beliefs: Iterable[Belief]) -> None:
+    def __init__(self, beliefs: Iterable[ObservedBelief]) -> None:
         self.of: dict[tuple[str, str], Steps] = {}
         self.standings: dict[tuple[str, str], Steps] = {}
         self.rows = sorted(beliefs, key=lambda belief: belief.at)
@@ -73,10 +73,10 @@
         return before[-1:] + [step for step in steps if start < step[0] < end]
 
 
-def judge_members(truth: Truth, beliefs: Iterable[Belief], terms: Terms, sites: Mapping[str, Sequence[str]],
-                  observers: Sequence[str] = (), settle_ms: float = SLACK_MS) -> Verdict:
+def judge_members(truth: GroundTruth, beliefs: Iterable[ObservedBelief], terms: MembershipSettings, sites: Mapping[str, Sequence[str]],
+                  observers: Sequence[str] = (), settle_ms: float = SLACK_MS) -> InvariantReport:
     """All promises of membership; `observers` limits who is looked at (all, if empty)."""
-    out, seen, n = Verdict(), Beliefs(beliefs), len(truth.members)
+    out, seen, n = InvariantReport(), BeliefHistory(beliefs), len(truth.members)
     who = list(observers) or list(truth.members)
     _no_false_failure(out, truth, seen, terms, n, who, settle_ms)
     for a in who:
@@ -93,12 +93,12 @@
     return out
 
 
-def _no_false_failure(out: Verdict, truth: Truth, seen: Beliefs, terms: Terms, n: int, who: Sequence[str],
+def _no_false_failure(out: InvariantReport, truth: GroundTruth, seen: BeliefHistory, terms: MembershipSettings, n: int, who: Sequence[str],
                       slack: float) -> None:
     """Promise: who ran and was linked to the observer for all of the last standing_ms(n) is not failed by it."""
     watch, window = set(who), terms.standing_ms(n) + slack
     for row in seen.rows:
-        if row.kind == "member" and row.state == State.FAILED and row.observer in watch and row.at <= truth.end:
+        if row.kind == "member" and row.state == MemberState.FAILED and row.observer in watch and row.at <= truth.end:
             out.judged("no false failure")
             moments = truth.between(row.at - window, row.at)
             if row.at > window and moments and all(m.linked(row.observer, row.subject) for m in moments):
@@ -106,7 +106,7 @@
                 out.broken.append(f"no false failure: {row.observer} failed {row.subject} at {row.at / 1000:.2f} s")
 
 
-def _failure_known(out: Verdict, truth: Truth, steps: Steps, terms: Terms, n: int, a: str, b: str,
+def _failure_known(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, b: str,
                    slack: float) -> None:
     """Promise: who stopped or is cut off is not believed here later than its bound: detect_ms(n) where it does not
     run and the observer is linked to a majority, else standing_ms(n). Who runs unheard over bad links comes back to
@@ -115,7 +115,7 @@
         moment = truth.between(start, start)[-1]
         many = sum(moment.linked(a, other) for other in truth.members) * 2 >= n
         bound = (terms.detect_ms(n) if b not in moment.well and many else terms.standing_ms(n)) + slack
-        spans = Beliefs.during(steps, start, end)
+        spans = BeliefHistory.during(steps, start, end)
         if spans and spans[0][1] in HERE and spans[0][0] <= start:
             right = next((at for at, state, _ in spans if at > start and state not in HERE), None)
             if right is not None and b not in moment.well:
@@ -131,12 +131,12 @@
                 break
 
 
-def _presence_known(out: Verdict, truth: Truth, steps: Steps, terms: Terms, n: int, a: str, b: str,
+def _presence_known(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, b: str,
                     slack: float) -> None:
     """Promise: who runs and is linked is believed here at the latest heal_ms(n) after that began."""
     bound = terms.heal_ms(n) + slack
     for start, end in truth.spans(lambda m: m.linked(a, b)):
-        spans = Beliefs.during(steps, start, end)
+        spans = BeliefHistory.during(steps, start, end)
         here = [at for at, state, _ in spans if state in HERE]
         if here and start > 0 and not (spans[0][1] in HERE and spans[0][0] <= start):
             out.known_ms.append(max(0.0, here[-1] - start) if len(here) == 1 else here[0] - start)
@@ -151,7 +151,7 @@
                 break
 
 
-def _lives_grow(out: Verdict, steps: Steps, a: str, b: str) -> None:
+def _lives_grow(out: InvariantReport, steps: Steps, a: str, b: str) -> None:
     """Promise: an old life never beats a new one, and no rumour brings back one that left (bound: 0)."""
     out.judged("lives grow")
     boot, left = 0, 0
@@ -164,11 +164,11 @@
         if left == life and state in HERE:
             out.broken.append(f"lives grow: {a} believed {b} back after it left, at {at / 1000:.2f} s")
         boot = max(boot, life)
-        if state == State.LEFT:
+        if state == MemberState.LEFT:
             left = life
 
 
-def _restarts(out: Verdict, truth: Truth, steps: Steps, a: str, b: str) -> None:
+def _restarts(out: InvariantReport, truth: GroundTruth, steps: Steps, a: str, b: str) -> None:
     """Figure: from a new process of b that serves until a, linked to it, knows its new life."""
     downs = [deed.at for deed in truth.deeds if deed.name == b and deed.kind == "down"]
     for deed in truth.deeds:
@@ -180,7 +180,7 @@
                 out.restart_ms.append(max(0.0, known - deed.at))
 
 
-def present(moment: Moment, a: str, electors: Sequence[str]) -> frozenset[str] | None:
+def present(moment: TruthInterval, a: str, electors: Sequence[str]) -> frozenset[str] | None:
     """The other electors that `a` should believe here; None where a lossy link leaves it open."""
     here = set()
     for name in electors:
@@ -193,7 +193,7 @@
     return frozenset(here)
 
 
-def _standing_right(out: Verdict, truth: Truth, steps: Steps, terms: Terms, n: int, a: str, scope: str,
+def _standing_right(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, scope: str,
                     electors: Sequence[str], slack: float) -> None:
     """Promise: a standing is right standing_ms(n) after the last change of who should be counted."""
     bound = terms.standing_ms(n) + slack
@@ -201,7 +201,7 @@
     for here in sorted(sets, key=sorted):  # type: ignore[arg-type]
         wanted = judge(len(electors), len(here or ()) + int(a in electors), len(here or ()))
         for start, end in truth.spans(lambda m: a in m.well and present(m, a, electors) == here):  # noqa: B023
-            spans = Beliefs.during(steps, start, end)
+            spans = BeliefHistory.during(steps, start, end)
             if not spans:
                 continue
             wrong = [number for number, (_, state, _) in enumerate(spans) if state != wanted]
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from myrtlespar.quota.settings import GrantTerms, Limit, Of
+from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit
 
 SLACK_PART = 0.3  # at most this part of a window is left out for the way from the decision to the kernel
 Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
 
 
-def judge_limits(limits: Mapping[str, Limit], runs: Iterable[Run], terms: GrantTerms, begin: float, end: float,
+def judge_limits(limits: Mapping[str, Limit], runs: Iterable[Run], terms: GrantSettings, begin: float, end: float,
                  slack_ms: float, sites: Mapping[bytes, str]) -> tuple[list[str], dict[str, Any]]:
     """Promise: in any window W, started <= limit + `terms.over(limit)`; runs in hand at any time likewise. Windows
     are judged `slack_ms` short. Times are Unix ms; `sites` tells where a body ran. Broken lines, and figures."""
@@ -26,17 +26,17 @@
             parts.setdefault(_part(limit, run[0], sites), []).append(run)
         most, where, at = 0, "", 0.0
         for part, some in parts.items():
-            if limit.of is Of.BUDGET:
+            if limit.of is CountedUnit.BUDGET:
                 found = _spent(limit, some, slack_ms)
             else:
-                found = _rate(limit, some, slack_ms) if limit.of is Of.RATE else _hand(some)
+                found = _rate(limit, some, slack_ms) if limit.of is CountedUnit.RATE else _hand(some)
             if found[0] > most:
                 most, where, at = found[0], part, found[1]
         allowed = limit.amount + terms.over(limit)
         started = sum(len(some) for some in parts.values())
         span = max(1.0, (end - begin) / limit.window_ms)
         figures[name] = {"limit": limit.amount, "most": most, "ratio": round(most / allowed, 3), "started": started}
-        if limit.of is Of.RATE and not limit.by:
+        if limit.of is CountedUnit.RATE and not limit.by:
             figures[name]["use"] = round(started / span / limit.amount, 3)
         if limit.kind.value != "advisory" and most > allowed:
             broken.append(f"limits: {most} of {name}{'/' + where if where else ''} within a window, {allowed} allowed, "
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -10,9 +10,9 @@
 from random import Random
 
 from myrtlespar.fakes.server_process import CLASSES
-from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fleet_tests.process_launcher import FleetRun
-from myrtlespar.fleet_tests.script import Load
+from myrtlespar.fleet_tests.script import LoadSettings
 
 LIST_S = 1.0  # between looks at the roster's list
 STEP_S = 0.005
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class LoadRequest:
     """One request over all its tries."""
 
     cls: str
@@ -29,7 +29,7 @@
     born: float  # Unix ms
     tries: int = 0
     member: str = ""
-    client: Client | None = None
+    client: ThriftClient | None = None
     seq: int = 0
     retry_at: float = 0.0  # monotonic s
     outcome: str = ""  # served, refused, failed, lost (its connection ended), none (no answer by the due time)
@@ -39,17 +39,17 @@
     crossed: bool = False  # sent once more, as it crossed the end of a connection that was told to shut down
 
 
-class Proxy:
+class ClientProxy:
     """One client proxy, a thread."""
 
-    def __init__(self, number: int, load: Load, run: FleetRun, stop: threading.Event, begin: float) -> None:
+    def __init__(self, number: int, load: LoadSettings, run: FleetRun, stop: threading.Event, begin: float) -> None:
         self.number, self.load, self.run, self.stop = number, load, run, stop
         self.dice = Random(f"proxy {run.seed} {number}")
-        self.clients: dict[str, Client] = {}
+        self.clients: dict[str, ThriftClient] = {}
         self.listed: list[str] = list(run.members)
         self.away: dict[str, float] = {}  # members that asked to be left alone, until when
-        self.open: list[Request] = []
-        self.done: list[Request] = []
+        self.open: list[LoadRequest] = []
+        self.done: list[LoadRequest] = []
         self.twice = 0
         self._list_at = 0.0
         self._next = begin + self.dice.expovariate(load.rate / load.proxies) if load.rate else float("inf")
@@ -75,11 +75,11 @@
         self._count += 1
         cls = self.dice.choices(list(self.load.mix), list(self.load.mix.values()))[0]
         body = f"{cls} p={self.number} n={self._count} ms={self.dice.randrange(5, 60)} calls={self.dice.randrange(2)}"
-        request = Request(cls, body.encode(), time.time() * 1000)
+        request = LoadRequest(cls, body.encode(), time.time() * 1000)
         self.open.append(request)
         self._try(request)
 
-    def _try(self, request: Request) -> None:
+    def _try(self, request: LoadRequest) -> None:
         """Send it to a member that is listed and does not ask to be left alone."""
         now = time.monotonic()
         fresh = [name for name in self.listed if self.away.get(name, 0) <= now and name not in request.refused_by]
@@ -100,7 +100,7 @@
                 return self._end(request, "lost")
         self._again(request, self.load.after_ms, "refused")
 
-    def _client(self, name: str) -> Client | None:
+    def _client(self, name: str) -> ThriftClient | None:
         client = self.clients.get(name)
         if client is not None and (client.ended.is_set() or "shutdown" in client.told):
             self.clients.pop(name)
@@ -108,13 +108,13 @@
         if client is None:
             host, port = self.run.listen(name)
             try:
-                client = self.clients[name] = Client(port, host, 0.3)
+                client = self.clients[name] = ThriftClient(port, host, 0.3)
             except OSError:
                 self.away[name] = time.monotonic() + 1.0
                 return None
         return client
 
-    def _look(self, request: Request, now: float) -> None:
+    def _look(self, request: LoadRequest, now: float) -> None:
         client = request.client
         if client is None:
             if now >= request.retry_at:
@@ -144,24 +144,24 @@
             return self._end(request, "refused")
         self._again(request, max(self.load.after_ms, 0.0), "refused")
 
-    def _again(self, request: Request, after_ms: float, outcome: str) -> None:
+    def _again(self, request: LoadRequest, after_ms: float, outcome: str) -> None:
         over = time.time() * 1000 + after_ms > request.born + DUE_MS[request.cls]
         if self.stop.is_set() or over or request.tries > self.load.most:
             return self._end(request, outcome)
         request.client, request.retry_at = None, time.monotonic() + after_ms / 1000
 
-    def _end(self, request: Request, outcome: str) -> None:
+    def _end(self, request: LoadRequest, outcome: str) -> None:
         request.outcome, request.ended = outcome, time.time() * 1000
         self.open.remove(request)
         self.done.append(request)
 
 
-class Crowd:
+class LoadGenerator:
     """All proxies of a run."""
 
     def __init__(self, run: FleetRun) -> None:
         self.run, self.stop = run, threading.Event()
-        self.proxies = [Proxy(n, run.script.load, run, self.stop, time.monotonic())
+        self.proxies = [ClientProxy(n, run.script.load, run, self.stop, time.monotonic())
                         for n in range(run.script.load.proxies)]
 
     def begin(self) -> None:
@@ -169,7 +169,7 @@
         for proxy in self.proxies:
             proxy.thread.start()
 
-    def finish(self) -> list[Request]:
+    def finish(self) -> list[LoadRequest]:
         """Send nothing new, wait for what is open, and give all requests."""
         self.stop.set()
         for proxy in self.proxies:
@@ -177,7 +177,7 @@
         return [request for proxy in self.proxies for request in proxy.done]
 
 
-def judge_orders(run: FleetRun, crowd: Crowd, requests: list[Request]) -> tuple[list[str], dict[str, int]]:
+def judge_orders(run: FleetRun, crowd: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
     """Promises over what kernels and proxies saw: no request is answered twice; an order is started at most once,
     as its callers repeat only what was refused or never sent (bound: 0); what a member's kernel started, that member
     did not refuse (bound: 0); a member that serves all along answers by the due time."""
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -21,20 +21,20 @@
 
 from myrtlespar.fakes.server_process import ROOT, settings
 from myrtlespar.fakes.tcp_server import WAIT_S, until
-from myrtlespar.fakes.upstreams import Kernel, Roster, Store
-from myrtlespar.fault_proxy.faults import Rule
+from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
+from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fault_proxy.relay import bind_host, relay_host, service_host
-from myrtlespar.fleet_tests.ground_truth import Deed
-from myrtlespar.fleet_tests.invariants import Belief
+from myrtlespar.fleet_tests.ground_truth import FaultAction
+from myrtlespar.fleet_tests.invariants import ObservedBelief
 from myrtlespar.fleet_tests.script import Script
-from myrtlespar.membership.messages import State
-from myrtlespar.membership.quorum import FLEET, Standing
+from myrtlespar.membership.messages import MemberState
+from myrtlespar.membership.quorum import FLEET, QuorumStatus
 
 STOP_MS = 2500
 JOINING = "fleet: joining"
 
 
-class Fabric:
+class FaultProxyProcess:
     """The relay's process, and its control."""
 
     def __init__(self, members: Sequence[str], seed: int, services: dict[str, int]) -> None:
@@ -52,7 +52,7 @@
             answer: dict[str, Any] = json.loads(self.process.stdout.readline())
             return answer
 
-    def on(self, number: int, rule: Rule) -> None:
+    def on(self, number: int, rule: FaultRule) -> None:
         """A rule comes into force."""
         row = {key: getattr(rule, key) for key in rule.__slots__}
         self.ask(on=number, rule={**row, "first": sorted(rule.first), "second": sorted(rule.second)})
@@ -67,7 +67,7 @@
         self.process.wait(WAIT_S)
 
 
-class Engine:
+class EtcdProcess:
     """The engine's stand-in, a process of its own."""
 
     def __init__(self) -> None:
@@ -82,12 +82,12 @@
         self.process.wait(WAIT_S)
 
 
-class Member:
+class MemberProcess:
     """One member over all its processes."""
 
     def __init__(self, name: str, n: int, folder: Path) -> None:
         self.name, self.n, self.folder = name, n, folder
-        self.kernel = Kernel()
+        self.kernel = FakeEngine()
         self.kernels = [self.kernel]
         self.process: subprocess.Popen[str] | None = None
         self.waiting: subprocess.Popen[str] | None = None  # the second process of a replacement
@@ -120,17 +120,17 @@
         self.script, self.seed, self.folder, self.membership = script, seed, folder, membership or {}
         self.grants = grants or {}
         self.env, self.pin, self.own = env or {}, pin, own or {}
-        self.store, self.roster = Store(), Roster()
-        self.members = {name: Member(name, n + 1, folder / name) for n, name in enumerate(script.members)}
-        self.deeds: list[Deed] = []
-        self.beliefs: list[Belief] = []
+        self.store, self.roster = FakeDependency(), FakeRegistry()
+        self.members = {name: MemberProcess(name, n + 1, folder / name) for n, name in enumerate(script.members)}
+        self.deeds: list[FaultAction] = []
+        self.beliefs: list[ObservedBelief] = []
         self._lock = threading.Lock()
         self.faults: list[str] = []  # what could not be played as the script says
         self.replaced = 0
         self._lost: dict[int, list[str]] = {}
-        self.engine = Engine() if script.engine else None
+        self.engine = EtcdProcess() if script.engine else None
         services = {"store": self.store.port, "roster": self.roster.port}
-        self.fabric = Fabric(script.members, seed, services | ({"engine": self.engine.port} if self.engine else {}))
+        self.fabric = FaultProxyProcess(script.members, seed, services | ({"engine": self.engine.port} if self.engine else {}))
         self.port = self.fabric.port
         for member in self.members.values():
             self.fabric.ask(target=["kernel", member.name, member.kernel.port])
@@ -146,7 +146,7 @@
         """Where operators reach a member's serving process; the second of a replacement has an address of its own."""
         return bind_host(self.members[name].n), self.port + 2 + self.members[name].second
 
-    def _configure(self, member: Member) -> None:
+    def _configure(self, member: MemberProcess) -> None:
         n, port = member.n, self.port
         config = {"name": member.name, "listen": f"{bind_host(n)}:{port + 1}",
                   **{service: f"{service_host(n, service)}:{port}" for service in ("store", "roster", "kernel")},
@@ -166,7 +166,7 @@
 
     # Processes.
 
-    def spawn(self, member: Member, beside: bool = False) -> subprocess.Popen[str]:
+    def spawn(self, member: MemberProcess, beside: bool = False) -> subprocess.Popen[str]:
         """Start a process of it: the only one, or `beside` the one that serves, with the other management address."""
         mgmt = f"{bind_host(member.n)}:{self.port + 2 + (member.second != beside)}"
         if not beside:
@@ -181,7 +181,7 @@
         threading.Thread(target=self._read, args=(member, process), daemon=True).start()
         return process
 
-    def _read(self, member: Member, process: subprocess.Popen[str]) -> None:
+    def _read(self, member: MemberProcess, process: subprocess.Popen[str]) -> None:
         assert process.stdout is not None
         with (member.folder / "log.txt").open("a") as keep:
             for line in process.stdout:
@@ -191,25 +191,25 @@
                     member.log.append(row)
                     self._hear(member, row)
 
-    def _hear(self, member: Member, row: dict[str, Any]) -> None:
+    def _hear(self, member: MemberProcess, row: dict[str, Any]) -> None:
         event, name = row["event"], member.name
         if event == JOINING:
-            belief = Belief(row["at"], name, "begin")
+            belief = ObservedBelief(row["at"], name, "begin")
         elif event == "fleet member":
-            state = None if row["new"] is None else State[row["new"].upper()]
-            belief = Belief(row["at"], name, "member", row["member"], state, row["life"][0])
+            state = None if row["new"] is None else MemberState[row["new"].upper()]
+            belief = ObservedBelief(row["at"], name, "member", row["member"], state, row["life"][0])
         elif event == "fleet standing":
             scope = row["scope"]
-            belief = Belief(row["at"], name, "standing", scope or FLEET, Standing[row["new"].upper()])
+            belief = ObservedBelief(row["at"], name, "standing", scope or FLEET, QuorumStatus[row["new"].upper()])
         else:
             return
         with self._lock:
             self.beliefs.append(belief)
 
-    def did(self, kind: str, name: str = "", number: int = 0, rule: Rule | None = None, at: float = 0.0) -> None:
+    def did(self, kind: str, name: str = "", number: int = 0, rule: FaultRule | None = None, at: float = 0.0) -> None:
         """Record what was done just now, or at that Unix time in ms."""
         with self._lock:
-            self.deeds.append(Deed(at or time.time() * 1000, kind, name, number, rule))
+            self.deeds.append(FaultAction(at or time.time() * 1000, kind, name, number, rule))
 
     def begin(self) -> None:
         """Start all, and wait until each sees all others. Raises where that takes too long."""
@@ -232,13 +232,13 @@
         return next((row["new"] for row in reversed(self.members[name].log)
                      if row["event"] == "fleet standing" and not row["scope"]), None)
 
-    def up_again(self, member: Member) -> None:
+    def up_again(self, member: MemberProcess) -> None:
         """Start a process of it and record when it serves."""
         lines = member.count(JOINING)
         member.process, member.stopped = self.spawn(member), False
         threading.Thread(target=self._await, args=(member, member.process, lines), daemon=True).start()
 
-    def _await(self, member: Member, process: subprocess.Popen[str], lines: int) -> None:
+    def _await(self, member: MemberProcess, process: subprocess.Popen[str], lines: int) -> None:
         """A new process is up, as the fleet sees it, from its joining on."""
         end = time.monotonic() + WAIT_S
         while time.monotonic() < end and process.poll() is None and process is member.process:
@@ -248,11 +248,11 @@
                 return
             time.sleep(0.005)
 
-    def _tail(self, member: Member) -> str:
+    def _tail(self, member: MemberProcess) -> str:
         """The end of what its processes wrote to their standard error."""
         return (member.folder / "stderr.txt").read_text().strip()[-300:]
 
-    def kill(self, member: Member) -> None:
+    def kill(self, member: MemberProcess) -> None:
         """SIGKILL, to both processes where it is being replaced."""
         running = [process for process in (member.waiting, member.process)
                    if process is not None and process.poll() is None]
@@ -264,7 +264,7 @@
             process.wait(WAIT_S)
         member.waiting = None
 
-    def send(self, member: Member, number: signal.Signals, kind: str) -> None:
+    def send(self, member: MemberProcess, number: signal.Signals, kind: str) -> None:
         """A signal, recorded. What gives something back counts from before it, as it is believed at once."""
         if member.process is not None and member.up:
             at = time.time() * 1000 if kind == "resume" else 0.0
@@ -285,13 +285,13 @@
             if member.process is not None and member.up:
                 member.process.send_signal(signal.SIGHUP)
 
-    def replace(self, member: Member) -> None:
+    def replace(self, member: MemberProcess) -> None:
         """A second process beside it, then SIGTERM to the first once the second serves."""
         old, lines = member.process, member.count("serving")
         new = member.waiting = self.spawn(member, beside=True)
         threading.Thread(target=self._swap, args=(member, old, new, lines), daemon=True).start()
 
-    def _swap(self, member: Member, old: subprocess.Popen[str] | None, new: subprocess.Popen[str], lines: int) -> None:
+    def _swap(self, member: MemberProcess, old: subprocess.Popen[str] | None, new: subprocess.Popen[str], lines: int) -> None:
         end = time.monotonic() + WAIT_S
         while time.monotonic() < end and new.poll() is None:
             if member.count("serving") > lines:
@@ -325,7 +325,7 @@
         for name in self._lost.get(number, []):
             member = self.members[name]
             if not member.up:
-                member.kernel = Kernel()
+                member.kernel = FakeEngine()
                 member.kernels.append(member.kernel)
                 self.fabric.ask(target=["kernel", name, member.kernel.port])
                 self.up_again(member)
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.fleet_tests.ground_truth import Deed, Truth
-from myrtlespar.fleet_tests.invariants import SLACK_MS, Verdict, judge_members
+from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
+from myrtlespar.fleet_tests.invariants import SLACK_MS, InvariantReport, judge_members
 from myrtlespar.fleet_tests.limit_invariants import judge_limits
-from myrtlespar.fleet_tests.load_generator import Crowd, judge_orders
+from myrtlespar.fleet_tests.load_generator import LoadGenerator, judge_orders
 from myrtlespar.fleet_tests.process_launcher import FleetRun
-from myrtlespar.fleet_tests.script import Script, Step
-from myrtlespar.membership.settings import Terms
-from myrtlespar.quota.settings import GrantTerms
+from myrtlespar.fleet_tests.script import Script, ScriptStep
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.quota.settings import GrantSettings
 
 
-def act(run: FleetRun, step: Step) -> None:
+def act(run: FleetRun, step: ScriptStep) -> None:
     """Carry one step out."""
     if step.rule is not None:
         if step.kind == "rule_on":
@@ -55,7 +55,7 @@
     return round(sorted(values)[min(len(values) - 1, int(len(values) * share))], 1) if values else None
 
 
-def figures(verdict: Verdict, terms: Terms, n: int) -> dict[str, Any]:
+def figures(verdict: InvariantReport, terms: MembershipSettings, n: int) -> dict[str, Any]:
     """What a run's last line tells of membership."""
     rows: dict[str, Any] = {}
     for name, values in (("detect", verdict.detect_ms), ("known", verdict.known_ms),
@@ -67,7 +67,7 @@
                           "heal": round(terms.heal_ms(n)), "pause": round(terms.pause_ms())}}
 
 
-def shifted(run: FleetRun, begin: float) -> tuple[list[Deed], list[Any]]:
+def shifted(run: FleetRun, begin: float) -> tuple[list[FaultAction], list[Any]]:
     """Deeds and beliefs with the run's begin as time 0."""
     return ([replace(deed, at=deed.at - begin) for deed in run.deeds],
             [replace(belief, at=belief.at - begin) for belief in run.beliefs])
@@ -77,7 +77,7 @@
          **more: Any) -> dict[str, Any]:
     """Run it and judge it, each bound longer by `slack_ms`: the figures, with `broken` the lines of broken promises.
     `more` goes to the fleet."""
-    terms = Terms(**more.get("membership") or {})
+    terms = MembershipSettings(**more.get("membership") or {})
     with tempfile.TemporaryDirectory() as tmp:
         folder = keep or Path(tmp)
         folder.mkdir(parents=True, exist_ok=True)
@@ -86,8 +86,8 @@
             try:
                 run.begin()
             except (AssertionError, RuntimeError) as error:
-                return {**figures(Verdict(), terms, len(script.members)), "broken": [f"start: {error}"], "judged": []}
-            crowd = Crowd(run)
+                return {**figures(InvariantReport(), terms, len(script.members)), "broken": [f"start: {error}"], "judged": []}
+            crowd = LoadGenerator(run)
             if script.load.rate:
                 crowd.begin()
             began, begin = time.monotonic(), time.time() * 1000
@@ -104,9 +104,9 @@
             requests = crowd.finish() if script.load.rate else []
             stats = run.fabric.ask(stats=True)
             deeds, beliefs = shifted(run, begin)
-            verdict = Verdict()
+            verdict = InvariantReport()
             if "members" in script.judge:
-                truth = Truth(script.members, deeds, end, terms.pause_ms())
+                truth = GroundTruth(script.members, deeds, end, terms.pause_ms())
                 verdict = judge_members(truth, beliefs, terms, script.sites, (), slack_ms)
             over, limits = judge_runs(run, script, begin, end, slack_ms)
             orders, outcomes = judge_orders(run, crowd, requests) if "orders" in script.judge else ([], {})
@@ -131,10 +131,10 @@
             for body, at, ended in list(kernel.runs):
                 runs.append((body, at, float("inf") if ended is None else ended))
                 sites[body] = script.site_of(member.name)
-    return judge_limits(script.limits, runs, GrantTerms(**run.grants), begin, begin + end, slack_ms, sites)
+    return judge_limits(script.limits, runs, GrantSettings(**run.grants), begin, begin + end, slack_ms, sites)
 
 
-def tell(step: Step) -> str:
+def tell(step: ScriptStep) -> str:
     """A step in a few words."""
     if step.rule is None:
         return f"{step.kind} {' '.join(step.names)}"
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -10,8 +10,8 @@
 import msgspec
 import yaml
 
-from myrtlespar.fault_proxy.faults import SERVICES, Rule, resolve
-from myrtlespar.net.codec.peer import good_name
+from myrtlespar.fault_proxy.faults import SERVICES, FaultRule, resolve
+from myrtlespar.net.codec.peer import is_valid_name
 from myrtlespar.quota.settings import Limit
 
 JUDGED = ("members", "limits", "orders")  # what this build judges
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadSettings:
     """Requests a second of all proxies together, by class; each is tried again at most `most` times."""
 
     rate: float = 0.0
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class ScriptStep:
     """One thing done at one time: rule_on, rule_off, kill, start, pause, resume, lose, back, leave or replace."""
 
     at_ms: float
     kind: str
     names: tuple[str, ...] = ()
     number: int = 0  # of the event it comes from
-    rule: Rule | None = None
+    rule: FaultRule | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
 
     sites: Mapping[str, tuple[str, ...]]
     length_ms: float
-    steps: tuple[Step, ...]
-    load: Load
+    steps: tuple[ScriptStep, ...]
+    load: LoadSettings
     judge: tuple[str, ...]
     limits: Mapping[str, Limit] = field(default_factory=dict)
     engine: bool = False
@@ -125,7 +125,7 @@
     events = rows.rows.get("events") or []
     if not isinstance(events, list) or len(events) > MOST_EVENTS:
         raise ScriptError(f"events: expected a list of at most {MOST_EVENTS}, got {str(events)[:60]!r}")
-    steps: list[Step] = []
+    steps: list[ScriptStep] = []
     for n, event in enumerate(events):
         steps += _event(n, event, sites, length_ms)
     steps.sort(key=lambda step: step.at_ms)
@@ -160,9 +160,9 @@
     return out
 
 
-def _load(raw: Any) -> Load:
+def _load(raw: Any) -> LoadSettings:
     if raw is None:
-        return Load()
+        return LoadSettings()
     rows = _Rows(raw, "load", ("rate", "mix", "proxies", "retry"))
     mix = _Rows(rows.rows.get("mix", {"render": 1.0}), "load.mix", CLASSES)
     shares = {name: mix.number(name, None, 0, 1e6) for name in mix.rows}
@@ -173,7 +173,7 @@
     for name, value in whole.items():
         if value != int(value):
             raise ScriptError(f"load.{'retry.' if name == 'most' else ''}{name}: expected a whole number")
-    return Load(rows.number("rate", None, 0, 5000), shares, int(whole["proxies"]), int(whole["most"]),
+    return LoadSettings(rows.number("rate", None, 0, 5000), shares, int(whole["proxies"]), int(whole["most"]),
                 retry.number("after_ms", 200, 0, 60_000))
 
 
@@ -186,7 +186,7 @@
         raise ScriptError(f"limits: expected a table, got {raw!r}"[:160])
     out: dict[str, Limit] = {}
     for name, row in raw.items():
-        if not isinstance(name, str) or not good_name(name) or "/" in name or len(name) > 32:
+        if not isinstance(name, str) or not is_valid_name(name) or "/" in name or len(name) > 32:
             raise ScriptError(f"limits.{name}: expected a name of at most 32 characters without spaces and slashes")
         try:
             limit = msgspec.convert(row, Limit)
@@ -217,7 +217,7 @@
     return tuple(raw)
 
 
-def _event(n: int, raw: Any, sites: Mapping[str, tuple[str, ...]], length_ms: float) -> list[Step]:
+def _event(n: int, raw: Any, sites: Mapping[str, tuple[str, ...]], length_ms: float) -> list[ScriptStep]:
     path = f"events[{n}]"
     verbs = [verb for verb in VERBS if isinstance(raw, dict) and verb in raw]
     if len(verbs) != 1:
@@ -228,18 +228,18 @@
     end = at + rows.number("for_s", None, 0.001, MOST_S) * 1000 if "for_s" in rows.rows else float("inf")
     if verb in ("cut", "link"):
         rule = _rule(rows, verb, sites)
-        return [Step(at, "rule_on", number=n, rule=rule), *_until(Step(end, "rule_off", number=n, rule=rule))]
+        return [ScriptStep(at, "rule_on", number=n, rule=rule), *_until(ScriptStep(end, "rule_off", number=n, rule=rule))]
     names = _who(rows, verb, sites)
     if verb == "kill":
         back = at + rows.number("restart_after_s", None, 0, MOST_S) * 1000 \
             if "restart_after_s" in rows.rows else float("inf")
-        return [Step(at, "kill", names, n), *_until(Step(back, "start", names, n))]
+        return [ScriptStep(at, "kill", names, n), *_until(ScriptStep(back, "start", names, n))]
     if verb in ("pause", "lose"):
-        return [Step(at, verb, names, n), *_until(Step(end, "resume" if verb == "pause" else "back", names, n))]
-    return [Step(at, verb, names, n)]
+        return [ScriptStep(at, verb, names, n), *_until(ScriptStep(end, "resume" if verb == "pause" else "back", names, n))]
+    return [ScriptStep(at, verb, names, n)]
 
 
-def _until(step: Step) -> list[Step]:
+def _until(step: ScriptStep) -> list[ScriptStep]:
     return [step] if step.at_ms != float("inf") else []
 
 
@@ -251,7 +251,7 @@
     return tuple(name for row in sites.values() for name in row if name in found)
 
 
-def _rule(rows: _Rows, verb: str, sites: Mapping[str, tuple[str, ...]]) -> Rule:
+def _rule(rows: _Rows, verb: str, sites: Mapping[str, tuple[str, ...]]) -> FaultRule:
     ends = rows.rows[verb]
     if not isinstance(ends, list) or len(ends) != 2:
         raise ScriptError(f"{rows.key(verb)}: expected two names, got {ends!r}"[:160])
@@ -263,13 +263,13 @@
     if first | second <= set(SERVICES):
         raise ScriptError(f"{rows.key(verb)}: no link joins {ends[0]} and {ends[1]}")
     if verb == "cut":
-        return Rule(first, second, rows.flag("one_way"), True)
-    return Rule(first, second, rows.flag("one_way"), False, rows.number("drop", 0, 0, 1),
+        return FaultRule(first, second, rows.flag("one_way"), True)
+    return FaultRule(first, second, rows.flag("one_way"), False, rows.number("drop", 0, 0, 1),
                 rows.number("delay_ms", 0, 0, 60_000), rows.number("jitter_ms", 0, 0, 60_000),
                 rows.number("duplicate", 0, 0, 1), rows.number("reorder", 0, 0, 1))
 
 
-def _running(steps: list[Step], sites: Mapping[str, tuple[str, ...]]) -> None:
+def _running(steps: list[ScriptStep], sites: Mapping[str, tuple[str, ...]]) -> None:
     """Guards against goodbyes of members that do not run then; killing what is dead already changes nothing."""
     up = {name: True for row in sites.values() for name in row}
     for step in steps:
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -6,37 +6,37 @@
 import structlog
 
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.handover.keys_file import Stand, Successor, answer_of, encode, known_of
-from myrtlespar.request_coordinator import Core
+from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, known_keys
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import from_wall, to_wall, unix_ms, wall_ms
 
 log = structlog.get_logger()
 LOOK_S = 0.05  # between looks for an old process's keys
 
 
-class KeySuccession:
+class KeyHandover:
     """Takes over the keys that the process before this one left, and leaves this one's at its end.
 
     Guards orders against a second run where the folder can't be used: an old process may live unseen, so keys wait
     for as long as one is remembered."""
 
-    def __init__(self, core: Core, folder: HandoverFolder) -> None:
+    def __init__(self, core: RequestCoordinator, folder: HandoverFolder) -> None:
         self._core, self._folder = core, folder
-        self._successor = Successor(Stand.WAITING)
+        self._successor = HandoverReceiver(HandoverState.WAITING)
         self._began = unix_ms()
 
     def begin(self) -> None:
         """Take the keys that are there, or wait for them while an old process lives."""
         if self._look():
             return
-        self._core.desk.keys.waiting = True
+        self._core.tracker.keys.waiting = True
         log.info("an old process lives: keys wait for its hand-over")
         gevent.spawn(self._await)
 
     def leave(self) -> None:
         """At the end of a hand-over: the outcomes of keys, for the process that takes over."""
-        rows = self._core.desk.left(unix_ms())
-        known = known_of((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
+        rows = self._core.tracker.left(unix_ms())
+        known = known_keys((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
         try:
             self._folder.write(encode(known))
             log.info("keys left for the next process", keys=len(known))
@@ -44,7 +44,7 @@
             log.error("keys could not be left", error=str(error))
 
     def _await(self) -> None:
-        while self._successor.stand is Stand.WAITING:
+        while self._successor.stand is HandoverState.WAITING:
             gevent.sleep(LOOK_S)
             self._look()
 
@@ -60,10 +60,10 @@
             self._core.counters.add("handover.refused")
             self._successor.look(old_lives, None, now, classes)  # as if there were none
         for one in known:
-            self._core.desk.keys.take((one.cls, one.key), answer_of(one), from_wall(one.lapses_at))
-        if self._successor.stand is Stand.WAITING:
+            self._core.tracker.keys.take((one.cls, one.key), answer_of(one), from_wall(one.lapses_at))
+        if self._successor.stand is HandoverState.WAITING:
             return False
-        self._core.desk.keys.waiting = False
+        self._core.tracker.keys.waiting = False
         if data is not None and not self._successor.refused:
             self._folder.taken()
         return True
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -14,18 +14,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from myrtlespar.exchange import Answer, Kind
+from myrtlespar.exchange import Answer, AnswerKind
 
 VERSION = 1
 MAGIC = b"myrtlespar-keys"
 
 
-class Refused(Exception):
+class HandoverRejected(Exception):
     """A hand-over file that can't be taken whole; the text says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownKey:
     """One key with its outcome: class number, key, kind of answer, body, retry-after, and when it lapses."""
 
     cls: int
@@ -36,53 +36,53 @@
     lapses_at: float
 
 
-def known_of(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[Known]:
+def known_keys(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KnownKey]:
     """What the desk leaves, as rows of the file."""
-    return [Known(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at)
+    return [KnownKey(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at)
             for (cls, key), answer, at in rows]
 
 
-def answer_of(known: Known) -> Answer:
+def answer_of(known: KnownKey) -> Answer:
     """The outcome that a key stands for."""
-    return Answer(Kind(known.kind), known.body, known.retry_after_ms)
+    return Answer(AnswerKind(known.kind), known.body, known.retry_after_ms)
 
 
-def encode(known: Iterable[Known]) -> bytes:
+def encode(known: Iterable[KnownKey]) -> bytes:
     """The file's bytes."""
     rows = b"".join(json.dumps([k.cls, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms,
                                 k.lapses_at]).encode() + b"\n" for k in known)
     return b"%s %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(rows), len(rows)) + rows
 
 
-def decode(data: bytes, now: float, classes: int) -> list[Known]:
+def decode(data: bytes, now: float, classes: int) -> list[KnownKey]:
     """The keys that have not lapsed. Refused: torn, of another version, spoilt, or naming an unknown class."""
     head, _, rows = data.partition(b"\n")
     words = head.split(b" ")
     if len(words) != 4 or words[0] != MAGIC:
-        raise Refused("no hand-over header")
+        raise HandoverRejected("no hand-over header")
     if words[1] != b"%d" % VERSION:
-        raise Refused(f"version {words[1][:8].decode('ascii', 'replace')}, not {VERSION}")
+        raise HandoverRejected(f"version {words[1][:8].decode('ascii', 'replace')}, not {VERSION}")
     if not words[3].isdigit() or int(words[3]) != len(rows):
-        raise Refused(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
+        raise HandoverRejected(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
     if words[2] != b"%08x" % zlib.crc32(rows):
-        raise Refused("spoilt: the checksum differs")
-    out: list[Known] = []
+        raise HandoverRejected("spoilt: the checksum differs")
+    out: list[KnownKey] = []
     try:
         for line in rows.splitlines():
             cls, key, kind, body, retry, lapses = json.loads(line)
             if not (isinstance(cls, int) and 0 <= cls < classes and isinstance(key, str)
                     and kind in ("served", "refused", "failed")):
-                raise Refused(f"an entry that names no known class or kind: {line[:60]!r}")
+                raise HandoverRejected(f"an entry that names no known class or kind: {line[:60]!r}")
             if not (0 <= float(retry) < math.inf and 0 <= float(lapses) < math.inf):
-                raise Refused(f"an entry with a time that is none: {line[-60:]!r}")
+                raise HandoverRejected(f"an entry with a time that is none: {line[-60:]!r}")
             if float(lapses) > now:
-                out.append(Known(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses)))
+                out.append(KnownKey(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses)))
     except (ValueError, TypeError, OverflowError, RecursionError) as error:
-        raise Refused(f"spoilt entry: {error}") from None
+        raise HandoverRejected(f"spoilt entry: {error}") from None
     return sorted(out, key=lambda known: known.lapses_at)
 
 
-class Stand(Enum):
+class HandoverState(Enum):
     """Where a new process stands with the keys of the one before it."""
 
     WAITING = "waiting"  # an old process lives: keyed requests are turned away, as they could run twice
@@ -90,30 +90,30 @@
 
 
 @dataclass(slots=True)
-class Successor:
+class HandoverReceiver:
     """What a new process does about the keys of an old one.
 
     `look` is told whether the old process still holds its lock and what the hand-over file holds (None: none
     yet). Keys open once a whole file was read, or once the old process is gone; a refused file is told once and
     then waited past."""
 
-    stand: Stand = Stand.OPEN
+    stand: HandoverState = HandoverState.OPEN
     refused: str = ""
     taken: int = 0
 
-    def look(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[Known], str]:
+    def look(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KnownKey], str]:
         """The keys to take now, and a line for the log (empty: nothing new to tell)."""
-        if self.stand is Stand.OPEN:
+        if self.stand is HandoverState.OPEN:
             return [], ""
         if data is not None and not self.refused:
             try:
                 known = decode(data, now, classes)
-            except Refused as why:
+            except HandoverRejected as why:
                 self.refused = str(why)
                 return [], f"hand-over refused: {why}"
-            self.stand, self.taken = Stand.OPEN, len(known)
+            self.stand, self.taken = HandoverState.OPEN, len(known)
             return known, f"hand-over taken: {len(known)} keys"
         if not old_lives:
-            self.stand = Stand.OPEN
+            self.stand = HandoverState.OPEN
             return [], "the old process is gone; keys open without its hand-over"
         return [], ""
--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from heapq import nsmallest
 
-from myrtlespar.membership.messages import Row, Rumour, State
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.messages import MemberState, MemberUpdate, ReachabilityRow
+from myrtlespar.membership.settings import MembershipSettings
 
 MOST = 512  # statements waiting to be told; the most told ones make room
 
 
-class Bucket:
+class TokenBucket:
     """So many tokens a second, at most two seconds' worth saved up."""
 
     def __init__(self, per_s: float, now: float) -> None:
@@ -31,36 +31,36 @@
 
 
 @dataclass(slots=True)
-class Told:
+class PendingUpdate:
     """One statement on its way."""
 
-    rumour: Rumour
+    rumour: MemberUpdate
     since: float
     times: int = 0
 
 
-class Spread:
+class Dissemination:
     """Statements to tell, newest version of each subject only."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: MembershipSettings) -> None:
         self.terms = terms
-        self._told: dict[str, Told] = {}  # by subject, and accuser if there is one
-        self._rows: dict[str, tuple[int, Row]] = {}
+        self._told: dict[str, PendingUpdate] = {}  # by subject, and accuser if there is one
+        self._rows: dict[str, tuple[int, ReachabilityRow]] = {}
 
-    def put(self, rumour: Rumour, now: float) -> None:
+    def put(self, rumour: MemberUpdate, now: float) -> None:
         """Tell this from now on, in place of what was told of the same member (an accuser's word stands by itself)."""
-        accused = rumour.state == State.SUSPECT
+        accused = rumour.state == MemberState.SUSPECT
         label = f"{rumour.name}\0{rumour.by}" if accused else rumour.name
         if not accused:
             for other in [key for key in self._told if key.startswith(rumour.name + "\0")]:
                 del self._told[other]
         elif rumour.name in self._told:
             del self._told[rumour.name]
-        self._told[label] = Told(rumour, now)
+        self._told[label] = PendingUpdate(rumour, now)
         if len(self._told) > MOST:  # guards memory against a storm of changes
             del self._told[max(self._told, key=lambda key: self._told[key].times)]
 
-    def put_row(self, row: Row) -> None:
+    def put_row(self, row: ReachabilityRow) -> None:
         """Tell a reach row."""
         self._rows[row.by] = (0, row)
 
@@ -76,8 +76,8 @@
         """How often each statement is told by one member."""
         return math.ceil(self.terms.repeat * math.log2(n + 1))
 
-    def pick(self, now: float, n: int, room: int, first: Iterable[Rumour] = ()) -> tuple[tuple[Rumour, ...],
-                                                                                        tuple[Row, ...]]:
+    def pick(self, now: float, n: int, room: int, first: Iterable[MemberUpdate] = ()) -> tuple[tuple[MemberUpdate, ...],
+                                                                                        tuple[ReachabilityRow, ...]]:
         """What rides on the next packet, `room` bytes of it at the most: `first`, then the least told, `carry` in
         all, each told at most `times`."""
         out = list(first)
@@ -94,7 +94,7 @@
                 entry.times += 1
                 if entry.times >= most:
                     del told[label]
-        rows: tuple[Row, ...] = ()
+        rows: tuple[ReachabilityRow, ...] = ()
         if self._rows and len(out) < self.terms.carry:
             by = min(self._rows, key=lambda key: self._rows[key][0])
             count, row = self._rows[by]
@@ -107,19 +107,19 @@
         return tuple(out), rows
 
 
-def weight(rumour: Rumour) -> int:
+def weight(rumour: MemberUpdate) -> int:
     """Its bytes in a packet at the most: its texts, each with a length, and numbers of nine bytes."""
     return 38 + len(rumour.name) + len(rumour.site) + len(rumour.address) + len(rumour.by)
 
 
-def row_weight(row: Row) -> int:
+def row_weight(row: ReachabilityRow) -> int:
     """The same of a reach row."""
     return 24 + len(row.by) + sum(len(name) + 4 for name, _ in row.cannot)
 
 
-def aged(rumour: Rumour, by_ms: float) -> Rumour:
+def aged(rumour: MemberUpdate, by_ms: float) -> MemberUpdate:
     """The same with older evidence."""
     if by_ms < 1:
         return rumour
-    return Rumour(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, rumour.state,
+    return MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, rumour.state,
                   min(rumour.age_ms + int(by_ms), 2**31), rumour.by)
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from myrtlespar.membership.dissemination import Bucket, aged
+from myrtlespar.membership.dissemination import TokenBucket, aged
 from myrtlespar.membership.messages import (
     ALIVE,
     FAILED,
@@ -16,49 +16,49 @@
     LEFT,
     SUSPECT,
     Ack,
-    Ask,
-    Changed,
-    Effect,
+    CountEvent,
+    GossipPush,
+    IndirectProbe,
+    MemberChanged,
+    MembershipEffect,
+    MemberState,
+    MemberUpdate,
     Nack,
-    Note,
     Packet,
     Ping,
-    Push,
-    Relay,
-    Rumour,
-    Stands,
-    State,
-    Sync,
+    QuorumChanged,
+    RequestSync,
+    ViewSync,
 )
-from myrtlespar.membership.outbox import Voice
-from myrtlespar.membership.probe_rounds import Rounds
+from myrtlespar.membership.outbox import PacketOutbox
+from myrtlespar.membership.probe_rounds import ProbeRounds
 from myrtlespar.membership.probing import Suspicion, Timers
-from myrtlespar.membership.quorum import Electorate, Standings
-from myrtlespar.membership.reachability import Differ, Reach
-from myrtlespar.membership.settings import Terms
-from myrtlespar.membership.view import MOST, Entry, View
+from myrtlespar.membership.quorum import QuorumTracker, VoterSet
+from myrtlespar.membership.reachability import ReachabilityMatrix, ViewDivergence
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.view import MOST, MemberEntry, View
 
 
 class Member:
     """A view of all others, kept up by probing and by what others tell."""
 
-    def __init__(self, name: str, site: str, address: str, boot: int, fleet: str, terms: Terms,
-                 electorate: Electorate, seeds: Sequence[str], dice: Random, now: float) -> None:
+    def __init__(self, name: str, site: str, address: str, boot: int, fleet: str, terms: MembershipSettings,
+                 electorate: VoterSet, seeds: Sequence[str], dice: Random, now: float) -> None:
         self.name, self.site, self.fleet, self.terms, self.dice = name, site, fleet, terms, dice
-        me = Rumour(name, site, address, boot, 0, ALIVE)
+        me = MemberUpdate(name, site, address, boot, 0, ALIVE)
         self.seeds = [seed for seed in seeds if seed != address]
         self.view, self.timers = View(name), Timers()
-        self.voice = Voice(fleet, me, terms, self.view, now)
-        self.reach, self.differ = Reach(name, boot, terms, self.voice.spread), Differ(terms)
-        self.rounds = Rounds(site, terms, dice, self.view, self.voice, self.timers, self.reach, self._accuse)
-        self.standings = Standings(name, electorate, now)
+        self.voice = PacketOutbox(fleet, me, terms, self.view, now)
+        self.reach, self.differ = ReachabilityMatrix(name, boot, terms, self.voice.spread), ViewDivergence(terms)
+        self.rounds = ProbeRounds(site, terms, dice, self.view, self.voice, self.timers, self.reach, self._accuse)
+        self.standings = QuorumTracker(name, electorate, now)
         self.voice.roll = electorate.version
         self.suspicions: dict[str, Suspicion] = {}
         self.leaving = False
         self._unheard = False
         self._pushing = False
         self._sync_at = now
-        self._bumps = Bucket(5, now)
+        self._bumps = TokenBucket(5, now)
         self.rounds.proof_at = now
         self._handlers = {"period": self._period, "direct": self.rounds.direct, "reply": self.rounds.reply,
                           "knock": self._knock,
@@ -69,22 +69,22 @@
             self.timers.put(now + dice.random() * span, kind)
 
     @property
-    def me(self) -> Rumour:
+    def me(self) -> MemberUpdate:
         """What is said of oneself."""
         return self.voice.me
 
-    def _set_me(self, now: float, boot: int, counter: int, state: State) -> None:
-        self.voice.me = Rumour(self.name, self.site, self.me.address, boot, counter, state)
+    def _set_me(self, now: float, boot: int, counter: int, state: MemberState) -> None:
+        self.voice.me = MemberUpdate(self.name, self.site, self.me.address, boot, counter, state)
         self.view.set_self(self.me.key)
         self.reach.boot = boot
         self.voice.spread.put(self.me, now)
 
     # What the driver calls.
 
-    def start(self, now: float) -> list[Effect]:
+    def start(self, now: float) -> list[MembershipEffect]:
         """Join: ask up to three seeds for all they know."""
         for seed in self.seeds if len(self.seeds) <= 3 else self.dice.sample(self.seeds, 3):
-            self.voice.out.append(Ask(seed, self.sync(now)))
+            self.voice.out.append(RequestSync(seed, self.sync(now)))
         self._news(now)
         return self.voice.done()
 
@@ -92,7 +92,7 @@
         """When `tick` is due."""
         return self.timers.next()
 
-    def tick(self, now: float) -> list[Effect]:
+    def tick(self, now: float) -> list[MembershipEffect]:
         """Do what is due."""
         self._doubt_self(now)
         for kind, key in self.timers.due(now):
@@ -105,7 +105,7 @@
         late = now - self.timers.next()
         if late <= self.terms.late_ms:
             return
-        self.voice.out.append(Note("late"))
+        self.voice.out.append(CountEvent("late"))
         self.rounds.prober.worse()
         by = late + self.terms.direct_max_ms
         self.timers.shift(by)
@@ -115,7 +115,7 @@
             suspicion.started += by
             suspicion.deadline += by
 
-    def receive(self, now: float, packet: Packet) -> list[Effect]:
+    def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
         """Hear one packet. What is foreign, replayed or of an earlier life is counted and changes nothing."""
         self._doubt_self(now)
         sender = packet.me
@@ -126,7 +126,7 @@
         entry = self.view.entries.get(sender.name)
         if entry is not None and not entry.fresh(sender.boot, packet.no):
             if sender.boot < entry.boot and self.voice.bucket.take(now):  # it may have started with its clock set back
-                self.voice.send(now, sender.address, Push(), sender.name, True)
+                self.voice.send(now, sender.address, GossipPush(), sender.name, True)
             return self._only("replayed")
         self._hear(now, sender, True)
         if entry is None:
@@ -144,28 +144,28 @@
         if self.differ.compare(now, sender.name, packet.hash == self.view.hash) and entry.here:
             self._exchange(now, sender.address)
         if packet.roll != self.standings.electorate.version:
-            self.voice.out.append(Note("other_roll"))
+            self.voice.out.append(CountEvent("other_roll"))
         body = packet.body
         if isinstance(body, Ping):
             self.voice.send(now, sender.address, Ack(body.seq, self.name), sender.name)
         elif isinstance(body, Ack):
             self.rounds.acked(now, body, entry)
-        elif isinstance(body, Relay):
+        elif isinstance(body, IndirectProbe):
             self.rounds.help(now, body, sender.address)
         elif isinstance(body, Nack):
             self.rounds.nacked(body.seq)
         elif not entry.here and sender.state == ALIVE and entry.rumour.state == FAILED and self.voice.bucket.take(now):
-            self.voice.send(now, sender.address, Push(), sender.name)  # so that it learns of it and refutes
+            self.voice.send(now, sender.address, GossipPush(), sender.name)  # so that it learns of it and refutes
         return self.voice.done()
 
-    def asked(self, now: float, sync: Sync) -> tuple[Sync | None, list[Effect]]:
+    def asked(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]:
         """Another member sent its whole view; ours, and what follows. None for a foreign one."""
         if sync.fleet != self.fleet or sync.me.name == self.name:
             return None, self._only("foreign" if sync.fleet != self.fleet else "own_name")
         reply = self.sync(now)
         return reply, self.synced(now, sync)
 
-    def synced(self, now: float, sync: Sync) -> list[Effect]:
+    def synced(self, now: float, sync: ViewSync) -> list[MembershipEffect]:
         """Take over another's whole view."""
         self._doubt_self(now)
         if sync.fleet != self.fleet:
@@ -180,38 +180,38 @@
             self.reach.heard(self.view, row)
         return self.voice.done()
 
-    def leave(self, now: float) -> list[Effect]:
+    def leave(self, now: float) -> list[MembershipEffect]:
         """Say goodbye to some, who tell the rest. Nothing is refuted any more."""
         self.leaving = True
         self._set_me(now, self.me.boot, self.me.counter, LEFT)
         for name in self.view.all.some(self.dice, 4 * self.terms.fanout):
-            self.voice.send(now, self.view.entries[name].rumour.address, Push(), name)
+            self.voice.send(now, self.view.entries[name].rumour.address, GossipPush(), name)
         return self.voice.done()
 
-    def adopt(self, electorate: Electorate, now: float) -> list[Effect]:
+    def adopt(self, electorate: VoterSet, now: float) -> list[MembershipEffect]:
         """Take over a new roll, already checked to be one step from the old one."""
         before = {scope: tally.now for scope, tally in self.standings.scopes.items()}
         self.standings.adopt(electorate, now)
         self.voice.roll = electorate.version
         for name in self.view.all:
             self.standings.tell(name, True, now)
-        return [Stands(scope, before[scope], tally.now) for scope, tally in self.standings.scopes.items()
+        return [QuorumChanged(scope, before[scope], tally.now) for scope, tally in self.standings.scopes.items()
                 if scope in before and before[scope] != tally.now]
 
-    def sync(self, now: float) -> Sync:
+    def sync(self, now: float) -> ViewSync:
         """The whole view, ages as of now."""
         entries = tuple(aged(entry.rumour, now - entry.evidence - entry.rumour.age_ms)
                         for entry in self.view.entries.values())
-        return Sync(self.fleet, self.me, entries, tuple(self.reach.rows.values()))
+        return ViewSync(self.fleet, self.me, entries, tuple(self.reach.rows.values()))
 
-    def _only(self, count: str) -> list[Effect]:
+    def _only(self, count: str) -> list[MembershipEffect]:
         """Counted, and nothing else changes."""
-        self.voice.out.append(Note(count))
+        self.voice.out.append(CountEvent(count))
         return self.voice.done()
 
     # What others say.
 
-    def _hear(self, now: float, rumour: Rumour, direct: bool = False, whole: bool = False) -> None:
+    def _hear(self, now: float, rumour: MemberUpdate, direct: bool = False, whole: bool = False) -> None:
         """Take over what is greater than what is believed; count another accuser."""
         name = rumour.name
         if name == self.name:
@@ -220,7 +220,7 @@
         if entry is None:
             stale = not direct and rumour.age_ms > self.terms.forget_ms / 2  # it may be long forgotten here
             if stale or len(self.view.entries) >= MOST:
-                self.voice.out.append(Note("unproven" if stale else "full"))
+                self.voice.out.append(CountEvent("unproven" if stale else "full"))
                 return
             self._accept(now, rumour, None, not whole)
         elif rumour.key > entry.rumour.key:
@@ -240,11 +240,11 @@
                 self.voice.spread.put(rumour, now)
                 self._news(now)
 
-    def _accept(self, now: float, rumour: Rumour, entry: Entry | None, tell: bool) -> None:
+    def _accept(self, now: float, rumour: MemberUpdate, entry: MemberEntry | None, tell: bool) -> None:
         name, state = rumour.name, rumour.state
         old = entry.rumour if entry else None
         if old is not None and state == ALIVE and old.boot == rumour.boot and old.state in (SUSPECT, FAILED):
-            self.voice.out.append(Note("refuted" if old.state == SUSPECT else "returned"))
+            self.voice.out.append(CountEvent("refuted" if old.state == SUSPECT else "returned"))
         self.view.put(rumour, now)
         suspicion = self.suspicions.pop(name, None)
         if state == SUSPECT:
@@ -259,27 +259,27 @@
             self.reach.lost(self.view, name)
             self.differ.end(name)
         if old is None or old.state != state or old.boot != rumour.boot:
-            self.voice.out.append(Changed(name, None if old is None else old.state, state, rumour.boot, rumour.counter,
+            self.voice.out.append(MemberChanged(name, None if old is None else old.state, state, rumour.boot, rumour.counter,
                                      rumour.by))
             self.voice.out += self.standings.tell(name, state in HERE, now)
         if tell:
             self.voice.spread.put(rumour, now)
             self._news(now)
 
-    def _doubt(self, now: float, rumour: Rumour, entry: Entry) -> Rumour | None:
+    def _doubt(self, now: float, rumour: MemberUpdate, entry: MemberEntry) -> MemberUpdate | None:
         """A failure that another declared, of one who is here to us. Guards a healthy member against the word of one
         that was itself cut off or stopped: if it answered us since, the word is void; if it was not suspected here
         for some time, it is first, so that it can refute to us too."""
         if entry.answered > now - rumour.age_ms:
-            self.voice.out.append(Note("outdated"))
+            self.voice.out.append(CountEvent("outdated"))
             return None
         suspicion = self.suspicions.get(rumour.name)
         if suspicion is not None and now - suspicion.started >= self.terms.suspect_min_ms / 2:
             return rumour
-        return Rumour(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, SUSPECT, rumour.age_ms,
+        return MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, SUSPECT, rumour.age_ms,
                       rumour.by)
 
-    def _verify(self, now: float, name: str, rumour: Rumour) -> None:
+    def _verify(self, now: float, name: str, rumour: MemberUpdate) -> None:
         """Look for ourselves at one of whom something bad is told; the ping tells it what is said of it."""
         if rumour.state == SUSPECT:
             self.rounds.prober.want(name)
@@ -287,16 +287,16 @@
             self.rounds.prober.seq += 1  # no probe: an answer would only prove what its refutation says
             self.voice.send(now, rumour.address, Ping(self.rounds.prober.seq), name)
 
-    def _about_me(self, now: float, rumour: Rumour) -> None:
+    def _about_me(self, now: float, rumour: MemberUpdate) -> None:
         """Refute what is bad, and outlive what an earlier life of ours left (its clock may have been ahead)."""
         if self.leaving or rumour.key <= self.me.key:
             return
         if not self._bumps.take(now):
-            self.voice.out.append(Note("namesake", "another member answers to this name"))
+            self.voice.out.append(CountEvent("namesake", "another member answers to this name"))
             return
         if rumour.state in (SUSPECT, FAILED) and rumour.boot == self.me.boot:
             self.rounds.prober.worse()
-            self.voice.out.append(Note("accused"))
+            self.voice.out.append(CountEvent("accused"))
         if rumour.boot > self.me.boot:  # its packets were numbered by themselves: ours need a boot of their own
             self._set_me(now, rumour.boot + 1, 0, ALIVE)
         else:
@@ -307,7 +307,7 @@
         """Ask for a whole view, not too often."""
         if now >= self._sync_at:
             self._sync_at = now + self.terms.sync_every_ms(self.voice.size)
-            self.voice.out.append(Ask(address, self.sync(now)))
+            self.voice.out.append(RequestSync(address, self.sync(now)))
 
     def _period(self, now: float, key: str | int) -> None:
         self.rounds.period(now, key)
@@ -316,9 +316,9 @@
 
     # Suspicion.
 
-    def _accuse(self, now: float, known: Rumour) -> None:
+    def _accuse(self, now: float, known: MemberUpdate) -> None:
         """No probe of ours reached it."""
-        self._hear(now, Rumour(known.name, known.site, known.address, known.boot, known.counter, SUSPECT, 0, self.name))
+        self._hear(now, MemberUpdate(known.name, known.site, known.address, known.boot, known.counter, SUSPECT, 0, self.name))
 
     def _set_deadline(self, name: str, suspicion: Suspicion) -> None:
         suspicion.deadline = suspicion.started + suspicion.wait(self.terms, self.voice.size)
@@ -334,9 +334,9 @@
         if known.answered > suspicion.started and now - known.answered <= self.terms.reply_ms:
             suspicion.deadline = now + self.terms.probe_ms  # it answers us: it will refute once it hears of this
             self.timers.put(suspicion.deadline, "suspect", name)
-            return self.voice.send(now, known.rumour.address, Push(), str(name))
+            return self.voice.send(now, known.rumour.address, GossipPush(), str(name))
         rumour = known.rumour
-        self._accept(now, Rumour(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, FAILED, 0,
+        self._accept(now, MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, FAILED, 0,
                                  self.name), known, True)
 
     # Spreading and looking around.
@@ -351,9 +351,9 @@
         self._pushing = False
         for name in self.view.all.some(self.dice, self.terms.fanout):
             if not self.voice.bucket.take(now):  # the rest rides on probes
-                self.voice.out.append(Note("push_spared"))
+                self.voice.out.append(CountEvent("push_spared"))
                 break
-            self.voice.send(now, self.view.entries[name].rumour.address, Push(), name)
+            self.voice.send(now, self.view.entries[name].rumour.address, GossipPush(), name)
 
     def _knock(self, now: float, _: str | int) -> None:
         """Look for a failed member, and for a seed that none of those here is."""
@@ -366,7 +366,7 @@
             seed = seeds[int(self.dice.random() * len(seeds))]
             if not len(self.view.all) and now >= self._sync_at:
                 self._sync_at = now + self.terms.sync_ms
-                self.voice.out.append(Ask(seed, self.sync(now)))
+                self.voice.out.append(RequestSync(seed, self.sync(now)))
             elif seed not in self.view.addresses:
                 self.rounds.prober.seq += 1
                 self.voice.send(now, seed, Ping(self.rounds.prober.seq))
@@ -380,12 +380,12 @@
             if len(self.view.entries) > len(self.view.all) else []
         for name in old:
             entry = self.view.drop(name)
-            self.voice.out.append(Changed(name, entry.rumour.state, None, entry.rumour.boot, entry.rumour.counter, ""))
+            self.voice.out.append(MemberChanged(name, entry.rumour.state, None, entry.rumour.boot, entry.rumour.counter, ""))
         for name in self.differ.look(now, self.view):
-            self.voice.out.append(Note("disagree", f"views differ for long: {self.name} and {name}"))
+            self.voice.out.append(CountEvent("disagree", f"views differ for long: {self.name} and {name}"))
         unheard = self.reach.one_way(self.view, now) if len(self.view.gone) else []
         if bool(unheard) != self._unheard:
             self._unheard = bool(unheard)
             if unheard:
                 who = " ".join(unheard[:8])
-                self.voice.out.append(Note("one_way", f"heard, but they do not answer {self.name}: {who}"))
+                self.voice.out.append(CountEvent("one_way", f"heard, but they do not answer {self.name}: {who}"))
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What is believed of a member, by gravity."""
 
     ALIVE = 0
@@ -20,12 +20,12 @@
     LEFT = 3
 
 
-ALIVE, SUSPECT, FAILED, LEFT = State.ALIVE, State.SUSPECT, State.FAILED, State.LEFT
+ALIVE, SUSPECT, FAILED, LEFT = MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT
 HERE = (ALIVE, SUSPECT)
-Key = tuple[int, int, int]  # boot, counter, state: the greater one holds
+UpdatePrecedence = tuple[int, int, int]  # boot, counter, state: the greater one holds
 
 
-class Rumour(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A statement about one member. `boot` (Unix ms of its start) and `counter` (raised by itself only, to refute)
     are its life; `by` is who accuses it, with SUSPECT only; `age_ms` is how old the evidence is."""
 
@@ -39,12 +39,12 @@
     by: str = ""
 
     @property
-    def key(self) -> Key:
+    def key(self) -> UpdatePrecedence:
         """What it weighs against another statement about the same member."""
         return self.boot, self.counter, self.state
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class ReachabilityRow(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What `by` can't reach directly though others can: (name, whether `by` still hears it). `no` grows."""
 
     by: str
@@ -66,7 +66,7 @@
     of: str
 
 
-class Relay(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
+class IndirectProbe(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
     """Ping `name` at `address` for me."""
 
     seq: int
@@ -80,11 +80,11 @@
     seq: int
 
 
-class Push(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
+class GossipPush(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
     """Only what goes with every packet."""
 
 
-Body = Ping | Ack | Relay | Nack | Push
+Body = Ping | Ack | IndirectProbe | Nack | GossipPush
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -93,38 +93,38 @@
 
     fleet: str
     no: int
-    me: Rumour
+    me: MemberUpdate
     hash: int
     roll: int
     body: Body
-    rumours: tuple[Rumour, ...] = ()
-    rows: tuple[Row, ...] = ()
+    rumours: tuple[MemberUpdate, ...] = ()
+    rows: tuple[ReachabilityRow, ...] = ()
 
 
-class Sync(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class ViewSync(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A whole view, over TCP; asked with one and answered with one."""
 
     fleet: str
-    me: Rumour
-    entries: tuple[Rumour, ...]
-    rows: tuple[Row, ...] = ()
+    me: MemberUpdate
+    entries: tuple[MemberUpdate, ...]
+    rows: tuple[ReachabilityRow, ...] = ()
 
 
-class Send(NamedTuple):
+class SendPacket(NamedTuple):
     """Effect: one datagram."""
 
     address: str
     packet: Packet
 
 
-class Ask(NamedTuple):
+class RequestSync(NamedTuple):
     """Effect: send this over TCP and hand the reply to `Member.synced`."""
 
     address: str
-    sync: Sync
+    sync: ViewSync
 
 
-class Changed(NamedTuple):
+class MemberChanged(NamedTuple):
     """Effect: what is believed of `name` changed. `old` is None for a newcomer, `new` None for one forgotten."""
 
     name: str
@@ -135,7 +135,7 @@
     by: str
 
 
-class Stands(NamedTuple):
+class QuorumChanged(NamedTuple):
     """Effect: one's own standing in `scope` ('' is the fleet, else a site) changed."""
 
     scope: str
@@ -143,11 +143,11 @@
     new: int
 
 
-class Note(NamedTuple):
+class CountEvent(NamedTuple):
     """Effect: count this under `what`; `text` is for the log, if not empty."""
 
     what: str
     text: str = ""
 
 
-Effect = Send | Ask | Changed | Stands | Note
+MembershipEffect = SendPacket | RequestSync | MemberChanged | QuorumChanged | CountEvent
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
-from myrtlespar.membership.dissemination import Bucket, Spread, weight
-from myrtlespar.membership.messages import ALIVE, Body, Effect, Packet, Rumour, Send
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.dissemination import Dissemination, TokenBucket, weight
+from myrtlespar.membership.messages import ALIVE, Body, MembershipEffect, MemberUpdate, Packet, SendPacket
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.membership.view import View
 
 DATAGRAM = 1200  # bytes of one at the most
 FRAME = 80  # of them, what frames a packet: magic, checksum, lengths, numbers and the body's own frame
 
 
-class Voice:
+class PacketOutbox:
     """Numbers packets, puts news on them, and gathers effects until they are taken."""
 
-    def __init__(self, fleet: str, me: Rumour, terms: Terms, view: View, now: float) -> None:
+    def __init__(self, fleet: str, me: MemberUpdate, terms: MembershipSettings, view: View, now: float) -> None:
         self.fleet, self.me, self.view = fleet, me, view
         self.roll = 0
-        self.spread = Spread(terms)
-        self.bucket = Bucket(terms.push_per_s, now)  # of packets that nothing but news calls for
-        self.out: list[Effect] = []
+        self.spread = Dissemination(terms)
+        self.bucket = TokenBucket(terms.push_per_s, now)  # of packets that nothing but news calls for
+        self.out: list[MembershipEffect] = []
         self._no = 0
 
     @property
@@ -29,7 +29,7 @@
 
     def send(self, now: float, address: str, body: Body, to: str = "", tell: bool = False) -> None:
         """One packet; what is believed of its receiver goes first if it is bad (or `tell`), so that it can refute."""
-        first: tuple[Rumour, ...] = ()
+        first: tuple[MemberUpdate, ...] = ()
         entry = self.view.entries.get(to) if to else None
         if entry is not None and (tell or entry.rumour.state != ALIVE):
             first = (entry.rumour,)
@@ -37,10 +37,10 @@
         room = DATAGRAM - FRAME - len(self.fleet) - weight(self.me) - named
         rumours, rows = self.spread.pick(now, self.size, room, first)
         self._no += 1
-        self.out.append(Send(address, Packet(self.fleet, self._no, self.me, self.view.hash, self.roll, body, rumours,
+        self.out.append(SendPacket(address, Packet(self.fleet, self._no, self.me, self.view.hash, self.roll, body, rumours,
                                              rows)))
 
-    def done(self) -> list[Effect]:
+    def done(self) -> list[MembershipEffect]:
         """The effects since the last call."""
         out, self.out = self.out, []
         return out
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 from random import Random
 
-from myrtlespar.membership.messages import Ack, Nack, Note, Ping, Relay, Rumour
-from myrtlespar.membership.outbox import Voice
+from myrtlespar.membership.messages import Ack, CountEvent, IndirectProbe, MemberUpdate, Nack, Ping
+from myrtlespar.membership.outbox import PacketOutbox
 from myrtlespar.membership.probing import Prober, Timers
-from myrtlespar.membership.reachability import Reach
-from myrtlespar.membership.settings import Terms
-from myrtlespar.membership.view import Entry, View
+from myrtlespar.membership.reachability import ReachabilityMatrix
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.view import MemberEntry, View
 
 
-class Rounds:
+class ProbeRounds:
     """`accuse` is called with what is believed of a member that no probe reached."""
 
-    def __init__(self, site: str, terms: Terms, dice: Random, view: View, voice: Voice, timers: Timers, reach: Reach,
-                 accuse: Callable[[float, Rumour], None]) -> None:
+    def __init__(self, site: str, terms: MembershipSettings, dice: Random, view: View, voice: PacketOutbox, timers: Timers, reach: ReachabilityMatrix,
+                 accuse: Callable[[float, MemberUpdate], None]) -> None:
         self.site, self.terms, self.dice, self.view, self.voice = site, terms, dice, view, voice
         self.timers, self.reach, self.accuse = timers, reach, accuse
         self.prober = Prober(terms, dice)
@@ -55,7 +55,7 @@
         probe.asked = len(helpers)
         self.voice.send(now, entry.rumour.address, Ping(int(seq)), probe.target)  # the first one may just be lost
         for name in helpers:
-            body = Relay(int(seq), probe.target, entry.rumour.address)
+            body = IndirectProbe(int(seq), probe.target, entry.rumour.address)
             self.voice.send(now, self.view.entries[name].rumour.address, body, name)
 
     def reply(self, now: float, seq: str | int) -> None:
@@ -73,17 +73,17 @@
                 self.prober.want(name)
         self.accuse(now, entry.rumour)
 
-    def help(self, now: float, body: Relay, origin: str) -> None:
+    def help(self, now: float, body: IndirectProbe, origin: str) -> None:
         """Probe one for another member."""
         if self.prober.full():
-            return self.voice.out.append(Note("relay_spared"))
+            return self.voice.out.append(CountEvent("relay_spared"))
         known = self.view.entries.get(body.name)
         seq = self.prober.begin(body.name, known.rumour.site if known else "", now, origin, body.seq)
         self.timers.put(self.prober.probes[seq].direct_by, "direct", seq)
         self.timers.put(self.prober.probes[seq].reply_by, "reply", seq)
         self.voice.send(now, body.address, Ping(seq), body.name)
 
-    def acked(self, now: float, body: Ack, entry: Entry) -> None:
+    def acked(self, now: float, body: Ack, entry: MemberEntry) -> None:
         """An answer, of the sender or of one it probed for us. A late one still proves that it lives."""
         probe, name = self.prober.probes.get(body.seq), entry.rumour.name
         if body.of == name:
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -8,7 +8,7 @@
 from heapq import heapify, heappop, heappush
 from random import Random
 
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.membership.view import View
 
 PROBES_MOST = 256  # in hand at a time, those made for others included
@@ -66,7 +66,7 @@
     accusers: set[str]
     deadline: float = 0.0
 
-    def wait(self, terms: Terms, size: int) -> float:
+    def wait(self, terms: MembershipSettings, size: int) -> float:
         """From the longest to the shortest wait as independent accusers come, by the logarithm of their number."""
         most = min(terms.accusers, max(size - 2, 0))  # beside the first one
         share = min(1.0, math.log(len(self.accusers)) / math.log(most + 1)) if most else 1.0
@@ -76,7 +76,7 @@
 class Prober:
     """Whom to probe, how long to wait."""
 
-    def __init__(self, terms: Terms, dice: Random) -> None:
+    def __init__(self, terms: MembershipSettings, dice: Random) -> None:
         self.terms, self.dice = terms, dice
         self.probes: dict[int, Probe] = {}
         self.busy: set[str] = set()  # targets of our own probes
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from myrtlespar.membership.messages import Stands
+from myrtlespar.membership.messages import QuorumChanged
 
 FLEET = ""  # the scope that is the whole fleet; every other scope is a site's name
 
 
-class Standing(IntEnum):
+class QuorumStatus(IntEnum):
     """How much of an electorate one member believes present, itself included where it is an elector."""
 
     ALONE = 0  # no other elector
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Electorate:
+class VoterSet:
     """The versioned roll: by site, the names that count. With an empty one no majority is ever claimed."""
 
     version: int
@@ -49,7 +49,7 @@
         return ([FLEET] if len(self.names) % 2 == 0 else []) + out
 
 
-def step_fault(old: Electorate, new: Electorate) -> str:
+def step_fault(old: VoterSet, new: VoterSet) -> str:
     """Why a roll can't follow another: only a later version that differs by one member can, as then any majority of
     the one and any of the other share a member. Empty if it can."""
     if new.version <= old.version:
@@ -60,45 +60,45 @@
     return ""
 
 
-def judge(total: int, present: int, other: int) -> Standing:
+def judge(total: int, present: int, other: int) -> QuorumStatus:
     """The standing where `present` of `total` electors are believed here, `other` of them not oneself."""
     if present == total and total:
-        return Standing.WHOLE
+        return QuorumStatus.WHOLE
     if 2 * present > total:
-        return Standing.MAJORITY
-    return Standing.MINORITY if other else Standing.ALONE
+        return QuorumStatus.MAJORITY
+    return QuorumStatus.MINORITY if other else QuorumStatus.ALONE
 
 
 @dataclass(slots=True)
-class Tally:
+class VoteCount:
     """Counts for one scope."""
 
     electors: frozenset[str]
     mine: int  # 1 if oneself is one of them
     here: set[str] = field(default_factory=set)
-    now: Standing = Standing.ALONE
+    now: QuorumStatus = QuorumStatus.ALONE
     since: float = 0.0
 
-    def look(self) -> Standing:
+    def look(self) -> QuorumStatus:
         """The standing by the counts."""
         return judge(len(self.electors), len(self.here) + self.mine, len(self.here))
 
 
-class Standings:
+class QuorumTracker:
     """All scopes of one member; `tell` says who came and went, changes come out in order."""
 
-    def __init__(self, me: str, electorate: Electorate, now: float) -> None:
+    def __init__(self, me: str, electorate: VoterSet, now: float) -> None:
         self.me, self.electorate = me, electorate
         self.isolated = False  # nobody has answered us for long: whatever is believed, we speak for ourselves only
-        self.scopes: dict[str, Tally] = {}
+        self.scopes: dict[str, VoteCount] = {}
         self._of: dict[str, list[str]] = {}
         self.adopt(electorate, now)
 
-    def adopt(self, electorate: Electorate, now: float) -> None:
+    def adopt(self, electorate: VoterSet, now: float) -> None:
         """Take a roll over; who is here must be told anew."""
         self.electorate = electorate
         rows = {FLEET: electorate.names, **{site: frozenset(row) for site, row in electorate.sites.items()}}
-        self.scopes = {scope: Tally(names, int(self.me in names), since=now) for scope, names in rows.items()}
+        self.scopes = {scope: VoteCount(names, int(self.me in names), since=now) for scope, names in rows.items()}
         self._of = {}
         for scope, names in rows.items():
             for name in names:
@@ -107,30 +107,30 @@
             self._look(scope, tally, now)
 
     @property
-    def fleet(self) -> Tally:
+    def fleet(self) -> VoteCount:
         """The whole fleet's."""
         return self.scopes[FLEET]
 
-    def tell(self, name: str, here: bool, now: float) -> list[Stands]:
+    def tell(self, name: str, here: bool, now: float) -> list[QuorumChanged]:
         """One member came or went; the changes of standing that follow."""
-        out: list[Stands] = []
+        out: list[QuorumChanged] = []
         for scope in self._of.get(name, ()):
             tally = self.scopes[scope]
             (tally.here.add if here else tally.here.discard)(name)
             out += self._look(scope, tally, now)
         return out
 
-    def isolate(self, isolated: bool, now: float) -> list[Stands]:
+    def isolate(self, isolated: bool, now: float) -> list[QuorumChanged]:
         """Whether anybody answers us; the changes that follow."""
         if isolated == self.isolated:
             return []
         self.isolated = isolated
         return [change for scope, tally in self.scopes.items() for change in self._look(scope, tally, now)]
 
-    def _look(self, scope: str, tally: Tally, now: float) -> list[Stands]:
+    def _look(self, scope: str, tally: VoteCount, now: float) -> list[QuorumChanged]:
         after = judge(len(tally.electors), tally.mine, 0) if self.isolated else tally.look()
         if after == tally.now:
             return []
-        change = Stands(scope, tally.now, after)
+        change = QuorumChanged(scope, tally.now, after)
         tally.now, tally.since = after, now
         return [change]
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Mapping
 
-from myrtlespar.membership.dissemination import Spread
-from myrtlespar.membership.messages import Row
-from myrtlespar.membership.settings import Terms
-from myrtlespar.membership.view import Entry, View, row_stamp
+from myrtlespar.membership.dissemination import Dissemination
+from myrtlespar.membership.messages import ReachabilityRow
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.view import MemberEntry, View, row_stamp
 
 
-def broken(rows: Mapping[str, Row]) -> list[str]:
+def broken(rows: Mapping[str, ReachabilityRow]) -> list[str]:
     """The links that members' rows name as broken, one line each, in order of names.
 
     A row holds only what fails: `a` gets no direct answer from `b`, though helpers do. If `a` still hears `b`, what
@@ -31,31 +31,31 @@
     return [out[pair] for pair in sorted(out)]
 
 
-class Reach:
+class ReachabilityMatrix:
     """One's own row and those of the others."""
 
-    def __init__(self, me: str, boot: int, terms: Terms, spread: Spread) -> None:
+    def __init__(self, me: str, boot: int, terms: MembershipSettings, spread: Dissemination) -> None:
         self.me, self.boot, self.terms, self.spread = me, boot, terms, spread
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, ReachabilityRow] = {}
         self._no = 0
 
-    def direct(self, view: View, entry: Entry) -> None:
+    def direct(self, view: View, entry: MemberEntry) -> None:
         """It answered us directly."""
         if entry.missed:
             named, entry.missed = entry.missed >= self.terms.link_tries, 0
             if named:
                 self.tell(view)
 
-    def hears(self, view: View, entry: Entry) -> None:
+    def hears(self, view: View, entry: MemberEntry) -> None:
         """A packet of itself came: if we named its link as broken, one way works."""
         if entry.missed >= self.terms.link_tries and self._heard(entry) \
                 and (entry.rumour.name, True) not in self.rows[self.me].cannot:
             self.tell(view)
 
-    def _heard(self, entry: Entry) -> bool:
+    def _heard(self, entry: MemberEntry) -> bool:
         return entry.heard > entry.missing + self.terms.direct_max_ms
 
-    def helped(self, view: View, entry: Entry, now: float) -> bool:
+    def helped(self, view: View, entry: MemberEntry, now: float) -> bool:
         """It answered others only. Whether it should be probed again soon, to see if that was chance."""
         if not entry.missed:
             entry.missing = now
@@ -76,14 +76,14 @@
         cannot = [(name, self._heard(entry)) for name, entry in view.entries.items()
                   if entry.here and entry.missed >= self.terms.link_tries]
         self._no += 1
-        self._put(view, Row(self.me, self.boot, self._no, tuple(cannot[:self.terms.cannot])))
+        self._put(view, ReachabilityRow(self.me, self.boot, self._no, tuple(cannot[:self.terms.cannot])))
 
-    def _put(self, view: View, row: Row) -> None:
+    def _put(self, view: View, row: ReachabilityRow) -> None:
         view.hash ^= row_stamp(self.rows.get(row.by)) ^ row_stamp(row)
         self.rows[row.by] = row
         self.spread.put_row(row)
 
-    def heard(self, view: View, row: Row) -> None:
+    def heard(self, view: View, row: ReachabilityRow) -> None:
         """Another's row; the newest of each counts."""
         known, entry = self.rows.get(row.by), view.entries.get(row.by)
         if entry is not None and entry.here and row.boot >= entry.rumour.boot \
@@ -96,10 +96,10 @@
                 if not entry.here and now - entry.since > 3000 and now - entry.heard < 2000]
 
 
-class Differ:
+class ViewDivergence:
     """Whose view's hash is not ours, and since when."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: MembershipSettings) -> None:
         self.terms = terms
         self.since: dict[str, float] = {}
         self.lasting: set[str] = set()
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Times in milliseconds. The defaults are for one data centre or a few near ones (round trips under 100 ms)."""
 
     probe_ms: int = 200  # one member is probed each so often
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -7,17 +7,17 @@
 from dataclasses import dataclass
 from random import Random
 
-from myrtlespar.membership.messages import HERE, Key, Row, Rumour, State
+from myrtlespar.membership.messages import HERE, MemberState, MemberUpdate, ReachabilityRow, UpdatePrecedence
 
 MOST = 16384  # members kept in one view; more are counted and left out
 WINDOW = 1024  # of a sender's packets: one told twice, or older than this many, is dropped
 
 
 @dataclass(slots=True)
-class Entry:
+class MemberEntry:
     """One other member. Times are the driver's monotonic milliseconds."""
 
-    rumour: Rumour
+    rumour: MemberUpdate
     since: float  # when it came to this state here
     evidence: float  # when the freshest evidence of this state was made
     heard: float = float("-inf")  # last packet from itself
@@ -52,14 +52,14 @@
         return True
 
 
-def stamp(name: str, key: Key) -> int:
+def stamp(name: str, key: UpdatePrecedence) -> int:
     """One entry's share of a view's hash; suspicion is local and passing, so it counts as alive."""
-    state = State.ALIVE if key[2] == State.SUSPECT else key[2]
+    state = MemberState.ALIVE if key[2] == MemberState.SUSPECT else key[2]
     data = f"{name}\0{key[0]}\0{key[1]}\0{int(state)}".encode()
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
 
 
-def row_stamp(row: Row | None) -> int:
+def row_stamp(row: ReachabilityRow | None) -> int:
     """A reach row's share of a view's hash; one that names nothing counts as none."""
     if row is None or not row.cannot:
         return 0
@@ -67,7 +67,7 @@
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
 
 
-class Pool:
+class SampledSet:
     """Names to pick from by chance, each step in constant time."""
 
     def __init__(self) -> None:
@@ -116,26 +116,26 @@
 
     def __init__(self, me: str) -> None:
         self.me = me
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, MemberEntry] = {}
         self.hash = 0
-        self.gone = Pool()  # the failed ones
-        self.all = Pool()  # those here
-        self.sites: dict[str, Pool] = {}  # the same by site
+        self.gone = SampledSet()  # the failed ones
+        self.all = SampledSet()  # those here
+        self.sites: dict[str, SampledSet] = {}  # the same by site
         self.addresses: dict[str, str] = {}  # address: the name last known there
-        self.own: Key | None = None
+        self.own: UpdatePrecedence | None = None
 
-    def set_self(self, key: Key) -> None:
+    def set_self(self, key: UpdatePrecedence) -> None:
         """One's own life is part of the hash."""
         if self.own is not None:
             self.hash ^= stamp(self.me, self.own)
         self.own = key
         self.hash ^= stamp(self.me, key)
 
-    def put(self, rumour: Rumour, now: float) -> Entry:
+    def put(self, rumour: MemberUpdate, now: float) -> MemberEntry:
         """Take a greater statement over."""
         entry = self.entries.get(rumour.name)
         if entry is None:
-            entry = self.entries[rumour.name] = Entry(rumour, now, now - rumour.age_ms)
+            entry = self.entries[rumour.name] = MemberEntry(rumour, now, now - rumour.age_ms)
         else:
             self.hash ^= stamp(rumour.name, entry.rumour.key)
             if entry.rumour.state != rumour.state:
@@ -150,28 +150,28 @@
         self._file(rumour)
         return entry
 
-    def fill(self, rumours: Sequence[Rumour], now: float, hash: int) -> None:
+    def fill(self, rumours: Sequence[MemberUpdate], now: float, hash: int) -> None:
         """Begin with all of these alive, oneself left out; `hash` is that of all of them, oneself included. For models
         of large fleets that have been together for long."""
         for rumour in rumours:
             if rumour.name != self.me:
-                self.entries[rumour.name] = Entry(rumour, now, now)
+                self.entries[rumour.name] = MemberEntry(rumour, now, now)
                 self.addresses[rumour.address] = rumour.name
                 self.all.add(rumour.name)
-                self.sites.setdefault(rumour.site, Pool()).add(rumour.name)
+                self.sites.setdefault(rumour.site, SampledSet()).add(rumour.name)
         self.hash = hash
 
-    def _file(self, rumour: Rumour) -> None:
-        name, site = rumour.name, self.sites.setdefault(rumour.site, Pool())
+    def _file(self, rumour: MemberUpdate) -> None:
+        name, site = rumour.name, self.sites.setdefault(rumour.site, SampledSet())
         if rumour.state in HERE:
             self.all.add(name)
             site.add(name)
         else:
             self.all.discard(name)
             site.discard(name)
-        (self.gone.add if rumour.state == State.FAILED else self.gone.discard)(name)
+        (self.gone.add if rumour.state == MemberState.FAILED else self.gone.discard)(name)
 
-    def drop(self, name: str) -> Entry:
+    def drop(self, name: str) -> MemberEntry:
         """Forget one."""
         entry = self.entries.pop(name)
         self.hash ^= stamp(name, entry.rumour.key)
--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -13,8 +13,8 @@
 from myrtlespar.model_checker import process_pair as twins
 from myrtlespar.model_checker.events import EVENTS, begin, show
 from myrtlespar.model_checker.explore import Bounds, Result, Used, explore, limit_steps, step
-from myrtlespar.model_checker.invariants import RULES, Watch, unused
-from myrtlespar.model_checker.mutants import PLANTS
+from myrtlespar.model_checker.invariants import RULES, TransitionCoverage, unused
+from myrtlespar.model_checker.mutants import MUTATIONS
 from myrtlespar.model_checker.scenarios import ALL, QUICK
 from myrtlespar.model_checker.state_encoding import freeze, thaw, unpack
 from myrtlespar.model_checker.world import Event
@@ -23,7 +23,7 @@
 HOLDS, FELL, FAULTY, NO_VERDICT = 0, 1, 2, 3
 
 
-class Faulty(Exception):
+class FaultyReplay(Exception):
     """One line that names the place in the input."""
 
 
@@ -73,11 +73,11 @@
 def story(scenario: str, path: list[Event]) -> list[str]:
     """The events, numbered, with the state after each."""
     limit_steps()
-    s, watch = ALL[scenario], Watch()
+    s, watch = ALL[scenario], TransitionCoverage()
     plain, out = thaw(freeze(begin(s))), []
     for number, event in enumerate(path, 1):
         if event not in unpack(s, plain).enabled():
-            raise Faulty(f"event {number}: {show(event)!r} can't come here")
+            raise FaultyReplay(f"event {number}: {show(event)!r} can't come here")
         world, fell = step(s, plain, event, watch)
         out.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in fell)}")
         plain = thaw(freeze(world))
@@ -96,21 +96,21 @@
     try:
         rows = yaml.safe_load(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
-        raise Faulty(f"{path}: can't be read: {error}") from None
+        raise FaultyReplay(f"{path}: can't be read: {error}") from None
     except yaml.YAMLError as error:
         where = getattr(error, "problem_mark", None)
-        raise Faulty(f"{path}: line {where.line + 1 if where else '?'}: not YAML") from None
+        raise FaultyReplay(f"{path}: line {where.line + 1 if where else '?'}: not YAML") from None
     if not isinstance(rows, dict) or rows.get("scenario") not in ALL:
-        raise Faulty(f"{path}: scenario: unknown or missing")
+        raise FaultyReplay(f"{path}: scenario: unknown or missing")
     events = rows.get("events")
     if not isinstance(events, list) or not events:
-        raise Faulty(f"{path}: events: expected a list")
+        raise FaultyReplay(f"{path}: events: expected a list")
     for number, event in enumerate(events, 1):
         if not isinstance(event, list) or not event or event[0] not in EVENTS:
-            raise Faulty(f"{path}: event {number}: no such event: {event!r}"[:200])
+            raise FaultyReplay(f"{path}: event {number}: no such event: {event!r}"[:200])
     plant = rows.get("plant", "")
-    if plant and plant not in PLANTS:
-        raise Faulty(f"{path}: plant: no planted bug named {plant!r}")
+    if plant and plant not in MUTATIONS:
+        raise FaultyReplay(f"{path}: plant: no planted bug named {plant!r}")
     return str(rows["scenario"]), [tuple(event) for event in events], str(plant)
 
 
@@ -118,8 +118,8 @@
     """Play a counter-example in the explorer, or against the real program."""
     try:
         scenario, events, _ = read(path)
-        if plant and plant not in PLANTS:
-            raise Faulty(f"--plant: no planted bug named {plant!r}")
+        if plant and plant not in MUTATIONS:
+            raise FaultyReplay(f"--plant: no planted bug named {plant!r}")
         if real:
             from myrtlespar.model_checker.replay_on_process import play
 
@@ -133,7 +133,7 @@
             module = "myrtlespar.model_checker.mutation_testing"
             return subprocess.run([sys.executable, "-m", module, plant, "--replay", str(path)], check=False).returncode
         lines = story(scenario, events)
-    except Faulty as error:
+    except FaultyReplay as error:
         print(f"myrtlespar: {error}", file=sys.stderr)
         return FAULTY
     print("\n".join(lines))
@@ -152,9 +152,9 @@
 
     found = 0
     with ThreadPoolExecutor(jobs) as pool:
-        for name, text in pool.map(hunt, PLANTS):
+        for name, text in pool.map(hunt, MUTATIONS):
             good = text.startswith("found")
             found += good
             print(f"{name:36} {text}", flush=True)
-    print(f"{found} of {len(PLANTS)} planted bugs found")
-    return HOLDS if found == len(PLANTS) else FELL
+    print(f"{found} of {len(MUTATIONS)} planted bugs found")
+    return HOLDS if found == len(MUTATIONS) else FELL
--- a/myrtlespar/model_checker/diagrams.py
+++ b/myrtlespar/model_checker/diagrams.py
@@ -4,7 +4,7 @@
 
 from myrtlespar.model_checker.invariants import RULES
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.transition_table import Table
+from myrtlespar.state_machines.transition_table import TransitionTable
 
 HEAD = """# The machines, from the code
 
@@ -19,7 +19,7 @@
             + "".join(section(table) for table in TABLES))
 
 
-def section(table: Table) -> str:
+def section(table: TransitionTable) -> str:
     """One machine: a diagram, and its rows with their effects."""
     arrows: dict[tuple[str, str], list[str]] = {}
     rows = []
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.model_checker.environment import Item
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.world import (
@@ -20,14 +20,14 @@
     World,
     nowhere,
 )
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines import dependency_calls as calls
 from myrtlespar.state_machines.attempts import STARTED
-from myrtlespar.state_machines.client_connection import Be, Conn, ConnState
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle, ConnectionState
 from myrtlespar.state_machines.engine_link import GAP, NEXT, RENUMBERED
-from myrtlespar.state_machines.process import Act, Say, Stage
+from myrtlespar.state_machines.process import ProcessAction, ProcessEvent, ProcessState
 
-REFUSED = Answer(Kind.REFUSED, retry_after_ms=500.0)
+REFUSED = Answer(AnswerKind.REFUSED, retry_after_ms=500.0)
 HANDOVER_MS = 2700.0  # SIGKILL after a hand-over: the deadline of two ticks, and 0.7 s
 
 
@@ -57,9 +57,9 @@
 def _send(w: World, n: int) -> None:
     w.callers[n].stage, w.callers[n].life = MID_READ, w.life
     if not w.conns[w.line(n)].reads:
-        w.conns[w.line(n)] = ConnState(IDS[n])
+        w.conns[w.line(n)] = ConnectionLifecycle(IDS[n])
     if w.s.tries[n].front == "ajp":
-        w.be(n, Be.BEGIN)
+        w.be(n, ConnectionEvent.BEGIN)
 
 
 def _whole(w: World, n: int) -> None:
@@ -68,30 +68,30 @@
         one.stage = UNSENT
         return
     one.stage = WAITS
-    one.late = w.now > w.desk.process.notice_at + w.desk.process.grace_ms
+    one.late = w.now > w.tracker.process.notice_at + w.tracker.process.grace_ms
     x = w.tries[n] = Exchange(IDS[n], spec.front, int(spec.effectful), b"", w.now, nowhere)
     x.key, x.target = spec.key, spec.target
-    w.be(n, Be.REQUEST)
-    w.carry(w.desk.submit(x) or [])
+    w.be(n, ConnectionEvent.REQUEST)
+    w.carry(w.tracker.submit(x) or [])
 
 
 def _cut_short(w: World, n: int) -> None:
     w.spend("give up")
     w.callers[n].stage, w.callers[n].gone = DONE, True
-    w.be(n, Be.RESET)
+    w.be(n, ConnectionEvent.RESET)
 
 
 def _spoil(w: World, n: int) -> None:
     w.spend("spoil")
     if w.callers[n].stage == MID_READ:
         w.callers[n].stage = DONE
-    w.be(n, Be.SPOILT)
+    w.be(n, ConnectionEvent.SPOILT)
 
 
 def _turn_away(w: World, n: int) -> None:
     w.spend("spoil")
     w.callers[n].stage = DONE
-    w.be(n, Be.TURNED_AWAY)
+    w.be(n, ConnectionEvent.TURNED_AWAY)
 
 
 def _give_up(w: World, n: int) -> None:
@@ -110,15 +110,15 @@
     if by_message:
         w.be(n, w.answered(n))
         w.callers[n].gone = True
-        w.carry(w.desk.gone(x))
+        w.carry(w.tracker.gone(x))
     else:
-        w.be(n, Be.RESET)
+        w.be(n, ConnectionEvent.RESET)
         w.callers[n].gone = True
 
 
 def _close(w: World, n: int) -> None:
     w.spend("close")
-    w.be(n, Be.CLOSE)
+    w.be(n, ConnectionEvent.CLOSE)
 
 
 # The policy.
@@ -126,30 +126,30 @@
 
 def _run(w: World, id: str) -> None:
     w.policy.ran(id)
-    w.carry(w.desk.start(id, w.now))
+    w.carry(w.tracker.start(id, w.now))
 
 
 def _refuse(w: World, id: str) -> None:
     w.policy.forget(id)
-    w.carry(w.desk.refuse(id, REFUSED, w.now))
+    w.carry(w.tracker.refuse(id, REFUSED, w.now))
 
 
 def _fail(w: World, id: str) -> None:
     w.policy.forget(id)
-    w.carry(w.desk.fail(id, w.now))
+    w.carry(w.tracker.fail(id, w.now))
 
 
 def _call(w: World, id: str) -> None:
     w.policy.at_call.remove(id)
-    w.carry(w.desk.call(id, DUE_MS))
+    w.carry(w.tracker.call(id, DUE_MS))
 
 
 def _rude(w: World, what: str, id: str) -> None:
     w.spend("rude")
     if what == "run":
-        w.carry(w.desk.start(id, w.now))
+        w.carry(w.tracker.start(id, w.now))
     elif what == "call":
-        w.carry(w.desk.call(id, DUE_MS))
+        w.carry(w.tracker.call(id, DUE_MS))
     else:
         (_refuse if what == "refuse" else _fail)(w, id)
 
@@ -194,16 +194,16 @@
     if item[0] == "BOOTED":
         if item[1] != w.known_kernel and w.known_kernel >= 0:
             c.restarted()
-            for id, x in list(w.desk.open.items()):
+            for id, x in list(w.tracker.open.items()):
                 if x.state in STARTED and not x.target and id not in c.open:
-                    w.ended(id, Outcome.ERROR, None)
+                    w.ended(id, RunOutcome.ERROR, None)
         w.known_kernel = item[1]
         w.order(c.booted())
     elif item[0] == "INFO":
         w.order(c.informed(item[1]) or [])
     elif item[0] == "EINVAL":
         c.settled(item[1])
-        w.ended(item[1], Outcome.MOOT, None)
+        w.ended(item[1], RunOutcome.MOOT, None)
     else:
         kind = c.numbered(item[1])
         if kind == RENUMBERED:  # this kernel is known by its id: its numbers must not contradict that
@@ -213,9 +213,9 @@
         elif kind == NEXT:
             c.settled(item[3])
             if item[2] == "IOREQ":
-                w.carry(w.desk.call_needed(item[3], b"%d" % item[4]))
+                w.carry(w.tracker.call_needed(item[3], b"%d" % item[4]))
             else:
-                served = Answer(Kind.SERVED, b"r" + item[3].encode()) if item[4] == "PASS" else None
+                served = Answer(AnswerKind.SERVED, b"r" + item[3].encode()) if item[4] == "PASS" else None
                 w.ended(item[3], OUTCOMES[item[4]], served)
 
 
@@ -277,23 +277,23 @@
 def _reply(w: World, id: str, end: str) -> None:
     number = w.pending.pop(id)
     if end == "OK":
-        w.carry(w.desk.called(id, Outcome.OK, 0.0, b"%d" % number))
+        w.carry(w.tracker.called(id, RunOutcome.OK, 0.0, b"%d" % number))
         return
     w.spend("bad reply")
-    w.carry(w.desk.called(id, Outcome.REJECTED if end == "BUSY" else Outcome.ERROR, 0.0))
+    w.carry(w.tracker.called(id, RunOutcome.REJECTED if end == "BUSY" else RunOutcome.ERROR, 0.0))
 
 
 def _worker(w: World, id: str, end: str) -> None:
     w.workers.remove(id)
     if end == "UNREACHED":
-        return w.ended(id, Outcome.ERROR, REFUSED)
+        return w.ended(id, RunOutcome.ERROR, REFUSED)
     w.kernel.starts[id] = w.kernel.starts.get(id, 0) + 1
     began(w, id)
-    served = Answer(Kind.SERVED, b"w" + id.encode())
-    w.ended(id, Outcome.OK if end == "PASS" else Outcome.ERROR, served if end == "PASS" else None)
+    served = Answer(AnswerKind.SERVED, b"w" + id.encode())
+    w.ended(id, RunOutcome.OK if end == "PASS" else RunOutcome.ERROR, served if end == "PASS" else None)
 
 
-def _wire(w: World, number: int) -> calls.Connection:
+def _wire(w: World, number: int) -> calls.DependencyConnection:
     return next(wire for wire in w.wires if wire.number == number)
 
 
@@ -325,7 +325,7 @@
     assert wire.call is not None
     if end != "OK":
         w.spend("store")
-    outcome = Outcome.OK if end == "OK" else Outcome.REJECTED
+    outcome = RunOutcome.OK if end == "OK" else RunOutcome.REJECTED
     w.order_calls(w.calls.reply(wire, wire.call.id, outcome, wire.call.body, w.now) or [])
 
 
@@ -334,12 +334,12 @@
     wire = _wire(w, number)
     assert wire.call is not None
     w.copies.append((number, wire.call.id, wire.call.body))
-    w.order_calls(w.calls.reply(wire, wire.call.id, Outcome.OK, wire.call.body, w.now) or [])
+    w.order_calls(w.calls.reply(wire, wire.call.id, RunOutcome.OK, wire.call.body, w.now) or [])
 
 
 def _wire_copy(w: World, n: int) -> None:
     number, id, body = w.copies.pop(n)
-    w.order_calls(w.calls.reply(_wire(w, number), id, Outcome.OK, body, w.now) or [])
+    w.order_calls(w.calls.reply(_wire(w, number), id, RunOutcome.OK, body, w.now) or [])
 
 
 # The process and time.
@@ -347,54 +347,54 @@
 
 def _notice_to_leave(w: World) -> None:
     w.spend("notice")
-    _acts(w, w.desk.process.notice(w.now))
+    _acts(w, w.tracker.process.notice(w.now))
 
 
 def _hand_over(w: World) -> None:
     """SIGTERM while a second process serves beside this one; it is killed as the drain would be."""
     w.spend("notice")
-    _acts(w, w.desk.process.handover(w.now, HANDOVER_MS))
+    _acts(w, w.tracker.process.handover(w.now, HANDOVER_MS))
 
 
 def _move(w: World) -> None:
     w.spend("move")
-    _acts(w, w.desk.process.say(Say.RELOAD))
+    _acts(w, w.tracker.process.say(ProcessEvent.RELOAD))
 
 
 def _bad_reload(w: World) -> None:
     w.spend("bad reload")
-    _acts(w, w.desk.process.say(Say.BAD_RELOAD))
+    _acts(w, w.tracker.process.say(ProcessEvent.BAD_RELOAD))
 
 
 def _look(w: World) -> None:
-    _acts(w, w.desk.process.look(w.now, w.desk.owed))
+    _acts(w, w.tracker.process.look(w.now, w.tracker.owed))
 
 
-def _acts(w: World, acts: tuple[Act, ...]) -> None:
+def _acts(w: World, acts: tuple[ProcessAction, ...]) -> None:
     for act in acts:
-        if act is Act.ASK_CLIENTS:
+        if act is ProcessAction.ASK_CLIENTS:
             for n, spec in enumerate(w.s.tries):
                 if spec.front == "ajp":
-                    w.be(n, Be.CLOSE)
-        elif act is Act.MOVE_LINKS:
+                    w.be(n, ConnectionEvent.CLOSE)
+        elif act is ProcessAction.MOVE_LINKS:
             w.order(w.commands.move())
             w.order_calls(w.calls.move())
-        elif act is Act.CLOSE_LISTENERS:
+        elif act is ProcessAction.CLOSE_LISTENERS:
             w.listening = False
-        elif act is Act.FLUSH:
+        elif act is ProcessAction.FLUSH:
             for n in range(len(w.s.tries)):
                 if w.line(n) == n:
-                    w.be(n, Be.END)
-        elif act is Act.STOP:
+                    w.be(n, ConnectionEvent.END)
+        elif act is ProcessAction.STOP:
             w.stopped = True
             for n, one in enumerate(w.callers):
                 if one.stage == WAITS and one.life == w.life and not one.answers and not one.gone:
                     w.fell.append("the drain answers all")
-                w.be(n, Be.RESET if w.conns[w.line(n)].state != Conn.CLOSED else Be.CLOSE)
+                w.be(n, ConnectionEvent.RESET if w.conns[w.line(n)].state != ConnectionState.CLOSED else ConnectionEvent.CLOSE)
 
 
 def _flushed(w: World) -> None:
-    _acts(w, w.desk.process.say(Say.FLUSHED))
+    _acts(w, w.tracker.process.say(ProcessEvent.FLUSHED))
 
 
 def _deaf(w: World) -> None:
@@ -406,13 +406,13 @@
     w.now += TICK_MS
     if w.stopped:
         return
-    w.carry(w.desk.sweep(w.now))
+    w.carry(w.tracker.sweep(w.now))
     w.order_calls(w.calls.look(w.now))
-    p = w.desk.process
+    p = w.tracker.process
     for _ in range(3):
-        if w.now >= p.kill_at and p.stage == Stage.FLUSHING:
+        if w.now >= p.kill_at and p.stage == ProcessState.FLUSHING:
             _flushed(w)
-        elif w.now >= p.kill_at and p.stage != Stage.STOPPED:
+        elif w.now >= p.kill_at and p.stage != ProcessState.STOPPED:
             _look(w)
     if w.now >= p.kill_at and not w.stopped:
         w.fell.append("the drain ends")
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from myrtlespar.model_checker.events import apply, begin
-from myrtlespar.model_checker.invariants import Watch, fallen
+from myrtlespar.model_checker.invariants import TransitionCoverage, fallen
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.state_encoding import Plain, digest, freeze, thaw, unpack
 from myrtlespar.model_checker.world import Event, World
@@ -23,7 +23,7 @@
 Used = set[tuple[str, int, int]]
 
 
-class Endless(Exception):
+class NonTerminating(Exception):
     """A machine that does not come to an end over one event."""
 
 
@@ -33,7 +33,7 @@
 
 
 def _endless(*_: Any) -> None:
-    raise Endless
+    raise NonTerminating
 
 
 @dataclass(slots=True)
@@ -61,13 +61,13 @@
     memory_mb: int = 6000  # of the process that holds the visited set
 
 
-def step(s: Scenario, plain: Plain, event: Event, watch: Watch) -> tuple[World, list[str]]:
+def step(s: Scenario, plain: Plain, event: Event, watch: TransitionCoverage) -> tuple[World, list[str]]:
     """The world after one event, and the rules that fell with it."""
     world = unpack(s, plain)
     signal.setitimer(signal.ITIMER_VIRTUAL, STEP_S)
     try:
         apply(world, event)
-    except Endless:
+    except NonTerminating:
         return world, ["every step ends"]
     except (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError):
         return world, ["no machine fails"]
@@ -83,7 +83,7 @@
     """Expands chunks of states, in this process or in a worker."""
 
     def __init__(self, s: Scenario) -> None:
-        self.s, self.watch = s, Watch()
+        self.s, self.watch = s, TransitionCoverage()
         self.sent: set[int] = set()  # what this worker has handed back already
 
     def __call__(self, chunk: list[tuple[int, bytes]]) -> tuple[list[Found], int]:
@@ -186,7 +186,7 @@
     chain = [last]
     while before[chain[-1]] != chain[-1]:
         chain.append(before[chain[-1]])
-    plain, path, watch = thaw(freeze(begin(s))), list[Event](), Watch()
+    plain, path, watch = thaw(freeze(begin(s))), list[Event](), TransitionCoverage()
     for wanted in reversed(chain[:-1]):
         for event in unpack(s, plain).enabled():
             state = freeze(step(s, plain, event, watch)[0])
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -9,15 +9,15 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from myrtlespar.model_checker.mutants import Plant, plant
+from myrtlespar.model_checker.mutants import Mutation, install_mutation
 
 LONGEST = 3  # faults of a counter-example
 AREAS = {"members": "myrtlespar.model_checker.fleet", "limits": "myrtlespar.model_checker.quota"}
 
 
-def plants(area: str) -> Mapping[str, Plant]:
+def mutations(area: str) -> Mapping[str, Mutation]:
     """The planted bugs of an area."""
-    found: Mapping[str, Plant] = importlib.import_module(f"{AREAS[area]}.mutants").PLANTS
+    found: Mapping[str, Mutation] = importlib.import_module(f"{AREAS[area]}.mutants").PLANTS
     return found
 
 
@@ -49,7 +49,7 @@
         done = subprocess.run(words, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
 
-    found, among = 0, plants(area)
+    found, among = 0, mutations(area)
     with ThreadPoolExecutor(jobs) as pool:
         for name, text in pool.map(hunt, among):
             found += text.startswith("found")
@@ -61,8 +61,8 @@
 def main() -> int:
     """One hunt: print one line, found or survived."""
     area, name, seconds = sys.argv[1], sys.argv[2], float(sys.argv[3])
-    among = plants(area)
-    plant(name, among)
+    among = mutations(area)
+    install_mutation(name, among)
     found = explorer(area).explore(among[name].scenario, 1, seconds)
     if not found.fell:
         print(f"survived {found.runs:,} runs{'' if found.whole else ', not all'}")
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -7,8 +7,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from myrtlespar.membership.messages import HERE, State
-from myrtlespar.membership.quorum import FLEET, Standing, judge
+from myrtlespar.membership.messages import HERE, MemberState
+from myrtlespar.membership.quorum import FLEET, QuorumStatus, judge
 from myrtlespar.model_checker.fleet.world import FAULTS_MS, HOP_MS, NAMES, TERMS, WARM_MS, Fault, World, begin, faults
 
 STEPS_MOST = 20_000  # of one run; more is a machine that does not come to rest
@@ -108,7 +108,7 @@
         wanted, has = judge(len(NAMES), here + 1, here), member.standings.scopes[FLEET].now
         if has != wanted:
             world.fall("a standing is right in time", f"{name} has {has.name}, should have {wanted.name}")
-        if has >= Standing.MAJORITY:
+        if has >= QuorumStatus.MAJORITY:
             claims.append(name)
     for a in claims:
         for b in claims:
@@ -129,7 +129,7 @@
                            f"{name} has {entry and entry.rumour} of {other}")
             if there is None and entry is not None and entry.rumour.state in HERE:
                 world.fall("all know who is not there", f"{name} believes {other} here")
-            if there is None and other in world.gone and entry is not None and entry.rumour.state != State.LEFT \
+            if there is None and other in world.gone and entry is not None and entry.rumour.state != MemberState.LEFT \
                     and world.lost == 0 and len(world.faults) == 1:
                 world.fall("a goodbye is heard", f"{name} has {other} as {entry.rumour.state}")
         if member.suspicions:
