--- a/myrtlespar/model_checker/fleet/mutants.py
+++ b/myrtlespar/model_checker/fleet/mutants.py
@@ -2,104 +2,104 @@
 
 from __future__ import annotations
 
-from myrtlespar.model_checker.mutants import Plant
+from myrtlespar.model_checker.mutants import Mutation
 
 
-def _plant(name: str, module: str, old: str, new: str, plan: str = "single") -> Plant:
-    return Plant(name, f"myrtlespar.membership.{module}", old, new, plan)
+def _mutation(name: str, module: str, old: str, new: str, plan: str = "single") -> Mutation:
+    return Mutation(name, f"myrtlespar.membership.{module}", old, new, plan)
 
 
-PLANTS = {
+MUTATIONS = {
     one.name: one
     for one in (
-        _plant(
+        _mutation(
             "a doubled packet is taken", "view", "if back >= WINDOW or self.seen >> back & 1:", "if back >= WINDOW:"
         ),
-        _plant(
+        _mutation(
             "a packet of an old life is taken",
             "view",
             "return False\n            self.boot, self.top, self.seen = ",
             "return True\n            self.boot, self.top, self.seen = ",
             "double",
         ),
-        _plant(
+        _mutation(
             "boots are not compared",
             "member",
             "elif rumour.key > entry.rumour.key:\n",
             "elif rumour.key[1:] > entry.rumour.key[1:]:\n",
         ),
-        _plant(
+        _mutation(
             "refuted with the same counter",
             "member",
             "rumour.boot, rumour.counter + 1, ALIVE)",
             "rumour.boot, rumour.counter, ALIVE)",
         ),
-        _plant(
+        _mutation(
             "a failure is not refuted",
             "member",
             "if self.leaving or rumour.key <= self.me.key:",
             "if self.leaving or rumour.key <= self.me.key or rumour.state == FAILED:",
         ),
-        _plant(
+        _mutation(
             "an older life's packets count",
             "member",
             "self._set_me(now, rumour.boot + 1, 0, ALIVE)",
             "self._set_me(now, rumour.boot, rumour.counter + 1, ALIVE)",
             "double",
         ),
-        _plant("a majority of half", "quorum", "if 2 * present > total:", "if 2 * present >= total - 1:"),
-        _plant(
+        _mutation("a majority of half", "quorum", "if 2 * present > total:", "if 2 * present >= total - 1:"),
+        _mutation(
             "a goodbye is not told to standings",
             "member",
             "self.standings.tell(name, state in HERE, now)",
             "self.standings.tell(name, state != FAILED, now)",
         ),
-        _plant(
+        _mutation(
             "a suspicion without an end",
             "member",
             "self.timers.put(suspicion.deadline, 'suspect', name)\n\n",
             "pass\n\n",
         ),
-        _plant(
+        _mutation(
             "nobody looks for the lost", "member", "for name in self.view.gone.some(self.dice, 1):", "for name in ():"
         ),
-        _plant(
+        _mutation(
             "the word of one cut off is taken",
             "member",
             "if rumour.state == FAILED and entry.here:",
             "if False:",
             "deaf",
         ),
-        _plant("late turns blame others", "member", "if late <= self.terms.late_ms:", "if late <= 1e9:", "late"),
-        _plant(
+        _mutation("late turns blame others", "member", "if late <= self.terms.late_ms:", "if late <= 1e9:", "late"),
+        _mutation(
             "old waits are moved after waking",
             "member",
             "        self._doubt_self(now)\n        sender = packet.me",
             "        sender = packet.me",
             "double",
         ),
-        _plant(
+        _mutation(
             "a name lost from the pool",
             "view",
             "self._names[at], self._at[last] = (last, at)",
             "self._names[at] = last",
             "double",
         ),
-        _plant("one's old life stays in the hash", "view", "self.hash ^= stamp(self.me, self.own)", "pass"),
-        _plant(
+        _mutation("one's old life stays in the hash", "view", "self.hash ^= stamp(self.me, self.own)", "pass"),
+        _mutation(
             "help is not passed on",
             "probe_rounds",
             "                if probe.origin:\n                    return self.voice",
             "                if False:\n                    return self.voice",
         ),
-        _plant("news without an end", "dissemination", "if entry.times >= most:", "if False:"),
-        _plant("a whole view is not read", "member", "for rumour in sync.entries:", "for rumour in ():", "double"),
-        _plant(
+        _mutation("news without an end", "dissemination", "if entry.times >= most:", "if False:"),
+        _mutation("a whole view is not read", "member", "for rumour in sync.entries:", "for rumour in ():", "double"),
+        _mutation(
             "a goodbye is kept secret",
             "member",
             "self._set_me(now, self.me.boot, self.me.counter, LEFT)",
             "self._set_me(now, self.me.boot, self.me.counter, ALIVE)",
         ),
-        _plant("health never recovers", "probing", "self.health = max(0, self.health - 1)", "self.health += 0"),
+        _mutation("health never recovers", "probing", "self.health = max(0, self.health - 1)", "self.health += 0"),
     )
 }
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -9,20 +9,30 @@
 from typing import Any
 
 from myrtlespar.membership.member import Member
-from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Packet, Send, Stands, State, Sync
-from myrtlespar.membership.quorum import Electorate
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.messages import (
+    CountEvent,
+    MemberChanged,
+    MembershipEffect,
+    MemberState,
+    Packet,
+    QuorumChanged,
+    RequestSync,
+    SendPacket,
+    ViewSync,
+)
+from myrtlespar.membership.quorum import VoterSet
+from myrtlespar.membership.settings import MembershipSettings
 
 NAMES = ("a", "b", "c")
 HOP_MS = 1.0
 BOOT = 1_700_000_000_000
 WARM_MS = 1500.0  # from the start of all until faults may come
 FAULTS_MS = 1300.0  # for so long
-TERMS = Terms()
+TERMS = MembershipSettings()
 Fault = tuple[Any, ...]
 
 
-class Dice(Random):
+class SeededRandom(Random):
     """A small generator whose state is one number, so that worlds copy fast."""
 
     def __init__(self, seed: int) -> None:
@@ -39,7 +49,7 @@
         return int(self.random() * 2**k)
 
     def __reduce__(self) -> tuple[Any, ...]:
-        return Dice, (self.x,)
+        return SeededRandom, (self.x,)
 
 
 @dataclass(slots=True)
@@ -123,10 +133,10 @@
             before, known = member.view.hash, member.view.entries.get(sender)
             old = known is not None and message.me.boot < known.boot
             effects = member.receive(self.now, message)
-            if again and (member.view.hash != before or any(isinstance(e, Changed | Stands) for e in effects)
-                          or not any(isinstance(e, Note) and e.what == "replayed" for e in effects)):
+            if again and (member.view.hash != before or any(isinstance(e, MemberChanged | QuorumChanged) for e in effects)
+                          or not any(isinstance(e, CountEvent) and e.what == "replayed" for e in effects)):
                 self.fall("a doubled packet changes nothing", f"{to} took one of {sender} twice")
-            if old and not any(isinstance(e, Note) and e.what == "replayed" for e in effects):
+            if old and not any(isinstance(e, CountEvent) and e.what == "replayed" for e in effects):
                 self.fall("a packet of an old life changes nothing", f"{to} took one of {sender}")
             self.carry(to, effects)
         elif kind == "ask":
@@ -137,31 +147,31 @@
         else:
             self.carry(to, member.synced(self.now, message))
 
-    def carry(self, name: str, effects: list[Effect]) -> None:
+    def carry(self, name: str, effects: list[MembershipEffect]) -> None:
         """Carry out what a member says, and look at the promises of single steps."""
         member = self.members[name]
         if member is not None:
             self.lives[name] = max(self.lives.get(name, (0, 0)), member.me.key[:2])
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendPacket):
                 self.route("packet", name, effect.address, effect.packet)
-            elif isinstance(effect, Ask):
+            elif isinstance(effect, RequestSync):
                 self.route("ask", name, effect.address, effect.sync)
-            elif isinstance(effect, Changed):
+            elif isinstance(effect, MemberChanged):
                 self.look(name, effect)
-            elif isinstance(effect, Stands):
+            elif isinstance(effect, QuorumChanged):
                 before = self.stands.get((name, effect.scope), effect.old)
                 if before != effect.old:
                     self.fall("changes of standing come in order", f"{name} told {effect}")
                 self.stands[name, effect.scope] = effect.new
 
-    def route(self, kind: str, sender: str, address: str, message: Packet | Sync) -> None:
+    def route(self, kind: str, sender: str, address: str, message: Packet | ViewSync) -> None:
         """On its way, unless nobody is there."""
         to = next((name for name in NAMES if address_of(name) == address), "")
         if to:
             self.put(HOP_MS, kind, to, message, sender)
 
-    def look(self, name: str, effect: Changed) -> None:
+    def look(self, name: str, effect: MemberChanged) -> None:
         """Promises about one change of one view."""
         pair, key = (name, effect.name), (effect.boot, effect.counter, effect.new or 0)
         if effect.new is None:
@@ -171,20 +181,20 @@
         if known is not None and key < known:
             self.fall("an old life never beats a new one", f"{name} went from {known} to {key} of {effect.name}")
         self.beliefs[pair] = max(key, known or key)
-        if effect.new == State.LEFT:
+        if effect.new == MemberState.LEFT:
             self.left[pair] = effect.boot
-        elif effect.new in (State.ALIVE, State.SUSPECT) and self.left.get(pair, -1) >= effect.boot:
+        elif effect.new in (MemberState.ALIVE, MemberState.SUSPECT) and self.left.get(pair, -1) >= effect.boot:
             self.fall("nobody is brought back after it left", f"{name} believes {effect.name} back")
         if (effect.boot, effect.counter) > self.lives[effect.name]:
             self.fall("only a member raises its own counter", f"{name} has {effect.boot, effect.counter} of "
                                                               f"{effect.name}, it had {self.lives[effect.name]}")
-        if effect.new == State.SUSPECT and len(self.faults) == 1 and self.faults[0][1][0] == "cut" \
+        if effect.new == MemberState.SUSPECT and len(self.faults) == 1 and self.faults[0][1][0] == "cut" \
                 and len({end for pair in self.faults[0][1][1] for end in pair}) == 2:
             self.fall("who answers another is not suspected", f"{name} suspects {effect.name}")
-        if effect.new == State.SUSPECT and effect.by == name and effect.name not in self.touched and self.lost <= 1 \
+        if effect.new == MemberState.SUSPECT and effect.by == name and effect.name not in self.touched and self.lost <= 1 \
                 and all(fault[0] in ("lose", "stop") for _, fault in self.faults):
             self.fall("one lost packet and a stop blame nobody", f"{name} suspects {effect.name}")
-        if effect.new == State.FAILED and not {name, effect.name} & self.touched and self.lost <= 2:
+        if effect.new == MemberState.FAILED and not {name, effect.name} & self.touched and self.lost <= 2:
             self.fall("who is well is not failed", f"{name} failed {effect.name}")
 
     def fall(self, rule: str, text: str) -> None:
@@ -197,9 +207,9 @@
         """A process of it."""
         self.boots += 1
         number = NAMES.index(name)
-        roll = Electorate(1, {"x": NAMES})
+        roll = VoterSet(1, {"x": NAMES})
         member = Member(name, "x", address_of(name), boot, "small", TERMS, roll, [address_of("a")],
-                        Dice(self.boots * 77 + number), self.now)
+                        SeededRandom(self.boots * 77 + number), self.now)
         self.members[name] = member
         for pair in [pair for pair in self.beliefs if pair[0] == name]:
             del self.beliefs[pair]
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -4,11 +4,11 @@
 
 from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITS, World
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import OWED, STARTED, Try
-from myrtlespar.state_machines.dependency_calls import Stand
-from myrtlespar.state_machines.engine_link import Link, Sent
-from myrtlespar.state_machines.idempotency_keys import Key
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.attempts import OWED, STARTED, AttemptState
+from myrtlespar.state_machines.dependency_calls import CallState
+from myrtlespar.state_machines.engine_link import CommandState, LinkState
+from myrtlespar.state_machines.idempotency_keys import KeyState
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 RULES = {
     "one answer": "What was read whole gets one final answer, never a second.",
@@ -32,7 +32,7 @@
 }
 
 
-class Watch:
+class TransitionCoverage:
     """Watches all tables: rows that were used, and events that had none."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         for table in TABLES:
             table.watch = self
 
-    def __call__(self, table: Table, who: str, state: int, event: int, row: Row | None) -> None:
+    def __call__(self, table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
         if row is None:
             self.odd.append(f"{table.name} {table.states(state).name} {table.events(event).name}")
         else:
@@ -54,7 +54,7 @@
             for state, event in table.filled() if (table.name, state, event) not in used]
 
 
-def fallen(world: World, watch: Watch, ticked: bool) -> list[str]:
+def fallen(world: World, watch: TransitionCoverage, ticked: bool) -> list[str]:
     """The rules that do not hold in this world, those that fell with its last event first."""
     out = list(world.fell)
     world.fell.clear()
@@ -68,11 +68,11 @@
         out.append("true replies")
     if not world.stopped:
         if (ticked and any(x.state in OWED and world.now >= x.due + OVERDUE_MS
-                          for x in world.desk.open.values())) or (ticked and _forgotten(world)):
+                          for x in world.tracker.open.values())) or (ticked and _forgotten(world)):
             out.append("answered in time")
         if not _agree(world):
             out.append("books agree")
-        if any(x.state in STARTED and not _shows(world, id) for id, x in world.desk.open.items()):
+        if any(x.state in STARTED and not _shows(world, id) for id, x in world.tracker.open.items()):
             out.append("no place is lost")
         if _stranded(world):
             out.append("no call is stranded")
@@ -80,46 +80,46 @@
 
 
 def _stranded(world: World) -> bool:
-    if not world.calls.wires and any(one.state == Stand.WAITING for one in world.calls.waiting):
+    if not world.calls.wires and any(one.state == CallState.WAITING for one in world.calls.waiting):
         return True
-    return any(x.state == Try.CALLING and id not in world.pending and id not in world.calls.calls
-               for id, x in world.desk.open.items())
+    return any(x.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
+               for id, x in world.tracker.open.items())
 
 
 def _forgotten(world: World) -> bool:
     """A caller waits past its due time for what nobody knows any longer."""
     return any(one.stage == WAITS and one.life == world.life and not one.answers and not one.gone
-               and IDS[n] not in world.desk.open for n, one in enumerate(world.callers))
+               and IDS[n] not in world.tracker.open for n, one in enumerate(world.callers))
 
 
 def _agree(world: World) -> bool:
-    desk = world.desk
-    owed = sum(x.state in OWED for x in desk.open.values())
-    if owed != desk.owed or any(x.state == Try.OVER for x in desk.open.values()):
+    tracker = world.tracker
+    owed = sum(x.state in OWED for x in tracker.open.values())
+    if owed != tracker.owed or any(x.state == AttemptState.OVER for x in tracker.open.values()):
         return False
     waiting = sum(one.stage == WAITS and one.life == world.life and not one.gone and not one.answers
                   for one in world.callers)
     if waiting != owed:
         return False
-    for entry in desk.keys.entries.values():
-        if entry.state == Key.OWNED and (entry.owner is None or desk.open.get(entry.owner.id) is not entry.owner):
+    for entry in tracker.keys.entries.values():
+        if entry.state == KeyState.OWNED and (entry.owner is None or tracker.open.get(entry.owner.id) is not entry.owner):
             return False
-        if any(desk.open.get(x.id) is not x or x.state != Try.FOLLOWING for x in entry.followers):
+        if any(tracker.open.get(x.id) is not x or x.state != AttemptState.FOLLOWING for x in entry.followers):
             return False
-    followers = {x.id for entry in desk.keys.entries.values() for x in entry.followers}
-    return all(id in followers for id, x in desk.open.items() if x.state == Try.FOLLOWING)
+    followers = {x.id for entry in tracker.keys.entries.values() for x in entry.followers}
+    return all(id in followers for id, x in tracker.open.items() if x.state == AttemptState.FOLLOWING)
 
 
 def _shows(world: World, rid: str) -> bool:
     """Whether something will still show how this run ends."""
-    x = world.desk.open[rid]
+    x = world.tracker.open[rid]
     if x.target:
         return rid in world.workers
     kernel, commands = world.kernel, world.commands
     if rid in kernel.runs or world.known_kernel not in (kernel.life, -1):
         return True
     command = commands.open.get(rid)
-    if command is not None and (command.state != Sent.SENT or commands.link == Link.DOWN):
+    if command is not None and (command.state != CommandState.SENT or commands.link == LinkState.DOWN):
         return True
     if any(item[:2] in (("SCHED", rid), ("IODONE", rid), ("EINVAL", rid)) for item in (*kernel.up, *kernel.down)):
         return True
--- a/myrtlespar/model_checker/mutants.py
+++ b/myrtlespar/model_checker/mutants.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plant:
+class Mutation:
     """`old` stands once in `module` and becomes `new`; the scenario must show it."""
 
     name: str
@@ -26,270 +26,270 @@
     scenario: str
 
 
-def _plant(name: str, module: str, old: str, new: str, scenario: str) -> Plant:
-    return Plant(name, f"myrtlespar.state_machines.{module}", old, new, scenario)
+def _mutation(name: str, module: str, old: str, new: str, scenario: str) -> Mutation:
+    return Mutation(name, f"myrtlespar.state_machines.{module}", old, new, scenario)
 
 
-PLANTS = {
+MUTATIONS = {
     one.name: one
     for one in (
-        _plant(
+        _mutation(
             "started twice",
             "attempts",
-            "(Try.RUNNING, On.CALL_NEEDED): Row(Try.AT_CALL",
-            "(Try.RUNNING, On.START): Row(Try.RUNNING, (Do.START_RUN,)),\n"
-            "    (Try.RUNNING, On.CALL_NEEDED): Row(Try.AT_CALL",
+            "(AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL",
+            "(AttemptState.RUNNING, AttemptEvent.START): Transition(AttemptState.RUNNING, (AttemptAction.START_RUN,)),\n"
+            "    (AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL",
             "rude",
         ),
-        _plant(
+        _mutation(
             "refused after the start",
             "attempts",
-            "(Try.RUNNING, On.REFUSE): Row(Try.RUNNING_UNWANTED, " "(Do.DELIVER_FAILED,))",
-            "(Try.RUNNING, On.REFUSE): Row(Try.RUNNING_UNWANTED, (Do.DELIVER,))",
+            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, " "(AttemptAction.DELIVER_FAILED,))",
+            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,))",
             "rude",
         ),
-        _plant(
+        _mutation(
             "answered twice",
             "attempts",
-            "_LATE_END = (Do.LEAVE, Do.REMEMBER",
-            "_LATE_END = (Do.LEAVE, Do.DELIVER, Do.REMEMBER",
+            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER",
             "quick",
         ),
-        _plant(
+        _mutation(
             "gone and still answered",
             "attempts",
-            "(Try.RUNNING, On.GONE): Row(Try.RUNNING_UNWANTED, ",
-            "(Try.RUNNING, On.GONE): Row(Try.RUNNING, ",
+            "(AttemptState.RUNNING, AttemptEvent.GONE): Transition(AttemptState.RUNNING_UNWANTED, ",
+            "(AttemptState.RUNNING, AttemptEvent.GONE): Transition(AttemptState.RUNNING, ",
             "quick",
         ),
-        _plant(
+        _mutation(
             "departure not booked",
             "attempts",
-            "(Try.HELD, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, ",
-            "(Try.HELD, On.GONE): Row(Try.OVER, (Do.LEAVE, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, ",
             "quick",
         ),
-        _plant(
+        _mutation(
             "followers not shared with",
             "attempts",
-            "_END = (Do.LEAVE, Do.DELIVER, Do.REMEMBER, Do.TELL_ENDED)",
-            "_END = (Do.LEAVE, Do.DELIVER, Do.TELL_ENDED)",
+            "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)",
+            "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)",
             "quick",
         ),
-        _plant(
+        _mutation(
             "heir not called",
             "attempts",
-            "(Try.HELD, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, Do.PASS_ON, ",
-            "(Try.HELD, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.PASS_ON, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, ",
             "quick",
         ),
-        _plant(
+        _mutation(
             "a run frees its key",
             "attempts",
-            "_LATE_END = (Do.LEAVE, Do.REMEMBER",
-            "_LATE_END = (Do.LEAVE, Do.FREE_KEY",
+            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.FREE_KEY",
             "quick",
         ),
-        _plant(
+        _mutation(
             "overdue and still open",
             "attempts",
-            "(Try.HELD, On.OVERDUE): Row(Try.OVER, (Do.LEAVE, ",
-            "(Try.HELD, On.OVERDUE): Row(Try.HELD, (",
+            "(AttemptState.HELD, AttemptEvent.OVERDUE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, ",
+            "(AttemptState.HELD, AttemptEvent.OVERDUE): Transition(AttemptState.HELD, (",
             "forgets",
         ),
-        _plant(
+        _mutation(
             "follower left in the list",
             "attempts",
-            "(Try.FOLLOWING, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, " "Do.UNFOLLOW))",
-            "(Try.FOLLOWING, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW))",
+            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, " "AttemptAction.UNFOLLOW))",
+            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW))",
             "quick",
         ),
-        _plant(
+        _mutation(
             "late reply to a given-up call",
             "attempts",
-            "(Try.CALLING, On.GONE): Row(Try.AT_CALL_UNWANTED, (Do.WITHDRAW, Do.DROP_CALL, ",
-            "(Try.CALLING, On.GONE): Row(Try.AT_CALL_UNWANTED, (Do.WITHDRAW, ",
+            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, AttemptAction.DROP_CALL, ",
+            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, ",
             "calls",
         ),
-        _plant(
+        _mutation(
             "nobody is overdue",
             "request_tracker",
-            "if x.state in OWED:\n                slack",
-            "if x.state == Try.HELD:\n                slack",
+            "if exchange.state in OWED:\n                slack",
+            "if exchange.state == AttemptState.HELD:\n                slack",
             "quick",
         ),
-        _plant("due time ignored", "request_tracker", "if now >= min(x.due + slack, end)", "if now >= end", "quick"),
-        _plant("kill ignored", "request_tracker", "min(x.due + slack, end)", "x.due + 10 * slack", "forgets"),
-        _plant("grace ignored", "request_tracker", "if not self.process.may_start(x.arrived):", "if False:", "quick"),
-        _plant(
+        _mutation("due time ignored", "request_tracker", "if now >= min(exchange.due + slack, end)", "if now >= end", "quick"),
+        _mutation("kill ignored", "request_tracker", "min(exchange.due + slack, end)", "exchange.due + 10 * slack", "forgets"),
+        _mutation("grace ignored", "request_tracker", "if not self.process.may_start(exchange.arrived):", "if False:", "quick"),
+        _mutation(
             "every repeat starts",
             "request_tracker",
-            "if then is THEN_FOLLOW:\n            return self._step(x, ON_FOLLOW)",
-            "if then is THEN_FOLLOW:\n            return self._step(x, ON_ADMIT)",
+            "if then is THEN_FOLLOW:\n            return self._step(exchange, ON_FOLLOW)",
+            "if then is THEN_FOLLOW:\n            return self._step(exchange, ON_ADMIT)",
             "quick",
         ),
-        _plant(
+        _mutation(
             "a late refusal ends the run",
             "request_tracker",
-            "event = ON_NEVER_RAN if final.kind is Kind.REFUSED or",
-            "event = ON_NEVER_RAN if final.kind is not Kind.SERVED or",
+            "event = ON_NEVER_RAN if final.kind is AnswerKind.REFUSED or",
+            "event = ON_NEVER_RAN if final.kind is not AnswerKind.SERVED or",
             "quick",
         ),
-        _plant(
+        _mutation(
             "grace one step too long",
             "process",
             "return arrived <= self.notice_at + self.grace_ms",
             "return arrived <= self.notice_at + 2 * self.grace_ms",
             "quick",
         ),
-        _plant(
+        _mutation(
             "crossing leaves with answers owed",
             "process",
             "crossed = now >= self.closed_at + self.crossing_ms and (not owed)",
             "crossed = now >= self.closed_at",
             "fronts",
         ),
-        _plant(
+        _mutation(
             "hand-over leaves with answers owed",
             "process",
-            "(Stage.SERVING, Say.HANDOVER): Row(Stage.CROSSING, _CLOSE)",
-            "(Stage.SERVING, Say.HANDOVER): Row(Stage.FLUSHING, (Act.FLUSH, *_CLOSE))",
+            "(ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE)",
+            "(ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING, (ProcessAction.FLUSH, *_CLOSE))",
             "handover",
         ),
-        _plant(
+        _mutation(
             "key forgotten at its outcome",
             "idempotency_keys",
-            "(Key.OWNED, At.OUTCOME): Row(Key.KNOWN,",
-            "(Key.OWNED, At.OUTCOME): Row(Key.FREE,",
+            "(KeyState.OWNED, KeyEvent.OUTCOME): Transition(KeyState.KNOWN,",
+            "(KeyState.OWNED, KeyEvent.OUTCOME): Transition(KeyState.FREE,",
             "quick",
         ),
-        _plant(
+        _mutation(
             "key forgotten early",
             "idempotency_keys",
             "while self.expiry and self.expiry[0][0] <= now:",
             "while self.expiry and self.expiry[0][0] <= now + 2 * self.key_ms:",
             "heirs",
         ),
-        _plant(
+        _mutation(
             "second heir lost",
             "idempotency_keys",
             "entry.owner = entry.followers.pop(0)",
             "entry.owner, entry.followers = entry.followers[0], []",
             "heirs",
         ),
-        _plant(
+        _mutation(
             "key kept by nobody",
             "idempotency_keys",
-            "(Key.OWNED, At.LAST_LEFT): Row(Key.FREE, (Then.DROP,))",
-            "(Key.OWNED, At.LAST_LEFT): Row(Key.OWNED, (Then.DROP,))",
+            "(KeyState.OWNED, KeyEvent.LAST_LEFT): Transition(KeyState.FREE, (KeyAction.DROP,))",
+            "(KeyState.OWNED, KeyEvent.LAST_LEFT): Transition(KeyState.OWNED, (KeyAction.DROP,))",
             "quick",
         ),
-        _plant(
+        _mutation(
             "orders repeated after a break",
             "engine_link",
             "command.state == SENT_DOUBTFUL and command.harmless and",
             "command.state == SENT_DOUBTFUL and",
             "once",
         ),
-        _plant(
+        _mutation(
             "repeated once the mark is back",
             "engine_link",
             "if command.state == SENT_DOUBTFUL and (not self.wanted(command.rid)):\n"
-            "                out += self._prove(command, Prove.GIVE_UP)",
-            "if command.state == SENT_DOUBTFUL:\n" "                out += self._prove(command, Prove.REPEAT)",
+            "                out += self._prove(command, CommandEvent.GIVE_UP)",
+            "if command.state == SENT_DOUBTFUL:\n" "                out += self._prove(command, CommandEvent.REPEAT)",
             "once",
         ),
-        _plant(
+        _mutation(
             "replies repeated",
             "engine_link",
             "command.state == SENT_DOUBTFUL and command.harmless and",
             "command.state == SENT_DOUBTFUL and (command.harmless or not command.start) and",
             "calls",
         ),
-        _plant("doubt forgotten", "engine_link", "(Make.DOUBT, Make.GREET)", "(Make.GREET,)", "once"),
-        _plant(
+        _mutation("doubt forgotten", "engine_link", "(LinkAction.DOUBT, LinkAction.GREET)", "(LinkAction.GREET,)", "once"),
+        _mutation(
             "proof by any mark",
             "engine_link",
             "command.state == SENT_SENT and command.sent <= newest",
             "command.state != SENT_KEPT",
             "once",
         ),
-        _plant(
+        _mutation(
             "lost place not freed",
             "engine_link",
-            "(Sent.DOUBTFUL, Prove.GIVE_UP): Row(Sent.DONE, (Do.END,))",
-            "(Sent.DOUBTFUL, Prove.GIVE_UP): Row(Sent.DONE)",
+            "(CommandState.DOUBTFUL, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,))",
+            "(CommandState.DOUBTFUL, CommandEvent.GIVE_UP): Transition(CommandState.DONE)",
             "once",
         ),
-        _plant("notices taken twice", "engine_link", "if number <= self.last:", "if number < self.last:", "calls"),
-        _plant(
+        _mutation("notices taken twice", "engine_link", "if number <= self.last:", "if number < self.last:", "calls"),
+        _mutation(
             "gap passed over",
             "engine_link",
             "if number > self.last + 1 and self.gap != self.last:",
             "if False:",
             "gaps",
         ),
-        _plant(
+        _mutation(
             "new kernel not noticed", "engine_link", "        self.last = 0\n        lost", "        lost", "kernels"
         ),
-        _plant(
+        _mutation(
             "call twice on one connection",
             "dependency_calls",
             "if id not in wire.served and self.quiet(wire):",
             "if self.quiet(wire):",
             "store",
         ),
-        _plant(
+        _mutation(
             "broken call not told",
             "dependency_calls",
-            "(Stand.MADE, Get.CUT): Row(Stand.OVER, (Outcome.CUT_OFF,))",
-            "(Stand.MADE, Get.CUT): Row(Stand.OVER)",
+            "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,))",
+            "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER)",
             "store",
         ),
-        _plant(
+        _mutation(
             "waiting calls stranded", "dependency_calls", "if self.waiting and (not self.wires):", "if False:", "stores"
         ),
-        _plant(
+        _mutation(
             "given-up connection used again",
             "dependency_calls",
-            "self._hear(wire, event)\n        return Close(wire, drop)",
-            "self._hear(wire, event)\n        self.idle.append(wire)\n        return Close(wire, drop)",
+            "self._hear(wire, event)\n        return CloseConnection(wire, drop)",
+            "self._hear(wire, event)\n        self.idle.append(wire)\n        return CloseConnection(wire, drop)",
             "store",
         ),
-        _plant(
+        _mutation(
             "requests taken after the close",
             "client_connection",
             "return self.state < ENDING",
             "return self.state <= ENDING + 1",
             "fronts",
         ),
-        _plant(
+        _mutation(
             "reset forgets what was owed",
             "client_connection",
-            "(Conn.OWING, Be.RESET): Row(Conn.CLOSED, (Do.GONE,))",
-            "(Conn.OWING, Be.RESET): Row(Conn.CLOSED)",
+            "(ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,))",
+            "(ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED)",
             "fronts",
         ),
-        _plant("key hand-over dropped", "request_tracker", "return self.keys.known() + running", "return []", "twins"),
-        _plant(
+        _mutation("key hand-over dropped", "request_tracker", "return self.keys.known() + running", "return []", "twins"),
+        _mutation(
             "runs in hand not handed over",
             "request_tracker",
             "return self.keys.known() + running",
             "return self.keys.known()",
             "twins",
         ),
-        _plant(
+        _mutation(
             "keys open beside an old process",
             "idempotency_keys",
-            "At.FULL_TRY if self.waiting or len(",
-            "At.FULL_TRY if len(",
+            "KeyEvent.FULL_TRY if self.waiting or len(",
+            "KeyEvent.FULL_TRY if len(",
             "twins",
         ),
-        _plant("starts behind the hand-over", "process", " and self.stage < FLUSHING", "", "twins"),
-        _plant(
+        _mutation("starts behind the hand-over", "process", " and self.stage < FLUSHING", "", "twins"),
+        _mutation(
             "handed over keys lost",
             "idempotency_keys",
-            "self.entries[slot] = Entry(Key.KNOWN, None, [], outcome)",
+            "self.entries[slot] = KeyEntry(KeyState.KNOWN, None, [], outcome)",
             "pass",
             "twins",
         ),
@@ -305,12 +305,12 @@
     return ast.unparse(ast.parse(path.read_text()))
 
 
-class Planter(importlib.abc.MetaPathFinder, importlib.abc.SourceLoader):
+class MutatingLoader(importlib.abc.MetaPathFinder, importlib.abc.SourceLoader):
     """Loads one module of the machines with one line changed."""
 
-    def __init__(self, plant: Plant) -> None:
-        self.plant = plant
-        self.path = Path(__file__).parents[2].joinpath(*plant.module.split(".")).with_suffix(".py")
+    def __init__(self, install_mutation: Mutation) -> None:
+        self.plant = install_mutation
+        self.path = Path(__file__).parents[2].joinpath(*install_mutation.module.split(".")).with_suffix(".py")
 
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
@@ -335,15 +335,15 @@
         return text.replace(self.plant.old, self.plant.new).encode()
 
 
-def plant(name: str, among: Mapping[str, Plant] = PLANTS) -> None:
+def install_mutation(name: str, among: Mapping[str, Mutation] = MUTATIONS) -> None:
     """Put a planted bug in, before its module is loaded."""
     if among[name].module in sys.modules:
         raise RuntimeError("the machines are loaded already")
-    sys.meta_path.insert(0, Planter(among[name]))
+    sys.meta_path.insert(0, MutatingLoader(among[name]))
 
 
 if __name__ == "__main__":
-    plant(sys.argv[1])
+    install_mutation(sys.argv[1])
     from myrtlespar.server.main import main
 
     sys.exit(main())
--- a/myrtlespar/model_checker/mutation_testing.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -7,7 +7,7 @@
 
 import click
 
-from myrtlespar.model_checker.mutants import PLANTS, plant
+from myrtlespar.model_checker.mutants import MUTATIONS, install_mutation
 
 
 @click.command()
@@ -17,18 +17,18 @@
 @click.option("--replay", type=click.Path())
 def main(name: str, seconds: float, save: str | None, replay: str | None) -> None:
     """Print one line: found, with the rule and the number of events, or survived."""
-    plant(name)
+    install_mutation(name)
     from myrtlespar.model_checker import command
     from myrtlespar.model_checker.explore import Bounds, explore
     from myrtlespar.model_checker.scenarios import ALL
 
     if replay is not None:
         sys.exit(command.replay(Path(replay), False, ""))
-    if PLANTS[name].scenario == "twins":
+    if MUTATIONS[name].scenario == "twins":
         from myrtlespar.model_checker import process_pair as twins
 
         sys.exit(twins.hunted(twins.explore(), command.LONGEST))
-    found = explore(ALL[PLANTS[name].scenario], Bounds(seconds))
+    found = explore(ALL[MUTATIONS[name].scenario], Bounds(seconds))
     if not found.fell:
         print(f"survived {found.states:,} states of {found.scenario}{'' if found.whole else ', not all'}")
         sys.exit(1)
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -10,13 +10,13 @@
 import time
 from dataclasses import dataclass, field
 
-from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.handover.keys_file import Stand, Successor, answer_of, encode, known_of
-from myrtlespar.policy.messages import Outcome
-from myrtlespar.state_machines.attempts import STARTED, Do, Try
-from myrtlespar.state_machines.idempotency_keys import Keys
-from myrtlespar.state_machines.process import Act, Process
-from myrtlespar.state_machines.request_tracker import FAILED, Desk, Effect, Terms
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, known_keys
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
+from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
+from myrtlespar.state_machines.request_tracker import FAILED, RequestEffect, RequestTerms, RequestTracker
 
 Event = tuple[str, ...]
 SENT_MOST = 3  # tries of the key in a run
@@ -36,30 +36,30 @@
 
 
 @dataclass(slots=True)
-class Side:
+class ProcessSide:
     """One process. `ends`: it reads no more; `gone`: it has exited."""
 
     name: str
-    desk: Desk
+    tracker: RequestTracker
     ends: bool = False
     gone: bool = False
     left: bool = False
 
 
-def side(name: str) -> Side:
+def side(name: str) -> ProcessSide:
     """A process at its start."""
-    process = Process(10_000.0, 1000.0, 50.0, 300.0, 50.0)
-    return Side(name, Desk(Terms([8000.0], [True], 100.0, 1000.0), Keys(8, KEY_MS, 4, 1000), process))
+    process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
+    return ProcessSide(name, RequestTracker(RequestTerms([8000.0], [True], 100.0, 1000.0), IdempotencyKeyTable(8, KEY_MS, 4, 1000), process))
 
 
 @dataclass(slots=True)
-class Twins:
+class ProcessPair:
     """All there is."""
 
     now: float = 1000.0
-    old: Side = field(default_factory=lambda: side("old"))
-    new: Side = field(default_factory=lambda: side("new"))
-    stand: Successor = field(default_factory=lambda: Successor(Stand.WAITING))
+    old: ProcessSide = field(default_factory=lambda: side("old"))
+    new: ProcessSide = field(default_factory=lambda: side("new"))
+    stand: HandoverReceiver = field(default_factory=lambda: HandoverReceiver(HandoverState.WAITING))
     file: bytes | None = None
     torn: bool = False
     sent: int = 0
@@ -76,21 +76,21 @@
                 continue
             if not one.ends and self.sent < SENT_MOST:
                 out.append(("send", one.name))
-            for id, x in sorted(one.desk.open.items()):
-                if x.state == Try.HELD:
+            for id, x in sorted(one.tracker.open.items()):
+                if x.state == AttemptState.HELD:
                     out += [("start", one.name, id), ("refuse", one.name, id)]
                 if x.state in STARTED:
                     out += [("serve", one.name, id), ("lose", one.name, id)]
-                if one.desk.wanted(id):
+                if one.tracker.wanted(id):
                     out.append(("gone", one.name, id))
         if not self.old.gone:
             if self.old.left:
                 out.append(("exit",))
-            elif not self.old.desk.process.draining:
+            elif not self.old.tracker.process.draining:
                 out.append(("term",))
             else:
                 out.append(("look",))
-        if self.stand.stand is Stand.WAITING:
+        if self.stand.stand is HandoverState.WAITING:
             out.append(("take",))
             if self.file is not None and not self.torn and not self.old.gone:
                 out.append(("tear",))
@@ -102,36 +102,36 @@
         """One event."""
         kind, *rest = event
         one = self.old if rest and rest[0] == "old" else self.new
-        desk = one.desk
+        tracker = one.tracker
         if kind == "send":
             self.sent += 1
             x = Exchange(f"t{self.sent}", "thrift", 0, b"", self.now, nobody)
             x.key = "k"
-            self._carry(one, desk.submit(x) or [])
+            self._carry(one, tracker.submit(x) or [])
         elif kind == "start":
-            self._carry(one, desk.start(rest[1], self.now))
+            self._carry(one, tracker.start(rest[1], self.now))
         elif kind == "refuse":
-            self._carry(one, desk.refuse(rest[1], Answer(Kind.REFUSED), self.now))
+            self._carry(one, tracker.refuse(rest[1], Answer(AnswerKind.REFUSED), self.now))
         elif kind == "serve":
-            self._carry(one, desk.ended(rest[1], Outcome.OK, 5.0, Answer(Kind.SERVED, b"r"), self.now))
+            self._carry(one, tracker.ended(rest[1], RunOutcome.OK, 5.0, Answer(AnswerKind.SERVED, b"r"), self.now))
         elif kind == "lose":
-            self._carry(one, desk.ended(rest[1], Outcome.OK, 5.0, FAILED, self.now))
+            self._carry(one, tracker.ended(rest[1], RunOutcome.OK, 5.0, FAILED, self.now))
         elif kind == "gone":
-            self._carry(one, desk.gone(desk.open[rest[1]]))
+            self._carry(one, tracker.gone(tracker.open[rest[1]]))
         elif kind == "wait":
             self.waited += 1
             self.now += WAITS[rest[0]]
             for each in (self.old, self.new):
                 if not each.gone:
-                    self._carry(each, each.desk.sweep(self.now))
+                    self._carry(each, each.tracker.sweep(self.now))
         elif kind == "term":
-            self.old.desk.process.handover(self.now, KILL_IN_MS)
+            self.old.tracker.process.handover(self.now, KILL_IN_MS)
         elif kind == "look":
             self._look()
         elif kind == "exit":
-            self._carry(self.old, self.old.desk.sweep(self.now))  # the core goes on while answers are flushed
+            self._carry(self.old, self.old.tracker.sweep(self.now))  # the core goes on while answers are flushed
             self.old.gone = True
-            if self.old.desk.owed:
+            if self.old.tracker.owed:
                 self.fell.append("all read are answered")
         elif kind == "tear":
             assert self.file is not None
@@ -141,34 +141,34 @@
 
     def _look(self) -> None:
         old = self.old
-        for act in old.desk.process.look(self.now, old.desk.owed):
-            if act is Act.FLUSH:  # as the server: read no more, then leave the keys
+        for act in old.tracker.process.look(self.now, old.tracker.owed):
+            if act is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
                 old.ends = old.left = True
-                self.file = encode(known_of(old.desk.left(self.now)))
+                self.file = encode(known_keys(old.tracker.left(self.now)))
 
     def _take(self) -> None:
         known, _ = self.stand.look(not self.old.gone, self.file, self.now, 1)
         for each in known:
-            self.new.desk.keys.take((each.cls, each.key), answer_of(each), each.lapses_at)
-        self.new.desk.keys.waiting = self.stand.stand is Stand.WAITING
-        if self.old.gone and self.new.desk.keys.waiting and not (self.torn and self.file):
+            self.new.tracker.keys.take((each.cls, each.key), answer_of(each), each.lapses_at)
+        self.new.tracker.keys.waiting = self.stand.stand is HandoverState.WAITING
+        if self.old.gone and self.new.tracker.keys.waiting and not (self.torn and self.file):
             self.fell.append("keys open")
 
-    def _carry(self, one: Side, effects: list[Effect]) -> None:
+    def _carry(self, one: ProcessSide, effects: list[RequestEffect]) -> None:
         for effect in effects:
-            if effect.do is Do.START_RUN:
+            if effect.do is AttemptAction.START_RUN:
                 self.runs += 1
                 if self.runs > 1 and not self.torn:
                     self.fell.append("one start a key")
-            elif effect.do is Do.DELIVER and effect.answer is not None:
-                open_keys = one is self.new and self.stand.stand is Stand.OPEN
-                if self.served and effect.answer.kind is Kind.REFUSED and open_keys and not self.torn:
+            elif effect.do is AttemptAction.DELIVER and effect.answer is not None:
+                open_keys = one is self.new and self.stand.stand is HandoverState.OPEN
+                if self.served and effect.answer.kind is AnswerKind.REFUSED and open_keys and not self.torn:
                     self.fell.append("known stays known")
-                self.served = self.served or effect.answer.kind is Kind.SERVED
+                self.served = self.served or effect.answer.kind is AnswerKind.SERVED
 
 
 @dataclass(slots=True)
-class Seen:
+class PairResult:
     """What an exploration found."""
 
     states: int = 0
@@ -179,23 +179,23 @@
     path: list[Event] = field(default_factory=list)
 
 
-def begin() -> Twins:
+def begin() -> ProcessPair:
     """The old process serves, the new one has just started beside it."""
-    world = Twins()
-    world.new.desk.keys.waiting = True
+    world = ProcessPair()
+    world.new.tracker.keys.waiting = True
     return world
 
 
-def explore() -> Seen:
+def explore() -> PairResult:
     """Every state, or the shortest way to break a rule."""
-    began, out = time.monotonic(), Seen()
+    began, out = time.monotonic(), PairResult()
     first = pickle.dumps(begin(), 5)
     seen, frontier = {first}, list[tuple[bytes, tuple[Event, ...]]]([(first, ())])
     while frontier:
         following: list[tuple[bytes, tuple[Event, ...]]] = []
         for data, path in frontier:
             for event in pickle.loads(data).enabled():
-                world: Twins = pickle.loads(data)
+                world: ProcessPair = pickle.loads(data)
                 out.steps += 1
                 try:
                     world.apply(event)
@@ -215,7 +215,7 @@
     return out
 
 
-def shown(found: Seen) -> int:
+def shown(found: PairResult) -> int:
     """Print what was found; the exit status."""
     print(f"{'twins':10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
           f"{found.seconds:7.1f} s  {'fell' if found.fell else 'holds'}", flush=True)
@@ -226,7 +226,7 @@
     return int(bool(found.fell))
 
 
-def hunted(found: Seen, longest: int) -> int:
+def hunted(found: PairResult, longest: int) -> int:
     """Print one line on a planted bug; the exit status."""
     if not found.fell:
         print(f"survived {found.states:,} states of twins")
--- a/myrtlespar/model_checker/quota/engine.py
+++ b/myrtlespar/model_checker/quota/engine.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.lease_session import Do, Reply, Request
+from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
 TTL_MS, FAST = 240.0, 1.02  # of its leases; how fast its clock is
 
@@ -17,24 +17,24 @@
     keys: dict[int, tuple[int, int]] = field(default_factory=dict)  # range: lease, epoch
     revision: int = 1
 
-    def carry(self, now: float, request: Request) -> Reply:
+    def carry(self, now: float, request: EngineRequest) -> EngineReply:
         """One request to its answer."""
         for lease in [lease for lease, until in self.leases.items() if until <= now]:
             del self.leases[lease]
             self.keys = {rng: row for rng, row in self.keys.items() if row[0] != lease}
         ends = now + TTL_MS / FAST
         self.revision += 1
-        if request.do is Do.GRANT:
+        if request.do is EngineOperation.GRANT:
             self.leases[self.revision] = ends
-            return Reply(lease=self.revision, ttl_ms=TTL_MS)
+            return EngineReply(lease=self.revision, ttl_ms=TTL_MS)
         if request.lease not in self.leases:
-            return Reply()
+            return EngineReply()
         row = self.keys.get(request.rng)
-        if request.do is Do.KEEP:
+        if request.do is EngineOperation.KEEP:
             self.leases[request.lease] = ends
-            return Reply(ttl_ms=TTL_MS)
-        if request.do is Do.TAKE and row is None:
+            return EngineReply(ttl_ms=TTL_MS)
+        if request.do is EngineOperation.TAKE and row is None:
             row = self.keys[request.rng] = request.lease, self.revision
-        elif request.do is Do.DROP and row is not None and row[0] == request.lease:
+        elif request.do is EngineOperation.DROP and row is not None and row[0] == request.lease:
             del self.keys[request.rng]
-        return Reply(epoch=row[1] if row is not None and row[0] == request.lease else 0)
+        return EngineReply(epoch=row[1] if row is not None and row[0] == request.lease else 0)
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -11,16 +11,16 @@
 from typing import Any
 
 from myrtlespar.model_checker.quota.engine import Engine
-from myrtlespar.quota.budget import Entry, period
-from myrtlespar.quota.limit_coordinator import Agent, Effect
-from myrtlespar.quota.messages import Keep, Tell
-from myrtlespar.quota.settings import GrantTerms, Kind, Limit
+from myrtlespar.quota.budget import BudgetPeriod, period
+from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
+from myrtlespar.quota.messages import PersistThenSend, SendMessage
+from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
 NAMES = ("a", "b", "c")
 HOP_MS = 1.0
-TERMS = GrantTerms(drift=0.02, ask_ms=50, grant_ms=300, lease_ms=200, ranges=1, cold_ms=500)
+TERMS = GrantSettings(drift=0.02, ask_ms=50, grant_ms=300, lease_ms=200, ranges=1, cold_ms=500)
 RATE = Limit(per_s=35.0, window_ms=200, standing=0.5)  # 7 a window: a pool of 4, standing 1 each
-LOOSE = Limit(per_s=35.0, window_ms=200, standing=0.5, kind=Kind.BOUNDED)
+LOOSE = Limit(per_s=35.0, window_ms=200, standing=0.5, kind=LimitKind.BOUNDED)
 HAND = Limit(at_once=7, run_most_ms=450, standing=0.5)  # longer than a lease: voters' silence does not cover it
 # A tenth less or more, at the place where a whole part moves from all standing shares to the pool
 LESS, MORE = (Limit(per_s=now * 5.0, before=was * 5.0, window_ms=200, standing=0.5) for now, was in ((5, 6), (6, 5)))
@@ -40,7 +40,7 @@
 
     limit: Limit = RATE
     rates: tuple[float, float, float] = (1.0, 1.0, 1.0)  # of the members' clocks
-    terms: GrantTerms = TERMS
+    terms: GrantSettings = TERMS
     engine: bool = False  # an engine says who keeps what
     later: Limit | None = None  # version 2 of the limit, for plans that change it
 
@@ -57,7 +57,7 @@
     setting: Setting
     now: float = 0.0
     count: int = 0
-    members: dict[str, Agent | None] = field(default_factory=dict)
+    members: dict[str, LimitCoordinator | None] = field(default_factory=dict)
     lives: dict[str, int] = field(default_factory=dict)
     queue: list[Row] = field(default_factory=list)
     stopped: set[str] = field(default_factory=set)
@@ -72,7 +72,7 @@
     most: int = 0  # in use at a time, the greatest
     used: dict[str, int] = field(default_factory=dict)  # starts by member
     engine: Engine = field(default_factory=Engine)
-    disks: dict[str, dict[Entry, int]] = field(default_factory=dict)
+    disks: dict[str, dict[BudgetPeriod, int]] = field(default_factory=dict)
     spent: dict[int, int] = field(default_factory=dict)  # of a budget, by period
     asking: dict[str, int] = field(default_factory=dict)  # members with a request at the engine: their life
     adopted: set[str] = field(default_factory=set)  # members whose file has the later version
@@ -206,12 +206,12 @@
             return
         self.carry(name, agent.receive(self.clock(name), sender, message))
 
-    def carry(self, name: str, effects: list[Effect]) -> None:
+    def carry(self, name: str, effects: list[LimitEffect]) -> None:
         """Carry out what a member says."""
         for effect in effects:
-            if isinstance(effect, Tell):
+            if isinstance(effect, SendMessage):
                 self.put(HOP_MS, "packet", effect.to, effect.message, (name, self.lives[name]))
-            elif isinstance(effect, Keep):
+            elif isinstance(effect, PersistThenSend):
                 agent = self.members[name]
                 assert agent is not None
                 self.put(DISK_MS, "disk", name, self.lives[name], (dict(agent.vault.rows), effect))
@@ -239,7 +239,7 @@
         name = row[3]
         life = self.lives[name] = self.lives.get(name, 0) + 1
         limit = self.setting.later if name in self.adopted and self.setting.later else self.setting.limit
-        agent = self.members[name] = Agent((name, life), self.setting.terms, {"x": limit}, frozenset(NAMES),
+        agent = self.members[name] = LimitCoordinator((name, life), self.setting.terms, {"x": limit}, frozenset(NAMES),
                                            self.clock(name), 1 + (name in self.adopted), self.setting.engine,
                                            self.disks.get(name))
         self.asking.pop(name, None)
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.fakes.ajp_peers import Gateway
-from myrtlespar.fakes.scripted_engine import ScriptedKernel
-from myrtlespar.fakes.server_process import tile
+from myrtlespar.fakes.ajp_peers import FakeGateway
+from myrtlespar.fakes.scripted_engine import ScriptedEngine
+from myrtlespar.fakes.server_process import server_process
 from myrtlespar.fakes.smoke_load import OPERATOR
 from myrtlespar.fakes.tcp_server import until
-from myrtlespar.fakes.thrift_client import Client
+from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.model_checker.events import show
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.world import IDS, Event
@@ -26,21 +26,21 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ReplayResult:
     """What came of it: a line an event, and the rules that fell on sockets."""
 
     lines: list[str] = field(default_factory=list)
     fell: list[str] = field(default_factory=list)
 
 
-class Stage:
+class ReplayStage:
     """The program and all its neighbours, moved by the events of a counter-example."""
 
     def __init__(self, s: Scenario, plant: str, tmp: Path) -> None:
-        self.s, self.kernel = s, ScriptedKernel()
+        self.s, self.kernel = s, ScriptedEngine()
         program = ("myrtlespar.model_checker.mutants", plant) if plant else ("myrtlespar",)
-        self.tile = tile(tmp, operator=OPERATOR, kernel=self.kernel, program=program)
-        self.clients: dict[int, Client | Gateway] = {}
+        self.tile = server_process(tmp, operator=OPERATOR, kernel=self.kernel, program=program)
+        self.clients: dict[int, ThriftClient | FakeGateway] = {}
         self.sent: set[int] = set()
 
     def body(self, word: str | int) -> bytes:
@@ -52,13 +52,13 @@
         name, *words = event
         kernel = self.kernel
         if name == "send":
-            self.clients[words[0]] = (Gateway(ports[1]) if self.s.tries[words[0]].front == "ajp"
-                                      else Client(ports[0]))
+            self.clients[words[0]] = (FakeGateway(ports[1]) if self.s.tries[words[0]].front == "ajp"
+                                      else ThriftClient(ports[0]))
         elif name == "whole":
             self._whole(words[0])
         elif name in ("give up", "reset", "cut short"):
             client = self.clients[words[0]]
-            if name == "give up" and isinstance(client, Client):
+            if name == "give up" and isinstance(client, ThriftClient):
                 client.say("abort", seqid=1)
             else:
                 client.sock.close()
@@ -88,7 +88,7 @@
 
     def _whole(self, n: int) -> None:
         spec, client = self.s.tries[n], self.clients[n]
-        if isinstance(client, Gateway):
+        if isinstance(client, FakeGateway):
             headers: dict[str, Any] = {"Idempotency_Key": spec.key} if spec.key else {}
             client.forward(f"/{CLASSES[spec.effectful]}", self.body(n), **headers)
         else:
@@ -109,16 +109,16 @@
             out.append("one start a key")
         if self.kernel.wrong:
             out.append("true replies")
-        if any(count > 1 for one in self.clients.values() if isinstance(one, Client) for count in one.count.values()):
+        if any(count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()):
             out.append("one answer")
         return out
 
 
-def play(s: Scenario, events: list[Event], plant: str = "") -> Seen:
+def play(s: Scenario, events: list[Event], plant: str = "") -> ReplayResult:
     """Start the program, play all events, let the rest run out, and look at the rules."""
-    seen = Seen()
+    seen = ReplayResult()
     with tempfile.TemporaryDirectory() as tmp:
-        stage = Stage(s, plant, Path(tmp))
+        stage = ReplayStage(s, plant, Path(tmp))
         with stage.tile as running:
             # The first link stands when a world begins.
             until(lambda: stage.kernel.hear() or running.event("kernel up"), "greeting")
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class ScenarioAttempt:
     """One try of a request, over one connection of its own."""
 
     front: str = "thrift"
@@ -21,7 +21,7 @@
     """Bounds of one world. One tick is a second; a try is due after two, the grace after the notice is one."""
 
     name: str
-    tries: tuple[Try, ...]
+    tries: tuple[ScenarioAttempt, ...]
     ticks: int = 4
     breaks: int = 0  # of the link to the kernel
     doubled: int = 0  # notices that come twice
@@ -62,33 +62,33 @@
         return next((m for m in range(n - 1, -1, -1) if self.tries[m] == self.tries[n]), -1)
 
 
-ORDER_T, ORDER_A = Try(key="k"), Try("ajp", key="k")
-READ = Try(effectful=False)
+ORDER_T, ORDER_A = ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="k")
+READ = ScenarioAttempt(effectful=False)
 
 ALL = {one.name: one for one in (
     Scenario("quick", (ORDER_A, ORDER_T), breaks=1, drain=True, give_ups=1, ticks=3),
-    Scenario("once", (Try(),), breaks=1, give_ups=1, ticks=3),
-    Scenario("calls", (Try(),), breaks=1, calls=2, bad_replies=1, give_ups=1, ticks=3, doubled=1, begun=True),
+    Scenario("once", (ScenarioAttempt(),), breaks=1, give_ups=1, ticks=3),
+    Scenario("calls", (ScenarioAttempt(),), breaks=1, calls=2, bad_replies=1, give_ups=1, ticks=3, doubled=1, begun=True),
     Scenario("reads", (READ,), breaks=1, kernels=1, give_ups=1, ticks=3, calls=1),
-    Scenario("mixed", (READ, Try()), breaks=1, ticks=1),
-    Scenario("wires", (Try(),), breaks=1, doubled=1, einvals=1, moves=2, ticks=2, resets=1),
-    Scenario("deaf", (Try(),), breaks=1, deaf=1, ticks=2, begun=True),
+    Scenario("mixed", (READ, ScenarioAttempt()), breaks=1, ticks=1),
+    Scenario("wires", (ScenarioAttempt(),), breaks=1, doubled=1, einvals=1, moves=2, ticks=2, resets=1),
+    Scenario("deaf", (ScenarioAttempt(),), breaks=1, deaf=1, ticks=2, begun=True),
     Scenario("gaps", (READ, READ), gaps=1, asks=1, ticks=1, begun=True),
     Scenario("kernels", (READ, READ), kernels=1, asks=1, ticks=1, begun=True),
-    Scenario("handover", (ORDER_T, Try("ajp")), drain=True, handover=True, ticks=3),
-    Scenario("fronts", (Try("ajp"), Try()), drain=True, resets=1, ticks=2),
-    Scenario("spoilt", (Try("ajp"),), drain=True, closes=1, spoils=1, ticks=3, bad_reloads=1, moves=1),
-    Scenario("framed", (Try(),), drain=True, notices=2, resets=1, closes=1, spoils=1, give_ups=1, ticks=4),
-    Scenario("shared", (Try(), Try(link=0)), resets=1, spoils=1, ticks=1, give_ups=1),
+    Scenario("handover", (ORDER_T, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
+    Scenario("fronts", (ScenarioAttempt("ajp"), ScenarioAttempt()), drain=True, resets=1, ticks=2),
+    Scenario("spoilt", (ScenarioAttempt("ajp"),), drain=True, closes=1, spoils=1, ticks=3, bad_reloads=1, moves=1),
+    Scenario("framed", (ScenarioAttempt(),), drain=True, notices=2, resets=1, closes=1, spoils=1, give_ups=1, ticks=4),
+    Scenario("shared", (ScenarioAttempt(), ScenarioAttempt(link=0)), resets=1, spoils=1, ticks=1, give_ups=1),
     Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), give_ups=2, ticks=2, followers=2, key_ms=1500.0),
     Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, followers=1),
-    Scenario("full", (Try(key="k"), Try("ajp", key="l")), keys_most=1, give_ups=1, ticks=3, key_ms=500.0),
-    Scenario("workers", (Try("ajp", key="k", target="w"), Try(key="k", target="w")), give_ups=1, ticks=3, drain=True),
-    Scenario("store", (Try(),), store=True, calls=2, store_faults=1, store_links=1, ticks=3, give_ups=1, moves=1,
+    Scenario("full", (ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="l")), keys_most=1, give_ups=1, ticks=3, key_ms=500.0),
+    Scenario("workers", (ScenarioAttempt("ajp", key="k", target="w"), ScenarioAttempt(key="k", target="w")), give_ups=1, ticks=3, drain=True),
+    Scenario("store", (ScenarioAttempt(),), store=True, calls=2, store_faults=1, store_links=1, ticks=3, give_ups=1, moves=1,
              begun=True),
     Scenario("stores", (READ, READ), store=True, calls=1, store_faults=1, store_links=1, store_waiting=2, ticks=1,
              begun=True),
-    Scenario("rude", (Try(),), rude=2, calls=1, ticks=3, give_ups=1),
+    Scenario("rude", (ScenarioAttempt(),), rude=2, calls=1, ticks=3, give_ups=1),
     Scenario("forgets", (ORDER_A, ORDER_T), silent=True, ticks=4, give_ups=1, drain=True),
     Scenario("large", (ORDER_T, ORDER_T, ORDER_T), lives=2, breaks=2, ticks=2),
 )}
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.model_checker.environment import KernelModel, PolicyModel
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.world import (
@@ -26,15 +26,15 @@
     nowhere,
     quiet,
 )
-from myrtlespar.state_machines.client_connection import ConnState
-from myrtlespar.state_machines.dependency_calls import Call, Calls, Connection
-from myrtlespar.state_machines.engine_link import Command, Commands
-from myrtlespar.state_machines.idempotency_keys import Entry, Keys
-from myrtlespar.state_machines.process import Process
-from myrtlespar.state_machines.request_tracker import Desk
+from myrtlespar.state_machines.client_connection import ConnectionLifecycle
+from myrtlespar.state_machines.dependency_calls import DependencyCall, DependencyCalls, DependencyConnection
+from myrtlespar.state_machines.engine_link import Command, CommandLog
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable, KeyEntry
+from myrtlespar.state_machines.process import ProcessLifecycle
+from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Plain = tuple[Any, ...]
-KINDS = {kind.value: kind for kind in Kind}
+KINDS = {kind.value: kind for kind in AnswerKind}
 __all__ = ["OVERDUE_MS", "digest", "freeze", "pack", "thaw", "unpack"]
 
 
@@ -56,7 +56,7 @@
 
 def pack(w: World) -> Plain:
     """The state as a plain tuple."""
-    k, c, d = w.kernel, w.commands, w.desk
+    k, c, d = w.kernel, w.commands, w.tracker
     p, keys = d.process, d.keys
     names = {name: f"{name.partition('-')[0]}-{n}" for n, name in enumerate(c.marks, 1)}
     ranks = sorted(one.sent for one in c.open.values() if one.sent)
@@ -91,7 +91,7 @@
     return None if answer is None else (answer.kind.value, answer.body, answer.retry_after_ms, answer.late)
 
 
-def _pack_calls(c: Calls, wires: list[Connection]) -> Plain:
+def _pack_calls(c: DependencyCalls, wires: list[DependencyConnection]) -> Plain:
     if not wires and not c.calls and not c.waiting:
         return (c.wires, c.serial, c.epoch)
     every = {call: n for n, call in enumerate(dict.fromkeys((*c.calls.values(), *c.waiting)))}
@@ -121,18 +121,18 @@
                            set(passed), wrong, list(notices), list(up), list(down))
     w.tries = [None if row is None else _exchange(row) for row in tries]
     named = {x.id: x for x in w.tries if x is not None}
-    p = Process(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0)
+    p = ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0)
     p.stage, p.notice_at, p.kill_at, p.closed_at = process
-    keys = Keys(s.keys_most, s.key_ms, s.followers, 64)
+    keys = IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64)
     keys.expiry = deque(expiry)
     for slot, state, owner, followers, outcome in entries:
-        keys.entries[slot] = Entry(state, named[owner] if owner else None, [named[id] for id in followers],
+        keys.entries[slot] = KeyEntry(state, named[owner] if owner else None, [named[id] for id in followers],
                                    None if outcome is None else Answer(KINDS[outcome[0]], outcome[1], outcome[2],
                                                                        late=outcome[3]))
-    w.desk = Desk(TERMS, keys, p)
-    w.desk.owed = owed
-    w.desk.open = {id: named[id] for id in opened}
-    c = w.commands = Commands(w.desk.wanted, 8)
+    w.tracker = RequestTracker(TERMS, keys, p)
+    w.tracker.owed = owed
+    w.tracker.open = {id: named[id] for id in opened}
+    c = w.commands = CommandLog(w.tracker.wanted, 8)
     c.link, c.last, c.gap, c.fresh, c.sent_before = link
     c.open = {rid: Command(rid, line, start, harmless, sent, state)
               for rid, line, start, harmless, sent, state in commands}
@@ -142,8 +142,8 @@
     return w
 
 
-def _conn(n: int, state: int) -> ConnState:
-    conn = ConnState(IDS[n])
+def _conn(n: int, state: int) -> ConnectionLifecycle:
+    conn = ConnectionLifecycle(IDS[n])
     conn.state = state
     return conn
 
@@ -155,14 +155,14 @@
     return x
 
 
-def _unpack_calls(s: Scenario, plain: Plain) -> tuple[Calls, list[Connection]]:
-    out = Calls(bounds(s), quiet, wires=plain[0], serial=plain[1], epoch=plain[2])
+def _unpack_calls(s: Scenario, plain: Plain) -> tuple[DependencyCalls, list[DependencyConnection]]:
+    out = DependencyCalls(bounds(s), quiet, wires=plain[0], serial=plain[1], epoch=plain[2])
     if len(plain) == 3:
         return out, []
     rows, by_id, waiting, wires, idle = plain[3:]
-    links = {number: Connection(number, epoch, deque(served, s.served), state, None, used)
+    links = {number: DependencyConnection(number, epoch, deque(served, s.served), state, None, used)
              for number, epoch, served, state, _, used in wires}
-    every = [Call(id, body, made, limit, state, links.get(wire)) for id, body, made, limit, state, wire in rows]
+    every = [DependencyCall(id, body, made, limit, state, links.get(wire)) for id, body, made, limit, state, wire in rows]
     for number, _, _, _, call, _ in wires:
         links[number].call = every[call] if call >= 0 else None
     out.calls = {every[n].id: every[n] for n in by_id}
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.transition_table import Table
+from myrtlespar.state_machines.transition_table import TransitionTable
 
 BEGINS = {"try": ("READ",), "key": ("FREE", "OWNED", "KNOWN"), "process": ("SERVING",), "link": ("DOWN",),
           "command": ("KEPT",), "call": ("WAITING",), "wire": ("OPENING",), "connection": ("IDLE",)}
@@ -17,11 +17,11 @@
 NAMES = {table.name: table for table in TABLES}
 
 
-class Odd(Exception):
+class InvalidStep(Exception):
     """The first step that the tables do not allow."""
 
 
-class Recorded:
+class TraceState:
     """What a trace has shown so far."""
 
     def __init__(self) -> None:
@@ -33,17 +33,17 @@
         machine, who = str(row.get("machine")), str(row.get("who"))
         table = NAMES.get(machine)
         if table is None:
-            raise Odd(f"no machine named {machine!r}")
+            raise InvalidStep(f"no machine named {machine!r}")
         state, event, after = (str(row.get(name)) for name in ("state", "on", "to"))
         expected = self._next(table, state, event)
         if after != expected:
-            raise Odd(f"{machine} {who}: {event} leads from {state} to {expected}, not to {after}")
+            raise InvalidStep(f"{machine} {who}: {event} leads from {state} to {expected}, not to {after}")
         before = self.at.get((machine, who))
         if machine not in SHARED:
             if before is None and state not in BEGINS[machine]:
-                raise Odd(f"{machine} {who}: begins in {state}")
+                raise InvalidStep(f"{machine} {who}: begins in {state}")
             if before is not None and before != state:
-                raise Odd(f"{machine} {who}: stood in {before}, not in {state}")
+                raise InvalidStep(f"{machine} {who}: stood in {before}, not in {state}")
         self.steps += 1
         if after in ENDS and machine != "process" and machine != "connection":
             self.at.pop((machine, who), None)
@@ -51,19 +51,19 @@
             self.at[machine, who] = after
 
     @staticmethod
-    def _next(table: Table, state: str, event: str) -> str:
+    def _next(table: TransitionTable, state: str, event: str) -> str:
         try:
             row = table.rows[table.states[state]][table.events[event]]
         except KeyError as error:
-            raise Odd(f"{table.name}: no state or event named {error}") from None
+            raise InvalidStep(f"{table.name}: no state or event named {error}") from None
         if row is None:
-            raise Odd(f"{table.name}: {event} is impossible in {state}")
+            raise InvalidStep(f"{table.name}: {event} is impossible in {state}")
         return table.states(row.next).name
 
 
 def check_trace(path: Path) -> int:
     """0: every step is allowed. 1: the first that is not is named. 2: the file can't be read or holds no step."""
-    seen = Recorded()
+    seen = TraceState()
     try:
         with path.open() as lines:
             for number, line in enumerate(lines, 1):
@@ -76,7 +76,7 @@
                     return 2
                 try:
                     seen.take(row)
-                except Odd as odd:
+                except InvalidStep as odd:
                     print(f"rejected at line {number}, step {seen.steps + 1}: {odd}")
                     return 1
     except (OSError, UnicodeDecodeError) as error:
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -5,25 +5,25 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.model_checker.environment import KernelModel, PolicyModel
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines import dependency_calls as calls
 from myrtlespar.state_machines import engine_link as commands
-from myrtlespar.state_machines.attempts import Do
-from myrtlespar.state_machines.attempts import Try as State
-from myrtlespar.state_machines.client_connection import Be, Conn, ConnState
-from myrtlespar.state_machines.client_connection import Do as ConnDo
-from myrtlespar.state_machines.idempotency_keys import Keys
-from myrtlespar.state_machines.process import Process, Stage
-from myrtlespar.state_machines.request_tracker import Desk, Effect, Terms
+from myrtlespar.state_machines.attempts import AttemptAction
+from myrtlespar.state_machines.attempts import AttemptState as State
+from myrtlespar.state_machines.client_connection import ConnectionAction as ConnDo
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle, ConnectionState
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
+from myrtlespar.state_machines.process import ProcessLifecycle, ProcessState
+from myrtlespar.state_machines.request_tracker import RequestEffect, RequestTerms, RequestTracker
 
 Event = tuple[Any, ...]
 TICK_MS = 1000.0
 DUE_MS, OVERDUE_MS, GRACE_MS, STOP_MS, SWEEP_MS = 2000.0, 60.0, 1000.0, 3000.0, 50.0
 FLUSH_MS, CALL_MS = 600.0, 900.0
-OUTCOMES = {"PASS": Outcome.OK, "FAIL": Outcome.ERROR, "KILLED": Outcome.STOPPED, "NOOP": Outcome.MOOT}
+OUTCOMES = {"PASS": RunOutcome.OK, "FAIL": RunOutcome.ERROR, "KILLED": RunOutcome.STOPPED, "NOOP": RunOutcome.MOOT}
 IDS = "abcdefgh"
 UNSENT, MID_READ, WAITS, DONE = range(4)
 
@@ -32,17 +32,17 @@
     """Delivery is done by the world itself."""
 
 
-def quiet(wire: calls.Connection) -> bool:
+def quiet(wire: calls.DependencyConnection) -> bool:
     """Nothing comes unasked on a store's connection here but what the world delivers."""
     return True
 
 
-TERMS = Terms((DUE_MS, DUE_MS), (False, True), OVERDUE_MS, 500.0)
+TERMS = RequestTerms((DUE_MS, DUE_MS), (False, True), OVERDUE_MS, 500.0)
 
 
-def bounds(s: Scenario) -> calls.Bounds:
+def bounds(s: Scenario) -> calls.CallLimits:
     """The limits of calls in this scenario."""
-    return calls.Bounds(s.store_links, s.store_waiting, 5000.0, s.served, 60.0)
+    return calls.CallLimits(s.store_links, s.store_waiting, 5000.0, s.served, 60.0)
 
 
 @dataclass(slots=True)
@@ -84,14 +84,14 @@
         """A new life of the server."""
         s = self.s
         self.policy = PolicyModel()
-        self.desk = Desk(TERMS, Keys(s.keys_most, s.key_ms, s.followers, 64),
-                         Process(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0))
-        self.commands = commands.Commands(self.desk.wanted, 8)
-        self.calls = calls.Calls(bounds(s), quiet)
-        self.conns = [ConnState(IDS[n]) for n in range(len(s.tries))]
+        self.tracker = RequestTracker(TERMS, IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64),
+                         ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0))
+        self.commands = commands.CommandLog(self.tracker.wanted, 8)
+        self.calls = calls.DependencyCalls(bounds(s), quiet)
+        self.conns = [ConnectionLifecycle(IDS[n]) for n in range(len(s.tries))]
         self.tries: list[Exchange | None] = [None for _ in s.tries]
         self.pending: dict[str, int] = {}  # calls made of an abstract store: the number of the call
-        self.wires: list[calls.Connection] = []  # store connections, open or being opened
+        self.wires: list[calls.DependencyConnection] = []  # store connections, open or being opened
         self.copies: list[tuple[int, str, bytes]] = []  # second copies of replies still to come on a connection
         self.workers: list[str] = []
         self.deaf = False  # the link takes nothing more
@@ -122,7 +122,7 @@
                 out.append(("bad reload",))
             if self._may_look():
                 out.append(("look",))
-            if self.desk.process.stage == Stage.FLUSHING:
+            if self.tracker.process.stage == ProcessState.FLUSHING:
                 out.append(("flushed",))
         if self.life < self.s.lives:
             out.append(("kill",))
@@ -134,12 +134,12 @@
     def _client_events(self, out: list[Event]) -> None:
         for n, one in enumerate(self.callers):
             x, conn = self.tries[n], self.conns[self.line(n)]
-            if one.stage < WAITS and conn.state == Conn.IDLE and self.left("close", self.s.closes):
+            if one.stage < WAITS and conn.state == ConnectionState.IDLE and self.left("close", self.s.closes):
                 out.append(("close", n))
             if one.stage == UNSENT:
                 before = self.s.alike(n)
                 turn = before < 0 or self.callers[before].stage != UNSENT
-                if self.listening and conn.state != Conn.ENDING and turn:
+                if self.listening and conn.state != ConnectionState.ENDING and turn:
                     out.append(("send", n))
             elif one.stage == MID_READ:
                 out.append(("whole", n))
@@ -147,14 +147,14 @@
                     out.append(("cut short", n))
                 if conn.reads and self.left("spoil", self.s.spoils):
                     out.append(("spoil", n))
-                    if conn.state == Conn.READING:
+                    if conn.state == ConnectionState.READING:
                         out.append(("turn away", n))
             elif one.stage == WAITS and x is not None and not one.gone:
                 if not one.answers and self.left("give up", self.s.give_ups):
                     out.append(("give up", n))
                 if self.left("reset", self.s.resets):
                     out.append(("reset", n))
-                if not one.answers and self.left("spoil", self.s.spoils) and conn.state == Conn.OWING:
+                if not one.answers and self.left("spoil", self.s.spoils) and conn.state == ConnectionState.OWING:
                     out.append(("spoil", n))
 
     def _policy_events(self, out: list[Event]) -> None:
@@ -166,12 +166,12 @@
                     out.append(("call", id))
                 out.append(("fail", id))
         if self.left("rude", self.s.rude):
-            for id in self.desk.open:
+            for id in self.tracker.open:
                 out += [("rude", what, id) for what in ("run", "refuse", "fail", "call")]
 
     def _link_events(self, out: list[Event]) -> None:
         c = self.commands
-        if c.link == commands.Link.DOWN:
+        if c.link == commands.LinkState.DOWN:
             out.append(("connect",))
         else:
             if self.kernel.down:
@@ -187,8 +187,8 @@
                 out.append(("deaf",))
             if self.deaf or self.left("break", self.s.breaks):
                 out.append(("break",))
-            doubt = any(one.state == commands.Sent.DOUBTFUL for one in c.open.values())
-            if doubt and c.link == commands.Link.READY and not any(m.startswith("doubt") for m in c.marks):
+            doubt = any(one.state == commands.CommandState.DOUBTFUL for one in c.open.values())
+            if doubt and c.link == commands.LinkState.READY and not any(m.startswith("doubt") for m in c.marks):
                 out.append(("settle",))
 
     def _kernel_events(self, out: list[Event]) -> None:
@@ -220,14 +220,14 @@
             out += [("worker", id, end) for end in ("PASS", "FAIL", "UNREACHED")]
         for wire in self.wires:
             fault = self.left("store", self.s.store_faults)
-            if wire.state == calls.Wire.OPENING:
+            if wire.state == calls.DependencyConnectionState.OPENING:
                 out.append(("wire opened", wire.number))
                 if fault:
                     out.append(("wire refused", wire.number))
-            elif wire.state == calls.Wire.SPENT:
+            elif wire.state == calls.DependencyConnectionState.SPENT:
                 out.append(("wire over", wire.number))
             else:
-                if wire.state == calls.Wire.BUSY:
+                if wire.state == calls.DependencyConnectionState.BUSY:
                     out.append(("wire reply", wire.number, "OK"))
                     if fault:
                         out += [("wire reply", wire.number, "BUSY"), ("wire doubled", wire.number)]
@@ -240,41 +240,41 @@
         return one.gone or bool(one.answers) or one.life != self.life or self.stopped
 
     def _may_look(self) -> bool:
-        p = self.desk.process
-        return p.stage == Stage.CROSSING or (p.stage == Stage.DRAINING and self.now > p.notice_at + GRACE_MS)
+        p = self.tracker.process
+        return p.stage == ProcessState.CROSSING or (p.stage == ProcessState.DRAINING and self.now > p.notice_at + GRACE_MS)
 
     # What follows from it, as `core.py`, `net/kernel.py`, `net/store.py` and the fronts carry it out.
 
-    def carry(self, effects: list[Effect]) -> None:
+    def carry(self, effects: list[RequestEffect]) -> None:
         """The core's part."""
         for do, x, answer, outcome, _, body in effects:
-            if do is Do.DELIVER:
+            if do is AttemptAction.DELIVER:
                 assert answer is not None
                 self._deliver(x, answer)
-            elif do is Do.TELL_ARRIVAL:
+            elif do is AttemptAction.TELL_ARRIVAL:
                 self.policy.arrival(x.id)
-            elif do is Do.START_RUN:
+            elif do is AttemptAction.START_RUN:
                 if x.target:
                     self.workers.append(x.id)
                 else:
                     self.order(self.commands.post(commands.Command(x.id, b"", True, x.cls == 0)))
-            elif do is Do.MAKE_CALL:
+            elif do is AttemptAction.MAKE_CALL:
                 if self.s.store:
                     self.order_calls(self.calls.make(x.id, CALL_MS, x.call_body, self.now))
                 else:
                     self.pending[x.id] = int(x.call_body)
-            elif do is Do.DROP_CALL:
+            elif do is AttemptAction.DROP_CALL:
                 self.pending.pop(x.id, None)
                 if self.s.store:
                     self.order_calls(self.calls.drop(x.id))
-            elif do is Do.RESUME:
+            elif do is AttemptAction.RESUME:
                 self.order(self.commands.post(commands.Command(x.id, body, False)))
-            elif do is Do.TELL_CALL_NEEDED:
+            elif do is AttemptAction.TELL_CALL_NEEDED:
                 self.policy.call_needed(x.id)
-            elif do is Do.TELL_CALL_ENDED:
-                if outcome is not Outcome.OK:
+            elif do is AttemptAction.TELL_CALL_ENDED:
+                if outcome is not RunOutcome.OK:
                     self.policy.call_needed(x.id)
-            elif do in (Do.TELL_GONE, Do.TELL_ENDED):
+            elif do in (AttemptAction.TELL_GONE, AttemptAction.TELL_ENDED):
                 self.policy.forget(x.id)
 
     def _deliver(self, x: Exchange, answer: Answer) -> None:
@@ -285,10 +285,10 @@
             self.fell.append("answer to nobody")
         linked = [m for m, other in enumerate(self.s.tries)
                   if m == n or (other.key and other.key == self.s.tries[n].key)]
-        if answer.kind is Kind.SERVED and not any(
+        if answer.kind is AnswerKind.SERVED and not any(
                 IDS[m] in self.kernel.passed or answer.body == b"w" + IDS[m].encode() for m in linked):
             self.fell.append("true answers")
-        if answer.kind is Kind.REFUSED and self.s.tries[n].effectful and self.kernel.starts.get(x.id):
+        if answer.kind is AnswerKind.REFUSED and self.s.tries[n].effectful and self.kernel.starts.get(x.id):
             self.fell.append("no refusal after a start")
         self.be(n, self.answered(n))
 
@@ -302,11 +302,11 @@
         return [m for m, one in enumerate(self.callers) if self.line(m) == self.line(n) and one.stage == WAITS
                 and not one.answers and not one.gone]
 
-    def answered(self, n: int) -> Be:
+    def answered(self, n: int) -> ConnectionEvent:
         """What the end of this caller's wait is for its connection."""
-        return Be.ANSWERED if any(m != n for m in self.sharing(n)) else Be.LAST_ANSWERED
+        return ConnectionEvent.ANSWERED if any(m != n for m in self.sharing(n)) else ConnectionEvent.LAST_ANSWERED
 
-    def be(self, n: int, event: Be) -> None:
+    def be(self, n: int, event: ConnectionEvent) -> None:
         """The front's part: something happens to the connection of a caller."""
         for do in self.conns[self.line(n)].be(event):
             if do is ConnDo.GONE:
@@ -314,26 +314,26 @@
                     x = self.tries[m]
                     self.callers[m].gone = True
                     if x is not None:
-                        self.carry(self.desk.gone(x))
+                        self.carry(self.tracker.gone(x))
 
-    def order(self, orders: list[commands.Order]) -> None:
+    def order(self, orders: list[commands.LinkEffect]) -> None:
         """The kernel link's part."""
         up = self.kernel.up
         for one in orders:
-            if isinstance(one, commands.End):
-                self.ended(one.rid, Outcome.MOOT, None)
-            elif isinstance(one, commands.Write):
+            if isinstance(one, commands.EndRun):
+                self.ended(one.rid, RunOutcome.MOOT, None)
+            elif isinstance(one, commands.WriteCommand):
                 command = one.command
                 if self.deaf:
                     self.commands.unsent(command)
                     continue
                 up.append(("SCHED", command.rid) if command.start
                           else ("IODONE", command.rid, int(command.line)))
-            elif self.deaf and not isinstance(one, commands.Close):
+            elif self.deaf and not isinstance(one, commands.CloseLink):
                 continue
-            elif isinstance(one, commands.Mark):
+            elif isinstance(one, commands.RequestMark):
                 up.append(("MARK", one.name))
-            elif isinstance(one, commands.Greet):
+            elif isinstance(one, commands.SendOpen):
                 up.append(("OPEN", one.last))
             else:
                 self.cut()
@@ -342,27 +342,27 @@
         """The link to the kernel is over."""
         self.kernel.cut()
         self.deaf = False
-        if self.commands.link != commands.Link.DOWN:
+        if self.commands.link != commands.LinkState.DOWN:
             self.commands.broken()
 
-    def order_calls(self, orders: list[calls.Order]) -> None:
+    def order_calls(self, orders: list[calls.CallEffect]) -> None:
         """The store's part."""
         for one in orders:
-            if isinstance(one, calls.Open):
+            if isinstance(one, calls.OpenConnection):
                 self.wires.append(one.wire)
-            elif isinstance(one, calls.End):
-                self.carry(self.desk.called(one.call.id, one.outcome, 0.0, one.reply))
+            elif isinstance(one, calls.EndCall):
+                self.carry(self.tracker.called(one.call.id, one.outcome, 0.0, one.reply))
 
-    def ended(self, rid: str, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, rid: str, outcome: RunOutcome, answer: Answer | None) -> None:
         """A run is over as far as the server is concerned."""
         self.concluded.setdefault(rid, self.now)
-        self.carry(self.desk.ended(rid, outcome, 0.0, answer, self.now))
+        self.carry(self.tracker.ended(rid, outcome, 0.0, answer, self.now))
 
     def describe(self) -> str:
         """The state in one line, for counter-examples."""
-        p, c = self.desk.process, self.commands
+        p, c = self.tracker.process, self.commands
         tries = " ".join(f"{x.id}={State(x.state).name}" for x in self.tries if x is not None)
         answers = " ".join(f"{IDS[n]}:{','.join(one.answers)}" for n, one in enumerate(self.callers) if one.answers)
         runs = " ".join(f"{rid}x{count}" for rid, count in sorted(self.kernel.starts.items()))
-        return (f"{self.now / TICK_MS:.0f}s {Stage(p.stage).name} link={commands.Link(c.link).name} {tries}"
+        return (f"{self.now / TICK_MS:.0f}s {ProcessState(p.stage).name} link={commands.LinkState(c.link).name} {tries}"
                 f"{' answers ' + answers if answers else ''}{' starts ' + runs if runs else ''}")
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -12,10 +12,10 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.admin.commands import LINE_MOST, Figures, ManagementCommands
+from myrtlespar.admin.commands import LINE_MOST, AdminCommands, MetricsSnapshot
 from myrtlespar.config import Address
 from myrtlespar.net.listener import Acceptor, bind_in_time
-from myrtlespar.resource_limits import Limits
+from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 
@@ -26,11 +26,11 @@
 HOLD_S = 5.0  # a caller may take so long to send its whole line
 
 
-class Mgmt:
+class AdminServer:
     """Listens on `address` and answers each line within the time the event loop grants it."""
 
-    def __init__(self, address: Address, commands: ManagementCommands, counters: Counters, ready: Callable[[], bool],
-                 figures: Callable[[], Figures], limits: Limits, give_up: Callable[[], bool]) -> None:
+    def __init__(self, address: Address, commands: AdminCommands, counters: Counters, ready: Callable[[], bool],
+                 figures: Callable[[], MetricsSnapshot], limits: ResourceLimits, give_up: Callable[[], bool]) -> None:
         self.commands, self.counters, self.ready, self.figures = commands, counters, ready, figures
         self._open: dict[socket.socket, float] = {}  # connection: when it came
         listener = bind_in_time("mgmt", address, 64, False, limits.mgmt_bind_ms, limits, give_up)
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -9,22 +9,22 @@
 from gevent import socket
 
 from myrtlespar.config import Config, Worker
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.codec import ajp as wire
-from myrtlespar.net.connections import Closed, Reader, connect
-from myrtlespar.policy.messages import Outcome
-from myrtlespar.request_coordinator import Core
+from myrtlespar.net.connections import ConnectionEnded, Reader, connect
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
 
 
-class Unreachable(Exception):
+class BackendUnreachable(Exception):
     """No server took the request: it never ran."""
 
 
 @dataclass(slots=True)
-class Connection:
+class BackendConnection:
     """A connection to a worker."""
 
     sock: socket.socket
@@ -39,24 +39,24 @@
         start = self.reader.exactly(4)
         size = int.from_bytes(start[2:], "big")
         if start[:2] != wire.TO_GATEWAY or not 0 < size <= most - 4:
-            raise wire.BadPacket(f"packet starts with {start.hex()}")
+            raise wire.MalformedPacket(f"packet starts with {start.hex()}")
         return self.reader.exactly(size)
 
 
 @dataclass(slots=True)
-class Server:
+class AjpBackend:
     """One AJP server, as seen from here."""
 
     worker: Worker
     busy: int = 0
     rests_until: float = 0.0
-    idle: list[Connection] = field(default_factory=list)
+    idle: list[BackendConnection] = field(default_factory=list)
 
 
-class Workers:
+class AjpBackendPool:
     """The engine of one target: a worker, or a balancer over several."""
 
-    def __init__(self, config: Config, core: Core, servers: list[Server]) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator, servers: list[AjpBackend]) -> None:
         self.config, self.core, self.limits, self.servers = config, core, config.limits, servers
 
     def run(self, exchange: Exchange) -> None:
@@ -68,17 +68,17 @@
 
     def _run(self, exchange: Exchange) -> None:
         began = unix_ms()
-        outcome, answer = Outcome.ERROR, None
+        outcome, answer = RunOutcome.ERROR, None
         try:
             # Guards against a server that never answers: the due time ends the wait for it.
             with gevent.Timeout(max(0.001, (exchange.due - began) / 1000.0)):
                 answer = self._try(exchange)
-                outcome = Outcome.OK if answer.kind is Kind.SERVED else Outcome.ERROR
+                outcome = RunOutcome.OK if answer.kind is AnswerKind.SERVED else RunOutcome.ERROR
         except gevent.Timeout:
-            answer = Answer(Kind.FAILED, late=True)
-        except Unreachable:  # it never ran: a later try may
-            answer = Answer(Kind.REFUSED, retry_after_ms=self.limits.worker_rest_ms)
-        except (OSError, Closed, wire.BadPacket) as error:
+            answer = Answer(AnswerKind.FAILED, late=True)
+        except BackendUnreachable:  # it never ran: a later try may
+            answer = Answer(AnswerKind.REFUSED, retry_after_ms=self.limits.worker_rest_ms)
+        except (OSError, ConnectionEnded, wire.MalformedPacket) as error:
             log.warning("worker", error=str(error), id=exchange.id)
         self.core.ended(exchange.id, outcome, unix_ms() - began, answer)
 
@@ -101,16 +101,16 @@
                     server.idle.append(connection)
                 else:
                     connection.sock.close()
-        raise Unreachable("no AJP server can be reached")
+        raise BackendUnreachable("no AJP server can be reached")
 
-    def _order(self, route: str) -> list[Server]:
+    def _order(self, route: str) -> list[AjpBackend]:
         """The session's own server first, then the least loaded for its factor; resting ones last."""
         now = unix_ms()
         return sorted(self.servers, key=lambda one: (
             one.rests_until > now, not (route and one.worker.route == route),
             (one.busy + 1) / one.worker.factor))
 
-    def _connection(self, server: Server) -> Connection | None:
+    def _connection(self, server: AjpBackend) -> BackendConnection | None:
         """An idle connection that answers a ping, or a new one."""
         while server.idle:
             kept = server.idle.pop()
@@ -119,16 +119,16 @@
                     kept.send(wire.packet(wire.TO_SERVLET, bytes([wire.CPING])))
                     if kept.next(self.limits.ajp_packet)[0] == wire.CPONG:
                         return kept
-            except (OSError, Closed, wire.BadPacket):
+            except (OSError, ConnectionEnded, wire.MalformedPacket):
                 pass
             kept.sock.close()
         try:
             sock = connect(server.worker.address, self.limits.connect_ms)
         except OSError:
             return None
-        return Connection(sock, Reader(sock, self.limits.ajp_packet))
+        return BackendConnection(sock, Reader(sock, self.limits.ajp_packet))
 
-    def _talk(self, connection: Connection, worker: Worker, exchange: Exchange) -> tuple[Answer, bool]:
+    def _talk(self, connection: BackendConnection, worker: Worker, exchange: Exchange) -> tuple[Answer, bool]:
         body, most = exchange.body, self.limits.ajp_packet
         attributes = {"jvm_route": worker.route} if worker.route else {}
         if exchange.query:
@@ -136,7 +136,7 @@
         if worker.secret:
             attributes["secret"] = worker.secret
         rows = (*exchange.headers, ("content-length", str(len(body))))
-        request = wire.Forward(exchange.method, exchange.uri, headers=rows, attributes=attributes)
+        request = wire.ForwardRequest(exchange.method, exchange.uri, headers=rows, attributes=attributes)
         connection.send(wire.write_forward(request, most))
         room, sent = wire.body_room(most), 0
         if body:
@@ -149,26 +149,26 @@
             if payload[0] == wire.HEADERS:
                 status, headers = wire.read_headers(payload)
             elif payload[0] == wire.BODY:
-                at = wire.Cursor(payload[1:])
+                at = wire.PayloadReader(payload[1:])
                 out += at.take(at.number())
                 if len(out) > self.limits.ajp_reply_bytes:  # guards memory against an answer without end
-                    raise wire.BadPacket("answer too long")
+                    raise wire.MalformedPacket("answer too long")
             elif payload[0] == wire.GET_BODY:
                 connection.send(wire.write_chunk(body[sent:sent + room]))
                 sent += room
             elif payload[0] == wire.END:
                 if not status:
-                    raise wire.BadPacket("answer without headers")
-                kind = Kind.SERVED if status < 500 else Kind.FAILED
+                    raise wire.MalformedPacket("answer without headers")
+                kind = AnswerKind.SERVED if status < 500 else AnswerKind.FAILED
                 return Answer(kind, bytes(out), status=status, headers=headers), payload[1:2] == b"\x01"
             elif payload[0] != wire.CPONG:
-                raise wire.BadPacket(f"packet of kind {payload[0]}")
+                raise wire.MalformedPacket(f"packet of kind {payload[0]}")
 
 
-def engines(config: Config, core: Core) -> dict[str, Workers]:
+def engines(config: Config, core: RequestCoordinator) -> dict[str, AjpBackendPool]:
     """One engine for each worker and each balancer; they share what is known of a server."""
-    servers = {worker.name: Server(worker) for worker in config.ajp.workers}
-    out = {name: Workers(config, core, [server]) for name, server in servers.items()}
+    servers = {worker.name: AjpBackend(worker) for worker in config.ajp.workers}
+    out = {name: AjpBackendPool(config, core, [server]) for name, server in servers.items()}
     for name, members in config.ajp.balancers.items():
-        out[name] = Workers(config, core, [servers[member] for member in members])
+        out[name] = AjpBackendPool(config, core, [servers[member] for member in members])
     return out
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -13,35 +13,35 @@
 from gevent import socket
 
 from myrtlespar.config import Address, Config, PathRule
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.client_connection import ClientConnection
 from myrtlespar.net.codec import ajp as wire
-from myrtlespar.net.connections import Closed, Unfinished
+from myrtlespar.net.connections import ConnectionEnded, ReadingStopped
 from myrtlespar.net.listener import Listener
-from myrtlespar.request_coordinator import Core
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
-from myrtlespar.state_machines.client_connection import Be, Conn
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
 
 SESSION = re.compile(r"jsessionid=[^;,\s]*?\.([A-Za-z0-9_-]+)(?:$|[;,\s?/])", re.I)
 HOP_HEADERS = ("connection", "transfer-encoding", "content-length", "keep-alive")
 
 
-def session_route(request: wire.Forward) -> str:
+def session_route(request: wire.ForwardRequest) -> str:
     """The route behind the dot of a session's id, from the path or a cookie."""
     found = SESSION.search(request.uri) or SESSION.search(request.header("cookie"))
     return found.group(1) if found else request.attributes.get("jvm_route", "")
 
 
-class AjpFront(Listener["Link"]):
+class AjpFront(Listener["AjpConnection"]):
     """Listens for gateways."""
 
-    def __init__(self, config: Config, core: Core, listen: Address, give_up: Callable[[], bool]) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator, listen: Address, give_up: Callable[[], bool]) -> None:
         self.config, self.limits, self.ajp = config, config.limits, config.ajp
         self.rules = sorted(config.ajp.maps, key=lambda rule: -len(rule.path))
         self.serial = 0  # of the connections
         self.ids = random.Random(config.seed)
         super().__init__("ajp", "ajp.listen", listen, core, self.limits.connections // 4,
-                         lambda sock: Link(self, sock), give_up)
+                         lambda sock: AjpConnection(self, sock), give_up)
 
     def drain(self) -> None:
         """Close what carries nothing; the rest closes with its answer."""
@@ -57,7 +57,7 @@
         return None
 
 
-class Link(ClientConnection):
+class AjpConnection(ClientConnection):
     """One gateway's connection: one request at a time."""
 
     def __init__(self, front: AjpFront, sock: socket.socket) -> None:
@@ -66,11 +66,11 @@
                          front.unsent, front.conclude)
         self.front, self.core = front, front.core
         self.exchange: Exchange | None = None
-        self.request = wire.Forward()
+        self.request = wire.ForwardRequest()
 
     def owes(self) -> bool:
         """Whether its request is not answered yet."""
-        return self.conn.state not in (Conn.IDLE, Conn.CLOSED)
+        return self.conn.state not in (ConnectionState.IDLE, ConnectionState.CLOSED)
 
     def _abandon(self) -> None:
         if self.exchange is not None:
@@ -88,15 +88,15 @@
                 if self.bad == before:
                     self.bad = 0
                 elif self.bad >= self.limits.bad_most:  # guards the core's time against a flood
-                    raise wire.BadPacket("too many requests that could not be taken")
+                    raise wire.MalformedPacket("too many requests that could not be taken")
                 self.reader.breathe()
-        except Closed:
+        except ConnectionEnded:
             pass
-        except (wire.BadPacket, Unfinished):
+        except (wire.MalformedPacket, ReadingStopped):
             self.core.counters.add("in.bad_message.ajp")
-            if self.conn.state == Conn.READING:
+            if self.conn.state == ConnectionState.READING:
                 self._reply(400)
-            self._be(Be.SPOILT)
+            self._be(ConnectionEvent.SPOILT)
             self._conclude(self)
         except gevent.Timeout:  # guards against a gateway that begins a request and never ends it
             self.core.counters.add("in.slow_request.ajp")
@@ -106,7 +106,7 @@
         magic = self.reader.exactly(4)
         size = int.from_bytes(magic[2:], "big")
         if magic[:2] != wire.TO_SERVLET or size + 4 > self.limits.ajp_packet:
-            raise wire.BadPacket(f"packet starts with {magic.hex()}")
+            raise wire.MalformedPacket(f"packet starts with {magic.hex()}")
         return self.reader.exactly(size)
 
     def _packet(self, payload: bytes) -> None:
@@ -117,10 +117,10 @@
         if kind in (wire.SHUTDOWN, wire.PING) and len(payload) == 1:
             self.core.counters.add("in.ignored.ajp")  # guards against anyone who could stop us from afar
             return
-        if kind != wire.FORWARD or self.conn.state != Conn.IDLE:
-            raise wire.BadPacket(f"packet of kind {kind} out of place")
-        self._be(Be.BEGIN)
-        self.request = wire.Forward()
+        if kind != wire.FORWARD or self.conn.state != ConnectionState.IDLE:
+            raise wire.MalformedPacket(f"packet of kind {kind} out of place")
+        self._be(ConnectionEvent.BEGIN)
+        self.request = wire.ForwardRequest()
         with gevent.Timeout(self.limits.ajp_header_ms / 1000.0):
             self.request = wire.read_forward(payload)
             if not self._allowed():
@@ -135,7 +135,7 @@
         if self.core.healthy and not self.core.draining:
             self.outbox.put(wire.packet(wire.TO_GATEWAY, bytes([wire.CPONG])))
         else:
-            self._be(Be.CLOSE)
+            self._be(ConnectionEvent.CLOSE)
 
     def _allowed(self) -> bool:
         secret = self.front.ajp.secret
@@ -155,7 +155,7 @@
         told, most = self.request.header("content-length"), self.limits.body_bytes
         chunked = "chunked" in self.request.header("transfer-encoding").lower()
         if told and not (told.isascii() and told.isdigit()):
-            raise wire.BadPacket("content-length is no number")
+            raise wire.MalformedPacket("content-length is no number")
         want = int(told or 0)
         if want > most:
             self._reply(413)
@@ -172,7 +172,7 @@
                 self._reply(413)
                 return None
         if len(body) != want and not chunked:
-            raise wire.BadPacket(f"body of {len(body)} bytes, {want} were told")
+            raise wire.MalformedPacket(f"body of {len(body)} bytes, {want} were told")
         return body
 
     def _submit(self, body: bytes) -> None:
@@ -186,7 +186,7 @@
                 return self._reply(413)
         id = f"{front.ids.getrandbits(64):016x}"
         exchange = Exchange(id, "ajp", rule.cls, body, unix_ms(), self._answer)
-        exchange.kb, exchange.rank, exchange.target = rule.kb, rule.worth, rule.to
+        exchange.kb, exchange.rank, exchange.target = rule.kb, rule.priority_weight, rule.to
         exchange.sender = zlib.crc32(request.remote_addr.encode())
         exchange.method, exchange.uri, exchange.query = request.method, request.uri, query
         exchange.headers = tuple(row for row in request.headers if row[0] not in HOP_HEADERS)
@@ -194,7 +194,7 @@
         if front.ajp.key_header:
             exchange.key = request.header(front.ajp.key_header)[:200]
         self.exchange = exchange
-        self._be(Be.REQUEST)
+        self._be(ConnectionEvent.REQUEST)
         front.core.submit(exchange)
 
     def _answer(self, exchange: Exchange, answer: Answer) -> None:
@@ -202,9 +202,9 @@
         if answer.status:
             rows = tuple(row for row in answer.headers if row[0].lower() not in HOP_HEADERS)
             self._reply(answer.status, answer.body, rows)
-        elif answer.kind is Kind.SERVED:
+        elif answer.kind is AnswerKind.SERVED:
             self._reply(200, answer.body, (("Content-Type", "application/octet-stream"),))
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             seconds = max(1, math.ceil(answer.retry_after_ms / 1000.0))
             self._reply(503, rows=(("Retry-After", str(seconds)),))
         else:
@@ -214,16 +214,16 @@
         """A whole answer. After one to a request not read to its end, the connection can't go on."""
         self.used = unix_ms()
         unread = self.request.header("content-length") or self.request.header("transfer-encoding")
-        whole = self.conn.state != Conn.READING
+        whole = self.conn.state != ConnectionState.READING
         reuse = not self.core.draining and (whole or not unread)
         rows = (*rows, ("Content-Length", str(len(body))))
         body, most = b"" if self.request.method == "HEAD" else body, self.limits.ajp_packet
         try:
             data = b"".join(wire.write_reply(status, rows, body, reuse, most))
-        except wire.BadPacket:  # guards the core against headers of a worker that fill more than a packet
+        except wire.MalformedPacket:  # guards the core against headers of a worker that fill more than a packet
             status, data = 500, b"".join(wire.write_reply(500, (), b"", reuse, most))
         self.core.counters.add(f"sent.{status}.ajp")
         self.outbox.put(data)
-        self._be(Be.LAST_ANSWERED if whole else Be.TURNED_AWAY)
+        self._be(ConnectionEvent.LAST_ANSWERED if whole else ConnectionEvent.TURNED_AWAY)
         if not reuse:
-            self._be(Be.CLOSE)
+            self._be(ConnectionEvent.CLOSE)
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -16,7 +16,7 @@
 Rows = Mapping[tuple[str, int], int]
 
 
-class Torn(Exception):
+class CorruptBudgetFile(Exception):
     """The file is not whole: what was promised can't be known."""
 
 
@@ -27,11 +27,11 @@
     except FileNotFoundError:
         return {}
     if len(data) > MOST or data[:4] != MAGIC or zlib.crc32(data[8:]).to_bytes(4, "big") != data[4:8]:
-        raise Torn(str(path))
+        raise CorruptBudgetFile(str(path))
     try:
         rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(data[8:], type=list[tuple[str, int, int]])
     except msgspec.MsgspecError:
-        raise Torn(str(path)) from None
+        raise CorruptBudgetFile(str(path)) from None
     return {(key, number): total for key, number, total in rows}
 
 
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -7,21 +7,21 @@
 from gevent import socket
 
 from myrtlespar.net.connections import Outbox, OutboxBudget, Reader
-from myrtlespar.resource_limits import Limits
+from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
-from myrtlespar.state_machines.client_connection import Be, ConnState, Do
+from myrtlespar.state_machines.client_connection import ConnectionAction, ConnectionEvent, ConnectionLifecycle
 
 
 class ClientConnection:
     """One client's connection. A front reads its own messages from it and tells the state machine what happens."""
 
-    def __init__(self, name: str, sock: socket.socket, limits: Limits, outbox_bytes: int, message_bytes: int,
+    def __init__(self, name: str, sock: socket.socket, limits: ResourceLimits, outbox_bytes: int, message_bytes: int,
                  unsent: OutboxBudget, conclude: Callable[[ClientConnection], None]) -> None:
         """`conclude` ends a connection of which no more is read, once it has what it is owed."""
         self.limits = limits
         self.outbox = Outbox(sock, outbox_bytes, limits.send_ms, limits.crossing_ms, unsent)
         self.reader = Reader(sock, message_bytes)
-        self.conn = ConnState(name)
+        self.conn = ConnectionLifecycle(name)
         self.used = unix_ms()  # when a message last came or went
         self.messages = 0  # whole ones read
         self.bad = 0  # messages running that could not be taken
@@ -37,21 +37,21 @@
 
     def close(self) -> None:
         """Close it unless something is owed on it."""
-        self._be(Be.CLOSE)
+        self._be(ConnectionEvent.CLOSE)
 
     def end(self) -> None:
         """Take nothing more; close it behind its last answer."""
-        self._be(Be.END)
+        self._be(ConnectionEvent.END)
 
     def spoil(self) -> None:
         """What came can't be read on: send what is owed, then close."""
-        self._be(Be.SPOILT)
+        self._be(ConnectionEvent.SPOILT)
         self._conclude(self)
         self._leave()
 
-    def _be(self, event: Be) -> None:
+    def _be(self, event: ConnectionEvent) -> None:
         for do in self.conn.be(event):
-            if do is Do.FINISH:
+            if do is ConnectionAction.FINISH:
                 self.outbox.finish()
             else:
                 self._abandon()
@@ -71,4 +71,4 @@
             self.outbox.drained(self.limits.send_ms / 1000.0)
             self.reader.discard()
         self.outbox.close()
-        self._be(Be.RESET)
+        self._be(ConnectionEvent.RESET)
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -24,12 +24,12 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class BadPacket(Exception):
+class MalformedPacket(Exception):
     """Bytes that are no AJP13 message."""
 
 
 @dataclass(slots=True)
-class Forward:
+class ForwardRequest:
     """A request without its body."""
 
     method: str = "GET"
@@ -48,7 +48,7 @@
         return next((value for key, value in self.headers if key == name), "")
 
 
-class Cursor:
+class PayloadReader:
     """Reads the fields of one payload."""
 
     def __init__(self, data: bytes) -> None:
@@ -57,7 +57,7 @@
     def take(self, size: int) -> bytes:
         """So many bytes."""
         if self.at + size > len(self.data):
-            raise BadPacket("cut short")
+            raise MalformedPacket("cut short")
         self.at += size
         return self.data[self.at - size:self.at]
 
@@ -76,7 +76,7 @@
             return ""
         value = self.take(size).decode("latin-1")
         if self.byte() != 0:
-            raise BadPacket("text without its end")
+            raise MalformedPacket("text without its end")
         return value
 
     def header(self, names: list[str]) -> tuple[str, str]:
@@ -84,7 +84,7 @@
         start = self.number()
         if start >> 8 == 0xA0:
             if not 0 < (start & 0xFF) <= len(names):
-                raise BadPacket(f"header code {start:#x}")
+                raise MalformedPacket(f"header code {start:#x}")
             return names[(start & 0xFF) - 1], self.text()
         self.at -= 2
         return self.text().lower(), self.text()
@@ -111,19 +111,19 @@
 def packet(magic: bytes, payload: bytes, most: int = 8192) -> bytes:
     """A whole packet."""
     if len(payload) + 4 > most:
-        raise BadPacket(f"packet of {len(payload) + 4} bytes")
+        raise MalformedPacket(f"packet of {len(payload) + 4} bytes")
     return magic + struct.pack(">H", len(payload)) + payload
 
 
-def read_forward(payload: bytes) -> Forward:
+def read_forward(payload: bytes) -> ForwardRequest:
     """A Forward Request, from its code on."""
-    at = Cursor(payload)
+    at = PayloadReader(payload)
     if at.byte() != FORWARD:
-        raise BadPacket("no Forward Request")
+        raise MalformedPacket("no Forward Request")
     code = at.byte()
     if not (1 <= code <= len(METHODS) or code == STORED_METHOD):
-        raise BadPacket(f"method code {code}")
-    out = Forward("" if code == STORED_METHOD else METHODS[code - 1])
+        raise MalformedPacket(f"method code {code}")
+    out = ForwardRequest("" if code == STORED_METHOD else METHODS[code - 1])
     out.protocol, out.uri = at.text(), at.text()
     out.remote_addr, out.remote_host, out.server_name = at.text(), at.text(), at.text()
     out.port, out.ssl = at.number(), bool(at.byte())
@@ -137,13 +137,13 @@
         elif kind in ATTRIBUTES:
             out.attributes[ATTRIBUTES[kind]] = at.text()
         else:
-            raise BadPacket(f"attribute code {kind}")
+            raise MalformedPacket(f"attribute code {kind}")
     if code == STORED_METHOD:
         out.method = out.attributes.get("stored_method", "")
     return out
 
 
-def write_forward(request: Forward, most: int = 8192) -> bytes:
+def write_forward(request: ForwardRequest, most: int = 8192) -> bytes:
     """A Forward Request as a whole packet."""
     known = request.method in METHODS
     attributes = dict(request.attributes)
@@ -168,7 +168,7 @@
     """A part of a request's body."""
     if not payload:
         return b""
-    at = Cursor(payload)
+    at = PayloadReader(payload)
     return at.take(at.number())
 
 
@@ -200,7 +200,7 @@
 
 def read_headers(payload: bytes) -> tuple[int, Headers]:
     """Status and headers of a Send Headers payload."""
-    at = Cursor(payload[1:])
+    at = PayloadReader(payload[1:])
     status = at.number()
     at.text()
     return status, tuple(at.header(REPLY_HEADERS) for _ in range(at.number()))
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from myrtlespar.membership.messages import Packet, Row, Rumour, State, Sync
+from myrtlespar.membership.messages import MemberState, MemberUpdate, Packet, ReachabilityRow, ViewSync
 
 VERSION = 1
 MAGIC = b"MPF" + bytes([VERSION])
@@ -24,7 +24,7 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _packet: msgspec.msgpack.Decoder[Packet] = msgspec.msgpack.Decoder(Packet)
-_sync: msgspec.msgpack.Decoder[Sync] = msgspec.msgpack.Decoder(Sync)
+_sync: msgspec.msgpack.Decoder[ViewSync] = msgspec.msgpack.Decoder(ViewSync)
 _NAME = re.compile(r"[!-~]{1,48}")
 _ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 
@@ -32,15 +32,15 @@
 BESIDE = b"MPB" + bytes([VERSION])  # a second process of one name asks the first at its address; the same is the answer
 
 
-class Spoilt(Exception):
+class MalformedPeerMessage(Exception):
     """Bytes that hold no message; the text says why in a word."""
 
 
-class OtherVersion(Spoilt):
+class UnsupportedPeerVersion(MalformedPeerMessage):
     """Whole, but of another version of the link."""
 
 
-def encode(message: Packet | Sync) -> bytes:
+def encode(message: Packet | ViewSync) -> bytes:
     """The bytes of a message."""
     body = _encoder.encode(message)
     return MAGIC + zlib.crc32(body).to_bytes(4, "big") + body
@@ -50,72 +50,72 @@
     """One datagram. Spoilt: it is none, or a value in it is out of range."""
     packet: Packet = _read(data, DATAGRAM_MOST, _packet)
     if len(packet.rumours) > RUMOURS_MOST or len(packet.rows) > ROWS_MOST:
-        raise Spoilt("too many")
+        raise MalformedPeerMessage("too many")
     if not (0 < packet.no < NUMBER_MOST and 0 <= packet.hash < 2**64 and 0 <= packet.roll < NUMBER_MOST):
-        raise Spoilt("number")
+        raise MalformedPeerMessage("number")
     body = packet.body
     if not 0 <= getattr(body, "seq", 0) < NUMBER_MOST:
-        raise Spoilt("number")
+        raise MalformedPeerMessage("number")
     for name in (getattr(body, "name", "x"), getattr(body, "of", "x")):
-        if not good_name(name):
-            raise Spoilt("name")
-    if not good_address(getattr(body, "address", packet.me.address)):
-        raise Spoilt("address")
+        if not is_valid_name(name):
+            raise MalformedPeerMessage("name")
+    if not is_valid_address(getattr(body, "address", packet.me.address)):
+        raise MalformedPeerMessage("address")
     _check(packet.fleet, packet.me, packet.rumours, packet.rows)
     return packet
 
 
-def decode_sync(data: bytes) -> Sync:
+def decode_sync(data: bytes) -> ViewSync:
     """A whole view. Spoilt as above."""
-    sync: Sync = _read(data, STREAM_MOST, _sync)
+    sync: ViewSync = _read(data, STREAM_MOST, _sync)
     if len(sync.entries) > ENTRIES_MOST or len(sync.rows) > ENTRIES_MOST:
-        raise Spoilt("too many")
+        raise MalformedPeerMessage("too many")
     _check(sync.fleet, sync.me, sync.entries, sync.rows)
     return sync
 
 
 def _read(data: bytes, most: int, decoder: msgspec.msgpack.Decoder[Any]) -> Any:
     if len(data) > most:
-        raise Spoilt("oversized")
+        raise MalformedPeerMessage("oversized")
     if data[:3] != MAGIC[:3] or len(data) < HEAD:
-        raise Spoilt("no magic")
+        raise MalformedPeerMessage("no magic")
     if data[3] != VERSION:
-        raise OtherVersion("version")
+        raise UnsupportedPeerVersion("version")
     body = data[HEAD:]
     if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
-        raise Spoilt("checksum")
+        raise MalformedPeerMessage("checksum")
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise Spoilt("shape") from None
+        raise MalformedPeerMessage("shape") from None
 
 
-def _check(fleet: str, me: Rumour, rumours: tuple[Rumour, ...], rows: tuple[Row, ...]) -> None:
-    if not good_name(fleet):
-        raise Spoilt("name")
+def _check(fleet: str, me: MemberUpdate, rumours: tuple[MemberUpdate, ...], rows: tuple[ReachabilityRow, ...]) -> None:
+    if not is_valid_name(fleet):
+        raise MalformedPeerMessage("name")
     for rumour in (me, *rumours):
-        if not (good_name(rumour.name) and good_name(rumour.site) and (not rumour.by or good_name(rumour.by))):
-            raise Spoilt("name")
-        if not good_address(rumour.address):
-            raise Spoilt("address")
+        if not (is_valid_name(rumour.name) and is_valid_name(rumour.site) and (not rumour.by or is_valid_name(rumour.by))):
+            raise MalformedPeerMessage("name")
+        if not is_valid_address(rumour.address):
+            raise MalformedPeerMessage("address")
         if not (0 <= rumour.boot < NUMBER_MOST and 0 <= rumour.counter < NUMBER_MOST
-                and 0 <= rumour.age_ms <= 2**31 and 0 <= rumour.state <= State.LEFT):
-            raise Spoilt("number")
+                and 0 <= rumour.age_ms <= 2**31 and 0 <= rumour.state <= MemberState.LEFT):
+            raise MalformedPeerMessage("number")
     for row in rows:
-        if len(row.cannot) > CANNOT_MOST or not all(good_name(name) for name in (row.by, *(n for n, _ in row.cannot))):
-            raise Spoilt("row")
+        if len(row.cannot) > CANNOT_MOST or not all(is_valid_name(name) for name in (row.by, *(n for n, _ in row.cannot))):
+            raise MalformedPeerMessage("row")
         if not (0 <= row.boot < NUMBER_MOST and 0 <= row.no < NUMBER_MOST):
-            raise Spoilt("number")
+            raise MalformedPeerMessage("number")
 
 
 @lru_cache(maxsize=8192)
-def good_name(name: str) -> bool:
+def is_valid_name(name: str) -> bool:
     """Printable ASCII without spaces, 1 to 48 characters."""
     return _NAME.fullmatch(name) is not None
 
 
 @lru_cache(maxsize=8192)
-def good_address(address: str) -> bool:
+def is_valid_address(address: str) -> bool:
     """A.B.C.D:PORT, numbers only, as there is no DNS."""
     found = _ADDRESS.fullmatch(address)
     return found is not None and all(int(part) < 256 for part in found.groups()[:4]) and 0 < int(found[5]) < 65536
--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -28,11 +28,11 @@
 DEPTH = 16  # of structs and containers in each other
 
 
-class BadMessage(Exception):
+class MalformedMessage(Exception):
     """A message that can't be read, or that asks for nothing we know."""
 
 
-class BadCall(BadMessage):
+class MalformedCall(MalformedMessage):
     """A call whose head could be read, so that it can be answered, and whose arguments could not."""
 
     def __init__(self, name: str, seq: int, text: str) -> None:
@@ -40,7 +40,7 @@
         self.name, self.seq = name, seq
 
 
-class Message(NamedTuple):
+class ThriftMessage(NamedTuple):
     """One message; `args` holds type and value of each field of a known method."""
 
     name: str
@@ -54,24 +54,24 @@
         return found[1] if found and found[0] == kind else default
 
 
-def decode(frame: bytes) -> Message:
+def decode(frame: bytes) -> ThriftMessage:
     """A frame's message."""
     at = _Cursor(frame)
     version, kind, size = HEAD.unpack(at.take(8))
     if version != 0x8001:
-        raise BadMessage("not strict binary Thrift")
+        raise MalformedMessage("not strict binary Thrift")
     name = at.take(size).decode("ascii", "replace")
     seq: int = NUMBERS[I32].unpack(at.take(4))[0]
     try:
-        return Message(name, kind, seq, at.struct(DEPTH) if name in METHODS else None)
+        return ThriftMessage(name, kind, seq, at.struct(DEPTH) if name in METHODS else None)
     except KeyError as error:
         raise _unreadable(name, kind, seq, f"type {error} is unknown") from None
-    except BadMessage as error:
+    except MalformedMessage as error:
         raise _unreadable(name, kind, seq, str(error)) from None
 
 
-def _unreadable(name: str, kind: int, seq: int, text: str) -> BadMessage:
-    return BadCall(name, seq, text) if kind == CALL and name in METHODS - ONE_WAY else BadMessage(text)
+def _unreadable(name: str, kind: int, seq: int, text: str) -> MalformedMessage:
+    return MalformedCall(name, seq, text) if kind == CALL and name in METHODS - ONE_WAY else MalformedMessage(text)
 
 
 class _Cursor:
@@ -86,7 +86,7 @@
         """So many bytes. Guards against lengths that are negative or reach past the frame."""
         end = self.at + size
         if size < 0 or end > len(self.data):
-            raise BadMessage(f"length {size} does not fit the message")
+            raise MalformedMessage(f"length {size} does not fit the message")
         out = self.data[self.at:end]
         self.at = end
         return out
@@ -107,7 +107,7 @@
             shape = NUMBERS[kind]
             return shape.unpack(self.take(shape.size))[0]
         if depth <= 0:
-            raise BadMessage("nested too deep")
+            raise MalformedMessage("nested too deep")
         if kind == STRUCT:
             return self.struct(depth)
         if kind == MAP:
@@ -131,7 +131,7 @@
             length = SIZE(data, at)[0] if start <= end else -1
             at = start + length
             if length < 0 or at > end:
-                raise BadMessage(f"length {length} does not fit the message")
+                raise MalformedMessage(f"length {length} does not fit the message")
             words.append(data[start:at])
         self.at = at
         return dict(zip(words[::2], words[1::2], strict=True))
@@ -139,7 +139,7 @@
     def _fits(self, size: int) -> None:
         """Guards the core's time: every element takes a byte at least."""
         if not 0 <= size <= len(self.data) - self.at:
-            raise BadMessage(f"{size} elements do not fit the message")
+            raise MalformedMessage(f"{size} elements do not fit the message")
 
 
 def encode(name: str, kind: int, seq: int, body: Any) -> bytes:
--- a/myrtlespar/net/connections.py
+++ b/myrtlespar/net/connections.py
@@ -12,7 +12,7 @@
 from gevent import Greenlet, socket
 
 from myrtlespar.config import Address
-from myrtlespar.resource_limits import Limits
+from myrtlespar.resource_limits import ResourceLimits
 
 READ_BYTES = 16384  # at a time
 TRANSIENT = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
@@ -21,15 +21,15 @@
 LINES_AT_ONCE = 64  # read from what is here already, before others run
 
 
-class Closed(Exception):
+class ConnectionEnded(Exception):
     """The other side closed, or sent what can't be read."""
 
 
-class Ended(Closed):
+class PeerFinishedSending(ConnectionEnded):
     """The other side sends nothing more. It may still read."""
 
 
-class Unfinished(Exception):
+class ReadingStopped(Exception):
     """We stopped reading from a client that did not finish what it began."""
 
 
@@ -159,7 +159,7 @@
     return sock
 
 
-def accepted(sock: socket.socket, limits: Limits) -> None:
+def accepted(sock: socket.socket, limits: ResourceLimits) -> None:
     """What every accepted socket gets: no delays, and a bounded buffer for a peer that does not read."""
     with contextlib.suppress(OSError):  # it serves without them too
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -228,7 +228,7 @@
         while (end := self._data.find(b"\n", start)) < 0:
             start = len(self._data)
             if start > self._most:  # guards against a line without end
-                raise Closed("line too long")
+                raise ConnectionEnded("line too long")
             self._more()
         out = bytes(self._data[:end])
         del self._data[:end + 1]
@@ -239,11 +239,11 @@
             data = self._receive()
         except OSError as error:  # also a wait that was ended by `stop`
             if not self._stopped:
-                raise Closed(str(error)) from None
+                raise ConnectionEnded(str(error)) from None
         if self._stopped:
-            raise Unfinished("nothing, or part of a message, in all the time for one")
+            raise ReadingStopped("nothing, or part of a message, in all the time for one")
         if not data:
-            raise Ended("end of stream")
+            raise PeerFinishedSending("end of stream")
         self._data += data
 
     def _receive(self) -> bytes:
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -6,31 +6,39 @@
 import structlog
 
 from myrtlespar.config import Address, Config
-from myrtlespar.net.connections import Closed, Outbox, Reader, connect
-from myrtlespar.policy.messages import Outcome
-from myrtlespar.request_coordinator import Core
+from myrtlespar.net.connections import ConnectionEnded, Outbox, Reader, connect
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
-from myrtlespar.state_machines.dependency_calls import Bounds, Calls, Close, Connection, Open, Order, Send
+from myrtlespar.state_machines.dependency_calls import (
+    CallEffect,
+    CallLimits,
+    CloseConnection,
+    DependencyCalls,
+    DependencyConnection,
+    OpenConnection,
+    SendCall,
+)
 
 log = structlog.get_logger()
 # BUSY and VOID prove that the call never ran; ERR and LATE prove nothing.
-ENDS = {b"OK": Outcome.OK, b"BUSY": Outcome.REJECTED, b"ERR": Outcome.ERROR, b"LATE": Outcome.TIMED_OUT,
-        b"VOID": Outcome.MOOT}
+ENDS = {b"OK": RunOutcome.OK, b"BUSY": RunOutcome.REJECTED, b"ERR": RunOutcome.ERROR, b"LATE": RunOutcome.TIMED_OUT,
+        b"VOID": RunOutcome.MOOT}
 
 
-class Spoilt(Exception):
+class MalformedReply(Exception):
     """The store sent what can't be read: nothing more on this connection means anything."""
 
 
-class Store:
+class DependencyClient:
     """The dependency that runs call."""
 
-    def __init__(self, config: Config, core: Core) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator) -> None:
         self.core, self.limits = core, config.limits
         self._address = config.store
-        self._links: dict[Connection, tuple[Outbox, Reader]] = {}
+        self._links: dict[DependencyConnection, tuple[Outbox, Reader]] = {}
         limits = config.limits
-        self.book = Calls(Bounds(limits.store_links, limits.store_calls, limits.store_trust_ms,
+        self.book = DependencyCalls(CallLimits(limits.store_links, limits.store_calls, limits.store_trust_ms,
                                  limits.store_served, limits.store_grace_ms), self._quiet)
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
@@ -49,21 +57,21 @@
             self._address = address
             self._carry(self.book.move())
 
-    def _quiet(self, wire: Connection) -> bool:
+    def _quiet(self, wire: DependencyConnection) -> bool:
         return not self._links[wire][1].pending()
 
-    def _carry(self, orders: list[Order]) -> None:
+    def _carry(self, orders: list[CallEffect]) -> None:
         """Carry out what the book says."""
         for order in orders:
-            if isinstance(order, Open):
+            if isinstance(order, OpenConnection):
                 gevent.spawn(self._open, order.wire, self._address)
-            elif isinstance(order, Send):
+            elif isinstance(order, SendCall):
                 call = order.call
                 left = int(max(1.0, min(call.made + call.limit_ms - unix_ms(), self.limits.store_longest_ms)))
                 # If it can't be written the reader sees the connection's end, and so does the call.
                 self._links[order.wire][0].put(
                     b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body))
-            elif isinstance(order, Close):
+            elif isinstance(order, CloseConnection):
                 outbox = self._links[order.wire][0]
                 if order.drop:
                     outbox.put(b"DROP %s\r\n" % order.drop.encode())
@@ -73,7 +81,7 @@
 
     # One greenlet a connection.
 
-    def _open(self, wire: Connection, address: Address | None) -> None:
+    def _open(self, wire: DependencyConnection, address: Address | None) -> None:
         if address is None:  # a site without a store: no call ever runs
             return self._carry(self.book.refused(wire))
         try:
@@ -88,9 +96,9 @@
             self._carry(self.book.opened(wire, unix_ms()))
             while True:
                 self._reply(wire, reader)
-        except Closed as error:
+        except ConnectionEnded as error:
             self._broken(wire, "reset", str(error))
-        except Spoilt as error:
+        except MalformedReply as error:
             self._broken(wire, "spoilt", str(error)[:200])
         finally:
             outbox.close()
@@ -98,19 +106,19 @@
             del self._links[wire]
             self._carry(self.book.broken(wire))
 
-    def _broken(self, wire: Connection, how: str, error: str) -> None:
+    def _broken(self, wire: DependencyConnection, how: str, error: str) -> None:
         if wire.call is not None and self.core.counters.rare(f"store.{how}"):
             log.info("store broke a call", how=how, error=error, id=wire.call.id,
                      rested_ms=round(wire.rested))
 
-    def _reply(self, wire: Connection, reader: Reader) -> None:
+    def _reply(self, wire: DependencyConnection, reader: Reader) -> None:
         """Read one reply. Those to others, such as second copies, are passed over."""
         text = reader.line()
         words = text.removesuffix(b"\r").split(b" ")
         end = ENDS.get(words[1]) if len(words) == (3 if words[1:2] == [b"OK"] else 2) else None
         if end is None or not text.endswith(b"\r"):
-            raise Spoilt(f"line {text[:80]!r}")
-        body = self._body(reader, words[2]) if end is Outcome.OK else b""
+            raise MalformedReply(f"line {text[:80]!r}")
+        body = self._body(reader, words[2]) if end is RunOutcome.OK else b""
         orders = self.book.reply(wire, words[0].decode("latin-1"), end, body, unix_ms())
         if orders is None:
             self.core.counters.add("store.stray")
@@ -120,10 +128,10 @@
     def _body(self, reader: Reader, size: bytes) -> bytes:
         # Guards memory against lengths that fill it, and runs against a reply of another length than told.
         if not size.isdigit() or len(size) > 9 or int(size) > self.limits.store_reply:
-            raise Spoilt(f"reply of {size[:20]!r} bytes")
+            raise MalformedReply(f"reply of {size[:20]!r} bytes")
         data = reader.exactly(int(size) + 2)
         if not data.endswith(b"\r\n"):
-            raise Spoilt("reply of another length than told")
+            raise MalformedReply("reply of another length than told")
         return data[:-2]
 
     def serve(self) -> None:
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -11,10 +11,10 @@
 import structlog
 
 from myrtlespar.config import Address, Config
-from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.net.connections import Closed, Outbox, Reader, connect
-from myrtlespar.policy.messages import Effect, Outcome
-from myrtlespar.request_coordinator import Core
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.net.connections import ConnectionEnded, Outbox, Reader, connect
+from myrtlespar.policy.messages import Effect, RunOutcome
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.state_machines.attempts import STARTED
 from myrtlespar.state_machines.engine_link import (
@@ -22,17 +22,17 @@
     NEXT,
     RENUMBERED,
     Command,
-    Commands,
-    End,
-    Greet,
-    Mark,
-    Order,
-    Write,
+    CommandLog,
+    EndRun,
+    LinkEffect,
+    RequestMark,
+    SendOpen,
+    WriteCommand,
 )
 from myrtlespar.state_machines.request_tracker import NEVER_RAN
 
 log = structlog.get_logger()
-ENDS = {"PASS": Outcome.OK, "FAIL": Outcome.ERROR, "KILLED": Outcome.STOPPED, "NOOP": Outcome.MOOT}
+ENDS = {"PASS": RunOutcome.OK, "FAIL": RunOutcome.ERROR, "KILLED": RunOutcome.STOPPED, "NOOP": RunOutcome.MOOT}
 
 
 def line(**fields: Any) -> bytes:
@@ -49,15 +49,15 @@
     return number
 
 
-class Kernel:
+class EngineClient:
     """Engine and gauges for the core."""
 
-    def __init__(self, config: Config, core: Core) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator) -> None:
         self.config, self.core, self.limits = config, core, config.limits
         self.up = False
         self._address = config.kernel
         self._routes = [json.dumps(name).encode() for name in config.class_names]
-        self.book = Commands(core.desk.wanted, config.limits.kernel_marks)
+        self.book = CommandLog(core.tracker.wanted, config.limits.kernel_marks)
         self._booted: float | None = None
         self._link: Outbox | None = None
         self._heard = 0.0
@@ -95,27 +95,27 @@
             return
         self._address = address
         orders = self.book.move()
-        if self._link is not None and any(isinstance(order, Mark) for order in orders):
+        if self._link is not None and any(isinstance(order, RequestMark) for order in orders):
             # Guards against an old kernel that does not answer the last mark.
             gevent.spawn_later(self.limits.move_ms / 1000.0, self._link.close)
         self._carry(orders)
 
-    def _carry(self, orders: list[Order]) -> None:
+    def _carry(self, orders: list[LinkEffect]) -> None:
         """Carry out what the book says."""
         for order in orders:
-            if isinstance(order, End):
+            if isinstance(order, EndRun):
                 self.core.counters.add("kernel.given_up")
-                self.core.ended(order.rid, Outcome.MOOT, 0.0)
+                self.core.ended(order.rid, RunOutcome.MOOT, 0.0)
             elif self._link is None:
                 continue
-            elif isinstance(order, Write):
+            elif isinstance(order, WriteCommand):
                 if not self._link.put(order.command.line):  # none of it left: nothing can be lost
                     self.book.unsent(order.command)
                 elif order.command.start:
                     self._started_here.add(order.command.rid)
-            elif isinstance(order, Mark):
+            elif isinstance(order, RequestMark):
                 self._link.put(line(t="SYSINFO", mark=order.name))
-            elif isinstance(order, Greet):
+            elif isinstance(order, SendOpen):
                 self._link.put(line(t="OPEN", no=order.last))
             else:
                 self._link.close()
@@ -128,7 +128,7 @@
             began = unix_ms()
             try:
                 self._connect()
-            except (OSError, Closed) as error:
+            except (OSError, ConnectionEnded) as error:
                 if self.core.counters.rare("kernel.link_ended"):  # a kernel that is down is tried again very often
                     log.info("kernel link", error=str(error))
             except (ValueError, TypeError, OverflowError) as error:  # guards against numbers that are none
@@ -147,7 +147,7 @@
         if address != self._address:  # guards against staying at an address that a reload gave up meanwhile
             self.core.counters.add("kernel.moved_meanwhile")
             sock.close()
-            raise Closed("moved while it was reached")
+            raise ConnectionEnded("moved while it was reached")
         self.core.counters.add("kernel.link")
         self._opened_at = unix_ms()
         self._started_here.clear()
@@ -161,7 +161,7 @@
                 notice = self._parse(reader.line())
                 if not notice and not self.book.in_step:
                     # Guards against waiting for good for a greeting or mark that was lost in that line.
-                    raise Closed("unreadable line before the link was in step")
+                    raise ConnectionEnded("unreadable line before the link was in step")
                 if notice.get("t") == "BOOTED" and not booted:
                     booted = True
                     self._boot(notice)
@@ -178,7 +178,7 @@
                     kind = self.book.numbered(number)
                 if kind == GAP:  # guards against notices lost on the way
                     self.core.counters.add("kernel.gap")
-                    raise Closed(f"notice {number} after {self.book.last}")
+                    raise ConnectionEnded(f"notice {number} after {self.book.last}")
                 if kind == NEXT:  # guards against handling a notice twice
                     self._numbered(notice)
         finally:
@@ -222,12 +222,12 @@
         """Another kernel. Guards against waiting for runs that died with the one they ran in."""
         log.warning("the kernel started anew")
         for id in self._lost():
-            self.core.ended(id, Outcome.ERROR, 0.0)
+            self.core.ended(id, RunOutcome.ERROR, 0.0)
 
     def _lost(self) -> list[str]:
         """All runs of the kernel that is gone. What was kept for a link is sent to the new one."""
         self.book.restarted()
-        return [id for id, exchange in self.core.desk.open.items()
+        return [id for id, exchange in self.core.tracker.open.items()
                 if exchange.state in STARTED and not exchange.target and id not in self.book.open
                 and id not in self._started_here]
 
@@ -250,7 +250,7 @@
                 self.book.settled(str(notice.get("rid")))
                 self._started_here.discard(str(notice.get("rid")))
                 # Nothing was started. Guards against clients whose made-up ids would look like failing runs.
-                self.core.ended(str(notice.get("rid")), Outcome.MOOT, 0.0)
+                self.core.ended(str(notice.get("rid")), RunOutcome.MOOT, 0.0)
 
     def _numbered(self, notice: dict[str, Any]) -> None:
         kind, rid = notice.get("t"), str(notice.get("rid"))
@@ -262,8 +262,8 @@
                 elapsed = max(0.0, _finite(notice.get("time_ms", 0.0)))
                 body = base64.b64decode(notice.get("b64", ""), validate=True)
                 self.core.counters.add(f"kernel.{notice['status'].lower()}")
-                result = Answer(Kind.SERVED, body) if outcome is Outcome.OK else None
-                if outcome is Outcome.MOOT:  # it never ran: a repeat of its key may, so the key is free again
+                result = Answer(AnswerKind.SERVED, body) if outcome is RunOutcome.OK else None
+                if outcome is RunOutcome.MOOT:  # it never ran: a repeat of its key may, so the key is free again
                     result = NEVER_RAN
                 self.core.ended(rid, outcome, elapsed, result)
             elif kind == "IOREQ":
@@ -273,7 +273,7 @@
             if self.core.counters.rare("kernel.bad_notice"):
                 log.error("notice can't be read", error=f"{type(error).__name__}: {error}"[:200])
             if kind == "REAP":  # it is over all the same, and nobody knows how
-                self.core.ended(rid, Outcome.ERROR, 0.0)
+                self.core.ended(rid, RunOutcome.ERROR, 0.0)
 
     def _info(self, notice: dict[str, Any]) -> None:
         orders, values = self.book.informed(str(notice.get("mark", ""))), notice.get("v")
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -12,10 +12,10 @@
 import grpc
 
 from myrtlespar.net.codec.etcd import DELETE, EQUAL, METHODS, TARGET_CREATE, TARGET_LEASE, TYPES
-from myrtlespar.quota.lease_session import Do, Reply, Request
+from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
 
-class Etcd:
+class EtcdClient:
     """One channel. `prefix` names the fleet's keys; `freed` is called in the loop with a range whose key is gone."""
 
     def __init__(self, address: str, prefix: str, name: str, ttl_s: int, timeout_s: float,
@@ -34,32 +34,32 @@
         self._pool = gevent.get_hub().threadpool
         self._hub_call = gevent.get_hub().loop.run_callback_threadsafe
 
-    def carry(self, request: Request) -> Reply | None:
+    def carry(self, request: EngineRequest) -> EngineReply | None:
         """One request to its answer. Waits, in the calling greenlet only."""
-        reply: Reply | None = self._pool.apply(self._do, (request,))
+        reply: EngineReply | None = self._pool.apply(self._do, (request,))
         return reply
 
-    def _do(self, request: Request) -> Reply | None:
+    def _do(self, request: EngineRequest) -> EngineReply | None:
         try:
-            if request.do is Do.GRANT:
+            if request.do is EngineOperation.GRANT:
                 got = self._calls["grant"](TYPES["LeaseGrantRequest"](TTL=self.ttl_s), timeout=self.timeout_s)
-                return Reply(lease=got.ID, ttl_ms=got.TTL * 1000.0)
-            if request.do is Do.KEEP:
+                return EngineReply(lease=got.ID, ttl_ms=got.TTL * 1000.0)
+            if request.do is EngineOperation.KEEP:
                 ask = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease)])
                 got = next(self._calls["keep_alive"](ask, timeout=self.timeout_s))
-                return Reply(ttl_ms=got.TTL * 1000.0)
-            return self._take(request) if request.do is Do.TAKE else self._drop(request)
+                return EngineReply(ttl_ms=got.TTL * 1000.0)
+            return self._take(request) if request.do is EngineOperation.TAKE else self._drop(request)
         except (grpc.RpcError, StopIteration) as error:
             code = error.code().name.lower() if isinstance(error, grpc.Call) else "ended"
-            if code == "not_found" and request.do is not Do.GRANT:  # the lease is gone
-                return Reply(ttl_ms=0.0) if request.do is Do.KEEP else Reply()
+            if code == "not_found" and request.do is not EngineOperation.GRANT:  # the lease is gone
+                return EngineReply(ttl_ms=0.0) if request.do is EngineOperation.KEEP else EngineReply()
             self.failed(code)
             return None
 
     def _key(self, rng: int) -> bytes:
         return f"{self.prefix}{rng}".encode()
 
-    def _take(self, request: Request) -> Reply:
+    def _take(self, request: EngineRequest) -> EngineReply:
         """Make the key if there is none; if there is one, whose?"""
         key = self._key(request.rng)
         txn = TYPES["TxnRequest"]()
@@ -69,18 +69,18 @@
         txn.failure.add().request_range.key = key
         got = self._calls["txn"](txn, timeout=self.timeout_s)
         if got.succeeded:
-            return Reply(epoch=got.header.revision)
+            return EngineReply(epoch=got.header.revision)
         for row in got.responses[0].response_range.kvs if got.responses else ():
             if row.lease == request.lease:  # an earlier try whose answer was lost
-                return Reply(epoch=row.create_revision)
-        return Reply()
+                return EngineReply(epoch=row.create_revision)
+        return EngineReply()
 
-    def _drop(self, request: Request) -> Reply:
+    def _drop(self, request: EngineRequest) -> EngineReply:
         txn, key = TYPES["TxnRequest"](), self._key(request.rng)
         txn.compare.add(result=EQUAL, target=TARGET_LEASE, key=key, lease=request.lease)
         txn.success.add().request_delete_range.key = key
         self._calls["txn"](txn, timeout=self.timeout_s)
-        return Reply()
+        return EngineReply()
 
     def revoke(self, lease: int) -> None:
         """End the lease, if the engine can be reached: all that hangs on it is free at once."""
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -14,8 +14,8 @@
 from myrtlespar.config import Address
 from myrtlespar.net.client_connection import ClientConnection
 from myrtlespar.net.connections import OutboxBudget, accepted
-from myrtlespar.request_coordinator import Core
-from myrtlespar.resource_limits import Limits
+from myrtlespar.request_coordinator import RequestCoordinator
+from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.supervision import run_for_good
 
@@ -26,10 +26,10 @@
 LOOK_S = 0.005  # between looks whether all connections are over
 
 
-Link = TypeVar("Link", bound=ClientConnection)
+ConnectionType = TypeVar("ConnectionType", bound=ClientConnection)
 
 
-class AddressTaken(Exception):
+class AddressInUse(Exception):
     """An address could not be listened on; one line that names its key."""
 
 
@@ -51,17 +51,17 @@
             raise
 
 
-class Listener(Generic[Link]):
+class Listener(Generic[ConnectionType]):
     """Accepts connections for one front."""
 
-    def __init__(self, name: str, key: str, address: Address, core: Core, most: int,
-                 link: Callable[[socket.socket], Link], give_up: Callable[[], bool]) -> None:
+    def __init__(self, name: str, key: str, address: Address, core: RequestCoordinator, most: int,
+                 link: Callable[[socket.socket], ConnectionType], give_up: Callable[[], bool]) -> None:
         """`key` is the address's in the configuration; `give_up` tells whether waiting for it has become idle."""
         self.name, self.core, self.most, self.link = name, core, most, link
-        self.links: set[Link] = set()
+        self.links: set[ConnectionType] = set()
         self.unsent = OutboxBudget(core.limits.outboxes_bytes)
         self.idle_ms = 0.0  # the module's wish; 0 leaves it to the clients
-        self._unfinished: dict[Link, tuple[int, float]] = {}  # messages read, time without more
+        self._unfinished: dict[ConnectionType, tuple[int, float]] = {}  # messages read, time without more
         self._socket = bind_in_time(key, address, 0, True, core.limits.bind_ms, core.limits, give_up)
         self._server = Acceptor(self._socket, self._serve)
         self._server.make_room = self._close_idlest
@@ -138,7 +138,7 @@
                 elif not link.messages or link.reader.begun():
                     self._close_silent(link, *before.get(link, (link.messages, 0.0)))
 
-    def _close_silent(self, link: Link, messages: int, waited_ms: float) -> None:
+    def _close_silent(self, link: ConnectionType, messages: int, waited_ms: float) -> None:
         """Close a connection that has finished no message for too long. Guards places against such clients; what has
         just come is read first."""
         limits = self.core.limits
@@ -149,7 +149,7 @@
         else:
             self._unfinished[link] = (link.messages, waited_ms)
 
-    def close_idle(self, link: Link) -> None:
+    def close_idle(self, link: ConnectionType) -> None:
         """Close a connection that carries nothing."""
         self.core.counters.add(f"in.idle_closed.{self.name}")
         self.links.discard(link)
@@ -163,7 +163,7 @@
         link.outbox.drained(self.core.limits.send_ms / 1000.0)
 
     @staticmethod
-    def _free(link: Link) -> bool:
+    def _free(link: ConnectionType) -> bool:
         """Whether it carries nothing. Guards a request that has come and was not read yet against our close."""
         return not link.owes() and not link.reader.pending()
 
@@ -203,7 +203,7 @@
             self.links.discard(link)
 
 
-def bind_in_time(key: str, address: Address, backlog: int, shared: bool, for_ms: float, limits: Limits,
+def bind_in_time(key: str, address: Address, backlog: int, shared: bool, for_ms: float, limits: ResourceLimits,
                  give_up: Callable[[], bool]) -> socket.socket:
     """A bound socket. Guards a start against what an earlier life left at the address for a moment: a process that
     is still ending, or a connection that happens to have this port."""
@@ -213,7 +213,7 @@
             return bound(address, backlog, shared)
         except OSError as error:
             if unix_ms() > until or give_up():
-                raise AddressTaken(f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}") from None
+                raise AddressInUse(f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}") from None
         gevent.sleep(limits.bind_again_ms / 1000.0)
 
 
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -18,15 +18,23 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from myrtlespar.membership.dissemination import Bucket
+from myrtlespar.membership.dissemination import TokenBucket
 from myrtlespar.membership.member import Member
-from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Send, Stands, Sync
+from myrtlespar.membership.messages import (
+    CountEvent,
+    MemberChanged,
+    MembershipEffect,
+    QuorumChanged,
+    RequestSync,
+    SendPacket,
+    ViewSync,
+)
 from myrtlespar.net.codec.peer import (
     BESIDE,
     HEAD,
     STREAM_MOST,
-    OtherVersion,
-    Spoilt,
+    MalformedPeerMessage,
+    UnsupportedPeerVersion,
     beside,
     decode,
     decode_sync,
@@ -47,15 +55,15 @@
     return time.monotonic() * 1000.0
 
 
-class Taken(Exception):
+class PeerAddressInUse(Exception):
     """The address to listen on is in use by another program."""
 
 
-class Peers:
+class PeerTransport:
     """Sockets and greenlets for one machine, made by `make` once the address is ours."""
 
     def __init__(self, bind: str, fleet: str, name: str, per_s: int, counters: Counters,
-                 make: Callable[[float], Member], changed: Callable[[Changed | Stands | Note], None]) -> None:
+                 make: Callable[[float], Member], changed: Callable[[MemberChanged | QuorumChanged | CountEvent], None]) -> None:
         self.address, self.fleet, self.name, self.counters = split(bind), fleet, name, counters
         self.make, self.changed = make, changed
         self.others: dict[bytes, Callable[[bytes, float], None]] = {}  # datagrams of other parts, by their magic
@@ -64,7 +72,7 @@
         self.latest_late = 0.0
         self._beside = beside(fleet, name)
         self._successor_at = float("-inf")
-        self._bucket = Bucket(per_s, monotonic_ms())
+        self._bucket = TokenBucket(per_s, monotonic_ms())
         self._sock: plain.socket | None = None  # never waits by itself: reader and clock both take from it
         self._server: StreamServer | None = None
         self._tasks: list[gevent.Greenlet] = []
@@ -81,7 +89,7 @@
             self._begin()
             return
         if not self._old_answers(wait_s):
-            raise Taken
+            raise PeerAddressInUse
         if self.member is None:
             log.info("fleet: an old process has the address, waiting for it")
             self._tasks.append(gevent.spawn(self._take_over))
@@ -226,9 +234,9 @@
             return other(data, now)
         try:
             packet = decode(data)
-        except OtherVersion:
+        except UnsupportedPeerVersion:
             return self.counters.add("peers.other_version")
-        except Spoilt as why:
+        except MalformedPeerMessage as why:
             return self.counters.add(f"peers.spoilt.{str(why).replace(' ', '_')}")
         assert self.member is not None
         self._carry(self.member.receive(now, packet))
@@ -245,18 +253,18 @@
 
     # Effects.
 
-    def _carry(self, effects: list[Effect]) -> None:
+    def _carry(self, effects: list[MembershipEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendPacket):
                 self._send(effect)
-            elif isinstance(effect, Ask):
+            elif isinstance(effect, RequestSync):
                 if self._asking >= EXCHANGES:
                     self.counters.add("peers.exchange_spared")
                     continue
                 self._asking += 1
                 gevent.spawn(self._ask, effect)
             else:
-                if isinstance(effect, Note):
+                if isinstance(effect, CountEvent):
                     self.counters.add(f"fleet.{effect.what}")
                 self.changed(effect)
         self._moved.set()
@@ -267,7 +275,7 @@
         if entry is not None:
             self._put(data, entry.rumour.address)
 
-    def _send(self, effect: Send) -> None:
+    def _send(self, effect: SendPacket) -> None:
         self._put(encode(effect.packet), effect.address)
 
     def _put(self, data: bytes, address: str) -> None:
@@ -279,7 +287,7 @@
         except OSError:  # a full buffer, an address that can't be: as good as lost
             self.counters.add("peers.unsent")
 
-    def _ask(self, effect: Ask) -> None:
+    def _ask(self, effect: RequestSync) -> None:
         try:
             with gevent.Timeout(EXCHANGE_S, TimeoutError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
                 sock.bind((self.address[0], 0))
@@ -288,8 +296,8 @@
                 reply = self._whole(sock)
             if self.member is not None and self._sock is not None:
                 self._carry(self.member.synced(monotonic_ms(), reply))
-        except (OSError, Spoilt) as error:
-            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, Spoilt) else 'failed'}")
+        except (OSError, MalformedPeerMessage) as error:
+            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessage) else 'failed'}")
         finally:
             self._asking -= 1
 
@@ -308,20 +316,20 @@
                 self._carry(effects)
                 if reply is not None:
                     self._write(sock, reply)
-        except (OSError, Spoilt) as error:
-            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, Spoilt) else 'failed'}")
+        except (OSError, MalformedPeerMessage) as error:
+            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessage) else 'failed'}")
         finally:
             self._answering -= 1
 
-    def _write(self, sock: socket.socket, sync: Sync) -> None:
+    def _write(self, sock: socket.socket, sync: ViewSync) -> None:
         data = encode(sync)
         sock.sendall(len(data).to_bytes(4, "big") + data)
         self.sent_bytes += len(data) + 4
 
-    def _whole(self, sock: socket.socket) -> Sync:
+    def _whole(self, sock: socket.socket) -> ViewSync:
         size = int.from_bytes(_exactly(sock, 4), "big")
         if not HEAD < size <= STREAM_MOST:
-            raise Spoilt("length")
+            raise MalformedPeerMessage("length")
         self.read_bytes += size + 4
         return decode_sync(_exactly(sock, size))
 
@@ -331,6 +339,6 @@
     while len(out) < size:
         data = sock.recv(min(65536, size - len(out)))
         if not data:
-            raise Spoilt("torn")
+            raise MalformedPeerMessage("torn")
         out += data
     return bytes(out)
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -13,14 +13,14 @@
 
 from myrtlespar.config import Address, Config
 from myrtlespar.net.connections import connect
-from myrtlespar.net.engine_client import Kernel
-from myrtlespar.request_coordinator import Core
+from myrtlespar.net.engine_client import EngineClient
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
 
 
-class Reply:
+class ReportReply:
     """Parses one answer."""
 
     def __init__(self) -> None:
@@ -39,10 +39,10 @@
             f"Content-Length: {len(body)}\r\n\r\n{body}").encode()
 
 
-class Roster:
+class RegistryClient:
     """One greenlet that reports well inside the time after which the roster forgets."""
 
-    def __init__(self, config: Config, core: Core, kernel: Kernel) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator, kernel: EngineClient) -> None:
         self.config, self.core, self.kernel, self.limits = config, core, kernel, config.limits
         self._sock: socket.socket | None = None
         self._address = config.roster
@@ -90,7 +90,7 @@
         if self._sock is None:
             self._sock = connect(self._address, self.limits.connect_ms)
         self._sock.sendall(report(self.config.name, duty))
-        reply, left = Reply(), self.limits.report_reply
+        reply, left = ReportReply(), self.limits.report_reply
         while not reply.done:
             data = self._sock.recv(4096)
             left -= len(data)
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -10,21 +10,21 @@
 from gevent import socket
 
 from myrtlespar.config import Config
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.client_connection import ClientConnection
 from myrtlespar.net.codec import thrift as wire
-from myrtlespar.net.codec.thrift import PROTOCOL_ERROR, UNKNOWN_METHOD, BadCall, BadMessage, idl
-from myrtlespar.net.connections import Closed, Ended, Unfinished
+from myrtlespar.net.codec.thrift import PROTOCOL_ERROR, UNKNOWN_METHOD, MalformedCall, MalformedMessage, idl
+from myrtlespar.net.connections import ConnectionEnded, PeerFinishedSending, ReadingStopped
 from myrtlespar.net.listener import Listener
 from myrtlespar.policy.messages import Effect, Signal
-from myrtlespar.request_coordinator import Core
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms, wall_ms
-from myrtlespar.state_machines.client_connection import Be, Conn
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
 
 log = structlog.get_logger()
 TOKEN, KEY_CHARS = "token", 200  # the field that the tries of one guarded request share
 # Bound once: looking a member up in its class costs as much as a step of a table.
-REQUEST, ANSWERED, LAST_ANSWERED = Be.REQUEST, Be.ANSWERED, Be.LAST_ANSWERED
+REQUEST, ANSWERED, LAST_ANSWERED = ConnectionEvent.REQUEST, ConnectionEvent.ANSWERED, ConnectionEvent.LAST_ANSWERED
 
 
 def _text(fields: dict[bytes, Any], name: str) -> str:
@@ -32,7 +32,7 @@
     try:
         return str(value, "utf-8")  # classes are named as in the settings, in any language
     except (TypeError, UnicodeDecodeError):
-        raise BadMessage(f"field {name} is no text") from None
+        raise MalformedMessage(f"field {name} is no text") from None
 
 
 def _number(fields: dict[bytes, Any], name: str, default: float, low: float, high: float) -> float:
@@ -40,22 +40,22 @@
     try:
         value = float(text) if text else default
     except ValueError:
-        raise BadMessage(f"field {name} is no number") from None
+        raise MalformedMessage(f"field {name} is no number") from None
     if not low <= value <= high:
-        raise BadMessage(f"field {name} is out of range")
+        raise MalformedMessage(f"field {name} is out of range")
     return value
 
 
-class ThriftFront(Listener["Link"]):
+class ThriftFront(Listener["ThriftConnection"]):
     """Listens for client proxies."""
 
-    def __init__(self, config: Config, core: Core, give_up: Callable[[], bool]) -> None:
+    def __init__(self, config: Config, core: RequestCoordinator, give_up: Callable[[], bool]) -> None:
         self.config, self.limits = config, config.limits
         self.silent = config.settings.signal is Signal.NONE
         self.serial = 0  # of the connections
         self.classes = {name: n for n, name in enumerate(config.class_names)}
         most = self.limits.connections * 3 // 4 if config.ajp.listen else self.limits.connections
-        super().__init__("thrift", "listen", config.listen, core, most, lambda sock: Link(self, sock), give_up)
+        super().__init__("thrift", "listen", config.listen, core, most, lambda sock: ThriftConnection(self, sock), give_up)
 
     def drain(self) -> None:
         """Ask every client to send nothing new on its open connections."""
@@ -64,7 +64,7 @@
             link.outbox.put(wire.encode("shutdown", wire.ONEWAY, 0, idl.Front.ping_args()))
 
 
-class Link(ClientConnection):
+class ThriftConnection(ClientConnection):
     """One client's connection."""
 
     def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
@@ -77,7 +77,7 @@
 
     def owes(self) -> bool:
         """Whether a request on it is not answered yet."""
-        return self.conn.state in (Conn.OWING, Conn.ENDING)
+        return self.conn.state in (ConnectionState.OWING, ConnectionState.ENDING)
 
     def _abandon(self) -> None:
         for exchange in list(self.open.values()):
@@ -94,7 +94,7 @@
             while self._takes():
                 size = int.from_bytes(self.reader.exactly(4), "big")
                 if not 0 < size <= self.front.limits.frame_bytes:  # guards against a length that fills memory
-                    raise BadMessage(f"frame of {size} bytes")
+                    raise MalformedMessage(f"frame of {size} bytes")
                 frame, before = self.reader.exactly(size), self.bad
                 if not self._takes():  # it came while we closed, and could still be read
                     self.core.counters.add("in.behind_close.thrift")
@@ -103,23 +103,23 @@
                 if self.bad == before:
                     self.bad = 0
                 elif self.bad >= self.front.limits.bad_most:  # guards the core's time against a flood
-                    raise BadMessage("too many messages that could not be taken")
+                    raise MalformedMessage("too many messages that could not be taken")
                 self.reader.breathe()
-        except Ended:  # guards clients that close one direction: all that was read is still answered
+        except PeerFinishedSending:  # guards clients that close one direction: all that was read is still answered
             if self.owes():
                 self.core.counters.add("in.half_closed.thrift")
-            self._be(Be.SPOILT)
+            self._be(ConnectionEvent.SPOILT)
             self._conclude(self)
-        except Closed:
+        except ConnectionEnded:
             pass
-        except (BadMessage, Unfinished) as error:
+        except (MalformedMessage, ReadingStopped) as error:
             if self.core.counters.rare("in.bad_message.thrift"):
                 log.info("client's message can't be read", error=str(error)[:200])
             # Only a call that stands alone under its number is answered: without one, or beside an open request of
             # that number, an exception would be an answer to what nobody asked, or a second one.
-            if isinstance(error, BadCall) and error.seq not in self.open:
+            if isinstance(error, MalformedCall) and error.seq not in self.open:
                 self._except(error.name, error.seq, PROTOCOL_ERROR, str(error)[:200])
-            self._be(Be.SPOILT)
+            self._be(ConnectionEvent.SPOILT)
             self._conclude(self)
         self._leave()
 
@@ -129,7 +129,7 @@
         message = wire.decode(frame)
         name, kind, seq = message.name, message.kind, message.seq
         if kind not in (wire.CALL, wire.ONEWAY):
-            raise BadMessage(f"message type {kind}")
+            raise MalformedMessage(f"message type {kind}")
         if message.args is None:
             if kind == wire.CALL:
                 self._except(name, seq, UNKNOWN_METHOD, "unknown method")
@@ -144,12 +144,12 @@
             self._answered()
             self.core.gone(exchange)
 
-    def _invoke(self, seq: int, message: wire.Message) -> None:
+    def _invoke(self, seq: int, message: wire.ThriftMessage) -> None:
         if seq in self.open:  # guards against two open requests that no answer could tell apart
-            raise BadMessage(f"sequence number {seq} is in use")
+            raise MalformedMessage(f"sequence number {seq} is in use")
         try:
             exchange = self._exchange(seq, message.get(1, wire.MAP, {}), message.get(2, wire.STRING, b""))
-        except BadMessage as error:
+        except MalformedMessage as error:
             self.core.counters.add("in.bad_request.thrift")
             return self._except("invoke", seq, PROTOCOL_ERROR, str(error))
         if len(self.open) >= self.front.limits.open_requests:
@@ -167,11 +167,11 @@
     def _exchange(self, seq: int, fields: dict[bytes, Any], body: bytes) -> Exchange:
         cls, rid = self.front.classes.get(_text(fields, "method")), _text(fields, "rid")
         if cls is None:
-            raise BadMessage("unknown class in field method")
+            raise MalformedMessage("unknown class in field method")
         if not 0 < len(rid) <= 64 or not rid.isascii() or not rid.isalnum():
-            raise BadMessage("field rid is missing or malformed")
+            raise MalformedMessage("field rid is missing or malformed")
         if len(body) > self.front.limits.body_bytes:
-            raise BadMessage("body too long")
+            raise MalformedMessage("body too long")
         now, wall = unix_ms(), wall_ms()
         # Guards against a stamp from the future or the far past, which no due time could be counted from.
         arrived = now - max(0.0, wall - _number(fields, "t0", wall, wall - 3.6e6, wall + 3.6e6))
@@ -179,7 +179,7 @@
         exchange.kb = _number(fields, "mem", 20.0, 0.0, 2000.0)
         exchange.rank = _number(fields, "prio", 0.0, 0.0, 1.0)
         exchange.sender = int(_number(fields, "peer", 0, 0, 1e9))
-        exchange.again = _text(fields, "again") == "1"
+        exchange.is_retry = _text(fields, "again") == "1"
         exchange.key = self._key(fields, cls, exchange)
         return exchange
 
@@ -189,11 +189,11 @@
             return _text(fields, self.config.thrift_key)[:KEY_CHARS] if self.config.thrift_key else ""
         token = _text(fields, TOKEN)
         if len(token) > KEY_CHARS:  # cut short, two of them could be one
-            raise BadMessage(f"field {TOKEN} is too long")
+            raise MalformedMessage(f"field {TOKEN} is too long")
         if not token:
-            if exchange.again:  # guards against a second run of what an earlier try ran here
+            if exchange.is_retry:  # guards against a second run of what an earlier try ran here
                 self.core.counters.add("in.no_token.thrift")
-                raise BadMessage(f"field {TOKEN} is missing in a further try")
+                raise MalformedMessage(f"field {TOKEN} is missing in a further try")
             return ""
         # Guards a result, and the request itself, against others who have its token: what asks for something else
         # is another request.
@@ -201,10 +201,10 @@
 
     def _answer(self, seq: int, answer: Answer) -> None:
         self.used = unix_ms()
-        if answer.kind is Kind.SERVED and len(answer.body) <= self.front.limits.result_bytes:
+        if answer.kind is AnswerKind.SERVED and len(answer.body) <= self.front.limits.result_bytes:
             result = idl.Front.invoke_result(
                 success=idl.Answer(body=answer.body, fields=self._fields(), good=True))
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             more = {"backoff": str(max(1, round(answer.retry_after_ms)))} if answer.retry_after_ms > 0 else {}
             result = idl.Front.invoke_result(refused=idl.Backoff(
                 fields=self._fields(more | ({"final": "1"} if answer.last else {}))))
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -28,7 +28,7 @@
     WEIGHT = "weight"
 
 
-class Outcome(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run or a call ended."""
 
     OK = "ok"
@@ -43,16 +43,16 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests; `skip_worth` is the part of its worth left without the call."""
+    """One class of requests; `degraded_weight` is the part of its worth left without the call."""
 
-    aim_ms: float
-    give_up_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0
+    latency_objective_ms: float
+    client_timeout_ms: float
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     effect: Effect = Effect.SAFE
     window_ms: float = 0.0
     calls: bool = False
-    skip_worth: float = 0.0
+    degraded_weight: float = 0.0
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     cores: int
     memory_kb: float
     tenant_quotas: list[float] = field(default_factory=list)
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     servers: int = 1
     senders: int = 1
     tier: int = 0
@@ -82,13 +82,13 @@
     calls_over_ms: float = 1000.0
     linger_ms: float = 0.0
     passes_deadline: bool = False
-    tells_gone: bool = False
-    list_follows: bool = False
+    reports_cancellation: bool = False
+    discovery_follows_health: bool = False
     deep_checks: bool = False
     signal: Signal = Signal.NONE
     can_stop: bool = False
     marks_retries: bool = False
-    worth_by_work: bool = False
+    weight_by_work: bool = False
     heeded_ms: float = 1000.0
     caller_idle_ms: float = 15000.0
     max_retry_after_ms: float = 0.0
@@ -108,7 +108,7 @@
     sender: int = 0
     rank: float = 0.0
     prior: str = ""
-    further_try: bool = False
+    is_retry: bool = False
     cost_hint_ms: float = 0.0
 
 
@@ -117,7 +117,7 @@
     """A run, or an answer taken from another's result, is over."""
 
     id: str
-    outcome: Outcome
+    outcome: RunOutcome
     elapsed_ms: float = 0.0
 
 
@@ -133,7 +133,7 @@
     """A call came back; anything but OK leaves the run waiting at it."""
 
     id: str
-    outcome: Outcome
+    outcome: RunOutcome
     elapsed_ms: float = 0.0
 
 
@@ -170,7 +170,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: turned away, never ran."""
 
     id: str
@@ -267,40 +267,40 @@
 
 
 Action = (
-    Run | Refuse | Fail | Stop | Reuse | Keep | Forget | Call | SkipCall
+    Run | Reject | Fail | Stop | Reuse | Keep | Forget | Call | SkipCall
     | Advertise | SetHealth | CloseIdle | Wake | Log
 )
 
 
-class FleetPort(Protocol):
+class FleetLimitsPort(Protocol):
     """What the policy is told of limits that hold for the whole fleet. Nothing here ever waits."""
 
-    def room(self, id: str, cls: int, sender: int) -> float:
+    def admit(self, id: str, cls: int, sender: int) -> float:
         """0: there is room for this request, and it is taken. Otherwise in how many ms there may be."""
 
-    def wait(self, id: str, order: float) -> None:
+    def enqueue(self, id: str, order: float) -> None:
         """It is held until there is the room that it was just told of; the lowest order is first."""
 
-    def ready(self) -> list[str]:
+    def take_ready(self) -> list[str]:
         """Held ones that may ask for room again now."""
 
-    def next_ms(self) -> float:
+    def next_ready_ms(self) -> float:
         """In how long the first held one may have room; infinity if that is not known."""
 
-    def turned_away(self, id: str, after_ms: float) -> float:
+    def reject(self, id: str, after_ms: float) -> float:
         """It is refused for want of room: when its caller is to come back."""
 
-    def over(self, id: str) -> None:
+    def release(self, id: str) -> None:
         """A run that was given room has ended, or one that was held will never ask again."""
 
-    def call(self, id: str, cls: int) -> bool:
+    def admit_call(self, id: str, cls: int) -> bool:
         """Whether there is room for this run's call to the dependency; if so, it is taken."""
 
-    def called(self, id: str, after_ms: float) -> None:
+    def release_call(self, id: str, after_ms: float) -> None:
         """That call is over; the dependency may have it in hand for so long still."""
 
-    def tried(self, again: bool) -> bool:
+    def record_attempt(self, again: bool) -> bool:
         """A first try or a repeat was read. False: the fleet takes no more repeats now."""
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a caller that is refused now may be left free to try again."""
