--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.messages import Effect, Outcome, Signal
+from myrtlespar.policy.messages import Effect, RunOutcome, Signal
 
 TICK_MS = 50.0  # ms between housekeeping ticks; also at most half the answer slack, so no due time is missed
 OVERLOAD_AT = 0.25  # O, part of the tightest slack: later answers would start to pass their aim
@@ -55,10 +55,10 @@
 NEW, HELD, ASIDE, LATE, JOINED, RUNNING, AT_CALL, CALLING, OVER, ROOMLESS = range(10)
 FOR_ROOM = 1  # token of the ticks that are asked for only to start what the fleet has room for again
 STARTED = (RUNNING, AT_CALL, CALLING)
-NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.MOOT)
+NEVER_RAN = (RunOutcome.REJECTED, RunOutcome.UNREACHABLE, RunOutcome.MOOT)
 
 
-class Job:
+class HeldRequest:
     """One request that was read here, until its memory is free again."""
 
     def __init__(self, event: api.Arrival, now: float) -> None:
@@ -82,29 +82,29 @@
         self.now = self.born = self.last_tick = self.next_wake = self.room_wake = -1.0
         self.awake, self.still_ms, self.resumed = 0.0, 0.0, -math.inf
         self.out: list[api.Action] = []
-        self.jobs: dict[str, Job] = {}
-        self.due: list[tuple[float, int, Job]] = []
-        self.useless: list[tuple[float, int, Job]] = []
-        self.waits: list[tuple[float, int, Job]] = []
+        self.jobs: dict[str, HeldRequest] = {}
+        self.due: list[tuple[float, int, HeldRequest]] = []
+        self.useless: list[tuple[float, int, HeldRequest]] = []
+        self.waits: list[tuple[float, int, HeldRequest]] = []
         self.serial = self.lines = self.arrivals = 0
         self.bound_told = float("-inf")
         lanes = 2 * len(settings.classes)
-        self.hold: list[deque[Job]] = [deque() for _ in range(lanes)]
-        self.aside: list[deque[Job]] = [deque() for _ in range(lanes)]
-        self.late: deque[Job] = deque()
+        self.hold: list[deque[HeldRequest]] = [deque() for _ in range(lanes)]
+        self.aside: list[deque[HeldRequest]] = [deque() for _ in range(lanes)]
+        self.late: deque[HeldRequest] = deque()
         self.held, self.put_aside = [0.0] * lanes, [0.0] * lanes  # sums of sizes, exact: see _size
         self.hint_mean = [math.nan] * len(settings.classes)
         self.hint_spread, self.hint_cost = 1.0, 0.0  # of log hints; of them with log costs
-        self.at_call: deque[Job] = deque()
-        self.scale = max(0.01, min(1.0, min(c.aim_ms for c in settings.classes) / USUAL_AIM))
+        self.at_call: deque[HeldRequest] = deque()
+        self.scale = max(0.01, min(1.0, min(c.latency_objective_ms for c in settings.classes) / USUAL_AIM))
         part = INNER_AIM if settings.tier > 0 else 1.0
-        self.aim = [c.aim_ms * part for c in settings.classes]
+        self.aim = [c.latency_objective_ms * part for c in settings.classes]
         self.usual = [FIRST_COST * aim for aim in self.aim]
         self.elapsed = [2.0 * cost for cost in self.usual]
         self.runs_seen = [0] * len(settings.classes)
         self.pace = 1.0
         self.mean_cost = self.mean_worth = 0.0
-        self.fleet: api.FleetPort | None = None  # limits that hold for all servers together, where there are any
+        self.fleet: api.FleetLimitsPort | None = None  # limits that hold for all servers together, where there are any
         self.clock = 0.0  # core time given to each running request so far
         self.reading = 0.0
         self.on_core = self.waiters = 0
@@ -189,7 +189,7 @@
         # Twice the noise of chance arrivals: the few of a small share must not look like an overrun.
         return 1.0 + 2.0 * math.sqrt(SHARE_S * rate)
 
-    def _others_may(self, job: Job) -> bool:
+    def _others_may(self, job: HeldRequest) -> bool:
         """Others likely have room: this server cannot run its even part of the quotas, nor is asked for more.
 
         Guards against slow or cold servers that hold what faster ones would serve. Asked for far more, all
@@ -204,7 +204,7 @@
         """Asked for little more than its even part of the quotas: no flood, no overload of the fleet."""
         return 1000.0 < ASKED_MOST * self.even * self.gap_ms
 
-    def _size(self, job: Job) -> float:
+    def _size(self, job: HeldRequest) -> float:
         """Cost as a multiple of the class's mean, as far as hints have told costs of own runs apart.
 
         In sixteenths, so that sums of them are exact. Without hints or runs it is 1: the ordinary path."""
@@ -214,7 +214,7 @@
         trust = max(0.0, min(self.hint_cost / self.hint_spread, 1.0))
         return max(1.0, round(16 * math.exp(trust * max(-4.0, min(job.log_hint - mean, 4.0))))) / 16
 
-    def _learn_hint(self, job: Job, ratio: float) -> None:
+    def _learn_hint(self, job: HeldRequest, ratio: float) -> None:
         """How far hints predict: the slope of log costs over log hints, from none at the start."""
         if math.isnan(job.log_hint):
             return
@@ -229,18 +229,18 @@
         return self.usual[cls] * self.pace
 
     def _worth(self, lane: int) -> float:
-        return self.s.classes[lane >> 1].worth * (self.s.over_share_worth if lane & 1 else 1.0)
+        return self.s.classes[lane >> 1].priority_weight * (self.s.over_quota_weight if lane & 1 else 1.0)
 
     def _density(self, lane: int) -> float:
-        return self._worth(lane) / (1.0 if self.s.worth_by_work else max(0.001, self._cost(lane >> 1)))
+        return self._worth(lane) / (1.0 if self.s.weight_by_work else max(0.001, self._cost(lane >> 1)))
 
     def _costly(self, lane: int) -> bool:
         # Cost per worth well above what arrives on average, or the highest of all classes.
         worst = min(self._density(2 * cls) for cls in range(len(self.s.classes)))
-        mean = self.mean_worth / (1.0 if self.s.worth_by_work else max(0.001, self.mean_cost))
+        mean = self.mean_worth / (1.0 if self.s.weight_by_work else max(0.001, self.mean_cost))
         return self._density(lane) <= worst or self._density(lane) * COSTLY < mean
 
-    def _latest_start(self, job: Job) -> float:
+    def _latest_start(self, job: HeldRequest) -> float:
         return min(job.aim_at, self.kill_line) - self.elapsed[job.cls] * job.size
 
     def _wait(self, with_aside: bool = True) -> float:
@@ -268,13 +268,13 @@
     def _arrival(self, event: api.Arrival) -> None:
         if event.id in self.jobs or not 0 <= event.cls < len(self.s.classes):
             return
-        job, kind = Job(event, self.now), self.s.classes[event.cls]
+        job, kind = HeldRequest(event, self.now), self.s.classes[event.cls]
         self.jobs[job.id] = job
         self._watch_callers(job.arrived)
-        job.due = max(event.deadline if event.deadline > 0 else job.arrived + kind.give_up_ms, self.now)
+        job.due = max(event.deadline if event.deadline > 0 else job.arrived + kind.client_timeout_ms, self.now)
         job.due = min(job.due, max(self.now, self.kill_line))
         age = self._age(job, event.deadline)
-        job.walked = event.further_try if self.s.marks_retries else age > 0
+        job.walked = event.is_retry if self.s.marks_retries else age > 0
         first_sent = job.arrived - (age if job.walked else 0.0)
         job.size = self._size(job)
         waits, sure = self.patience.get((job.sender, job.cls), (0.0, 0.0))
@@ -287,7 +287,7 @@
         self.open_by[job.sender] = self.open_by.get(job.sender, 0) + 1
         unread = self.now - max(job.arrived, self.resumed)  # a stillness of the process is no queue
         self.unread_ms += FAST_LEARN * (max(0.0, unread) - self.unread_ms)
-        fed = self.fleet is None or self.fleet.tried(event.further_try)  # guards against repeats that feed an overload
+        fed = self.fleet is None or self.fleet.record_attempt(event.is_retry)  # guards against repeats that feed an overload
         if job.prior:
             self._join(job)
         elif not fed:
@@ -308,7 +308,7 @@
             self.lean = not self.lean
             self.out.append(api.CloseIdle(SPARE_IDLE * min(self.aim) if self.lean else 0.0))
 
-    def _age(self, job: Job, deadline: float) -> float:
+    def _age(self, job: HeldRequest, deadline: float) -> float:
         """How old a further try is, from a wait that no first try of its class has: what its caller has left.
 
         Guards against running repeats whose aim, counted from the first try, has passed. Learned from all
@@ -327,24 +327,24 @@
             self.first_waits[job.cls] = [row for row in waits if row[1] > 0]
         most = max((row[1] for row in waits), default=0.0)
         if (near[0][1] if near else 0.0) <= RARE * most - 1.0:
-            return max(0.0, self.s.classes[job.cls].give_up_ms - wait)
+            return max(0.0, self.s.classes[job.cls].client_timeout_ms - wait)
         return 0.0
 
-    def _queue(self, heap: list[tuple[float, int, Job]], at: float, job: Job) -> None:
+    def _queue(self, heap: list[tuple[float, int, HeldRequest]], at: float, job: HeldRequest) -> None:
         self.serial += 1
         heapq.heappush(heap, (at, self.serial, job))
 
-    def _give_up_at(self, job: Job) -> float:
+    def _give_up_at(self, job: HeldRequest) -> float:
         return min(job.expires or math.inf, self._latest_start(job))
 
-    def _join(self, job: Job) -> None:
+    def _join(self, job: HeldRequest) -> None:
         """A repeat of a try that was kept here: it shares that try's one run, and is never run itself."""
         job.state = JOINED
         if self.memory > self.s.memory_kb * MEMORY_PART:
             return self._fail(job)
         self.out.append(api.Reuse(job.id))
 
-    def _may_hold(self, job: Job) -> bool:
+    def _may_hold(self, job: HeldRequest) -> bool:
         """Turn away at once what must not or cannot be held: drain, hang, memory, no room for its key.
 
         So is all but a trial now and then while most own runs fail: never run, it may go elsewhere.
@@ -363,7 +363,7 @@
         self.last_try = self.now
         return True
 
-    def _hold(self, job: Job) -> None:
+    def _hold(self, job: HeldRequest) -> None:
         kind = self.s.classes[job.cls]
         shares = job.tenant < len(self.tokens)
         job.over = shares and self.tokens[job.tenant] - self.pledged[job.tenant] < 1.0
@@ -387,7 +387,7 @@
             self.held[job.lane] += job.size
         self._queue(self.waits, self._give_up_at(job), job)
 
-    def _keep(self, job: Job, for_ms: float) -> None:
+    def _keep(self, job: HeldRequest, for_ms: float) -> None:
         """Remember the key from the first sight on, so that a repeat of a held try is known too."""
         until = self.now + max(0.0, for_ms)
         job.kept = True
@@ -402,7 +402,7 @@
 
     # Final answers.
 
-    def _leave_wait(self, job: Job) -> None:
+    def _leave_wait(self, job: HeldRequest) -> None:
         """Take a waiting request off the books of the hold; queues drop it when they meet it."""
         if job.state == HELD:
             self.held[job.lane] -= job.size
@@ -412,7 +412,7 @@
             self.pledged[job.tenant] -= 1
         self.held_kb -= job.kb
 
-    def _end(self, job: Job) -> None:
+    def _end(self, job: HeldRequest) -> None:
         """Nothing of the request is left but, perhaps, its key."""
         if job.state in STARTED:
             self.memory -= job.kb * self.s.run_memory_factor
@@ -422,36 +422,36 @@
         del self.jobs[job.id]
         self._answered(job)
 
-    def _answered(self, job: Job) -> None:
+    def _answered(self, job: HeldRequest) -> None:
         if not job.answered:
             job.answered = True
             self.open_by[job.sender] -= 1
             if not self.open_by[job.sender]:
                 del self.open_by[job.sender]
 
-    def _drop_waiting(self, job: Job) -> None:
+    def _drop_waiting(self, job: HeldRequest) -> None:
         if job.state != JOINED and job.kept:
             self.out.append(api.Forget(job.id))
             self._drop_key(job.id)
         if job.state == ROOMLESS and self.fleet:
-            self.fleet.over(job.id)
+            self.fleet.release(job.id)
         self._leave_wait(job)
         self._end(job)
 
-    def _refuse(self, job: Job, last: bool, after: float = 0.0) -> None:
+    def _refuse(self, job: HeldRequest, last: bool, after: float = 0.0) -> None:
         """Only for what never ran here; `last` in overload, where another server would just read it. `after` is when
         a limit of the fleet may have room."""
         wait = after or max(self._wait(), self._overload_mark())  # as long as the waiting work needs
-        last = last or (self.fleet is not None and not self.fleet.may_repeat())
-        self.out.append(api.Refuse(job.id, min(self.s.max_retry_after_ms, wait), last))
+        last = last or (self.fleet is not None and not self.fleet.may_retry())
+        self.out.append(api.Reject(job.id, min(self.s.max_retry_after_ms, wait), last))
         self.refused += SLOW_LEARN * (1.0 - self.refused)
         self._drop_waiting(job)
 
-    def _fail(self, job: Job) -> None:
+    def _fail(self, job: HeldRequest) -> None:
         self.out.append(api.Fail(job.id))
         self._close(job)
 
-    def _close(self, job: Job) -> None:
+    def _close(self, job: HeldRequest) -> None:
         """No answer is owed any more; core, call and memory of a run are given back by its end."""
         if job.state not in STARTED:
             return self._drop_waiting(job)
@@ -501,14 +501,14 @@
             elif job.state == ASIDE:
                 self._refuse(job, last=not self._others_may(job))
             elif job.state == ROOMLESS and self.fleet:
-                self._refuse(job, False, self.fleet.turned_away(job.id, self._overload_mark()))
+                self._refuse(job, False, self.fleet.reject(job.id, self._overload_mark()))
         while self.late and self.late[0].due - self.now < self.elapsed[self.late[0].cls]:
             if (late := self.late.popleft()).state == LATE:
                 self._refuse(late, last=True)
 
-    def _too_late(self, job: Job) -> None:
+    def _too_late(self, job: HeldRequest) -> None:
         """Past its aim a request is refused, unless a late answer has worth and there is no overload."""
-        if self.s.classes[job.cls].late_worth > 0 and not self.flag and self.kill_line > job.due:
+        if self.s.classes[job.cls].late_weight > 0 and not self.flag and self.kill_line > job.due:
             self._leave_wait(job)
             self.held_kb += job.kb
             job.state = LATE
@@ -519,13 +519,13 @@
                 self.elapsed[job.cls] *= 1.0 - FAST_LEARN / 2
             self._refuse(job, last=not self._others_may(job))
 
-    def _head(self, queues: list[deque[Job]], lane: int, state: int) -> Job | None:
+    def _head(self, queues: list[deque[HeldRequest]], lane: int, state: int) -> HeldRequest | None:
         queue = queues[lane]
         while queue and queue[0].state != state:
             queue.popleft()
         return queue[0] if queue else None
 
-    def _next(self) -> Job | None:
+    def _next(self) -> HeldRequest | None:
         """Cheap work first, by worth per cost in overload, by urgency else; set-aside work has its turn."""
         heads = [job for lane in range(len(self.hold)) if (job := self._head(self.hold, lane, HELD))]
         asides = [job for lane in range(len(self.aside)) if (job := self._head(self.aside, lane, ASIDE))]
@@ -552,7 +552,7 @@
                 return
             if self.memory + job.kb * (self.s.run_memory_factor - 1) > self.s.memory_kb * MEMORY_PART:
                 return self._log_bound("memory")
-            after = self.fleet.room(job.id, job.cls, job.sender) if self.fleet else 0.0
+            after = self.fleet.admit(job.id, job.cls, job.sender) if self.fleet else 0.0
             if after > 0:
                 self._await_room(job, after)
             else:
@@ -560,22 +560,22 @@
         if self.on_core + self.waiters + 1 > crowd and sum(self.held) > 0:
             self._log_bound("crowd")
 
-    def _await_room(self, job: Job, after: float) -> None:
+    def _await_room(self, job: HeldRequest, after: float) -> None:
         """Hold what the fleet will have room for in time, refuse the rest at once.
 
         Guards against room that lies free until the next request comes."""
         assert self.fleet is not None
         if job.state == LATE or self.now + after > self._give_up_at(job):
-            return self._refuse(job, False, self.fleet.turned_away(job.id, after))
+            return self._refuse(job, False, self.fleet.reject(job.id, after))
         self._leave_wait(job)  # it waits for no core
         self.held_kb += job.kb
         job.state = ROOMLESS
-        self.fleet.wait(job.id, self._latest_start(job))
+        self.fleet.enqueue(job.id, self._latest_start(job))
 
     def _take_room(self) -> None:
         """What the fleet has room for again stands in front of its lane, as it came before what is there."""
         assert self.fleet is not None
-        for id in reversed(self.fleet.ready()):
+        for id in reversed(self.fleet.take_ready()):
             job = self.jobs[id]
             job.state = HELD
             self.held[job.lane] += job.size
@@ -584,12 +584,12 @@
             self.hold[job.lane].appendleft(job)
 
     def _wake_for_room(self) -> None:
-        after = self.fleet.next_ms() if self.fleet else math.inf
+        after = self.fleet.next_ready_ms() if self.fleet else math.inf
         if self.now + after < self.next_wake and (self.now + after < self.room_wake or self.room_wake <= self.now):
             self.room_wake = self.now + after
             self.out.append(api.Wake(max(1.0, after), FOR_ROOM))
 
-    def _run(self, job: Job) -> None:
+    def _run(self, job: HeldRequest) -> None:
         self._leave_wait(job)
         if job.tenant < len(self.tokens):
             self.tokens[job.tenant] = max(0.0, self.tokens[job.tenant] - 1.0)
@@ -598,14 +598,14 @@
             self.progress = self.now
         job.state, job.mark = RUNNING, self.clock
         self.on_core += 1
-        if not self.s.classes[job.cls].late_worth:
+        if not self.s.classes[job.cls].late_weight:
             self._queue(self.useless, job.aim_at, job)
         self.out.append(api.Run(job.id))
         self.refused -= SLOW_LEARN * self.refused
 
     # Runs and calls.
 
-    def _leave_core(self, job: Job) -> None:
+    def _leave_core(self, job: HeldRequest) -> None:
         if job.state == RUNNING:
             self.on_core -= 1
             job.core_ms += self.clock - job.mark
@@ -629,16 +629,16 @@
         if job.state not in STARTED:
             return
         if self.fleet:
-            self.fleet.over(job.id)
+            self.fleet.release(job.id)
         self._leave_core(job)
-        if event.outcome in (Outcome.OK, Outcome.ERROR) and not job.answered:
-            self.failing += FAST_LEARN * (float(event.outcome is Outcome.ERROR) - self.failing)
-        useless = event.outcome is Outcome.STOPPED and job.aim_at <= self.now  # it took at least so long
-        if event.outcome is Outcome.OK or useless:
+        if event.outcome in (RunOutcome.OK, RunOutcome.ERROR) and not job.answered:
+            self.failing += FAST_LEARN * (float(event.outcome is RunOutcome.ERROR) - self.failing)
+        useless = event.outcome is RunOutcome.STOPPED and job.aim_at <= self.now  # it took at least so long
+        if event.outcome is RunOutcome.OK or useless:
             self._learn(job, event.elapsed_ms)
         self._end(job)
 
-    def _learn(self, job: Job, elapsed_ms: float) -> None:
+    def _learn(self, job: HeldRequest, elapsed_ms: float) -> None:
         """Core time and elapsed time of a class, and how the present pace compares with the usual one."""
         cls = job.cls
         self.runs_seen[cls] += 1
@@ -661,7 +661,7 @@
         self._leave_core(job)
         job.state, job.retry_at, job.tries = AT_CALL, self.now, 0
         self.waiters += 1
-        if job.aim_at <= self.now and not self.s.classes[job.cls].late_worth and not job.answered:
+        if job.aim_at <= self.now and not self.s.classes[job.cls].late_weight and not job.answered:
             return self._fail(job)  # guards against calls and core time for what is of no use
         self.at_call.append(job)
 
@@ -670,19 +670,19 @@
         if job is None or job.state != CALLING:
             return
         self.calls_out -= 1
-        good = event.outcome is Outcome.OK
+        good = event.outcome is RunOutcome.OK
         self._watch_dependency(job.cls, good, event.elapsed_ms)
-        if event.outcome is Outcome.TIMED_OUT:
+        if event.outcome is RunOutcome.TIMED_OUT:
             self._linger(job)
         elif self.fleet:
-            self.fleet.called(job.id, 0.0)
+            self.fleet.release_call(job.id, 0.0)
         job.state = AT_CALL
         if good:
             return self._return_to_core(job)
         kind = self.s.classes[job.cls]
         if job.answered:
             return
-        if kind.skip_worth > 0:
+        if kind.degraded_weight > 0:
             self._skip(job)
         elif event.outcome in NEVER_RAN or kind.effect is Effect.SAFE:
             job.tries += 1
@@ -699,18 +699,18 @@
             self.cut_off = not self.cut_off
             self._log("dependency cut off: calls fail" if self.cut_off else "dependency is back")
 
-    def _return_to_core(self, job: Job) -> None:
+    def _return_to_core(self, job: HeldRequest) -> None:
         self.waiters -= 1
         self.on_core += 1
         job.state, job.mark = RUNNING, self.clock
 
-    def _skip(self, job: Job) -> None:
+    def _skip(self, job: HeldRequest) -> None:
         self.out.append(api.SkipCall(job.id))
         self._return_to_core(job)
 
-    def _linger(self, job: Job) -> None:
+    def _linger(self, job: HeldRequest) -> None:
         if self.fleet:
-            self.fleet.called(job.id, self.s.linger_ms)
+            self.fleet.release_call(job.id, self.s.linger_ms)
         if self.s.linger_ms > 0:
             self.lingering.append(self.now + self.s.linger_ms)
 
@@ -723,9 +723,9 @@
         held = self.calls_out + len(self.lingering)
         return held < max(at_once, share) and self.calls_mean < CALLS_PART * share
 
-    def _pooled(self, job: Job) -> bool:
+    def _pooled(self, job: HeldRequest) -> bool:
         """Room in what all servers together may have in the dependency's hands; the own share is a bound beside it."""
-        return self.fleet is None or self.fleet.call(job.id, job.cls)
+        return self.fleet is None or self.fleet.admit_call(job.id, job.cls)
 
     def _try_calls(self) -> None:
         for _ in range(len(self.at_call)):
@@ -735,12 +735,12 @@
             if job.retry_at > self.now or not self._decide_call(job):
                 self.at_call.append(job)
 
-    def _decide_call(self, job: Job) -> bool:
+    def _decide_call(self, job: HeldRequest) -> bool:
         """Call, or go on without where that has worth and the call is unlikely to help; else wait."""
         share, limit = self.s.calls_share, job.due - self.now
-        if not self.s.classes[job.cls].late_worth and self.s.passes_deadline:
+        if not self.s.classes[job.cls].late_weight and self.s.passes_deadline:
             limit = job.aim_at - self.now  # passed on: what is called knows how long it is of use
-        if self.s.classes[job.cls].skip_worth > 0:
+        if self.s.classes[job.cls].degraded_weight > 0:
             limit = job.aim_at - self.now - self._cost(job.cls) / 2
             if self.call_ms[job.cls]:  # guards against calls that hang: the more fail, the shorter the wait
                 limit = min(limit, self.call_ms[job.cls] / max(0.01, self.calls_failed))
@@ -765,7 +765,7 @@
         self._learn_patience(job)
         self._close(job)
 
-    def _learn_patience(self, job: Job) -> None:
+    def _learn_patience(self, job: HeldRequest) -> None:
         """How long a caller waits for a class, where its departures agree: a low quantile of their ages.
 
         Guards against callers that give up before the aim; scattered departures (copies answered elsewhere)
@@ -799,7 +799,7 @@
         Guards against callers that go on sending to a slowed or cold server; a flood would only move on."""
         slack = 1.0 / OVERLOAD_AT if self._asked_evenly() else math.inf
         off = self.unread_ms > self._overload_mark() * (1.0 if self.off else slack)
-        if self.s.list_follows and off != self.off and self.drain_at > self.now:
+        if self.s.discovery_follows_health and off != self.off and self.drain_at > self.now:
             self.off = off
             self._log("off the list: what is read is too late" if off else "on the list again")
             self.out.append(api.SetHealth(not off, True))
@@ -835,9 +835,9 @@
 
     def _move_level(self, step: float) -> None:
         """Up past O, down below A; where ranks no longer tell worth apart, cheap work alone moves it up."""
-        mark, worths = self._overload_mark(), [c.worth for c in self.s.classes]
+        mark, worths = self._overload_mark(), [c.priority_weight for c in self.s.classes]
         seconds = step / 1000
-        useful = sum(worth < max(worths) for worth in worths) / len(worths)
+        useful = sum(priority_weight < max(worths) for priority_weight in worths) / len(worths)
         blind = self.s.signal is Signal.LEVEL and self.level >= useful
         pressure = self._wait(with_aside=False) - self.unread_ms if blind else self._wait()
         if pressure > mark:
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -18,13 +18,13 @@
     """A setting that the module cannot do without was not given."""
 
 
-class FaultySetting(Exception):
+class InvalidSetting(Exception):
     """A setting is there and means nothing; the text begins with its key."""
 
 
 def _require(table: Json, key: str, path: str) -> Any:
     if not isinstance(table, dict):  # guards against a fault that would name no key
-        raise FaultySetting(f"{path.rstrip('.') or 'settings'}: expected a table, got {table!r}"[:200])
+        raise InvalidSetting(f"{path.rstrip('.') or 'settings'}: expected a table, got {table!r}"[:200])
     value = table.get(key)
     if value is None:
         raise MissingSetting(f"missing setting {path}{key}")
@@ -34,7 +34,7 @@
 def _number(value: Any, name: str, low: float = 0.0) -> float:
     """A finite number from `low` on."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= sys.float_info.max:
-        raise FaultySetting(f"{name}: expected a number from {low:g}, got {value!r}"[:200])
+        raise InvalidSetting(f"{name}: expected a number from {low:g}, got {value!r}"[:200])
     return float(value)
 
 
@@ -48,7 +48,7 @@
     """A list that may be absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, list):
-        raise FaultySetting(f"{path}{key}: expected a list, got {value!r}"[:200])
+        raise InvalidSetting(f"{path}{key}: expected a list, got {value!r}"[:200])
     return value or []
 
 
@@ -56,27 +56,27 @@
     """A table that may be absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, dict):
-        raise FaultySetting(f"{key}: expected a table, got {value!r}"[:200])
+        raise InvalidSetting(f"{key}: expected a table, got {value!r}"[:200])
     return value or {}
 
 
 def _effect(value: Any, name: str) -> api.Effect:
     if not isinstance(value, str) or value not in EFFECTS:
-        raise FaultySetting(f"{name}: expected one of {', '.join(EFFECTS)}, got {value!r}"[:200])
+        raise InvalidSetting(f"{name}: expected one of {', '.join(EFFECTS)}, got {value!r}"[:200])
     return EFFECTS[value]
 
 
 def _class(row: Json, index: int, calls: list[bool], skips: list[float]) -> api.RequestClass:
     path = f"classes[{index}]."
     return api.RequestClass(
-        aim_ms=_number(_require(row, "aim_ms", path), f"{path}aim_ms"),
-        give_up_ms=_number(_require(row, "give_up_ms", path), f"{path}give_up_ms"),
-        worth=_optional(row, "worth", 1.0, path),
-        late_worth=_optional(row, "late_worth", 0.0, path),
+        latency_objective_ms=_number(_require(row, "aim_ms", path), f"{path}aim_ms"),
+        client_timeout_ms=_number(_require(row, "give_up_ms", path), f"{path}give_up_ms"),
+        priority_weight=_optional(row, "worth", 1.0, path),
+        late_weight=_optional(row, "late_worth", 0.0, path),
         effect=_effect(_require(row, "effect", path), f"{path}effect"),
         window_ms=_optional(row, "window_ms", 0.0, path),
         calls=bool(calls[index]) if index < len(calls) else False,
-        skip_worth=_number(skips[index] or 0.0, f"family_info.degraded_worth[{index}]") if index < len(skips) else 0.0,
+        degraded_weight=_number(skips[index] or 0.0, f"family_info.degraded_worth[{index}]") if index < len(skips) else 0.0,
     )
 
 
@@ -94,17 +94,17 @@
     shares = _list(params, "projects", "")
     for n, share in enumerate(shares):
         if not isinstance(share, dict):
-            raise FaultySetting(f"projects[{n}]: expected a table, got {share!r}"[:200])
+            raise InvalidSetting(f"projects[{n}]: expected a table, got {share!r}"[:200])
     fields = "family_info."
     rows = _require(params, "classes", "")
     if not isinstance(rows, list) or not rows:
-        raise FaultySetting(f"classes: expected at least one class, got {rows!r}"[:200])
+        raise InvalidSetting(f"classes: expected at least one class, got {rows!r}"[:200])
     return api.Settings(
         classes=[_class(row, i, calls, skips) for i, row in enumerate(rows)],
         cores=int(_number(_require(info, "cores", "family_info."), "family_info.cores")),
         memory_kb=_number(_require(info, "memory_kb", "family_info."), "family_info.memory_kb"),
         tenant_quotas=[_optional(share, "quota_rps", 0.0, f"projects[{n}].") for n, share in enumerate(shares)],
-        over_share_worth=_optional(params, "over_share_worth", 1.0, ""),
+        over_quota_weight=_optional(params, "over_share_worth", 1.0, ""),
         servers=int(_optional(params, "servers", 1, "")),
         senders=int(_optional(info, "senders", 1, fields)),
         tier=int(_optional(params, "tier", 0, "")),
@@ -123,13 +123,13 @@
         calls_over_ms=_optional(info, "calls_over_ms", 1000.0, fields),
         linger_ms=_optional(info, "linger_ms", 0.0, fields),
         passes_deadline=bool(info.get("passes_deadline", False)),
-        tells_gone=bool(info.get("tells_gone", False)),
-        list_follows=bool(info.get("list_follows", False)),
+        reports_cancellation=bool(info.get("tells_gone", False)),
+        discovery_follows_health=bool(info.get("list_follows", False)),
         deep_checks=bool(info.get("deep_checks", False)),
         signal=SIGNALS.get(str(info.get("signal")), api.Signal.NONE),
         can_stop=info.get("halt") in STOPS,
         marks_retries=bool(clients.get("marks_retry", False)),
-        worth_by_work=params.get("worth_by") == "work",
+        weight_by_work=params.get("worth_by") == "work",
         heeded_ms=_optional(info, "heeded_ms", 1000.0, fields),
         caller_idle_ms=_optional(info, "caller_idle_ms", 15000.0, fields),
         max_retry_after_ms=_longest_advice(allow),
--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -10,15 +10,15 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from myrtlespar.quota.grant_holder import ROOM, Room
-from myrtlespar.quota.limit_coordinator import Agent
-from myrtlespar.quota.settings import Of
+from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.settings import CountedUnit
 
 
-class Places:
+class AdmissionQueue:
     """All requests of one member that a limit applies to."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: LimitCoordinator) -> None:
         self.agent = agent
         self.waiting: dict[str, tuple[float, Sequence[str]]] = {}  # request: its order, its keys
         self._rows: dict[str, list[tuple[float, str]]] = {}  # key: heap of (order, request), some of them gone
@@ -30,13 +30,13 @@
         self._fading: list[tuple[float, int, list[str]]] = []  # when, number, keys of what lingers
         self._faded = 0
 
-    def ask(self, now: float, id: str, keys: Sequence[str], again: bool = False) -> tuple[str, Room]:
+    def ask(self, now: float, id: str, keys: Sequence[str], again: bool = False) -> tuple[str, AdmissionCheck]:
         """Take a place under every key, or none: the key without room, '' with a place taken. One that waited, or
         asks `again`, asks as one that stands in front, and counts as demand no second time."""
         again = again or id in self._out
         if id in self.waiting:
             self._leave(id)
-        worst, at = ROOM, ""
+        worst, at = ADMITTED, ""
         for key in keys:
             room = self.agent.look(now, key, 0 if again else self._many.get(key, 0), again)
             if not room.ok and (not at or room.after_ms > worst.after_ms):
@@ -47,9 +47,9 @@
         for key in keys:
             self.agent.use(now, key)
             limit = self.agent.limit_of(key)
-            if limit is not None and limit.of is Of.AT_ONCE:
+            if limit is not None and limit.of is CountedUnit.AT_ONCE:
                 self._hand.setdefault(id, []).append(key)
-        return "", ROOM
+        return "", ADMITTED
 
     def wait(self, id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
         """It waits for a place; the lowest order is first."""
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -14,15 +14,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.grant_holder import ROOM, Room
-from myrtlespar.quota.lease import Life
-from myrtlespar.quota.messages import Draw, Drawn, Reserve, Reserved
-from myrtlespar.quota.settings import GrantTerms, Limit
-from myrtlespar.quota.usage_windows import Window
+from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.messages import BudgetDrawRequest, BudgetDrawResponse, BudgetReserveRequest, BudgetReserveResponse
+from myrtlespar.quota.settings import GrantSettings, Limit
+from myrtlespar.quota.usage_windows import UsageWindow
 
 AHEAD_S = 1.0  # of its demand a member has in hand
 AHEAD = 2  # times what is short a keeper reserves at once, and at least a hundredth of the budget
-Entry = tuple[str, int]  # a key, and the number of a period
+BudgetPeriod = tuple[str, int]  # a key, and the number of a period
 
 
 def period(limit: Limit, wall_ms: float) -> int:
@@ -31,11 +31,11 @@
 
 
 @dataclass(slots=True)
-class Pocket:
+class BudgetBalance:
     """What one member has of one entry, all counted up: got, given back, spent."""
 
     limit: Limit
-    tries: Window
+    tries: UsageWindow
     got: int = 0
     back: int = 0
     spent: int = 0
@@ -51,35 +51,35 @@
         return self.got - self.back - self.spent
 
 
-class Purse:
+class BudgetAccount:
     """One member's pockets. They are kept for the period: a pocket that was lost could be filled twice."""
 
-    def __init__(self, terms: GrantTerms) -> None:
+    def __init__(self, terms: GrantSettings) -> None:
         self.terms = terms
-        self.pockets: dict[Entry, Pocket] = {}
+        self.pockets: dict[BudgetPeriod, BudgetBalance] = {}
         self._latest: dict[str, int] = {}  # period of each limit: a clock that is set back opens none again
 
-    def pocket(self, wall_ms: float, key: str, limit: Limit) -> Pocket:
+    def pocket(self, wall_ms: float, key: str, limit: Limit) -> BudgetBalance:
         """That of a key's present period."""
         name = key.partition("/")[0]
         number = self._latest[name] = max(period(limit, wall_ms), self._latest.get(name, 0))
         found = self.pockets.get((key, number))
         if found is None:
-            found = self.pockets[key, number] = Pocket(limit, Window(self.terms.waited(1000)))
+            found = self.pockets[key, number] = BudgetBalance(limit, UsageWindow(self.terms.waited(1000)))
         return found
 
-    def look(self, now: float, wall_ms: float, key: str, limit: Limit, ahead: int, again: bool) -> Room:
+    def look(self, now: float, wall_ms: float, key: str, limit: Limit, ahead: int, again: bool) -> AdmissionCheck:
         """Whether one may be spent behind so many that wait; unless it asks `again`, it counts as demand."""
         one = self.pocket(wall_ms, key, limit)
         one.wanted_at = now
         if not again:
             one.tries.add(now)
         if one.free > ahead:
-            return ROOM
+            return ADMITTED
         after = limit.period_ms - wall_ms % limit.period_ms if one.left == 0 else 2.0 * self.terms.ask_ms
-        return Room(False, max(1.0, after), one.got - one.back, one.spent, one.free, 0.0)
+        return AdmissionCheck(False, max(1.0, after), one.got - one.back, one.spent, one.free, 0.0)
 
-    def draws(self, now: float) -> list[Draw]:
+    def draws(self, now: float) -> list[BudgetDrawRequest]:
         """What is to be asked of keepers now: more where it runs short, and what lies idle back."""
         out = []
         for (key, number), one in list(self.pockets.items()):
@@ -92,10 +92,10 @@
                 one.back += one.free
             want = 0 if idle else max(0, math.ceil(one.tries.look(now) * AHEAD_S) - max(0, one.free))
             if want or (one.back_there and now - one.wanted_at < 2 * self.terms.cold_ms):
-                out.append(Draw(0, key, number, one.got, one.epoch, one.back_there, want))
+                out.append(BudgetDrawRequest(0, key, number, one.got, one.epoch, one.back_there, want))
         return out
 
-    def drawn(self, by: str, answer: Drawn) -> None:
+    def drawn(self, by: str, answer: BudgetDrawResponse) -> None:
         """A keeper's answer: what this life has got in all."""
         one = self.pockets.get((answer.key, answer.period))
         if one is None:
@@ -106,20 +106,20 @@
             one.keeper, one.epoch, one.back_there = by, answer.epoch, 0
 
 
-class Vault:
+class BudgetJournal:
     """What an elector wrote down: the greatest total that was reserved of each entry. It is on the disk before any
     answer that tells it."""
 
-    def __init__(self, rows: Mapping[Entry, int] | None = None) -> None:
-        self.rows: dict[Entry, int] = dict(rows or {})
+    def __init__(self, rows: Mapping[BudgetPeriod, int] | None = None) -> None:
+        self.rows: dict[BudgetPeriod, int] = dict(rows or {})
 
-    def reserve(self, ask: Reserve) -> Reserved:
+    def reserve(self, ask: BudgetReserveRequest) -> BudgetReserveResponse:
         """Write it down. The answer tells what is written, once it is on the disk."""
         entry = ask.key, ask.period
         total = max(ask.total, self.rows.get(entry, 0))
         if total:
             self.rows[entry] = total
-        return Reserved(ask.rng, ask.epoch, ask.key, ask.period, total)
+        return BudgetReserveResponse(ask.rng, ask.epoch, ask.key, ask.period, total)
 
     def forget(self, limits: Mapping[str, Limit], wall_ms: float) -> None:
         """Drop entries that are over for all clocks."""
@@ -130,7 +130,7 @@
 
 
 @dataclass(slots=True)
-class Holding:
+class DrawnTotals:
     """What the keeper has given one life and got back from it, all counted up."""
 
     given: int
@@ -138,7 +138,7 @@
 
 
 @dataclass(slots=True)
-class Store:
+class BudgetEntry:
     """One entry as its keeper has it. Nothing is handed out before a majority told what is written down of it."""
 
     told: set[str] = field(default_factory=set)
@@ -147,22 +147,22 @@
     asking: int = 0  # a greater total that is being asked for
     agreed: set[str] = field(default_factory=set)
     handed: int = 0  # what an earlier keeper reserved counts as handed out
-    lives: dict[Life, Holding] = field(default_factory=dict)
+    lives: dict[Incarnation, DrawnTotals] = field(default_factory=dict)
 
 
-class Chest:
+class BudgetAllocator:
     """A keeper's entries of one range, for one lease."""
 
     def __init__(self, electors: frozenset[str]) -> None:
         self.electors, self.need = electors, len(electors) // 2 + 1
-        self.stores: dict[Entry, Store] = {}
+        self.stores: dict[BudgetPeriod, BudgetEntry] = {}
 
-    def draw(self, by: Life, ask: Draw, limit: Limit, epoch: int) -> tuple[Drawn | None, Reserve | None]:
+    def draw(self, by: Incarnation, ask: BudgetDrawRequest, limit: Limit, epoch: int) -> tuple[BudgetDrawResponse | None, BudgetReserveRequest | None]:
         """A member draws: the answer, and what all electors are to write down first."""
-        store = self.stores.setdefault((ask.key, ask.period), Store())
+        store = self.stores.setdefault((ask.key, ask.period), BudgetEntry())
         if not store.known:
-            return None, Reserve(ask.rng, epoch, ask.key, ask.period, 0)
-        one = store.lives.setdefault(by, Holding(ask.got))
+            return None, BudgetReserveRequest(ask.rng, epoch, ask.key, ask.period, 0)
+        one = store.lives.setdefault(by, DrawnTotals(ask.got))
         one.given = max(one.given, ask.got)  # a late answer of an earlier keeper: that is counted as handed out
         if ask.epoch == epoch and ask.back > one.back:  # it is free for others
             store.handed -= ask.back - one.back
@@ -176,11 +176,11 @@
             ahead = max(AHEAD * (want - more), limit.amount // 100)
             store.asking = min(limit.amount, max(store.asking, store.reserved + ahead))
             store.agreed = set()
-            reserve = Reserve(ask.rng, epoch, ask.key, ask.period, store.asking)
+            reserve = BudgetReserveRequest(ask.rng, epoch, ask.key, ask.period, store.asking)
         left = max(0, limit.amount - store.handed)
-        return Drawn(ask.rng, epoch, ask.key, ask.period, one.given, left), reserve
+        return BudgetDrawResponse(ask.rng, epoch, ask.key, ask.period, one.given, left), reserve
 
-    def written(self, by: str, answer: Reserved) -> None:
+    def written(self, by: str, answer: BudgetReserveResponse) -> None:
         """What an elector has written down of an entry, which is true whoever asked for it."""
         store = self.stores.get((answer.key, answer.period))
         if store is None or by not in self.electors:
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -9,19 +9,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.messages import Want
-from myrtlespar.quota.settings import GrantTerms, Kind, Limit, Of
-from myrtlespar.quota.usage_windows import Hand, Window
+from myrtlespar.quota.messages import KeyDemand
+from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit, LimitKind
+from myrtlespar.quota.usage_windows import ConcurrencyCounter, UsageWindow
 
 
 @dataclass(slots=True)
-class Share:
+class KeyAllowance:
     """One key as this member has it."""
 
     limit: Limit
     standing: int
-    meter: Window | Hand
-    tries: Window  # all that asked for room, let in or not
+    meter: UsageWindow | ConcurrencyCounter
+    tries: UsageWindow  # all that asked for room, let in or not
     amount: int = 0
     until: float = 0.0
     took: int = 0
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class AdmissionCheck:
     """Whether there is room for one more; if not, in how long there may be, and by which number it was refused."""
 
     ok: bool
@@ -50,32 +50,32 @@
     left_ms: float = 0.0  # of the grant at hand; below 0: it lapsed so long ago
 
 
-ROOM = Room(True)
+ADMITTED = AdmissionCheck(True)
 SWING, SWING_LEAST = 3.0, 3  # demand that leaves its mean by so many roots of it, upwards by this much more, has moved
 SILENT = 1.5  # windows without any demand: it has gone
 STEADY = 1.25  # and a tenth: a mean within so much of what was asked last is the same
 MEAN_MS = 8000.0  # over which the mean forgets
 
 
-class Holder:
+class GrantHolder:
     """All keys of one member. `shares` are made as keys are first wanted and dropped when cold."""
 
-    def __init__(self, terms: GrantTerms, members: int, now: float) -> None:
+    def __init__(self, terms: GrantSettings, members: int, now: float) -> None:
         self.terms, self.members, self.began = terms, members, now
-        self.shares: dict[str, Share] = {}
+        self.shares: dict[str, KeyAllowance] = {}
         self.settled = False  # whether all members are known to go by our version of the limits
         self.retired = False  # a second process of our name goes on: our standing share is its own now
         self._asks: dict[int, tuple[float, int]] = {}  # number: when sent, range
         self._no = 0
 
-    def share(self, key: str, limit: Limit) -> Share:
+    def share(self, key: str, limit: Limit) -> KeyAllowance:
         """The state of a key."""
         found = self.shares.get(key)
         if found is None:
             span = self.terms.waited(limit.window_ms)
-            meter: Window | Hand = Window(span) if limit.of is Of.RATE else Hand()
-            found = self.shares[key] = Share(limit, self._standing(limit), meter, Window(span),
-                                              rate=limit.of is Of.RATE)
+            meter: UsageWindow | ConcurrencyCounter = UsageWindow(span) if limit.of is CountedUnit.RATE else ConcurrencyCounter()
+            found = self.shares[key] = KeyAllowance(limit, self._standing(limit), meter, UsageWindow(span),
+                                              rate=limit.of is CountedUnit.RATE)
         return found
 
     def _standing(self, limit: Limit) -> int:
@@ -88,28 +88,28 @@
             share.limit = limits[key.partition("/")[0]]
             share.standing = self._standing(share.limit)
 
-    def allowance(self, now: float, share: Share) -> int:
+    def allowance(self, now: float, share: KeyAllowance) -> int:
         """What may be in use now. A new life uses no standing share before an earlier one's use has faded."""
         quiet = self.retired or now < self.began + self.terms.silent_ms(share.limit)
-        return share.granted(now) + (0 if quiet and share.limit.kind is Kind.STRICT else share.standing)
+        return share.granted(now) + (0 if quiet and share.limit.kind is LimitKind.STRICT else share.standing)
 
-    def look(self, now: float, key: str, limit: Limit, ahead: int = 0, again: bool = False) -> Room:
+    def look(self, now: float, key: str, limit: Limit, ahead: int = 0, again: bool = False) -> AdmissionCheck:
         """Whether there is room for one more behind so many that wait; unless it asks `again`, it counts as demand
         either way."""
         share = self.share(key, limit)
         share.wanted_at = now
         if not again and share.rate:
             share.tries.add(now)
-        if limit.kind is Kind.ADVISORY:
-            return ROOM
+        if limit.kind is LimitKind.ADVISORY:
+            return ADMITTED
         allowance, used = self.allowance(now, share), share.meter.look(now)
         if used + ahead < allowance:
-            return ROOM
+            return ADMITTED
         if not again and not share.rate:  # of what is in hand, the most at a time counts, and what found no room
             share.tries.add(now)
         at = share.meter.room_at(now, allowance, ahead)
         after = at - now if at < float("inf") else self.terms.moved_ms(limit)
-        return Room(False, max(after, 1.0), allowance, used, share.granted(now), share.until - now)
+        return AdmissionCheck(False, max(after, 1.0), allowance, used, share.granted(now), share.until - now)
 
     def free(self, now: float, key: str) -> int:
         """How many more there is room for."""
@@ -133,20 +133,20 @@
     def ended(self, key: str) -> None:
         """A run of a limit on what is in hand is over."""
         share = self.shares.get(key)
-        if share is not None and isinstance(share.meter, Hand) and share.meter.count > 0:
+        if share is not None and isinstance(share.meter, ConcurrencyCounter) and share.meter.count > 0:
             share.meter.drop()
 
     # To and from the keeper.
 
-    def wants(self, now: float) -> dict[str, Want]:
+    def wants(self, now: float) -> dict[str, KeyDemand]:
         """What is to be asked for now: keys with demand beyond the standing share, or with a grant to give back."""
-        out: dict[str, Want] = {}
+        out: dict[str, KeyDemand] = {}
         for key, share in list(self.shares.items()):
-            if share.limit.kind is Kind.ADVISORY:
+            if share.limit.kind is LimitKind.ADVISORY:
                 continue
             used = share.meter.look(now)
             need = share.tries.look(now)
-            if isinstance(share.meter, Hand):
+            if isinstance(share.meter, ConcurrencyCounter):
                 need, share.high = need + max(share.high, used), used
             if now - share.wanted_at > self.terms.cold_ms:
                 share.mean, share.want, share.looks = 0.0, 0, 0
@@ -155,12 +155,12 @@
             peak = min(max(want, need + need // 8 + 1 - share.standing), share.limit.amount) if need or warm else 0
             live = share.granted(now) > 0 or any(at > now for _, at in share.past)
             if want or peak or live:
-                out[key] = Want(key, want, share.took, max(0, used - share.standing), peak)
+                out[key] = KeyDemand(key, want, share.took, max(0, used - share.standing), peak)
             elif not used and now - share.wanted_at > self.terms.cold_ms:
                 del self.shares[key]  # a cold key costs nothing
         return out
 
-    def _mean(self, now: float, share: Share, need: int) -> int:
+    def _mean(self, now: float, share: KeyAllowance, need: int) -> int:
         """Demand in whole parts, slow to change: what swings in it would be set aside at its height for a whole
         linger. A move of demand is no swing, and is followed at once."""
         share.looks = share.looks + 1 if need or share.mean > 0.5 else 0
@@ -197,7 +197,7 @@
                 share.amount, share.until, share.took = amount, until, no
         return True
 
-    def _end(self, now: float, share: Share) -> None:
+    def _end(self, now: float, share: KeyAllowance) -> None:
         """The grant at hand ends now, or has ended."""
         fades = min(now, share.until) + self.terms.waited(share.limit.linger_ms)
         share.past = [row for row in share.past if row[1] > now and (row[0] > share.amount or row[1] > fades)]
@@ -213,7 +213,7 @@
             most = max([share.granted(now), *(amount for amount, fades in share.past if fades > now)])
             if share.amount and share.until <= now < share.until + self.terms.waited(share.limit.linger_ms):
                 most = max(most, share.amount)
-            if isinstance(share.meter, Hand):
+            if isinstance(share.meter, ConcurrencyCounter):
                 most = max(most, share.meter.count - share.standing)
             if most > 0:
                 out.append((key, most))
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -8,16 +8,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.budget import Chest
-from myrtlespar.quota.lease import Life
-from myrtlespar.quota.messages import Want
-from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.quota.budget import BudgetAllocator
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.messages import KeyDemand
+from myrtlespar.quota.settings import GrantSettings, Limit
 
 FIRM = 0.8  # of its average is a holder's part while there is not enough for all
 
 
 @dataclass(slots=True)
-class Part:
+class HolderGrant:
     """What one holder may have in use of one key: rows of (ask, amount, when it is free again)."""
 
     want: int = 0
@@ -33,7 +33,7 @@
         return int(max((row[1] for row in self.rows), default=0))
 
 
-def divide(pool: int, wants: Mapping[Life, int]) -> dict[Life, int]:
+def divide(pool: int, wants: Mapping[Incarnation, int]) -> dict[Incarnation, int]:
     """Max-min fair whole parts: nobody gets more than it wants, and nobody less than another who got more."""
     out = dict.fromkeys(wants, 0)
     left, open_ = pool, sorted(wants, key=lambda life: (wants[life], life))
@@ -51,7 +51,7 @@
     return out
 
 
-def _due(pool: int, asking: Mapping[Life, Part]) -> dict[Life, int]:
+def _due(pool: int, asking: Mapping[Incarnation, HolderGrant]) -> dict[Incarnation, int]:
     """Everybody's part. While not all can have what they use on average, whoever uses little has a little less: of a
     few starts a window, what is there for the average lies fallow half of the time. What is left over goes to the
     averages first, and then to what swings."""
@@ -68,20 +68,20 @@
     return due
 
 
-class Book:
+class GrantLedger:
     """One range under one lease."""
 
-    def __init__(self, terms: GrantTerms, since: float, voters: frozenset[str]) -> None:
+    def __init__(self, terms: GrantSettings, since: float, voters: frozenset[str]) -> None:
         self.terms, self.since = terms, since
         self.unknown = set(voters)  # electors that have not told all they hold
-        self.keys: dict[str, dict[Life, Part]] = {}
-        self.chest = Chest(voters)  # of budgets
+        self.keys: dict[str, dict[Incarnation, HolderGrant]] = {}
+        self.chest = BudgetAllocator(voters)  # of budgets
 
     def known_at(self, limit: Limit) -> float:
         """When whatever an earlier keeper granted is over, told or not."""
         return self.since + self.terms.waited(self.terms.grant_ms + limit.linger_ms)
 
-    def told(self, now: float, by: Life, whole: bool, holds: tuple[tuple[str, int], ...],
+    def told(self, now: float, by: Incarnation, whole: bool, holds: tuple[tuple[str, int], ...],
              limit_of: Mapping[str, Limit]) -> None:
         """An elector tells what it holds. Only what it told first counts: later ones know our own grants."""
         if by[0] not in self.unknown:
@@ -91,13 +91,13 @@
         for key, amount in holds:
             limit = limit_of.get(key)
             if limit is not None and amount > 0:
-                part = self.keys.setdefault(key, {}).setdefault(by, Part())
+                part = self.keys.setdefault(key, {}).setdefault(by, HolderGrant())
                 part.rows.append([0, amount, now + self.terms.waited(self.terms.grant_ms + limit.linger_ms)])
 
-    def ask(self, now: float, by: Life, no: int, want: Want, limit: Limit, pool: int) -> int | None:
+    def ask(self, now: float, by: Incarnation, no: int, want: KeyDemand, limit: Limit, pool: int) -> int | None:
         """What this holder may use from now on, None for an old ask."""
         parts = self.keys.setdefault(want.key, {})
-        part = parts.setdefault(by, Part())
+        part = parts.setdefault(by, HolderGrant())
         if no <= part.no:
             return None
         part.no, part.want, part.asked_at = no, max(0, min(want.want, pool)), now
@@ -118,7 +118,7 @@
             part.rows.append([no, amount, lapse])
         return amount
 
-    def _took(self, part: Part, want: Want) -> None:
+    def _took(self, part: HolderGrant, want: KeyDemand) -> None:
         """It took the answer to that ask, so no earlier one may be used any more. What it has in use is told: starts
         in the last window, or runs in hand, that an earlier grant let in; they never grow beyond what it took."""
         if not any(row[0] == want.took for row in part.rows):
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -8,45 +8,45 @@
 
 from dataclasses import dataclass, field
 
-from myrtlespar.quota.messages import AskLease, Promise
-from myrtlespar.quota.settings import GrantTerms
+from myrtlespar.quota.messages import LeaseRequest, LeaseVote
+from myrtlespar.quota.settings import GrantSettings
 
-Life = tuple[str, int]  # a member's name, and the boot of its life
+Incarnation = tuple[str, int]  # a member's name, and the boot of its life
 
 
 @dataclass(slots=True)
-class Given:
+class LeasePromise:
     """What a voter promised for one range."""
 
-    to: Life = ("", 0)
+    to: Incarnation = ("", 0)
     until: float = 0.0
     epoch: int = 0
 
 
-class Voter:
+class LeaseVoter:
     """One elector's promises, for all ranges."""
 
-    def __init__(self, terms: GrantTerms, now: float, engine: bool = False) -> None:
+    def __init__(self, terms: GrantSettings, now: float, engine: bool = False) -> None:
         """With an `engine`, that decides who keeps a range, and epochs tell who is the later one."""
         self.terms, self.engine = terms, engine
         self.silent_until = now if engine else now + terms.waited(terms.lease_ms)
-        self.given = [Given() for _ in range(terms.ranges)]
+        self.given = [LeasePromise() for _ in range(terms.ranges)]
 
-    def asked(self, now: float, by: Life, ask: AskLease) -> Promise:
+    def asked(self, now: float, by: Incarnation, ask: LeaseRequest) -> LeaseVote:
         """Promise, or say what stands against it. What is held is filled in by the caller."""
         given = self.given[ask.rng]
         same = (given.to == by or self.engine) and ask.epoch >= given.epoch
         if now < self.silent_until or not (same or (now >= given.until and ask.epoch > given.epoch)):
-            return Promise(ask.rng, ask.no, False, given.epoch)
+            return LeaseVote(ask.rng, ask.no, False, given.epoch)
         given.to, given.epoch, given.until = by, ask.epoch, now + self.terms.waited(self.terms.lease_ms)
-        return Promise(ask.rng, ask.no, True, ask.epoch)
+        return LeaseVote(ask.rng, ask.no, True, ask.epoch)
 
 
 @dataclass(slots=True)
-class Candidacy:
+class LeaseElection:
     """One member's attempt at one range. `promised` holds when each voter was asked what it then promised."""
 
-    terms: GrantTerms
+    terms: GrantSettings
     voters: frozenset[str]
     epoch: int = 0
     since: float = 0.0  # of the lease at hand
@@ -58,7 +58,7 @@
         """Whether the lease holds."""
         return now < self.until
 
-    def stand(self, now: float, no: int) -> AskLease:
+    def stand(self, now: float, no: int) -> LeaseRequest:
         """Ask all voters. Without a lease, with an epoch that no voter has heard of."""
         if not self.has(now) and (self.until or not self.epoch):
             self.epoch, self.until = self.epoch + 1, 0.0
@@ -67,9 +67,9 @@
         self.asked[no] = now
         for old in [one for one, at in self.asked.items() if at < now - self.terms.lease_ms]:
             del self.asked[old]
-        return AskLease(0, self.epoch, no)
+        return LeaseRequest(0, self.epoch, no)
 
-    def answered(self, now: float, voter: str, promise: Promise) -> bool:
+    def answered(self, now: float, voter: str, promise: LeaseVote) -> bool:
         """Take a voter's answer in. True: with it a lease began."""
         if voter not in self.voters:
             return False
--- a/myrtlespar/quota/lease_session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from myrtlespar.quota.settings import GrantTerms
+from myrtlespar.quota.settings import GrantSettings
 
 
-class Do(StrEnum):
+class EngineOperation(StrEnum):
     """What is asked of the engine."""
 
     GRANT = "grant"  # a new lease
@@ -23,17 +23,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class EngineRequest:
     """One request, as sent at `sent`."""
 
-    do: Do
+    do: EngineOperation
     sent: float
     lease: int = 0
     rng: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class EngineReply:
     """The engine's answer. `ttl_ms` of GRANT and KEEP, 0 where the lease is gone; `epoch` of TAKE, 0 where the key is
     another's."""
 
@@ -43,10 +43,10 @@
 
 
 @dataclass(slots=True)
-class Session:
+class LeaseSession:
     """The lease and what is under it, as far as we know."""
 
-    terms: GrantTerms
+    terms: GrantSettings
     lease: int = 0
     until: float = 0.0
     ttl_ms: float = 0.0
@@ -59,43 +59,43 @@
         """The epoch under which we keep a range, 0 if we do not."""
         return self.held.get(rng, 0) if now < self.until else 0
 
-    def next(self, now: float, wanted: frozenset[int]) -> Request | None:
+    def next(self, now: float, wanted: frozenset[int]) -> EngineRequest | None:
         """What is to be asked now, if anything."""
         if self.lease and now >= self.until:
             self._lost()
         if not self.lease:
-            return Request(Do.GRANT, now) if wanted else None
+            return EngineRequest(EngineOperation.GRANT, now) if wanted else None
         for rng in [rng for rng in self.held if rng not in wanted]:
             del self.held[rng]
             self.leaving.add(rng)
         if now >= self.renewed_at + self.ttl_ms / 3:
-            return Request(Do.KEEP, now, self.lease)
+            return EngineRequest(EngineOperation.KEEP, now, self.lease)
         for rng in sorted(self.leaving - wanted):
-            return Request(Do.DROP, now, self.lease, rng)
+            return EngineRequest(EngineOperation.DROP, now, self.lease, rng)
         for rng in sorted(wanted):
             if rng not in self.held and now - self.tried.get(rng, float("-inf")) >= self.terms.ask_ms:
                 self.tried[rng] = now
                 self.leaving.add(rng)  # without an answer the key may be ours
-                return Request(Do.TAKE, now, self.lease, rng)
+                return EngineRequest(EngineOperation.TAKE, now, self.lease, rng)
         return None
 
     def freed(self, rng: int) -> None:
         """The engine says that a range's key is gone: it may be taken at once."""
         self.tried.pop(rng, None)
 
-    def answered(self, now: float, request: Request, reply: Reply | None) -> None:
+    def answered(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
         """What came of a request; None: nobody knows."""
-        if reply is None or (request.do is not Do.GRANT and request.lease != self.lease):
+        if reply is None or (request.do is not EngineOperation.GRANT and request.lease != self.lease):
             return
-        if request.do in (Do.GRANT, Do.KEEP):
+        if request.do in (EngineOperation.GRANT, EngineOperation.KEEP):
             if reply.ttl_ms <= 0:
                 self._lost()
                 return
-            if request.do is Do.GRANT:
+            if request.do is EngineOperation.GRANT:
                 self.lease, self.until = reply.lease, 0.0
             self.ttl_ms, self.renewed_at = reply.ttl_ms, max(self.renewed_at, request.sent)
             self.until = max(self.until, request.sent + self.terms.used(self.terms.used(reply.ttl_ms)))
-        elif request.do is Do.DROP:
+        elif request.do is EngineOperation.DROP:
             self.leaving.discard(request.rng)
         elif reply.epoch:
             self.leaving.discard(request.rng)
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -11,78 +11,78 @@
 
 import msgspec
 
-from myrtlespar.quota.budget import Entry, Pocket, Purse, Vault, period
-from myrtlespar.quota.grant_holder import ROOM, Holder, Room
-from myrtlespar.quota.grant_ledger import Book
-from myrtlespar.quota.lease import Candidacy, Life, Voter
-from myrtlespar.quota.lease_session import Reply, Request, Session
+from myrtlespar.quota.budget import BudgetAccount, BudgetBalance, BudgetJournal, BudgetPeriod, period
+from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck, GrantHolder
+from myrtlespar.quota.grant_ledger import GrantLedger
+from myrtlespar.quota.lease import Incarnation, LeaseElection, LeaseVoter
+from myrtlespar.quota.lease_session import EngineReply, EngineRequest, LeaseSession
 from myrtlespar.quota.messages import (
-    Ask,
-    AskLease,
-    Draw,
-    Drawn,
-    Grants,
-    Keep,
-    Message,
-    Note,
-    Promise,
-    Reserve,
-    Reserved,
-    Tell,
-    Want,
+    BudgetDrawRequest,
+    BudgetDrawResponse,
+    BudgetReserveRequest,
+    BudgetReserveResponse,
+    CountEvent,
+    GrantRequest,
+    GrantResponse,
+    KeyDemand,
+    LeaseRequest,
+    LeaseVote,
+    LimitMessage,
+    PersistThenSend,
+    SendMessage,
 )
-from myrtlespar.quota.settings import GrantTerms, Limit, Of
+from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit
 
 WANTS_MOST = 11  # of one ask, so that it fits a datagram
 HOLDS_MOST = 14  # of one promise
 FORGET_MS = 60_000.0  # between looks for entries of budgets that are over
-Effect = Tell | Note | Keep
+LimitEffect = SendMessage | CountEvent | PersistThenSend
 
 
-def range_of(key: str, ranges: int) -> int:
+def shard_of(key: str, ranges: int) -> int:
     """The range of a key, the same on every member."""
     return zlib.crc32(key.encode()) % ranges
 
 
-def keeper_of(rng: int, names: Iterable[str]) -> str:
+def leader_of(rng: int, names: Iterable[str]) -> str:
     """Who of these is to keep a range: rendezvous hashing, so that one member's end moves its own ranges only."""
     return max(names, key=lambda name: (zlib.crc32(f"{rng} {name}".encode()), name), default="")
 
 
 @dataclass(slots=True)
-class Range:
+class Shard:
     """One range as a possible keeper has it."""
 
-    candidacy: Candidacy
-    book: Book | None = None
+    candidacy: LeaseElection
+    book: GrantLedger | None = None
     asked_at: float = float("-inf")  # by a holder; a range that nobody asks for has no keeper
     stood_at: float = float("-inf")
 
 
-class Agent:
+class LimitCoordinator:
     """All of it for one member."""
 
-    def __init__(self, me: Life, terms: GrantTerms, limits: Mapping[str, Limit], electors: frozenset[str],
+    def __init__(self, me: Incarnation, terms: GrantSettings, limits: Mapping[str, Limit], electors: frozenset[str],
                  now: float, version: int = 1, engine: bool = False,
-                 vault: Mapping[Entry, int] | None = None) -> None:
+                 vault: Mapping[BudgetPeriod, int] | None = None) -> None:
         self.me, self.terms, self.limits, self.electors = me, terms, dict(limits), electors
         members = terms.members_most or len(electors)
-        self.holder, self.voter = Holder(terms, members, now), Voter(terms, now, engine)
-        self.session = Session(terms) if engine else None  # who keeps what is then the engine's to say
-        self.ranges = [Range(Candidacy(terms, electors)) for _ in range(terms.ranges)]
+        self.holder, self.voter = GrantHolder(terms, members, now), LeaseVoter(terms, now, engine)
+        self.session = LeaseSession(terms) if engine else None  # who keeps what is then the engine's to say
+        self.ranges = [Shard(LeaseElection(terms, electors)) for _ in range(terms.ranges)]
         self.here: frozenset[str] = frozenset()
         self.seeks: set[int] = set()  # ranges that we would keep, if the engine lets us
-        self._budgets = any(limit.of is Of.BUDGET for limit in limits.values())
+        self._budgets = any(limit.of is CountedUnit.BUDGET for limit in limits.values())
         self.began = now
         self.version = version  # of the limits
         self.versions: dict[str, int] = {me[0]: version}  # that electors told us, as far as we keep a range
         self._all_at: float | None = None  # since when we know that all have ours, or a later one
-        self.purse, self.vault = Purse(terms), Vault(vault)
+        self.purse, self.vault = BudgetAccount(terms), BudgetJournal(vault)
         self.wall_ms = 0.0  # from our clock to Unix time; the driver sets it
         self._at = now
         self._no = 0
         self._forget_at = now + FORGET_MS
-        self._out: list[Effect] = []
+        self._out: list[LimitEffect] = []
 
     # Use.
 
@@ -90,12 +90,12 @@
         """The limit that a key belongs to: `limit` or `limit/value`."""
         return self.limits.get(key.partition("/")[0])
 
-    def look(self, now: float, key: str, ahead: int = 0, again: bool = False) -> Room:
+    def look(self, now: float, key: str, ahead: int = 0, again: bool = False) -> AdmissionCheck:
         """Whether there is room for one more of a key behind so many that wait for it. Never waits."""
         limit = self.limit_of(key)
-        if self._budgets and limit is not None and limit.of is Of.BUDGET:
+        if self._budgets and limit is not None and limit.of is CountedUnit.BUDGET:
             return self.purse.look(now, now + self.wall_ms, key, limit, ahead, again)
-        return ROOM if limit is None else self.holder.look(now, key, limit, ahead, again)
+        return ADMITTED if limit is None else self.holder.look(now, key, limit, ahead, again)
 
     def free(self, now: float, key: str) -> int:
         """How many more of a key there is room for."""
@@ -109,10 +109,10 @@
             return 0.0 if pocket.free > 0 else float("inf")
         return self.holder.room_ms(now, key)
 
-    def pocket(self, now: float, key: str) -> Pocket | None:
+    def pocket(self, now: float, key: str) -> BudgetBalance | None:
         """Ours of a budget's present period; None for other limits."""
         limit = self.limit_of(key) if self._budgets else None
-        if limit is None or limit.of is not Of.BUDGET:
+        if limit is None or limit.of is not CountedUnit.BUDGET:
             return None
         return self.purse.pocket(now + self.wall_ms, key, limit)
 
@@ -125,13 +125,13 @@
 
     def keeper(self, key: str) -> str:
         """Who is to keep this key, as far as we know."""
-        return keeper_of(range_of(key, self.terms.ranges), (self.here | {self.me[0]}) & self.electors)
+        return leader_of(shard_of(key, self.terms.ranges), (self.here | {self.me[0]}) & self.electors)
 
     def ended(self, key: str) -> None:
         """A run that a limit counts in hand is over."""
         self.holder.ended(key)
 
-    def adopt(self, now: float, limits: Mapping[str, Limit], version: int) -> list[Effect]:
+    def adopt(self, now: float, limits: Mapping[str, Limit], version: int) -> list[LimitEffect]:
         """Go by a later version of the limits: of the same names, in the same units, with other numbers."""
         self.limits, self.version = dict(limits), version
         self.versions[self.me[0]], self._all_at = version, None
@@ -171,7 +171,7 @@
         members = self.terms.members_most or len(self.electors)
         return self.terms.shares(limit, members, self.holder.settled and not self.behind())[0]
 
-    def kept(self, now: float, keep: Keep) -> list[Effect]:
+    def kept(self, now: float, keep: PersistThenSend) -> list[LimitEffect]:
         """The vault as it was at that effect, or later, is on the disk."""
         self._tell(now, keep.to, keep.message)
         return self._done()
@@ -190,7 +190,7 @@
         """When `tick` is due."""
         return self._at
 
-    def tick(self, now: float) -> list[Effect]:
+    def tick(self, now: float) -> list[LimitEffect]:
         """Ask, as holder and as candidate."""
         if now < self._at or self.holder.retired:
             return self._done()
@@ -198,7 +198,7 @@
         if not self.holder.settled and self._settled(now):
             self.holder.adopt(self.limits, True)
         there = (self.here | {self.me[0]}) & self.electors
-        mine = [rng for rng in range(self.terms.ranges) if keeper_of(rng, there) == self.me[0]]
+        mine = [rng for rng in range(self.terms.ranges) if leader_of(rng, there) == self.me[0]]
         for rng, one in enumerate(self.ranges):
             wanted = now - one.asked_at < self.terms.cold_ms
             if rng not in mine or self.me[0] not in self.electors or not wanted:
@@ -220,108 +220,108 @@
             self._ask(now, there)
         return self._done()
 
-    def to_engine(self, now: float) -> tuple[Request | None, list[Effect]]:
+    def to_engine(self, now: float) -> tuple[EngineRequest | None, list[LimitEffect]]:
         """What is to be asked of the engine now. What that gives up we end with before it is sent, as another may
         have it before we hear of the answer."""
         assert self.session is not None
         request = self.session.next(now, frozenset(self.seeks))
         return request, self._seated(now)
 
-    def from_engine(self, now: float, request: Request, reply: Reply | None) -> list[Effect]:
+    def from_engine(self, now: float, request: EngineRequest, reply: EngineReply | None) -> list[LimitEffect]:
         """What came of it; None: nobody knows."""
         assert self.session is not None
         self.session.answered(now, request, reply)
         return self._seated(now)
 
-    def _seated(self, now: float) -> list[Effect]:
+    def _seated(self, now: float) -> list[LimitEffect]:
         """The session has changed: begin as keeper of what came, end with what went."""
         for rng, one in enumerate(self.ranges):
             if self.session is not None and one.candidacy.seated(now, self.session.epoch(now, rng),
                                                                  self.session.until):
-                one.book = Book(self.terms, now, self.electors)
+                one.book = GrantLedger(self.terms, now, self.electors)
                 self._note("keeper")
                 self._stand(now, rng, one)
             elif not one.candidacy.has(now):
                 one.book = None
         return self._done()
 
-    def _stand(self, now: float, rng: int, one: Range) -> None:
+    def _stand(self, now: float, rng: int, one: Shard) -> None:
         self._no += 1
         one.stood_at = now
         if self.session is not None:
-            ask = AskLease(rng, one.candidacy.epoch, self._no)
+            ask = LeaseRequest(rng, one.candidacy.epoch, self._no)
         else:
             ask = one.candidacy.stand(now, self._no)
         if not one.candidacy.has(now):
             one.book = None
         for name in sorted(self.electors):
-            self._tell(now, name, AskLease(rng, ask.epoch, ask.no))
+            self._tell(now, name, LeaseRequest(rng, ask.epoch, ask.no))
 
     def _periods(self, now: float) -> dict[str, int]:
         return {name: period(limit, now + self.wall_ms) for name, limit in self.limits.items()
-                if limit.of is Of.BUDGET}
+                if limit.of is CountedUnit.BUDGET}
 
     def _draw(self, now: float, there: frozenset[str]) -> None:
         for draw in self.purse.draws(now):
-            rng = range_of(draw.key, self.terms.ranges)
-            self._tell(now, keeper_of(rng, there), msgspec.structs.replace(draw, rng=rng))
+            rng = shard_of(draw.key, self.terms.ranges)
+            self._tell(now, leader_of(rng, there), msgspec.structs.replace(draw, rng=rng))
 
     def _ask(self, now: float, there: frozenset[str]) -> None:
         self._draw(now, there)
         if now >= self._forget_at:
             self._forget_at = now + FORGET_MS
             self.vault.forget(self.limits, now + self.wall_ms)
-        by_range: dict[int, list[Want]] = {}
+        by_range: dict[int, list[KeyDemand]] = {}
         for key, want in self.holder.wants(now).items():
-            by_range.setdefault(range_of(key, self.terms.ranges), []).append(want)
+            by_range.setdefault(shard_of(key, self.terms.ranges), []).append(want)
         for rng, wants in sorted(by_range.items()):
-            keeper = keeper_of(rng, there)
+            keeper = leader_of(rng, there)
             for at in range(0, len(wants), WANTS_MOST):
                 no = self.holder.asking(now, rng)
-                self._tell(now, keeper, Ask(rng, no, tuple(wants[at:at + WANTS_MOST]), self.version))
+                self._tell(now, keeper, GrantRequest(rng, no, tuple(wants[at:at + WANTS_MOST]), self.version))
 
-    def receive(self, now: float, sender: Life, message: Message) -> list[Effect]:
+    def receive(self, now: float, sender: Incarnation, message: LimitMessage) -> list[LimitEffect]:
         """One message of another member."""
         self._hear(now, sender, message)
         return self._done()
 
-    def _hear(self, now: float, sender: Life, message: Message) -> None:
+    def _hear(self, now: float, sender: Incarnation, message: LimitMessage) -> None:
         if message.rng >= self.terms.ranges:
             return self._note("other ranges")
-        if isinstance(message, AskLease):
+        if isinstance(message, LeaseRequest):
             if sender[0] in self.electors and self.me[0] in self.electors and not self.holder.retired:
                 self._tell(now, sender[0], self._promise(now, sender, message))
-        elif isinstance(message, Promise):
+        elif isinstance(message, LeaseVote):
             self._promised(now, sender, message)
-        elif isinstance(message, Ask):
+        elif isinstance(message, GrantRequest):
             self._asked(now, sender, message)
-        elif isinstance(message, Draw | Drawn | Reserve | Reserved):
+        elif isinstance(message, BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse):
             self._budget(now, sender, message)
         else:
             self._granted(now, message)
 
-    def _promise(self, now: float, sender: Life, ask: AskLease) -> Promise:
+    def _promise(self, now: float, sender: Incarnation, ask: LeaseRequest) -> LeaseVote:
         promise = self.voter.asked(now, sender, ask)
         if not promise.ok:
             return msgspec.structs.replace(promise, version=self.version)
-        ours = {key: ask.rng for key in self.holder.shares if range_of(key, self.terms.ranges) == ask.rng}
+        ours = {key: ask.rng for key in self.holder.shares if shard_of(key, self.terms.ranges) == ask.rng}
         holds = self.holder.holds(now, ours)
         longest = max((limit.linger_ms for limit in self.limits.values()), default=0)
         old = now < self.began + self.terms.waited(self.terms.grant_ms + longest)  # an earlier life may hold some
-        return Promise(promise.rng, promise.no, True, promise.seen, len(holds) <= HOLDS_MOST and not old,
+        return LeaseVote(promise.rng, promise.no, True, promise.seen, len(holds) <= HOLDS_MOST and not old,
                        tuple(holds[:HOLDS_MOST]), self.version)
 
-    def _promised(self, now: float, sender: Life, promise: Promise) -> None:
+    def _promised(self, now: float, sender: Incarnation, promise: LeaseVote) -> None:
         one = self.ranges[promise.rng]
         self._heard_version(now, sender[0], promise.version)
         if self.session is None and one.candidacy.answered(now, sender[0], promise):
-            one.book = Book(self.terms, now, self.electors)
+            one.book = GrantLedger(self.terms, now, self.electors)
             self._note("keeper")
         if one.book is not None and promise.ok and promise.seen == one.candidacy.epoch:
             known = {key: limit for key, _ in promise.holds if (limit := self.limit_of(key)) is not None}
             one.book.told(now, sender, promise.whole, promise.holds, known)
 
-    def _asked(self, now: float, sender: Life, ask: Ask) -> None:
+    def _asked(self, now: float, sender: Incarnation, ask: GrantRequest) -> None:
         one = self.ranges[ask.rng]
         if sender[0] in self.electors:
             one.asked_at = now
@@ -338,26 +338,26 @@
             if amount is not None:
                 amounts.append((want.key, amount))
         if amounts:
-            self._tell(now, sender[0], Grants(ask.rng, one.candidacy.epoch, ask.no, self.terms.grant_ms,
+            self._tell(now, sender[0], GrantResponse(ask.rng, one.candidacy.epoch, ask.no, self.terms.grant_ms,
                                               tuple(amounts), self.version if self._settled(now) else 0))
 
-    def _budget(self, now: float, sender: Life, message: Draw | Drawn | Reserve | Reserved) -> None:
+    def _budget(self, now: float, sender: Incarnation, message: BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse) -> None:
         limit, one = self.limit_of(message.key), self.ranges[message.rng]
-        if limit is None or limit.of is not Of.BUDGET:
+        if limit is None or limit.of is not CountedUnit.BUDGET:
             return self._note("unknown limit")
-        if isinstance(message, Drawn):
+        if isinstance(message, BudgetDrawResponse):
             return self.purse.drawn(sender[0], message)
-        if isinstance(message, Reserve):
+        if isinstance(message, BudgetReserveRequest):
             given = self.voter.given[message.rng]
             if given.to != sender or given.epoch != message.epoch or self.holder.retired:
                 return self._note("fenced")  # whoever it promised since has been told what was written then
-            self._out.append(Keep(sender[0], self.vault.reserve(message)))
+            self._out.append(PersistThenSend(sender[0], self.vault.reserve(message)))
             return None
-        if isinstance(message, Draw) and sender[0] in self.electors:
+        if isinstance(message, BudgetDrawRequest) and sender[0] in self.electors:
             one.asked_at = now
         if one.book is None or not one.candidacy.has(now):
             return self._note("not keeper")
-        if isinstance(message, Reserved):
+        if isinstance(message, BudgetReserveResponse):
             one.book.chest.written(sender[0], message)
         elif sender[0] in self.electors:
             drawn, reserve = one.book.chest.draw(sender, message, limit, one.candidacy.epoch)
@@ -368,7 +368,7 @@
                 self._tell(now, sender[0], drawn)
         return None
 
-    def _granted(self, now: float, grants: Grants) -> None:
+    def _granted(self, now: float, grants: GrantResponse) -> None:
         if grants.epoch < self.voter.given[grants.rng].epoch:  # of a keeper whose successor we have told what we hold
             return self._note("fenced")
         if grants.settled == self.version and not self.holder.settled:
@@ -378,15 +378,15 @@
 
     # Out.
 
-    def _tell(self, now: float, name: str, message: Message) -> None:
+    def _tell(self, now: float, name: str, message: LimitMessage) -> None:
         if name == self.me[0]:
             self._hear(now, self.me, message)
         elif name:
-            self._out.append(Tell(name, message))
+            self._out.append(SendMessage(name, message))
 
     def _note(self, what: str, text: str = "") -> None:
-        self._out.append(Note(what, text))
+        self._out.append(CountEvent(what, text))
 
-    def _done(self) -> list[Effect]:
+    def _done(self) -> list[LimitEffect]:
         out, self._out = self._out, []
         return out
--- a/myrtlespar/quota/messages.py
+++ b/myrtlespar/quota/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class KeyDemand(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One key in an ask. `want` is what is used on average beyond the standing share, `peak` what would be at times;
     `took` the ask whose answer was taken last, `busy` the runs in hand beyond the standing share."""
 
@@ -18,17 +18,17 @@
     peak: int = 0
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
+class GrantRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
     """A holder asks the keeper of a range. `no` grows with each ask of one life; `version` is that of the limits it
     goes by."""
 
     rng: int
     no: int
-    wants: tuple[Want, ...]
+    wants: tuple[KeyDemand, ...]
     version: int = 1
 
 
-class Grants(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
+class GrantResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
     """The keeper's answer to ask `no`: amounts that hold for `for_ms` from the sending of that ask, in place of all
     that this holder had before. `settled` is the keeper's version of the limits once all members took it, or 0."""
 
@@ -40,7 +40,7 @@
     settled: int = 0
 
 
-class AskLease(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
     """Would you promise to recognise no other keeper of this range for one lease? `epoch` is greater than any that
     the asker has heard of."""
 
@@ -49,8 +49,8 @@
     no: int
 
 
-class Promise(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """The answer to `AskLease(no)`. `seen` is the greatest epoch ever promised; with `ok` it is the asker's, and
+class LeaseVote(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
+    """The answer to `LeaseRequest(no)`. `seen` is the greatest epoch ever promised; with `ok` it is the asker's, and
     `holds` is all that the voter may still use or have in use of this range. `whole` is false where that did not fit,
     or where an earlier life of the voter may have held more."""
 
@@ -63,7 +63,7 @@
     version: int = 1
 
 
-class Draw(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
+class BudgetDrawRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
     """A member asks for `want` more of a budget. In this life it has got so much, all counted up, and has given `back`
     so much to the keeper of that epoch."""
 
@@ -76,7 +76,7 @@
     want: int
 
 
-class Drawn(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
+class BudgetDrawResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
     """The keeper's answer: what this life has been given in all, and what is left for all."""
 
     rng: int
@@ -87,7 +87,7 @@
     left: int
 
 
-class Reserve(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
+class BudgetReserveRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
     """A keeper asks an elector to write down that so much of a budget may be handed out; 0 asks what is written."""
 
     rng: int
@@ -97,7 +97,7 @@
     total: int
 
 
-class Reserved(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
+class BudgetReserveResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
     """So much of it is on that elector's disk."""
 
     rng: int
@@ -107,24 +107,24 @@
     total: int
 
 
-Message = Ask | Grants | AskLease | Promise | Draw | Drawn | Reserve | Reserved
+LimitMessage = GrantRequest | GrantResponse | LeaseRequest | LeaseVote | BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse
 
 
-class Tell(NamedTuple):
+class SendMessage(NamedTuple):
     """Effect: send this to that member."""
 
     to: str
-    message: Message
+    message: LimitMessage
 
 
-class Keep(NamedTuple):
+class PersistThenSend(NamedTuple):
     """Effect: write the vault to the disk, then send this; if it can't be written, send nothing."""
 
     to: str
-    message: Message
+    message: LimitMessage
 
 
-class Note(NamedTuple):
+class CountEvent(NamedTuple):
     """Effect: count this under `what`; `text` is for the log, if not empty."""
 
     what: str
--- a/myrtlespar/quota/retry_budget.py
+++ b/myrtlespar/quota/retry_budget.py
@@ -15,7 +15,7 @@
 PLEDGE_MS = 2000.0  # within which a caller that was told to try again does so
 
 
-class RepeatTerms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RetryBudgetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The budget. A share of 0 lets in no repeat beyond the burst that a member starts with."""
 
     share: float
@@ -34,10 +34,10 @@
         return self.share * first + self.burst * members
 
 
-class Repeats:
+class RetryBudget:
     """One member's part. Starts with a whole burst."""
 
-    def __init__(self, terms: RepeatTerms) -> None:
+    def __init__(self, terms: RetryBudgetSettings) -> None:
         self.terms, self.left = terms, float(terms.burst)
         self._pledged: deque[float] = deque()  # when each lapses
 
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 
-class Kind(StrEnum):
+class LimitKind(StrEnum):
     """What is promised."""
 
     STRICT = "strict"  # never over, in any window
@@ -21,7 +21,7 @@
     ADVISORY = "advisory"  # counted only
 
 
-class Of(StrEnum):
+class CountedUnit(StrEnum):
     """What is counted."""
 
     RATE = "rate"  # starts in any window
@@ -29,7 +29,7 @@
     BUDGET = "budget"  # starts in a period, over restarts
 
 
-class Counts(StrEnum):
+class CountedWork(StrEnum):
     """What a limit on what is in hand counts."""
 
     RUNS = "runs"
@@ -46,9 +46,9 @@
     at_once: int | None = None
     per_day: int | None = None
     before: float | None = None  # the number of the version before, by which some members may still go
-    kind: Kind = Kind.STRICT
+    kind: LimitKind = LimitKind.STRICT
     cls: str = msgspec.field(name="class", default="")  # a class of requests; empty: all
-    counts: Counts = Counts.RUNS
+    counts: CountedWork = CountedWork.RUNS
     by: str = ""  # a key for each value of this: peer, site, prefix (of the idempotency key); empty: one key
     until: str = ":"  # of `prefix`: the key up to the first of these
     standing: float = 0.1  # this part of it is shared out for good, for members that are cut off
@@ -57,9 +57,9 @@
     run_most_ms: int = 10_000  # of `at_once`: no run, or call, lasts longer
 
     @property
-    def of(self) -> Of:
+    def of(self) -> CountedUnit:
         """What is counted."""
-        return Of.BUDGET if self.per_day is not None else Of.RATE if self.at_once is None else Of.AT_ONCE
+        return CountedUnit.BUDGET if self.per_day is not None else CountedUnit.RATE if self.at_once is None else CountedUnit.AT_ONCE
 
     @property
     def amount(self) -> int:
@@ -80,13 +80,13 @@
     @property
     def linger_ms(self) -> int:
         """How long after its end a part of the limit may still be seen in use."""
-        return self.run_most_ms if self.of is Of.AT_ONCE else 0 if self.of is Of.BUDGET else self.window_ms
+        return self.run_most_ms if self.of is CountedUnit.AT_ONCE else 0 if self.of is CountedUnit.BUDGET else self.window_ms
 
     def fault(self) -> str:
         """Key and why, where it makes no sense; empty otherwise."""
         if sum(number is not None for number in (self.per_s, self.at_once, self.per_day)) != 1:
             return "per_s: exactly one of per_s, at_once and per_day is wanted"
-        if self.per_day is not None and (self.kind is not Kind.STRICT or self.before is not None):
+        if self.per_day is not None and (self.kind is not LimitKind.STRICT or self.before is not None):
             return "per_day: a budget is strict, and its number changes with a restart"
         if not 1000 <= self.period_ms <= 366 * 86_400_000:
             return f"period_ms: expected 1000 to {366 * 86_400_000}, got {self.period_ms}"
@@ -98,7 +98,7 @@
             return f"standing: shares of more than the limit: expected 0 to 1, got {self.standing}"
         if self.by not in BY:
             return f"by: expected one of {', '.join(BY[1:])}, got {self.by!r}"
-        if self.counts is Counts.CALLS and (self.at_once is None or self.by not in ("", "site")):
+        if self.counts is CountedWork.CALLS and (self.at_once is None or self.by not in ("", "site")):
             return "counts: calls in hand are limited by at_once, for the fleet or by site"
         if not self.until:
             return "until: expected the character that ends a prefix"
@@ -120,7 +120,7 @@
     return found if good else f"#{zlib.crc32(found.encode('utf-8', 'replace')):08x}"
 
 
-class GrantTerms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GrantSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Times of grants and leases, in milliseconds."""
 
     drift: float = 0.01  # clocks run fast or slow by at most this
@@ -165,11 +165,11 @@
         """Starts over the limit in any window (runs over it at once). Strict: none, under any cut, crash, restart,
         pause, loss, delay and doubling, with clocks within `drift`. Bounded: a keeper that starts anew does not wait
         for what it can't know, so that grants may be outstanding twice."""
-        return 0 if limit.kind is Kind.STRICT else limit.amount
+        return 0 if limit.kind is LimitKind.STRICT else limit.amount
 
     def over_ms(self, limit: Limit) -> float:
         """For how long a bounded limit may be over, from the start of a new keeper."""
-        return 0.0 if limit.kind is Kind.STRICT else (self.grant_ms + limit.linger_ms) * (1 + self.drift) ** 2
+        return 0.0 if limit.kind is LimitKind.STRICT else (self.grant_ms + limit.linger_ms) * (1 + self.drift) ** 2
 
     def moved_ms(self, limit: Limit) -> float:
         """From a move of demand until its new place has what is due to it, without losses: one ask that wants less,
--- a/myrtlespar/quota/usage_windows.py
+++ b/myrtlespar/quota/usage_windows.py
@@ -7,7 +7,7 @@
 SLOTS = 256  # a window is counted in steps of this part of it, on the safe side
 
 
-class Window:
+class UsageWindow:
     """Starts within the last `span_ms`. Starts that come within one step count as of the latest of them, so that
     none is forgotten early."""
 
@@ -54,7 +54,7 @@
         return at + rounds * self.span_ms
 
 
-class Hand:
+class ConcurrencyCounter:
     """Runs in hand."""
 
     __slots__ = ("count",)
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -10,35 +10,35 @@
 import structlog
 from gevent.event import Event
 
-from myrtlespar.admin.commands import Figures, ManagementCommands
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.admin.commands import AdminCommands, MetricsSnapshot
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.policy.policy import Policy
-from myrtlespar.resource_limits import Limits
+from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import OWED, Do, Try
-from myrtlespar.state_machines.idempotency_keys import Keys
-from myrtlespar.state_machines.lost_runs import LostRuns
-from myrtlespar.state_machines.process import Act, Process
-from myrtlespar.state_machines.request_tracker import Desk, Effect, Terms
-from myrtlespar.state_machines.transition_table import report as impossible
+from myrtlespar.state_machines.attempts import OWED, AttemptAction, AttemptState
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
+from myrtlespar.state_machines.lost_runs import LostRunDetector
+from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
+from myrtlespar.state_machines.request_tracker import RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.transition_table import report_invalid_transitions as impossible
 
 log = structlog.get_logger()
 # Bound once: looking a member up in its class costs as much as a step of a table.
-ENDS = {Kind.SERVED: 0, Kind.REFUSED: 1, Kind.FAILED: 2}
-DELIVER, START_RUN, MAKE_CALL, RESUME = Do.DELIVER, Do.START_RUN, Do.MAKE_CALL, Do.RESUME
-TELL_ARRIVAL, TELL_GONE, TELL_ENDED = Do.TELL_ARRIVAL, Do.TELL_GONE, Do.TELL_ENDED
-TELL_CALL_NEEDED, TELL_CALL_ENDED = Do.TELL_CALL_NEEDED, Do.TELL_CALL_ENDED
-HELD = Try.HELD
+ENDS = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2}
+DELIVER, START_RUN, MAKE_CALL, RESUME = AttemptAction.DELIVER, AttemptAction.START_RUN, AttemptAction.MAKE_CALL, AttemptAction.RESUME
+TELL_ARRIVAL, TELL_GONE, TELL_ENDED = AttemptAction.TELL_ARRIVAL, AttemptAction.TELL_GONE, AttemptAction.TELL_ENDED
+TELL_CALL_NEEDED, TELL_CALL_ENDED = AttemptAction.TELL_CALL_NEEDED, AttemptAction.TELL_CALL_ENDED
+HELD = AttemptState.HELD
 RUNNABLE = "runnable"  # the gauge of all that wants a core
 ANSWER_LEARN = 1 / 16  # weight of the newest answer in what answers take: the time of one is noise
 ANSWER_MOST_MS = 5.0  # of one; an answer takes under 0.3 ms of a whole core
 
 
-class Engine(Protocol):
+class ExecutionEngine(Protocol):
     """What runs requests."""
 
     def run(self, exchange: Exchange) -> None:
@@ -58,7 +58,7 @@
         """Nobody needs this call any longer."""
 
 
-class Gauges(Protocol):
+class GaugeSource(Protocol):
     """Where the gauges for ticks come from."""
 
     def ask(self) -> None:
@@ -68,29 +68,29 @@
         """The freshest there are, or none."""
 
 
-class Core:
+class RequestCoordinator:
     """One greenlet that takes events in batches and acts on what the policy says."""
 
-    def __init__(self, settings: api.Settings, seed: int, limits: Limits, counters: Counters) -> None:
+    def __init__(self, settings: api.Settings, seed: int, limits: ResourceLimits, counters: Counters) -> None:
         self.settings, self.limits, self.counters = settings, limits, counters
         self.policy = Policy(settings, seed)
-        self.engines: dict[str, Engine] = {}
+        self.engines: dict[str, ExecutionEngine] = {}
         self.dependency: Dependency | None = None
-        self.gauges: Gauges | None = None
+        self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
         self.value = 1.0  # what is advertised with every answer
         self.policy_healthy = True
-        self.operator = ManagementCommands()  # the pause that operators ask for on the management address
+        self.operator = AdminCommands()  # the pause that operators ask for on the management address
         self.ends = [[0, 0, 0] for _ in settings.classes]  # per class: served, refused, failed, since the start
         self.forwards = [0 for _ in settings.classes]  # per class: runs handed to the kernel
-        self.process = Process(limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms,
+        self.process = ProcessLifecycle(limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms,
                                limits.crossing_ms)
-        self.desk = Desk(
-            Terms([kind.give_up_ms for kind in settings.classes],
+        self.tracker = RequestTracker(
+            RequestTerms([kind.client_timeout_ms for kind in settings.classes],
                   [kind.effect is not api.Effect.SAFE for kind in settings.classes],
                   limits.overdue_ms, settings.max_retry_after_ms or 1000.0),
-            Keys(limits.keys, limits.key_ms, limits.followers, limits.result_bytes), self.process)
-        self._lost_runs = LostRuns(limits.lost_run_ms)
+            IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes), self.process)
+        self._lost_runs = LostRunDetector(limits.lost_run_ms)
         self._mail: list[api.Event | Exchange] = []
         self._ready = Event()
         self._wakes: list[tuple[float, int]] = [(unix_ms(), 0)]
@@ -103,9 +103,9 @@
         """What a health check is told."""
         return self.operator.good(self.policy_healthy)
 
-    def figures(self, names: Sequence[str]) -> Figures:
+    def figures(self, names: Sequence[str]) -> MetricsSnapshot:
         """The counts for the management address, taken now."""
-        return Figures(names, [list(row) for row in self.ends], list(self.forwards), self.desk.owed)
+        return MetricsSnapshot(names, [list(row) for row in self.ends], list(self.forwards), self.tracker.owed)
 
     @property
     def draining(self) -> bool:
@@ -116,7 +116,7 @@
 
     def submit(self, exchange: Exchange) -> bool:
         """A request was read whole. False: its id is in use, nothing was taken."""
-        effects = self.desk.submit(exchange)
+        effects = self.tracker.submit(exchange)
         if effects is None:
             return False
         self.counters.add(f"in.request.{exchange.front}")
@@ -129,27 +129,27 @@
         """Nobody waits for this request any longer."""
         if exchange.state in OWED:
             self.counters.add(f"answer.gone.{exchange.front}")
-        self._carry(self.desk.gone(exchange))
+        self._carry(self.tracker.gone(exchange))
 
-    def ended(self, id: str, outcome: Outcome, elapsed_ms: float, answer: Answer | None = None) -> None:
+    def ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
         """A run is over; `answer` is its result, or how it failed."""
-        self._carry(self.desk.ended(id, outcome, elapsed_ms, answer, unix_ms()))
+        self._carry(self.tracker.ended(id, outcome, elapsed_ms, answer, unix_ms()))
 
     def call_needed(self, id: str, body: bytes) -> None:
         """A run waits for a call."""
-        self._carry(self.desk.call_needed(id, body))
+        self._carry(self.tracker.call_needed(id, body))
 
-    def called(self, id: str, outcome: Outcome, elapsed_ms: float, reply: bytes = b"") -> None:
+    def called(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
         """A call came back."""
         self.counters.add(f"store.{outcome.value.replace(' ', '_')}")
-        self._carry(self.desk.called(id, outcome, elapsed_ms, reply))
+        self._carry(self.tracker.called(id, outcome, elapsed_ms, reply))
 
     def drain(self) -> bool:
         """Notice to leave. Whether clients are to be told."""
         acts = self.process.notice(unix_ms())
-        if Act.TELL_POLICY in acts:
-            self._post(api.Drain(self.process.answer_by(self.desk.owed)))
-        return Act.ASK_CLIENTS in acts
+        if ProcessAction.TELL_POLICY in acts:
+            self._post(api.Drain(self.process.answer_by(self.tracker.owed)))
+        return ProcessAction.ASK_CLIENTS in acts
 
     def _post(self, event: api.Event | Exchange) -> None:
         self._mail.append(event)
@@ -218,19 +218,19 @@
 
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
         return api.Arrival(exchange.id, exchange.cls, exchange.kb, max(0.0, now - exchange.arrived),
-                           sender=exchange.sender, rank=exchange.rank, further_try=exchange.again)
+                           sender=exchange.sender, rank=exchange.rank, is_retry=exchange.is_retry)
 
     def _act(self, action: api.Action, now: float) -> None:
         match action:
             case api.Run(id):
-                self._carry(self.desk.start(id, now))
-            case api.Refuse(id, retry_after_ms, last):
-                answer = Answer(Kind.REFUSED, retry_after_ms=retry_after_ms, last=last)
-                self._carry(self.desk.refuse(id, answer, now))
+                self._carry(self.tracker.start(id, now))
+            case api.Reject(id, retry_after_ms, last):
+                answer = Answer(AnswerKind.REFUSED, retry_after_ms=retry_after_ms, last=last)
+                self._carry(self.tracker.refuse(id, answer, now))
             case api.Fail(id):
-                self._carry(self.desk.fail(id, now))
+                self._carry(self.tracker.fail(id, now))
             case api.Call(id, limit_ms):
-                self._carry(self.desk.call(id, limit_ms))
+                self._carry(self.tracker.call(id, limit_ms))
             case api.Advertise(value):
                 self.value = value
             case api.SetHealth(good, _):
@@ -246,16 +246,16 @@
             case _:  # stops, joins and skipped calls: `config` reads no setting that leads to them
                 log.error("action not served", action=repr(action))
 
-    def _carry(self, effects: list[Effect]) -> None:
+    def _carry(self, effects: list[RequestEffect]) -> None:
         """Carry out what the desk says, in its order."""
         for effect in effects:
             try:
                 self._carry_out(effect)
             except Exception:  # guards every other request, and the core itself, against a fault with this one
                 if self.counters.rare("core.effect_fault"):
-                    log.exception("effect failed", effect=effect.do.name, id=effect.x.id)
+                    log.exception("effect failed", effect=effect.do.name, id=effect.exchange.id)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _carry_out(self, effect: RequestEffect) -> None:
         do, exchange, answer, outcome, ms, body = effect
         if do is DELIVER:
             assert answer is not None
@@ -292,7 +292,7 @@
     def _sweep(self, now: float) -> None:
         """Guards against anything that leaves a request open."""
         self._end_lost_runs(now)
-        effects = self.desk.sweep(now)
+        effects = self.tracker.sweep(now)
         if effects:
             self.counters.add("answer.overdue", sum(effect.do is DELIVER for effect in effects))
             self._carry(effects)
@@ -300,15 +300,15 @@
     def _end_lost_runs(self, now: float) -> None:
         """Give back the places of runs that the kernel no longer has. Only of those that nobody waits for: what is
         owed an answer has its due time."""
-        running, unwanted = self.desk.on_cores()
-        lost = [x for x in self.desk.at_calls_unwanted() if now > 2 * x.due - x.arrived]  # nothing tells but time
+        running, unwanted = self.tracker.on_cores()
+        lost = [x for x in self.tracker.at_calls_unwanted() if now > 2 * x.due - x.arrived]  # nothing tells but time
         if unwanted and RUNNABLE in self.settings.gauges:
             lost += unwanted[:self._lost_runs.look(now, running, self._runnable(now))]
         elif unwanted:
             lost += [x for x in unwanted if now > 2 * x.due - x.arrived]
         for exchange in lost:
             self.counters.add("run.lost")
-            self.ended(exchange.id, Outcome.ERROR, 0.0)
+            self.ended(exchange.id, RunOutcome.ERROR, 0.0)
 
     def _runnable(self, now: float) -> float | None:
         """What wants a core, by the kernel's gauges; None if they do not tell."""
@@ -319,7 +319,7 @@
 
     def answer_rest(self) -> None:
         """The process ends: fail all that is still owed an answer. Guards a stop that leaves no time for a drain."""
-        effects = self.desk.end_all(unix_ms())
+        effects = self.tracker.end_all(unix_ms())
         if effects:
             self.counters.add("answer.at_stop", sum(effect.do is DELIVER for effect in effects))
             self._carry(effects)
--- a/myrtlespar/resource_limits.py
+++ b/myrtlespar/resource_limits.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ResourceLimits:
     """Sizes in bytes, times in milliseconds; the starting values fit the platform's page."""
 
     stop_ms: float = 3000.0  # from the notice to drain to the kill
--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -11,7 +11,7 @@
 SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGUSR1)
 
 
-class EarlySignals:
+class StartupSignals:
     """Takes the signals over at once. `deliver_to` tells who acts on them, on those that came before too."""
 
     def __init__(self) -> None:
--- a/myrtlespar/runtime/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -5,12 +5,12 @@
 import structlog
 
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 log = structlog.get_logger()
 
 
-def _line(table: Table, who: str, state: int, event: int, row: Row | None) -> None:
+def _line(table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
     log.info("step", machine=table.name, who=who, state=table.states(state).name,
              on=table.events(event).name, to=table.states(row.next).name if row else "impossible")
 
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -10,50 +10,50 @@
 import gevent
 import structlog
 
-from myrtlespar.admin.commands import Figures
+from myrtlespar.admin.commands import MetricsSnapshot
 from myrtlespar.config import Config, ConfigError, load, needs_restart
-from myrtlespar.handover.driver import KeySuccession
+from myrtlespar.handover.driver import KeyHandover
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.net.admin_server import Mgmt
+from myrtlespar.net.admin_server import AdminServer
 from myrtlespar.net.ajp_backends import engines
 from myrtlespar.net.ajp_front import AjpFront
-from myrtlespar.net.dependency_client import Store
-from myrtlespar.net.engine_client import Kernel
-from myrtlespar.net.listener import AddressTaken
-from myrtlespar.net.registry_client import Roster
+from myrtlespar.net.dependency_client import DependencyClient
+from myrtlespar.net.engine_client import EngineClient
+from myrtlespar.net.listener import AddressInUse
+from myrtlespar.net.registry_client import RegistryClient
 from myrtlespar.net.thrift_front import ThriftFront
-from myrtlespar.request_coordinator import Core
+from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 from myrtlespar.runtime.log_output import LogOutput, complain, log_to_standard_output, open_standard_descriptors
-from myrtlespar.runtime.startup_signals import EarlySignals, ignore_signals
+from myrtlespar.runtime.startup_signals import StartupSignals, ignore_signals
 from myrtlespar.runtime.supervision import report_uncaught, run_for_good
 from myrtlespar.runtime.tracing import trace_to_log
-from myrtlespar.state_machines.process import Act, Say
+from myrtlespar.state_machines.process import ProcessAction, ProcessEvent
 
 if TYPE_CHECKING:  # loaded only where an operator sets the fleet up
-    from myrtlespar.fleet import Fleet
+    from myrtlespar.fleet import FleetNode
 
 log = structlog.get_logger()
 
 
-def serve(config: Config, early_signals: EarlySignals, output: LogOutput) -> int:
+def serve(config: Config, early_signals: StartupSignals, output: LogOutput) -> int:
     """Wire the parts, run until a notice to drain or a hand-over is carried out. 2: an address can't be taken, or
     the fleet's file has a fault, before any client is."""
     counters, limits, reloads = Counters(), config.limits, 0
     report_uncaught(counters)
     if config.trace:
         trace_to_log()
-    core = Core(config.settings, config.seed, config.limits, counters)
-    kernel, store = Kernel(config, core), Store(config, core)
-    roster = Roster(config, core, kernel)
+    core = RequestCoordinator(config.settings, config.seed, config.limits, counters)
+    kernel, store = EngineClient(config, core), DependencyClient(config, core)
+    roster = RegistryClient(config, core, kernel)
     core.engines[""], core.gauges, core.dependency = kernel, kernel, store
     core.engines.update(engines(config, core))
     try:
         fronts: list[ThriftFront | AjpFront] = [ThriftFront(config, core, early_signals.told_to_leave)]
         if config.ajp.listen:
             fronts.append(AjpFront(config, core, config.ajp.listen, early_signals.told_to_leave))
-    except AddressTaken as error:
+    except AddressInUse as error:
         if early_signals.told_to_leave():
             return 0
         complain(error)
@@ -84,13 +84,13 @@
                 break
             except ConfigError as error:
                 counters.add("reload.refused")
-                if str(error) != named and Act.NAME_FAULT in core.process.say(Say.BAD_RELOAD):
+                if str(error) != named and ProcessAction.NAME_FAULT in core.process.say(ProcessEvent.BAD_RELOAD):
                     log.error("reload refused", error=str(error))
                 named = str(error)
             gevent.sleep(config.limits.reload_look_ms / 1000.0)
             if mine != reloads or unix_ms() > until:
                 return
-        if Act.MOVE_LINKS not in core.process.say(Say.RELOAD):
+        if ProcessAction.MOVE_LINKS not in core.process.say(ProcessEvent.RELOAD):
             return
         counters.add("reload.done")
         kernel.move(fresh.kernel)
@@ -102,17 +102,17 @@
 
     def hand_over() -> None:
         """SIGTERM beside a second process: stop listening, tell clients, answer what was read, then exit."""
-        longest = max(kind.give_up_ms for kind in config.settings.classes)
+        longest = max(kind.client_timeout_ms for kind in config.settings.classes)
         acts = core.process.handover(unix_ms(), min(longest, limits.handover_cap_ms) + limits.handover_spare_ms)
-        log.info("handing over", owed=core.desk.owed)
-        if Act.CLOSE_LISTENERS in acts:
+        log.info("handing over", owed=core.tracker.owed)
+        if ProcessAction.CLOSE_LISTENERS in acts:
             for front in fronts:
                 front.stop()
                 front.drain()
         if fleet is not None:
             fleet.leave()
 
-    def figures() -> Figures:
+    def figures() -> MetricsSnapshot:
         taken = core.figures(config.class_names)
         return taken if fleet is None else replace(taken, more=fleet.figures())
 
@@ -126,14 +126,14 @@
     mgmt = None
     succession = None
     if config.tmpdir:
-        succession = KeySuccession(core, HandoverFolder(config.tmpdir, config.name))
+        succession = KeyHandover(core, HandoverFolder(config.tmpdir, config.name))
         succession.begin()
     if config.mgmt is not None:
         try:
-            mgmt = Mgmt(config.mgmt, core.operator, counters, lambda: kernel.up and not core.draining, figures,
+            mgmt = AdminServer(config.mgmt, core.operator, counters, lambda: kernel.up and not core.draining, figures,
                         limits, early_signals.told_to_leave)
             mgmt.start()
-        except AddressTaken as error:
+        except AddressInUse as error:
             if early_signals.told_to_leave():
                 return 0
             complain(error)
@@ -164,11 +164,11 @@
             turns.get()
         gevent.sleep(0.02)
         output.flush()
-        for act in core.process.look(unix_ms(), core.desk.owed):
-            if act is Act.CLOSE_LISTENERS:
+        for act in core.process.look(unix_ms(), core.tracker.owed):
+            if act is ProcessAction.CLOSE_LISTENERS:
                 for front in fronts:
                     front.stop()
-            elif act is Act.ASK_CLIENTS:
+            elif act is ProcessAction.ASK_CLIENTS:
                 for front in fronts:
                     front.drain()  # connections opened since the notice
             else:
@@ -181,7 +181,7 @@
                 left_ms = max(0.0, core.process.kill_at - unix_ms())
                 flush_s = min(limits.flush_ms, left_ms / 2) / 1000.0
                 gevent.joinall([gevent.spawn(front.finish, flush_s) for front in fronts], flush_s)
-                stopped = Act.STOP in core.process.say(Say.FLUSHED)
+                stopped = ProcessAction.STOP in core.process.say(ProcessEvent.FLUSHED)
     core.stop()
     ignore_signals(lambda: [watcher.cancel() for watcher in watchers])
     if fleet is not None:
@@ -190,12 +190,12 @@
     return 0
 
 
-def _fleet(config: Config, core: Core, counters: Counters) -> Fleet:
+def _fleet(config: Config, core: RequestCoordinator, counters: Counters) -> FleetNode:
     """The fleet's parts, imported only here."""
     from myrtlespar.fleet import open_fleet
 
     def key_of(id: str) -> str:
-        exchange = core.desk.find(id)
+        exchange = core.tracker.find(id)
         return exchange.key if exchange is not None else ""
 
     fleet = open_fleet(config, counters, key_of)
@@ -206,11 +206,11 @@
     return fleet
 
 
-def main(early_signals: EarlySignals | None = None) -> int:
+def main(early_signals: StartupSignals | None = None) -> int:
     """Run until drained. 0 is a drain carried out, 1 a fault of a part that is needed, 2 a faulty configuration,
     named in one line."""
     open_standard_descriptors()
-    early_signals = early_signals or EarlySignals()
+    early_signals = early_signals or StartupSignals()
     output = log_to_standard_output()
     gevent.config.resolver = "block"  # there is no DNS; addresses are numbers and need no thread
     try:
--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -11,16 +11,16 @@
     FAILED,
     HERE,
     LEFT,
-    Ask,
-    Changed,
-    Effect,
+    GossipPush,
+    MemberChanged,
+    MembershipEffect,
+    MemberUpdate,
     Packet,
-    Push,
-    Rumour,
-    Send,
-    Sync,
+    RequestSync,
+    SendPacket,
+    ViewSync,
 )
-from myrtlespar.membership.quorum import Electorate, Standings
+from myrtlespar.membership.quorum import QuorumTracker, VoterSet
 from myrtlespar.simulation.fleet import Make
 
 BEAT_MS = 500.0
@@ -31,23 +31,23 @@
     """One member of the baseline."""
 
     def __init__(self, name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-                 electorate: Electorate) -> None:
-        self.me, self.seeds, self.dice = Rumour(name, site, address, boot, 0, ALIVE), list(seeds), dice
-        self.known: dict[str, Rumour] = {}
+                 electorate: VoterSet) -> None:
+        self.me, self.seeds, self.dice = MemberUpdate(name, site, address, boot, 0, ALIVE), list(seeds), dice
+        self.known: dict[str, MemberUpdate] = {}
         self.heard: dict[str, float] = {}
-        self.standings = Standings(name, electorate, now)
+        self.standings = QuorumTracker(name, electorate, now)
         self._no = 0
         self._at = now + dice.random() * BEAT_MS
 
-    def start(self, now: float) -> list[Effect]:
+    def start(self, now: float) -> list[MembershipEffect]:
         """Ask the seeds who is there."""
-        return [Ask(seed, self._sync()) for seed in self.seeds if seed != self.me.address]
+        return [RequestSync(seed, self._sync()) for seed in self.seeds if seed != self.me.address]
 
     def next_at(self) -> float:
         """The next beat."""
         return self._at
 
-    def tick(self, now: float) -> list[Effect]:
+    def tick(self, now: float) -> list[MembershipEffect]:
         """A beat to all, and a look at who is silent."""
         self._at = now + BEAT_MS * (0.95 + 0.1 * self.dice.random())
         out = self._beat()
@@ -56,10 +56,10 @@
         for name, at in self.heard.items():
             rumour = self.known[name]
             if rumour.state == ALIVE and now - at > SILENCE_MS:
-                out += self._put(now, Rumour(name, rumour.site, rumour.address, rumour.boot, 0, FAILED))
+                out += self._put(now, MemberUpdate(name, rumour.site, rumour.address, rumour.boot, 0, FAILED))
         return out
 
-    def receive(self, now: float, packet: Packet) -> list[Effect]:
+    def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
         """A beat of another."""
         known = self.known.get(packet.me.name)
         if known is not None and packet.me.boot < known.boot + (known.state == LEFT):
@@ -67,42 +67,42 @@
         self.heard[packet.me.name] = now
         return self._put(now, packet.me) if known is None or known.key != packet.me.key else []
 
-    def asked(self, now: float, sync: Sync) -> tuple[Sync | None, list[Effect]]:
+    def asked(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]:
         """Who is there."""
         return self._sync(), self.synced(now, sync)
 
-    def synced(self, now: float, sync: Sync) -> list[Effect]:
+    def synced(self, now: float, sync: ViewSync) -> list[MembershipEffect]:
         """Take over those not known yet; they must be heard themselves."""
-        out: list[Effect] = []
+        out: list[MembershipEffect] = []
         for rumour in (sync.me, *sync.entries):
             if rumour.name != self.me.name and rumour.name not in self.known and rumour.state in HERE:
                 self.heard[rumour.name] = now
                 out += self._put(now, rumour)
         return out
 
-    def leave(self, now: float) -> list[Effect]:
+    def leave(self, now: float) -> list[MembershipEffect]:
         """A last beat."""
-        self.me = Rumour(self.me.name, self.me.site, self.me.address, self.me.boot, 0, LEFT)
+        self.me = MemberUpdate(self.me.name, self.me.site, self.me.address, self.me.boot, 0, LEFT)
         return self._beat()
 
-    def _beat(self) -> list[Effect]:
+    def _beat(self) -> list[MembershipEffect]:
         self._no += 1
-        packet = Packet("emulated", self._no, self.me, 0, 1, Push())
-        return [Send(rumour.address, packet) for rumour in self.known.values()]
+        packet = Packet("emulated", self._no, self.me, 0, 1, GossipPush())
+        return [SendPacket(rumour.address, packet) for rumour in self.known.values()]
 
-    def _put(self, now: float, rumour: Rumour) -> list[Effect]:
+    def _put(self, now: float, rumour: MemberUpdate) -> list[MembershipEffect]:
         old = self.known.get(rumour.name)
         self.known[rumour.name] = rumour
-        return [Changed(rumour.name, None if old is None else old.state, rumour.state, rumour.boot, 0, ""),
+        return [MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.boot, 0, ""),
                 *self.standings.tell(rumour.name, rumour.state in HERE, now)]
 
-    def _sync(self) -> Sync:
-        return Sync("emulated", self.me, tuple(self.known.values()))
+    def _sync(self) -> ViewSync:
+        return ViewSync("emulated", self.me, tuple(self.known.values()))
 
 
 def baseline() -> Make:
     """Makes members of the baseline."""
     def make(name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-             roll: Electorate) -> Heartbeat:
+             roll: VoterSet) -> Heartbeat:
         return Heartbeat(name, site, address, boot, dice, now, seeds, roll)
     return make
--- a/myrtlespar/simulation/event_loop.py
+++ b/myrtlespar/simulation/event_loop.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Engine:
+class EventLoop:
     """What happens when, in order of time and, at one time, in the order it was asked for."""
 
     def __init__(self) -> None:
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -8,17 +8,26 @@
 from random import Random
 from typing import Protocol
 
-from myrtlespar.fault_proxy.faults import Faults
-from myrtlespar.fleet_tests.ground_truth import Deed
-from myrtlespar.fleet_tests.invariants import Belief
-from myrtlespar.fleet_tests.script import Step
+from myrtlespar.fault_proxy.faults import ActiveFaults
+from myrtlespar.fleet_tests.ground_truth import FaultAction
+from myrtlespar.fleet_tests.invariants import ObservedBelief
+from myrtlespar.fleet_tests.script import ScriptStep
 from myrtlespar.membership.member import Member
-from myrtlespar.membership.messages import Ask, Changed, Effect, Note, Packet, Send, Stands, Sync
-from myrtlespar.membership.quorum import Electorate
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.messages import (
+    CountEvent,
+    MemberChanged,
+    MembershipEffect,
+    Packet,
+    QuorumChanged,
+    RequestSync,
+    SendPacket,
+    ViewSync,
+)
+from myrtlespar.membership.quorum import VoterSet
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.membership.view import stamp
 from myrtlespar.net.codec.peer import encode
-from myrtlespar.simulation.event_loop import Engine
+from myrtlespar.simulation.event_loop import EventLoop
 
 HOP_MS, HOP_JITTER_MS = 0.4, 0.4  # one way within a site or between near ones, as on loopback through the relay
 START_MS = 300.0  # from the start of a process to its first packet
@@ -29,37 +38,37 @@
 class Machine(Protocol):
     """What runs in a node: `Member`, or the baseline."""
 
-    def start(self, now: float) -> list[Effect]: ...
+    def start(self, now: float) -> list[MembershipEffect]: ...
     def next_at(self) -> float: ...
-    def tick(self, now: float) -> list[Effect]: ...
-    def receive(self, now: float, packet: Packet) -> list[Effect]: ...
-    def asked(self, now: float, sync: Sync) -> tuple[Sync | None, list[Effect]]: ...
-    def synced(self, now: float, sync: Sync) -> list[Effect]: ...
-    def leave(self, now: float) -> list[Effect]: ...
+    def tick(self, now: float) -> list[MembershipEffect]: ...
+    def receive(self, now: float, packet: Packet) -> list[MembershipEffect]: ...
+    def asked(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]: ...
+    def synced(self, now: float, sync: ViewSync) -> list[MembershipEffect]: ...
+    def leave(self, now: float) -> list[MembershipEffect]: ...
 
 
 @dataclass(slots=True)
-class Node:
+class SimulatedNode:
     """One member's process."""
 
     name: str
     machine: Machine
     up: bool = True
     stopped: bool = False
-    waiting: list[tuple[str, Packet | Sync, str]] = field(default_factory=list)  # came while it was stopped
+    waiting: list[tuple[str, Packet | ViewSync, str]] = field(default_factory=list)  # came while it was stopped
     due: float = float("inf")
     sent: int = 0
     sent_bytes: int = 0
     datagrams: int = 0  # sent and received
 
 
-Make = Callable[[str, str, str, int, Random, float, Sequence[str], Electorate], Machine]
+Make = Callable[[str, str, str, int, Random, float, Sequence[str], VoterSet], Machine]
 
 
-def real(terms: Terms) -> Make:
+def real(terms: MembershipSettings) -> Make:
     """The membership machine itself."""
     def make(name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-             roll: Electorate) -> Machine:
+             roll: VoterSet) -> Machine:
         return Member(name, site, address, boot, "emulated", terms, roll, seeds, dice, now)
     return make
 
@@ -69,7 +78,7 @@
     return f"127.8.{n >> 8}.{n & 255}:7000"
 
 
-class Fleet:
+class SimulatedFleet:
     """Nodes, the network between them, and a record of what was done and what was believed.
 
     `observers` limits whose beliefs are kept (all, if empty); `sizes` false leaves packets unencoded and uncounted."""
@@ -77,18 +86,18 @@
     def __init__(self, sites: Mapping[str, Sequence[str]], make: Make, seed: int, observers: Sequence[str] = (),
                  electorate: Mapping[str, Sequence[str]] | None = None, sizes: bool = True) -> None:
         self.sites, self.make, self.seed, self.sizes = sites, make, seed, sizes
-        self.engine, self.faults, self.dice = Engine(), Faults(), Random(f"network {seed}")
+        self.engine, self.faults, self.dice = EventLoop(), ActiveFaults(), Random(f"network {seed}")
         self.site_of = {name: site for site, row in sites.items() for name in row}
         self.names = list(self.site_of)
         self.address = {name: address_of(n + 1) for n, name in enumerate(self.names)}
         self.name_at = {address: name for name, address in self.address.items()}
         roll = electorate if electorate is not None else \
             {site: row[:ELECTORS] if len(self.names) > ALL_ELECTORS else row for site, row in sites.items()}
-        self.roll = Electorate(1, {site: tuple(row) for site, row in roll.items()})
+        self.roll = VoterSet(1, {site: tuple(row) for site, row in roll.items()})
         self.observers = set(observers or self.names)
-        self.nodes: dict[str, Node] = {}
-        self.deeds: list[Deed] = []
-        self.beliefs: list[Belief] = []
+        self.nodes: dict[str, SimulatedNode] = {}
+        self.deeds: list[FaultAction] = []
+        self.beliefs: list[ObservedBelief] = []
         self.notes: dict[str, int] = {}
         self.lost_before: dict[int, list[str]] = {}
         self._starts = 0
@@ -114,7 +123,7 @@
             for name in machine.view.all:
                 machine.standings.tell(name, True, 0.0)
 
-    def play(self, steps: Sequence[Step], from_ms: float) -> None:
+    def play(self, steps: Sequence[ScriptStep], from_ms: float) -> None:
         """Lay a script's steps out; its time 0 is `from_ms`."""
         for step in steps:
             self.engine.at(from_ms + step.at_ms, self._step, step)
@@ -132,12 +141,12 @@
         digest = hashlib.blake2b(f"{self.seed} {name} {self._starts}".encode(), digest_size=8).digest()
         machine = self.make(name, self.site_of[name], self.address[name], 1_700_000_000_000 + int(now),
                             Random(int.from_bytes(digest, "big")), now, seeds, self.roll)
-        node = self.nodes[name] = Node(name, machine)
-        self.deeds.append(Deed(now, "up", name))
+        node = self.nodes[name] = SimulatedNode(name, machine)
+        self.deeds.append(FaultAction(now, "up", name))
         if name in self.observers:
-            self.beliefs.append(Belief(now, name, "begin"))
+            self.beliefs.append(ObservedBelief(now, name, "begin"))
             for scope, tally in getattr(getattr(machine, "standings", None), "scopes", {}).items():
-                self.beliefs.append(Belief(now, name, "standing", scope, tally.now))
+                self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.now))
         self._carry(node, machine.start(now) if join else [])
 
     def _seeds(self, name: str) -> list[str]:
@@ -149,14 +158,14 @@
         node = self.nodes.get(name)
         if node is not None and node.up:
             node.up = False
-            self.deeds.append(Deed(self.engine.now, kind, name))
+            self.deeds.append(FaultAction(self.engine.now, kind, name))
 
     def stop(self, name: str) -> None:
         """SIGSTOP."""
         node = self.nodes[name]
         if node.up and not node.stopped:
             node.stopped = True
-            self.deeds.append(Deed(self.engine.now, "pause", name))
+            self.deeds.append(FaultAction(self.engine.now, "pause", name))
 
     def go_on(self, name: str) -> None:
         """SIGCONT: what came meanwhile is read first, then the clock is looked at."""
@@ -164,7 +173,7 @@
         if not (node.up and node.stopped):
             return
         node.stopped = False
-        self.deeds.append(Deed(self.engine.now, "resume", name))
+        self.deeds.append(FaultAction(self.engine.now, "resume", name))
         waiting, node.waiting = node.waiting, []
         for kind, message, sender in waiting:
             self._arrive(node, kind, message, sender)
@@ -176,19 +185,19 @@
         if node.up:
             self._carry(node, node.machine.leave(self.engine.now))
             self.engine.at(self.engine.now + 300, self._left, name, node)
-            self.deeds.append(Deed(self.engine.now, "left", name))
+            self.deeds.append(FaultAction(self.engine.now, "left", name))
 
-    def _left(self, name: str, node: Node) -> None:
+    def _left(self, name: str, node: SimulatedNode) -> None:
         node.up = False
 
-    def _step(self, step: Step) -> None:
+    def _step(self, step: ScriptStep) -> None:
         now = self.engine.now
         if step.rule is not None:
             if step.kind == "rule_on":
                 self.faults.put(step.number, step.rule)
             else:
                 self.faults.drop(step.number)
-            self.deeds.append(Deed(now, step.kind, "", step.number, step.rule))
+            self.deeds.append(FaultAction(now, step.kind, "", step.number, step.rule))
             return
         if step.kind == "lose":
             self.lost_before[step.number] = [name for name in step.names if self.nodes[name].up]
@@ -211,27 +220,27 @@
 
     # The network.
 
-    def _carry(self, node: Node, effects: list[Effect]) -> None:
+    def _carry(self, node: SimulatedNode, effects: list[MembershipEffect]) -> None:
         now = self.engine.now
         for effect in effects:
             kind = type(effect)
-            if kind is Send:
+            if kind is SendPacket:
                 self._send(node, effect.address, effect.packet)  # type: ignore[union-attr]
-            elif kind is Ask:
+            elif kind is RequestSync:
                 self._ask(node, effect.address, effect.sync)  # type: ignore[union-attr]
-            elif kind is Note:
+            elif kind is CountEvent:
                 self.notes[effect.what] = self.notes.get(effect.what, 0) + 1  # type: ignore[union-attr]
             elif node.name in self.observers:
-                if isinstance(effect, Changed):
-                    self.beliefs.append(Belief(now, node.name, "member", effect.name, effect.new, effect.boot))
-                elif isinstance(effect, Stands):
-                    self.beliefs.append(Belief(now, node.name, "standing", effect.scope, effect.new))
+                if isinstance(effect, MemberChanged):
+                    self.beliefs.append(ObservedBelief(now, node.name, "member", effect.name, effect.new, effect.boot))
+                elif isinstance(effect, QuorumChanged):
+                    self.beliefs.append(ObservedBelief(now, node.name, "standing", effect.scope, effect.new))
         due = node.machine.next_at()
         if due != node.due:
             node.due = due
             self.engine.at(due, self._tick, node.name, node)
 
-    def _send(self, node: Node, address: str, packet: Packet) -> None:
+    def _send(self, node: SimulatedNode, address: str, packet: Packet) -> None:
         node.datagrams += 1
         if self.sizes:
             node.sent_bytes += len(encode(packet)) + 28  # with the headers of IP and UDP
@@ -246,7 +255,7 @@
             self.engine.at(self.engine.now + HOP_MS + HOP_JITTER_MS * dice.random() + delay, self._deliver, to,
                            "packet", packet, node.name)
 
-    def _ask(self, node: Node, address: str, sync: Sync) -> None:
+    def _ask(self, node: SimulatedNode, address: str, sync: ViewSync) -> None:
         """TCP: nothing while cut or refused; a lost segment is sent again after 200 ms."""
         to = self.name_at.get(address)
         if to is None or self.faults.link(node.name, to).cut or self.faults.link(to, node.name).cut:
@@ -269,7 +278,7 @@
                 total += 200.0
         return total
 
-    def _deliver(self, to: str, kind: str, message: Packet | Sync, sender: str) -> None:
+    def _deliver(self, to: str, kind: str, message: Packet | ViewSync, sender: str) -> None:
         node = self.nodes.get(to)
         if node is None or not node.up:
             return
@@ -279,7 +288,7 @@
             return
         self._arrive(node, kind, message, sender)
 
-    def _arrive(self, node: Node, kind: str, message: Packet | Sync, sender: str) -> None:
+    def _arrive(self, node: SimulatedNode, kind: str, message: Packet | ViewSync, sender: str) -> None:
         now = self.engine.now
         if isinstance(message, Packet):
             node.datagrams += 1
@@ -295,7 +304,7 @@
                 self.engine.at(now + self._stream_ms(node.name, sender, 1), self._deliver, sender, "reply", reply,
                                node.name)
 
-    def _tick(self, name: str, node: Node) -> None:
+    def _tick(self, name: str, node: SimulatedNode) -> None:
         now = self.engine.now
         if not node.up or node.stopped or now < node.machine.next_at():
             return
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from myrtlespar.net.codec.limits import Letter, encode
-from myrtlespar.quota.admission_queue import Places
-from myrtlespar.quota.limit_coordinator import Agent, Effect
-from myrtlespar.quota.messages import Message, Tell
-from myrtlespar.quota.settings import GrantTerms, Limit
-from myrtlespar.simulation.event_loop import Engine
+from myrtlespar.net.codec.limits import LimitDatagram, encode
+from myrtlespar.quota.admission_queue import AdmissionQueue
+from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
+from myrtlespar.quota.messages import LimitMessage, SendMessage
+from myrtlespar.quota.settings import GrantSettings, Limit
+from myrtlespar.simulation.event_loop import EventLoop
 
 
 @dataclass(slots=True)
-class Moved:
+class LimitsResult:
     """What was seen of a run."""
 
     starts: Counter[int] = field(default_factory=Counter)  # by second
@@ -27,24 +27,24 @@
     bytes: int = 0  # of datagrams
 
 
-class Fleet:
+class SimulatedLimits:
     """Agents of one fleet with one limit, all here, under one demand function."""
 
-    def __init__(self, members: int, limit: Limit, terms: GrantTerms, seed: int, hop_ms: float = 1.0,
+    def __init__(self, members: int, limit: Limit, terms: GrantSettings, seed: int, hop_ms: float = 1.0,
                  keys: int = 0, sizes: bool = False, hold_ms: float = 0.0) -> None:
         """With `keys`, each request is of one of so many callers, each with the limit by itself. A request waits up
         to `hold_ms` for its place."""
         self.keys, self.sizes, self.hold_ms = keys, sizes, hold_ms
-        self.engine, self.dice, self.limit, self.hop_ms = Engine(), Random(seed), limit, hop_ms
+        self.engine, self.dice, self.limit, self.hop_ms = EventLoop(), Random(seed), limit, hop_ms
         self.names = [f"m{n}" for n in range(members)]
-        self.agents = {name: Agent((name, 1), terms, {"x": limit}, frozenset(self.names), 0.0) for name in self.names}
-        self.places = {name: Places(agent) for name, agent in self.agents.items()}
+        self.agents = {name: LimitCoordinator((name, 1), terms, {"x": limit}, frozenset(self.names), 0.0) for name in self.names}
+        self.places = {name: AdmissionQueue(agent) for name, agent in self.agents.items()}
         self.rates = dict.fromkeys(self.names, 0.0)
         self._count = 0
         self.lone: frozenset[str] = frozenset()
         self.starts_by: Counter[tuple[str, int]] = Counter()  # by member and second
         self._until: dict[str, float] = {}  # of those that wait
-        self.seen = Moved()
+        self.seen = LimitsResult()
         self._window: deque[float] = deque()
         for agent in self.agents.values():
             agent.here = frozenset(self.names)
@@ -59,12 +59,12 @@
             self._ready(name)
         self.engine.at(max(agent.next_at(), now + 1.0), self._tick, name)
 
-    def _carry(self, name: str, effects: list[Effect]) -> None:
+    def _carry(self, name: str, effects: list[LimitEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, Tell) and (effect.to in self.lone) == (name in self.lone):
+            if isinstance(effect, SendMessage) and (effect.to in self.lone) == (name in self.lone):
                 self.seen.messages += 1
                 if self.sizes:
-                    self.seen.bytes += len(encode(Letter("emulated", name, 1, effect.message)))
+                    self.seen.bytes += len(encode(LimitDatagram("emulated", name, 1, effect.message)))
                 self.engine.at(self.engine.now + self.hop_ms, self._heard, effect.to, name, effect.message)
 
     def part(self, lone: frozenset[str], noticed_ms: float = 2000.0) -> None:
@@ -76,7 +76,7 @@
         for name, agent in self.agents.items():
             agent.here = frozenset(other for other in self.names if (other in lone) == (name in lone))
 
-    def _heard(self, to: str, sender: str, message: Message) -> None:
+    def _heard(self, to: str, sender: str, message: LimitMessage) -> None:
         self._carry(to, self.agents[to].receive(self.engine.now, (sender, 1), message))
 
     def _want(self, name: str) -> None:
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -6,13 +6,13 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from myrtlespar.fleet_tests.ground_truth import Deed, Truth
+from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
 from myrtlespar.fleet_tests.invariants import judge_members
 from myrtlespar.fleet_tests.runner import figures
 from myrtlespar.fleet_tests.script import Script
-from myrtlespar.membership.settings import Terms
+from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.simulation.baseline import baseline
-from myrtlespar.simulation.fleet import Fleet, real
+from myrtlespar.simulation.fleet import SimulatedFleet, real
 
 SETTLE_MS = 6000.0  # from the first start to the script's beginning
 PAIRED_MOST = 64  # members whose every pair is judged; in larger fleets so many observers are
@@ -20,15 +20,15 @@
 JOINED_FROM = 300  # members; larger fleets begin joined
 
 
-def play(script: Script, seed: int, terms: Terms | None = None, plain: bool = False) -> dict[str, Any]:
+def play(script: Script, seed: int, terms: MembershipSettings | None = None, plain: bool = False) -> dict[str, Any]:
     """Figures as `standins.fleet.play` gives them, and what the emulator alone knows: datagrams, bytes, speed.
 
     `plain` plays the baseline. In fleets of more than 64 some observers are judged, and no standings."""
-    terms, sites, names = terms or Terms(), script.sites, list(script.members)
+    terms, sites, names = terms or MembershipSettings(), script.sites, list(script.members)
     observers = names if len(names) <= PAIRED_MOST else watchers(script, sites)
     joined = len(names) > JOINED_FROM and not plain
     settle = SETTLE_MS + (0 if joined else 12 * len(names))
-    fleet = Fleet(sites, baseline() if plain else real(terms), seed, observers)
+    fleet = SimulatedFleet(sites, baseline() if plain else real(terms), seed, observers)
     began = time.monotonic()
     if joined:
         fleet.begin_joined()
@@ -40,7 +40,7 @@
     fleet.run(settle + script.length_ms)
     took, seconds = time.monotonic() - began, script.length_ms / 1000
     deeds = fleet.deeds if len(names) <= PAIRED_MOST else _few(fleet.deeds)
-    truth = Truth(names, deeds, settle + script.length_ms, terms.pause_ms())
+    truth = GroundTruth(names, deeds, settle + script.length_ms, terms.pause_ms())
     verdict = judge_members(truth, fleet.beliefs, terms, sites if len(names) <= PAIRED_MOST else {}, observers)
     moved = [(node.sent_bytes - before.get(name, (0, 0))[0], node.datagrams - before.get(name, (0, 0))[1])
              for name, node in fleet.nodes.items()]
@@ -61,13 +61,13 @@
     return [name for row in sites.values() for name in [n for n in row if n not in named][:each]]
 
 
-def _few(deeds: list[Deed]) -> list[Deed]:
+def _few(deeds: list[FaultAction]) -> list[FaultAction]:
     """The starts of a large fleet as one moment, so that its truth has few."""
     first: dict[str, bool] = {}
     out = []
     for deed in deeds:
         if deed.kind == "up" and deed.name not in first:
             first[deed.name] = True
-            deed = Deed(0.0, "up", deed.name)
+            deed = FaultAction(0.0, "up", deed.name)
         out.append(deed)
     return out
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -12,21 +12,21 @@
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.policy import Policy
-from myrtlespar.policy.settings import FaultySetting, Json, MissingSetting, read_settings
+from myrtlespar.policy.settings import InvalidSetting, Json, MissingSetting, read_settings
 
 OUTCOMES = {
-    100: api.Outcome.OK,
-    301: api.Outcome.ERROR,
-    302: api.Outcome.REJECTED,
-    303: api.Outcome.TIMED_OUT,
-    304: api.Outcome.UNREACHABLE,
-    305: api.Outcome.CUT_OFF,
-    306: api.Outcome.STOPPED,
-    307: api.Outcome.MOOT,
+    100: api.RunOutcome.OK,
+    301: api.RunOutcome.ERROR,
+    302: api.RunOutcome.REJECTED,
+    303: api.RunOutcome.TIMED_OUT,
+    304: api.RunOutcome.UNREACHABLE,
+    305: api.RunOutcome.CUT_OFF,
+    306: api.RunOutcome.STOPPED,
+    307: api.RunOutcome.MOOT,
 }
 
 
-class BadInput(Exception):
+class MalformedInput(Exception):
     """A line that is not a batch of this wire."""
 
 
@@ -45,7 +45,7 @@
         sender=event.get("neighbour", 0),
         rank=event.get("rank", 0.0),
         prior=event.get("dup_of") or "",
-        further_try=bool(bits & FURTHER_TRY),
+        is_retry=bool(bits & FURTHER_TRY),
         cost_hint_ms=(event.get("hint_ms") or 0.0) if bits & HINT_VALID else 0.0,
     )
 
@@ -62,7 +62,7 @@
 
 WRITERS: dict[type, Callable[[Any], Json]] = {
     api.Run: lambda a: {"type": "start", "xid": a.id},
-    api.Refuse: lambda a: {
+    api.Reject: lambda a: {
         "type": "refuse",
         "xid": a.id,
         **({"hold_off_ms": round(a.retry_after_ms, 3)} if a.retry_after_ms > 0 else {}),
@@ -87,7 +87,7 @@
 }
 
 
-class Host:
+class PolicyHost:
     """All instances of one adapter process; they share nothing but this table."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
     def _instance(self, now: float, name: str, rows: list[Json]) -> list[Json]:
         try:
             return self._decide(now, name, rows)
-        except (MissingSetting, FaultySetting) as error:
+        except (MissingSetting, InvalidSetting) as error:
             self._policies.pop(name, None)
             return [{"type": "bug", "message": str(error)}]
         except Exception as error:
@@ -136,29 +136,29 @@
     try:
         batch = json.loads(line)
     except ValueError as error:
-        raise BadInput(f"input line {number}: not JSON: {error}") from None
+        raise MalformedInput(f"input line {number}: not JSON: {error}") from None
     if not isinstance(batch, dict):
-        raise BadInput(f"input line {number}: not a batch: expected an object")
+        raise MalformedInput(f"input line {number}: not a batch: expected an object")
     if isinstance(batch.get("sim_time_ms"), bool) or not isinstance(batch.get("sim_time_ms"), int | float):
-        raise BadInput(f"input line {number}: not a batch: sim_time_ms is missing or no number")
+        raise MalformedInput(f"input line {number}: not a batch: sim_time_ms is missing or no number")
     _check_rows(batch.get("backends"), number)
     return batch
 
 
 def _check_rows(rows: Any, number: int) -> None:
     if not isinstance(rows, list):
-        raise BadInput(f"input line {number}: not a batch: backends is missing or no list")
+        raise MalformedInput(f"input line {number}: not a batch: backends is missing or no list")
     for row in rows:
         if not (isinstance(row, dict) and isinstance(row.get("backend"), str)):
-            raise BadInput(f"input line {number}: not a batch: an entry of backends has no name")
+            raise MalformedInput(f"input line {number}: not a batch: an entry of backends has no name")
         events = row.get("arrivals")
         if not (isinstance(events, list) and all(isinstance(event, dict) for event in events)):
-            raise BadInput(f"input line {number}: not a batch: arrivals is no list of events")
+            raise MalformedInput(f"input line {number}: not a batch: arrivals is no list of events")
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
     """Answer every batch with one line until the input ends."""
-    host = Host()
+    host = PolicyHost()
     for number, line in enumerate(lines, start=1):
         reply = host.batch(parse(line, number))
         out.write(json.dumps(reply, separators=(",", ":")) + "\n")
@@ -169,7 +169,7 @@
     """Run the adapter on standard input and output."""
     try:
         serve(sys.stdin, sys.stdout)
-    except BadInput as error:
+    except MalformedInput as error:
         print(error, file=sys.stderr)
         return 1
     return 0
--- a/myrtlespar/state_machines/__init__.py
+++ b/myrtlespar/state_machines/__init__.py
@@ -6,11 +6,11 @@
 turned away is not decided here but in `decide.py`.
 """
 
-from myrtlespar.state_machines.attempts import TRY
-from myrtlespar.state_machines.client_connection import CONN
-from myrtlespar.state_machines.dependency_calls import CALL, WIRE
-from myrtlespar.state_machines.engine_link import COMMAND, LINK
-from myrtlespar.state_machines.idempotency_keys import KEY
-from myrtlespar.state_machines.process import PROCESS
+from myrtlespar.state_machines.attempts import ATTEMPT_TABLE
+from myrtlespar.state_machines.client_connection import CONNECTION_TABLE
+from myrtlespar.state_machines.dependency_calls import CALL_TABLE, DEPENDENCY_CONNECTION_TABLE
+from myrtlespar.state_machines.engine_link import COMMAND_TABLE, LINK_TABLE
+from myrtlespar.state_machines.idempotency_keys import KEY_TABLE
+from myrtlespar.state_machines.process import PROCESS_TABLE
 
-TABLES = (TRY, KEY, PROCESS, LINK, COMMAND, CALL, WIRE, CONN)
+TABLES = (ATTEMPT_TABLE, KEY_TABLE, PROCESS_TABLE, LINK_TABLE, COMMAND_TABLE, CALL_TABLE, DEPENDENCY_CONNECTION_TABLE, CONNECTION_TABLE)
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -4,10 +4,10 @@
 
 from enum import IntEnum, auto
 
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Try(IntEnum):
+class AttemptState(IntEnum):
     """Where a try stands. In the states from READ to CALLING its final answer is owed."""
 
     READ = 0  # whole, and nothing decided about it
@@ -21,7 +21,7 @@
     OVER = auto()
 
 
-class On(IntEnum):
+class AttemptEvent(IntEnum):
     """What happens to a try."""
 
     ADMIT = 0
@@ -43,7 +43,7 @@
     PROMOTE = auto()  # it takes the place of the try it followed
 
 
-class Do(IntEnum):
+class AttemptAction(IntEnum):
     """What follows. Those up to TELL_CALL_ENDED are for the core, the others for the desk itself."""
 
     DELIVER = 0  # hand the final answer to the client side
@@ -65,65 +65,65 @@
     UNFOLLOW = auto()
 
 
-LAST_OUTWARD = Do.TELL_CALL_ENDED
-OWED = frozenset({Try.READ, Try.HELD, Try.FOLLOWING, Try.RUNNING, Try.AT_CALL, Try.CALLING})
-STARTED = frozenset({Try.RUNNING, Try.AT_CALL, Try.CALLING, Try.RUNNING_UNWANTED, Try.AT_CALL_UNWANTED})
+LAST_OUTWARD = AttemptAction.TELL_CALL_ENDED
+OWED = frozenset({AttemptState.READ, AttemptState.HELD, AttemptState.FOLLOWING, AttemptState.RUNNING, AttemptState.AT_CALL, AttemptState.CALLING})
+STARTED = frozenset({AttemptState.RUNNING, AttemptState.AT_CALL, AttemptState.CALLING, AttemptState.RUNNING_UNWANTED, AttemptState.AT_CALL_UNWANTED})
 
-_END = (Do.LEAVE, Do.DELIVER, Do.REMEMBER, Do.TELL_ENDED)
-_NEVER = (Do.LEAVE, Do.DELIVER, Do.FREE_KEY, Do.TELL_ENDED)
-_LATE_END = (Do.LEAVE, Do.REMEMBER, Do.TELL_ENDED)
-_LATE_NEVER = (Do.LEAVE, Do.FREE_KEY, Do.TELL_ENDED)
+_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_NEVER = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
+_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_LATE_NEVER = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 
-TRY = Table("try", Try, On, {
-    (Try.READ, On.ADMIT): Row(Try.HELD, (Do.TELL_ARRIVAL,)),
-    (Try.READ, On.FOLLOW): Row(Try.FOLLOWING),
-    (Try.READ, On.KNOWN): Row(Try.OVER, (Do.LEAVE, Do.DELIVER)),
+ATTEMPT_TABLE = TransitionTable("try", AttemptState, AttemptEvent, {
+    (AttemptState.READ, AttemptEvent.ADMIT): Transition(AttemptState.HELD, (AttemptAction.TELL_ARRIVAL,)),
+    (AttemptState.READ, AttemptEvent.FOLLOW): Transition(AttemptState.FOLLOWING),
+    (AttemptState.READ, AttemptEvent.KNOWN): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER)),
 
-    (Try.HELD, On.START): Row(Try.RUNNING, (Do.START_RUN,)),
-    (Try.HELD, On.BAR): Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.FREE_KEY, Do.TELL_ENDED)),
-    (Try.HELD, On.REFUSE): Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.FREE_KEY)),
-    (Try.HELD, On.FAIL): Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.FREE_KEY)),
-    (Try.HELD, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, Do.PASS_ON, Do.TELL_GONE)),
+    (AttemptState.HELD, AttemptEvent.START): Transition(AttemptState.RUNNING, (AttemptAction.START_RUN,)),
+    (AttemptState.HELD, AttemptEvent.BAR): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)),
+    (AttemptState.HELD, AttemptEvent.REFUSE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY)),
+    (AttemptState.HELD, AttemptEvent.FAIL): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY)),
+    (AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.PASS_ON, AttemptAction.TELL_GONE)),
     # The policy forgot it. Told, it can't start the try later for nobody.
-    (Try.HELD, On.OVERDUE): Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.FREE_KEY, Do.TELL_GONE)),
-
-    (Try.FOLLOWING, On.SHARE): Row(Try.OVER, (Do.LEAVE, Do.DELIVER)),
-    (Try.FOLLOWING, On.GONE): Row(Try.OVER, (Do.LEAVE, Do.WITHDRAW, Do.UNFOLLOW)),
-    (Try.FOLLOWING, On.OVERDUE): Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.UNFOLLOW)),
-    (Try.FOLLOWING, On.PROMOTE): Row(Try.HELD, (Do.TELL_ARRIVAL,)),
-
-    (Try.RUNNING, On.CALL_NEEDED): Row(Try.AT_CALL, (Do.TELL_CALL_NEEDED,)),
-    (Try.RUNNING, On.ENDED): Row(Try.OVER, _END),
-    (Try.RUNNING, On.NEVER_RAN): Row(Try.OVER, _NEVER),
-    (Try.RUNNING, On.FAIL): Row(Try.RUNNING_UNWANTED, (Do.DELIVER,)),
-    (Try.RUNNING, On.REFUSE): Row(Try.RUNNING_UNWANTED, (Do.DELIVER_FAILED,)),
-    (Try.RUNNING, On.GONE): Row(Try.RUNNING_UNWANTED, (Do.WITHDRAW, Do.TELL_GONE)),
-    (Try.RUNNING, On.OVERDUE): Row(Try.RUNNING_UNWANTED, (Do.DELIVER,)),
-
-    (Try.AT_CALL, On.CALL): Row(Try.CALLING, (Do.MAKE_CALL,)),
-    (Try.AT_CALL, On.ENDED): Row(Try.OVER, _END),
-    (Try.AT_CALL, On.FAIL): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER,)),
-    (Try.AT_CALL, On.REFUSE): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER_FAILED,)),
-    (Try.AT_CALL, On.GONE): Row(Try.AT_CALL_UNWANTED, (Do.WITHDRAW, Do.TELL_GONE)),
-    (Try.AT_CALL, On.OVERDUE): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER,)),
-
-    (Try.CALLING, On.CALL_OK): Row(Try.RUNNING, (Do.RESUME, Do.TELL_CALL_ENDED)),
-    (Try.CALLING, On.CALL_BAD): Row(Try.AT_CALL, (Do.TELL_CALL_ENDED,)),
-    (Try.CALLING, On.ENDED): Row(Try.OVER, (Do.DROP_CALL, *_END)),
-    (Try.CALLING, On.FAIL): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER, Do.DROP_CALL)),
-    (Try.CALLING, On.REFUSE): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER_FAILED, Do.DROP_CALL)),
-    (Try.CALLING, On.GONE): Row(Try.AT_CALL_UNWANTED, (Do.WITHDRAW, Do.DROP_CALL, Do.TELL_GONE)),
-    (Try.CALLING, On.OVERDUE): Row(Try.AT_CALL_UNWANTED, (Do.DELIVER, Do.DROP_CALL)),
-
-    (Try.RUNNING_UNWANTED, On.CALL_NEEDED): Row(Try.AT_CALL_UNWANTED, (Do.TELL_CALL_NEEDED,)),
-    (Try.RUNNING_UNWANTED, On.ENDED): Row(Try.OVER, _LATE_END),
-    (Try.RUNNING_UNWANTED, On.NEVER_RAN): Row(Try.OVER, _LATE_NEVER),
+    (AttemptState.HELD, AttemptEvent.OVERDUE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_GONE)),
+
+    (AttemptState.FOLLOWING, AttemptEvent.SHARE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER)),
+    (AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.UNFOLLOW)),
+    (AttemptState.FOLLOWING, AttemptEvent.OVERDUE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.UNFOLLOW)),
+    (AttemptState.FOLLOWING, AttemptEvent.PROMOTE): Transition(AttemptState.HELD, (AttemptAction.TELL_ARRIVAL,)),
+
+    (AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL, (AttemptAction.TELL_CALL_NEEDED,)),
+    (AttemptState.RUNNING, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
+    (AttemptState.RUNNING, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _NEVER),
+    (AttemptState.RUNNING, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)),
+    (AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER_FAILED,)),
+    (AttemptState.RUNNING, AttemptEvent.GONE): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.WITHDRAW, AttemptAction.TELL_GONE)),
+    (AttemptState.RUNNING, AttemptEvent.OVERDUE): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)),
+
+    (AttemptState.AT_CALL, AttemptEvent.CALL): Transition(AttemptState.CALLING, (AttemptAction.MAKE_CALL,)),
+    (AttemptState.AT_CALL, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
+    (AttemptState.AT_CALL, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER,)),
+    (AttemptState.AT_CALL, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER_FAILED,)),
+    (AttemptState.AT_CALL, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, AttemptAction.TELL_GONE)),
+    (AttemptState.AT_CALL, AttemptEvent.OVERDUE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER,)),
+
+    (AttemptState.CALLING, AttemptEvent.CALL_OK): Transition(AttemptState.RUNNING, (AttemptAction.RESUME, AttemptAction.TELL_CALL_ENDED)),
+    (AttemptState.CALLING, AttemptEvent.CALL_BAD): Transition(AttemptState.AT_CALL, (AttemptAction.TELL_CALL_ENDED,)),
+    (AttemptState.CALLING, AttemptEvent.ENDED): Transition(AttemptState.OVER, (AttemptAction.DROP_CALL, *_END)),
+    (AttemptState.CALLING, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER, AttemptAction.DROP_CALL)),
+    (AttemptState.CALLING, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER_FAILED, AttemptAction.DROP_CALL)),
+    (AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, AttemptAction.DROP_CALL, AttemptAction.TELL_GONE)),
+    (AttemptState.CALLING, AttemptEvent.OVERDUE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER, AttemptAction.DROP_CALL)),
+
+    (AttemptState.RUNNING_UNWANTED, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.TELL_CALL_NEEDED,)),
+    (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
+    (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _LATE_NEVER),
     # Decided before the departure was told: the first end stands.
-    (Try.RUNNING_UNWANTED, On.FAIL): Row(Try.RUNNING_UNWANTED),
-    (Try.RUNNING_UNWANTED, On.REFUSE): Row(Try.RUNNING_UNWANTED),
+    (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
+    (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
 
-    (Try.AT_CALL_UNWANTED, On.ENDED): Row(Try.OVER, _LATE_END),
-    (Try.AT_CALL_UNWANTED, On.CALL): Row(Try.AT_CALL_UNWANTED),  # decided before the departure was told
-    (Try.AT_CALL_UNWANTED, On.FAIL): Row(Try.AT_CALL_UNWANTED),
-    (Try.AT_CALL_UNWANTED, On.REFUSE): Row(Try.AT_CALL_UNWANTED),
+    (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
+    (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),  # decided before the departure was told
+    (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
+    (AttemptState.AT_CALL_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED),
 })
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -4,10 +4,10 @@
 
 from enum import IntEnum, auto
 
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Conn(IntEnum):
+class ConnectionState(IntEnum):
     """Where a connection stands."""
 
     IDLE = 0  # owes nothing
@@ -17,7 +17,7 @@
     CLOSED = auto()
 
 
-class Be(IntEnum):
+class ConnectionEvent(IntEnum):
     """What happens to it."""
 
     BEGIN = 0  # part of a request
@@ -31,63 +31,63 @@
     RESET = auto()  # the other side ended it
 
 
-class Do(IntEnum):
+class ConnectionAction(IntEnum):
     """What follows."""
 
     GONE = 0  # nobody waits for what was owed
     FINISH = auto()  # close once all is sent
 
 
-CONN = Table("connection", Conn, Be, {
-    (Conn.IDLE, Be.BEGIN): Row(Conn.READING),
-    (Conn.IDLE, Be.REQUEST): Row(Conn.OWING),
-    (Conn.IDLE, Be.SPOILT): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.IDLE, Be.CLOSE): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.IDLE, Be.END): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.IDLE, Be.RESET): Row(Conn.CLOSED),
-    (Conn.READING, Be.REQUEST): Row(Conn.OWING),
-    (Conn.READING, Be.TURNED_AWAY): Row(Conn.IDLE),
-    (Conn.READING, Be.SPOILT): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.READING, Be.CLOSE): Row(Conn.READING),  # what is being read gets its answer first
-    (Conn.READING, Be.END): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.READING, Be.RESET): Row(Conn.CLOSED),
-    (Conn.OWING, Be.REQUEST): Row(Conn.OWING),  # fronts that carry several at a time
-    (Conn.OWING, Be.ANSWERED): Row(Conn.OWING),
-    (Conn.OWING, Be.LAST_ANSWERED): Row(Conn.IDLE),
-    (Conn.OWING, Be.SPOILT): Row(Conn.ENDING),
-    (Conn.OWING, Be.CLOSE): Row(Conn.OWING),
-    (Conn.OWING, Be.RESET): Row(Conn.CLOSED, (Do.GONE,)),
-    (Conn.ENDING, Be.ANSWERED): Row(Conn.ENDING),
-    (Conn.ENDING, Be.LAST_ANSWERED): Row(Conn.CLOSED, (Do.FINISH,)),
-    (Conn.ENDING, Be.CLOSE): Row(Conn.ENDING),
-    (Conn.ENDING, Be.RESET): Row(Conn.CLOSED, (Do.GONE,)),
-    (Conn.CLOSED, Be.SPOILT): Row(Conn.CLOSED),  # the other side's end, or a part of something, behind our close
-    (Conn.CLOSED, Be.CLOSE): Row(Conn.CLOSED),
-    (Conn.CLOSED, Be.END): Row(Conn.CLOSED),
-    (Conn.CLOSED, Be.RESET): Row(Conn.CLOSED),
+CONNECTION_TABLE = TransitionTable("connection", ConnectionState, ConnectionEvent, {
+    (ConnectionState.IDLE, ConnectionEvent.BEGIN): Transition(ConnectionState.READING),
+    (ConnectionState.IDLE, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
+    (ConnectionState.IDLE, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.IDLE, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.IDLE, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.IDLE, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
+    (ConnectionState.READING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
+    (ConnectionState.READING, ConnectionEvent.TURNED_AWAY): Transition(ConnectionState.IDLE),
+    (ConnectionState.READING, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(ConnectionState.READING),  # what is being read gets its answer first
+    (ConnectionState.READING, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.READING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
+    (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),  # fronts that carry several at a time
+    (ConnectionState.OWING, ConnectionEvent.ANSWERED): Transition(ConnectionState.OWING),
+    (ConnectionState.OWING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.IDLE),
+    (ConnectionState.OWING, ConnectionEvent.SPOILT): Transition(ConnectionState.ENDING),
+    (ConnectionState.OWING, ConnectionEvent.CLOSE): Transition(ConnectionState.OWING),
+    (ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
+    (ConnectionState.ENDING, ConnectionEvent.ANSWERED): Transition(ConnectionState.ENDING),
+    (ConnectionState.ENDING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+    (ConnectionState.ENDING, ConnectionEvent.CLOSE): Transition(ConnectionState.ENDING),
+    (ConnectionState.ENDING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
+    (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED),  # the other side's end, or a part of something, behind our close
+    (ConnectionState.CLOSED, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED),
+    (ConnectionState.CLOSED, ConnectionEvent.END): Transition(ConnectionState.CLOSED),
+    (ConnectionState.CLOSED, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
 })
 
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
-ENDING = Conn.ENDING
+ENDING = ConnectionState.ENDING
 
 
-class ConnState:
+class ConnectionLifecycle:
     """One connection's state. Fronts tell it what happens and carry out what it returns."""
 
     __slots__ = ("name", "state")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.state: int = Conn.IDLE
+        self.state: int = ConnectionState.IDLE
 
     @property
     def reads(self) -> bool:
         """Whether what comes is still taken."""
         return self.state < ENDING
 
-    def be(self, event: Be) -> tuple[Do, ...]:
+    def be(self, event: ConnectionEvent) -> tuple[ConnectionAction, ...]:
         """One event, and what follows."""
-        row = CONN.step(self.state, event, self.name)
+        row = CONNECTION_TABLE.step(self.state, event, self.name)
         self.state = row.next
         return row.effects
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, auto
 
-from myrtlespar.policy.messages import Outcome
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Wire(IntEnum):
+class DependencyConnectionState(IntEnum):
     """Where a connection to the store stands."""
 
     OPENING = 0
@@ -21,7 +21,7 @@
     CLOSED = auto()
 
 
-class Hear(IntEnum):
+class DependencyConnectionEvent(IntEnum):
     """What happens to a connection."""
 
     OPENED = 0
@@ -33,20 +33,20 @@
     RETIRE = auto()  # idle for too long, or at an old address
 
 
-WIRE = Table("wire", Wire, Hear, {
-    (Wire.OPENING, Hear.OPENED): Row(Wire.IDLE),
-    (Wire.OPENING, Hear.REFUSED): Row(Wire.CLOSED),
-    (Wire.IDLE, Hear.TAKE): Row(Wire.BUSY),
-    (Wire.IDLE, Hear.RETIRE): Row(Wire.SPENT),
-    (Wire.IDLE, Hear.BROKEN): Row(Wire.CLOSED),
-    (Wire.BUSY, Hear.REPLY): Row(Wire.IDLE),
-    (Wire.BUSY, Hear.DROP): Row(Wire.SPENT),
-    (Wire.BUSY, Hear.BROKEN): Row(Wire.CLOSED),
-    (Wire.SPENT, Hear.BROKEN): Row(Wire.CLOSED),
+DEPENDENCY_CONNECTION_TABLE = TransitionTable("wire", DependencyConnectionState, DependencyConnectionEvent, {
+    (DependencyConnectionState.OPENING, DependencyConnectionEvent.OPENED): Transition(DependencyConnectionState.IDLE),
+    (DependencyConnectionState.OPENING, DependencyConnectionEvent.REFUSED): Transition(DependencyConnectionState.CLOSED),
+    (DependencyConnectionState.IDLE, DependencyConnectionEvent.TAKE): Transition(DependencyConnectionState.BUSY),
+    (DependencyConnectionState.IDLE, DependencyConnectionEvent.RETIRE): Transition(DependencyConnectionState.SPENT),
+    (DependencyConnectionState.IDLE, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
+    (DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY): Transition(DependencyConnectionState.IDLE),
+    (DependencyConnectionState.BUSY, DependencyConnectionEvent.DROP): Transition(DependencyConnectionState.SPENT),
+    (DependencyConnectionState.BUSY, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
+    (DependencyConnectionState.SPENT, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
 })
 
 
-class Stand(IntEnum):
+class CallState(IntEnum):
     """Where a call stands."""
 
     WAITING = 0  # for a connection: it never ran
@@ -54,7 +54,7 @@
     OVER = auto()
 
 
-class Get(IntEnum):
+class CallEvent(IntEnum):
     """What happens to a call."""
 
     PUT = 0  # on a connection
@@ -65,80 +65,80 @@
     GIVEN_UP = auto()
 
 
-CALL = Table("call", Stand, Get, {
-    (Stand.WAITING, Get.PUT): Row(Stand.MADE),
-    (Stand.WAITING, Get.UNREACHED): Row(Stand.OVER, (Outcome.UNREACHABLE,)),
-    (Stand.WAITING, Get.OUT_OF_TIME): Row(Stand.OVER, (Outcome.UNREACHABLE,)),
-    (Stand.WAITING, Get.GIVEN_UP): Row(Stand.OVER),
-    (Stand.MADE, Get.ANSWERED): Row(Stand.OVER),
-    (Stand.MADE, Get.CUT): Row(Stand.OVER, (Outcome.CUT_OFF,)),  # nothing but a reply proves that it never ran
-    (Stand.MADE, Get.OUT_OF_TIME): Row(Stand.OVER, (Outcome.TIMED_OUT,)),
-    (Stand.MADE, Get.GIVEN_UP): Row(Stand.OVER),
+CALL_TABLE = TransitionTable("call", CallState, CallEvent, {
+    (CallState.WAITING, CallEvent.PUT): Transition(CallState.MADE),
+    (CallState.WAITING, CallEvent.UNREACHED): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+    (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+    (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
+    (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
+    (CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,)),  # nothing but a reply proves that it never ran
+    (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
+    (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
 })
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class DependencyCall:
     """A call in hand, or waiting for a connection. Times in Unix milliseconds."""
 
     id: str
     body: bytes
     made: float
     limit_ms: float
-    state: int = Stand.WAITING
-    wire: Connection | None = None
+    state: int = CallState.WAITING
+    wire: DependencyConnection | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Connection:
+class DependencyConnection:
     """One connection to the store."""
 
     number: int
     epoch: int  # which address it leads to
     served: deque[str]  # the latest requests it carried calls for
-    state: int = Wire.OPENING
-    call: Call | None = None
+    state: int = DependencyConnectionState.OPENING
+    call: DependencyCall | None = None
     used: float = 0.0  # when it last became idle
     rested: float = 0.0  # how long it was idle before its present call
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenConnection:
     """Open this connection."""
 
-    wire: Connection
+    wire: DependencyConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendCall:
     """Send the call on its connection."""
 
-    wire: Connection
-    call: Call
+    wire: DependencyConnection
+    call: DependencyCall
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseConnection:
     """Close it; `drop` names a call to give up first."""
 
-    wire: Connection
+    wire: DependencyConnection
     drop: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndCall:
     """Tell the desk how this call ended."""
 
-    call: Call
-    outcome: Outcome
+    call: DependencyCall
+    outcome: RunOutcome
     reply: bytes = b""
 
 
-Order = Open | Send | Close | End
+CallEffect = OpenConnection | SendCall | CloseConnection | EndCall
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class CallLimits:
     """Limits of the calls; times in milliseconds."""
 
     links: int  # connections open or being opened
@@ -150,28 +150,28 @@
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
 WIRE_BUSY, HEAR_REPLY, HEAR_TAKE, GET_ANSWERED, GET_PUT, STAND_OVER, STAND_WAITING = (
-    Wire.BUSY, Hear.REPLY, Hear.TAKE, Get.ANSWERED, Get.PUT, Stand.OVER, Stand.WAITING)
+    DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY, DependencyConnectionEvent.TAKE, CallEvent.ANSWERED, CallEvent.PUT, CallState.OVER, CallState.WAITING)
 
 
 @dataclass(slots=True)
-class Calls:
+class DependencyCalls:
     """All calls of one server life. `quiet` tells whether nothing has come on a connection unasked."""
 
-    bounds: Bounds
-    quiet: Callable[[Connection], bool]
-    calls: dict[str, Call] = field(default_factory=dict)
-    idle: deque[Connection] = field(default_factory=deque)  # the one used last is taken first
-    waiting: deque[Call] = field(default_factory=deque)
+    bounds: CallLimits
+    quiet: Callable[[DependencyConnection], bool]
+    calls: dict[str, DependencyCall] = field(default_factory=dict)
+    idle: deque[DependencyConnection] = field(default_factory=deque)  # the one used last is taken first
+    waiting: deque[DependencyCall] = field(default_factory=deque)
     wires: int = 0  # connections open or being opened
     serial: int = 0
     epoch: int = 0
 
     # What the server wants.
 
-    def make(self, id: str, limit_ms: float, body: bytes, now: float) -> list[Order]:
+    def make(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
         """Make a call. A second call for one request takes the place of the first."""
         out = self.drop(id)
-        call = self.calls[id] = Call(id, body, now, limit_ms)
+        call = self.calls[id] = DependencyCall(id, body, now, limit_ms)
         wire = self._trusted(id, now)
         if wire is not None:
             return [*out, self._take(wire, call, now)]
@@ -181,40 +181,40 @@
         if len(self.waiting) < self.bounds.waiting:
             self.waiting.append(call)
             return out
-        return out + self._end(call, Get.UNREACHED)  # guards memory against a store that only takes calls
+        return out + self._end(call, CallEvent.UNREACHED)  # guards memory against a store that only takes calls
 
-    def drop(self, id: str) -> list[Order]:
+    def drop(self, id: str) -> list[CallEffect]:
         """Give up a call that nobody needs. Its connection closes, as its reply may still come, or never."""
         call = self.calls.get(id)
         if call is None:
             return []
         wire = call.wire
-        self._end(call, Get.GIVEN_UP)
-        return [] if wire is None else [self._spend(wire, Hear.DROP, id)]
+        self._end(call, CallEvent.GIVEN_UP)
+        return [] if wire is None else [self._spend(wire, DependencyConnectionEvent.DROP, id)]
 
-    def move(self) -> list[Order]:
+    def move(self) -> list[CallEffect]:
         """New calls go to another address; calls in hand end where they are."""
         self.epoch += 1
         return self._retire(float("inf"))
 
     # What happened.
 
-    def opened(self, wire: Connection, now: float) -> list[Order]:
+    def opened(self, wire: DependencyConnection, now: float) -> list[CallEffect]:
         """It is connected: the next call that waits may have it."""
-        self._hear(wire, Hear.OPENED)
+        self._hear(wire, DependencyConnectionEvent.OPENED)
         return self._free(wire, now)
 
-    def refused(self, wire: Connection) -> list[Order]:
+    def refused(self, wire: DependencyConnection) -> list[CallEffect]:
         """It could not be opened, so the call that it was opened for never ran."""
-        self._hear(wire, Hear.REFUSED)
+        self._hear(wire, DependencyConnectionEvent.REFUSED)
         self.wires -= 1
         call = self._next()
-        out = [] if call is None else self._end(call, Get.UNREACHED)
+        out = [] if call is None else self._end(call, CallEvent.UNREACHED)
         if self.waiting and not self.wires:  # guards calls against waiting for a connection that nobody opens
             out.append(self._open())
         return out
 
-    def reply(self, wire: Connection, id: str, outcome: Outcome, body: bytes, now: float) -> list[Order] | None:
+    def reply(self, wire: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float) -> list[CallEffect] | None:
         """One reply came. None: it was for no call in hand here, such as a second copy."""
         call = wire.call
         if wire.state != WIRE_BUSY or call is None or call.id != id:
@@ -222,38 +222,38 @@
         wire.call = None
         self._hear(wire, HEAR_REPLY)
         self._step(call, GET_ANSWERED)
-        return [*self._free(wire, now), End(call, outcome, body)]
+        return [*self._free(wire, now), EndCall(call, outcome, body)]
 
-    def broken(self, wire: Connection) -> list[Order]:
+    def broken(self, wire: DependencyConnection) -> list[CallEffect]:
         """It is over, by either side. Calls that wait get another in its place."""
         call, wire.call = wire.call, None
         if wire in self.idle:
             self.idle.remove(wire)
-        self._hear(wire, Hear.BROKEN)
+        self._hear(wire, DependencyConnectionEvent.BROKEN)
         self.wires -= 1
-        out = [] if call is None else self._end(call, Get.CUT)
+        out = [] if call is None else self._end(call, CallEvent.CUT)
         if self.waiting and self.wires < self.bounds.links:
             out.append(self._open())
         return out
 
-    def look(self, now: float) -> list[Order]:
+    def look(self, now: float) -> list[CallEffect]:
         """Time calls out, and close connections that have been idle for too long to be trusted."""
-        out: list[Order] = []
+        out: list[CallEffect] = []
         for call in list(self.calls.values()):
             if now >= call.made + call.limit_ms + self.bounds.grace_ms:
                 wire = call.wire
-                out += self._end(call, Get.OUT_OF_TIME)
+                out += self._end(call, CallEvent.OUT_OF_TIME)
                 if wire is not None:  # guards later calls against a connection that fell silent
-                    out.append(self._spend(wire, Hear.DROP))
+                    out.append(self._spend(wire, DependencyConnectionEvent.DROP))
         return out + self._retire(now - self.bounds.trust_ms)
 
     # How it is carried out.
 
-    def _hear(self, wire: Connection, event: Hear) -> None:
-        wire.state = WIRE.step(wire.state, event, f"store-{wire.number}").next
+    def _hear(self, wire: DependencyConnection, event: DependencyConnectionEvent) -> None:
+        wire.state = DEPENDENCY_CONNECTION_TABLE.step(wire.state, event, f"store-{wire.number}").next
 
-    def _step(self, call: Call, event: Get) -> Row:
-        row = CALL.step(call.state, event, call.id)
+    def _step(self, call: DependencyCall, event: CallEvent) -> Transition:
+        row = CALL_TABLE.step(call.state, event, call.id)
         call.state = row.next
         if row.next == STAND_OVER:
             call.wire = None
@@ -261,28 +261,28 @@
                 del self.calls[call.id]
         return row
 
-    def _end(self, call: Call, event: Get) -> list[Order]:
-        return [End(call, outcome) for outcome in self._step(call, event).effects]
+    def _end(self, call: DependencyCall, event: CallEvent) -> list[CallEffect]:
+        return [EndCall(call, outcome) for outcome in self._step(call, event).effects]
 
-    def _open(self) -> Open:
+    def _open(self) -> OpenConnection:
         self.wires += 1
         self.serial += 1
-        return Open(Connection(self.serial, self.epoch, deque(maxlen=self.bounds.served)))
+        return OpenConnection(DependencyConnection(self.serial, self.epoch, deque(maxlen=self.bounds.served)))
 
-    def _take(self, wire: Connection, call: Call, now: float) -> Send:
+    def _take(self, wire: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
         self._hear(wire, HEAR_TAKE)
         self._step(call, GET_PUT)
         wire.call, call.wire = call, wire
         wire.rested = now - wire.used if wire.used else 0.0
         wire.served.append(call.id)
-        return Send(wire, call)
+        return SendCall(wire, call)
 
-    def _spend(self, wire: Connection, event: Hear, drop: str = "") -> Close:
+    def _spend(self, wire: DependencyConnection, event: DependencyConnectionEvent, drop: str = "") -> CloseConnection:
         wire.call = None
         self._hear(wire, event)
-        return Close(wire, drop)
+        return CloseConnection(wire, drop)
 
-    def _trusted(self, id: str, now: float) -> Connection | None:
+    def _trusted(self, id: str, now: float) -> DependencyConnection | None:
         """An idle connection for this call.
 
         Guards against connections that the store may have forgotten, and against a second copy of a reply,
@@ -296,7 +296,7 @@
                 return wire
         return None
 
-    def _next(self) -> Call | None:
+    def _next(self) -> DependencyCall | None:
         """The next call that still waits."""
         while self.waiting:
             call = self.waiting.popleft()
@@ -304,10 +304,10 @@
                 return call
         return None
 
-    def _free(self, wire: Connection, now: float) -> list[Order]:
+    def _free(self, wire: DependencyConnection, now: float) -> list[CallEffect]:
         """It carries nothing: the next call that waits may have it."""
         if wire.epoch != self.epoch:
-            return [self._spend(wire, Hear.RETIRE)]
+            return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
         wire.used = now
         call = self._next()
         if call is None:
@@ -315,11 +315,11 @@
             return []
         if call.id in wire.served:  # the connection that takes this one's place will carry it
             self.waiting.appendleft(call)
-            return [self._spend(wire, Hear.RETIRE)]
+            return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
         return [self._take(wire, call, now)]
 
-    def _retire(self, before: float) -> list[Order]:
-        out: list[Order] = []
+    def _retire(self, before: float) -> list[CallEffect]:
+        out: list[CallEffect] = []
         while self.idle and self.idle[0].used < before:
-            out.append(self._spend(self.idle.popleft(), Hear.RETIRE))
+            out.append(self._spend(self.idle.popleft(), DependencyConnectionEvent.RETIRE))
         return out
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from enum import IntEnum, auto
 
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Link(IntEnum):
+class LinkState(IntEnum):
     """Where the link stands."""
 
     DOWN = 0
@@ -25,7 +25,7 @@
     MOVING = auto()  # to another address, once a last mark shows that nothing is on its way here
 
 
-class Hear(IntEnum):
+class LinkEvent(IntEnum):
     """What happens to the link."""
 
     CONNECTED = 0
@@ -36,7 +36,7 @@
     BROKEN = auto()
 
 
-class Make(IntEnum):
+class LinkAction(IntEnum):
     """What follows."""
 
     GREET = 0  # send OPEN with the number of the last notice
@@ -47,24 +47,24 @@
     CLOSE = auto()
 
 
-LINK = Table("link", Link, Hear, {
-    (Link.DOWN, Hear.CONNECTED): Row(Link.GREETING, (Make.DOUBT, Make.GREET)),
-    (Link.DOWN, Hear.MOVE): Row(Link.DOWN),
-    (Link.GREETING, Hear.BOOTED): Row(Link.REPLAYING, (Make.MARK_SYNC,)),
-    (Link.GREETING, Hear.MOVE): Row(Link.GREETING, (Make.CLOSE,)),
-    (Link.GREETING, Hear.BROKEN): Row(Link.DOWN),
-    (Link.REPLAYING, Hear.SYNCED): Row(Link.READY, (Make.RELEASE,)),
-    (Link.REPLAYING, Hear.MOVE): Row(Link.REPLAYING, (Make.CLOSE,)),
-    (Link.REPLAYING, Hear.BROKEN): Row(Link.DOWN),
-    (Link.READY, Hear.MOVE): Row(Link.MOVING, (Make.MARK_MOVE,)),
-    (Link.READY, Hear.BROKEN): Row(Link.DOWN),
-    (Link.MOVING, Hear.MOVE): Row(Link.MOVING),
-    (Link.MOVING, Hear.MOVED): Row(Link.MOVING, (Make.CLOSE,)),
-    (Link.MOVING, Hear.BROKEN): Row(Link.DOWN),
+LINK_TABLE = TransitionTable("link", LinkState, LinkEvent, {
+    (LinkState.DOWN, LinkEvent.CONNECTED): Transition(LinkState.GREETING, (LinkAction.DOUBT, LinkAction.GREET)),
+    (LinkState.DOWN, LinkEvent.MOVE): Transition(LinkState.DOWN),
+    (LinkState.GREETING, LinkEvent.BOOTED): Transition(LinkState.REPLAYING, (LinkAction.MARK_SYNC,)),
+    (LinkState.GREETING, LinkEvent.MOVE): Transition(LinkState.GREETING, (LinkAction.CLOSE,)),
+    (LinkState.GREETING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+    (LinkState.REPLAYING, LinkEvent.SYNCED): Transition(LinkState.READY, (LinkAction.RELEASE,)),
+    (LinkState.REPLAYING, LinkEvent.MOVE): Transition(LinkState.REPLAYING, (LinkAction.CLOSE,)),
+    (LinkState.REPLAYING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+    (LinkState.READY, LinkEvent.MOVE): Transition(LinkState.MOVING, (LinkAction.MARK_MOVE,)),
+    (LinkState.READY, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+    (LinkState.MOVING, LinkEvent.MOVE): Transition(LinkState.MOVING),
+    (LinkState.MOVING, LinkEvent.MOVED): Transition(LinkState.MOVING, (LinkAction.CLOSE,)),
+    (LinkState.MOVING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
 })
 
 
-class Sent(IntEnum):
+class CommandState(IntEnum):
     """How far a command is."""
 
     KEPT = 0  # until there is a link to send it on
@@ -73,7 +73,7 @@
     DONE = auto()
 
 
-class Prove(IntEnum):
+class CommandEvent(IntEnum):
     """What happens to a command."""
 
     SEND = 0
@@ -84,23 +84,23 @@
     GIVE_UP = auto()  # nobody waits for it any longer
 
 
-class Do(IntEnum):
+class CommandAction(IntEnum):
     """What follows."""
 
     WRITE = 0
     END = auto()  # tell the desk that this run is over: lost, or never begun
 
 
-COMMAND = Table("command", Sent, Prove, {
-    (Sent.KEPT, Prove.SEND): Row(Sent.SENT, (Do.WRITE,)),
-    (Sent.KEPT, Prove.GIVE_UP): Row(Sent.DONE, (Do.END,)),
-    (Sent.KEPT, Prove.READ): Row(Sent.DONE),  # its run ended at the call before the reply could be sent
-    (Sent.SENT, Prove.UNSENT): Row(Sent.KEPT),
-    (Sent.SENT, Prove.READ): Row(Sent.DONE),
-    (Sent.SENT, Prove.BREAK): Row(Sent.DOUBTFUL),
-    (Sent.DOUBTFUL, Prove.READ): Row(Sent.DONE),
-    (Sent.DOUBTFUL, Prove.REPEAT): Row(Sent.SENT, (Do.WRITE,)),
-    (Sent.DOUBTFUL, Prove.GIVE_UP): Row(Sent.DONE, (Do.END,)),
+COMMAND_TABLE = TransitionTable("command", CommandState, CommandEvent, {
+    (CommandState.KEPT, CommandEvent.SEND): Transition(CommandState.SENT, (CommandAction.WRITE,)),
+    (CommandState.KEPT, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
+    (CommandState.KEPT, CommandEvent.READ): Transition(CommandState.DONE),  # its run ended at the call before the reply could be sent
+    (CommandState.SENT, CommandEvent.UNSENT): Transition(CommandState.KEPT),
+    (CommandState.SENT, CommandEvent.READ): Transition(CommandState.DONE),
+    (CommandState.SENT, CommandEvent.BREAK): Transition(CommandState.DOUBTFUL),
+    (CommandState.DOUBTFUL, CommandEvent.READ): Transition(CommandState.DONE),
+    (CommandState.DOUBTFUL, CommandEvent.REPEAT): Transition(CommandState.SENT, (CommandAction.WRITE,)),
+    (CommandState.DOUBTFUL, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
 })
 
 
@@ -113,56 +113,56 @@
     start: bool  # SCHED; else IODONE
     harmless: bool = False  # a second run of it would do no harm
     sent: int = 0  # its place among all that was sent
-    state: int = Sent.KEPT
+    state: int = CommandState.KEPT
 
 
 @dataclass(slots=True)
-class Write:
+class WriteCommand:
     """Send this line."""
 
     command: Command
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class RequestMark:
     """Ask for the gauges under this name."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Greet:
+class SendOpen:
     """Send OPEN with this number."""
 
     last: int
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseLink:
     """Close the link; another will be opened."""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndRun:
     """This run is over as far as the server is concerned: nothing was started, or nobody can know."""
 
     rid: str
 
 
-Order = Write | Mark | Greet | Close | End
-Wanted = Callable[[str], bool]
+LinkEffect = WriteCommand | RequestMark | SendOpen | CloseLink | EndRun
+IsWanted = Callable[[str], bool]
 OLD, NEXT, GAP, RENUMBERED = range(4)
 # Bound once: looking a member up in its class costs as much as a step of a table.
-SENT_KEPT, SENT_SENT, SENT_DOUBTFUL, SENT_DONE = Sent.KEPT, Sent.SENT, Sent.DOUBTFUL, Sent.DONE
-PROVE_SEND, PROVE_READ, DO_WRITE, LINK_READY = Prove.SEND, Prove.READ, Do.WRITE, Link.READY
+SENT_KEPT, SENT_SENT, SENT_DOUBTFUL, SENT_DONE = CommandState.KEPT, CommandState.SENT, CommandState.DOUBTFUL, CommandState.DONE
+PROVE_SEND, PROVE_READ, DO_WRITE, LINK_READY = CommandEvent.SEND, CommandEvent.READ, CommandAction.WRITE, LinkState.READY
 
 
-class Commands:
+class CommandLog:
     """All commands of one server life. `wanted` tells whether somebody waits for a request."""
 
-    def __init__(self, wanted: Wanted, marks_most: int) -> None:
+    def __init__(self, wanted: IsWanted, marks_most: int) -> None:
         self.wanted, self.marks_most = wanted, marks_most
-        self.link: int = Link.DOWN
+        self.link: int = LinkState.DOWN
         self.last = 0  # number of the last notice read
         self.gap = -1  # the last one before a gap that was asked for again
         self.fresh = False  # no numbered notice has come on this link yet
@@ -174,11 +174,11 @@
     @property
     def in_step(self) -> bool:
         """Whether the greeting and all replayed notices have been read."""
-        return self.link in (LINK_READY, Link.MOVING)
+        return self.link in (LINK_READY, LinkState.MOVING)
 
     # What the server wants.
 
-    def post(self, command: Command) -> list[Order]:
+    def post(self, command: Command) -> list[LinkEffect]:
         """Send it, or keep it until there is a link to send it on. It takes the place of an earlier one."""
         self.open.pop(command.rid, None)
         self.open[command.rid] = command
@@ -186,35 +186,35 @@
 
     def unsent(self, command: Command) -> None:
         """The link took nothing of it: it waits for the next one."""
-        self._prove(command, Prove.UNSENT)
+        self._prove(command, CommandEvent.UNSENT)
 
-    def ask(self) -> list[Order]:
+    def ask(self) -> list[LinkEffect]:
         """Ask for the gauges; the answer also proves that all before it was read."""
         return [self._mark("gauges")] if self.in_step and len(self.marks) < self.marks_most else []
 
-    def settle(self) -> list[Order]:
+    def settle(self) -> list[LinkEffect]:
         """Ask for a mark if something is in doubt: what nobody waits for by then is given up."""
         doubtful = any(command.state == SENT_DOUBTFUL for command in self.open.values())
         return [self._mark("doubt")] if doubtful and self.in_step and len(self.marks) < self.marks_most else []
 
-    def move(self) -> list[Order]:
+    def move(self) -> list[LinkEffect]:
         """Go on at another address."""
-        return self._hear(Hear.MOVE)
+        return self._hear(LinkEvent.MOVE)
 
     # What happened.
 
-    def connected(self) -> list[Order]:
+    def connected(self) -> list[LinkEffect]:
         """There is a link."""
         self.fresh, self.sent_before = True, self.sent
-        return self._hear(Hear.CONNECTED)
+        return self._hear(LinkEvent.CONNECTED)
 
     def broken(self) -> None:
         """The link is over."""
-        self._hear(Hear.BROKEN)
+        self._hear(LinkEvent.BROKEN)
 
-    def booted(self) -> list[Order]:
+    def booted(self) -> list[LinkEffect]:
         """The kernel is up. A second such line means nothing."""
-        return self._hear(Hear.BOOTED) if self.link == Link.GREETING else []
+        return self._hear(LinkEvent.BOOTED) if self.link == LinkState.GREETING else []
 
     def restarted(self) -> list[str]:
         """This is a new kernel: requests whose commands died with the old one. Starts that were kept, or sent on this
@@ -247,7 +247,7 @@
         if command is not None:
             self._prove(command, PROVE_READ)
 
-    def informed(self, mark: str) -> list[Order] | None:
+    def informed(self, mark: str) -> list[LinkEffect] | None:
         """A mark came back. None: it was not asked for on this link."""
         newest = self.marks.pop(mark, None)
         if newest is None:
@@ -257,12 +257,12 @@
                 self._prove(command, PROVE_READ)
         kind = mark.partition("-")[0]
         if kind == "sync":
-            return self._hear(Hear.SYNCED)
+            return self._hear(LinkEvent.SYNCED)
         if kind == "move":
-            return self._hear(Hear.MOVED)
+            return self._hear(LinkEvent.MOVED)
         return self._give_up() if kind == "doubt" else []
 
-    def declined(self) -> list[Order]:
+    def declined(self) -> list[LinkEffect]:
         """A mark was read and not answered, as a site may not allow gauges. Commands are read in their order, so it
         is the oldest one, and proves as much as an answer."""
         oldest = next(iter(self.marks), None)
@@ -273,66 +273,66 @@
     def _of_this_link(self, command: Command) -> bool:
         return command.state == SENT_KEPT or command.sent > self.sent_before
 
-    def _mark(self, kind: str) -> Mark:
+    def _mark(self, kind: str) -> RequestMark:
         self.serial += 1
         name = f"{kind}-{self.serial}"
         self.marks[name] = self.sent
-        return Mark(name)
+        return RequestMark(name)
 
-    def _hear(self, event: Hear) -> list[Order]:
-        row = LINK.step(self.link, event, "kernel")
+    def _hear(self, event: LinkEvent) -> list[LinkEffect]:
+        row = LINK_TABLE.step(self.link, event, "kernel")
         self.link = row.next
-        out: list[Order] = []
+        out: list[LinkEffect] = []
         for make in row.effects:
-            if make is Make.GREET:
-                out.append(Greet(self.last))
-            elif make is Make.DOUBT:
+            if make is LinkAction.GREET:
+                out.append(SendOpen(self.last))
+            elif make is LinkAction.DOUBT:
                 self.marks.clear()
                 for command in self.open.values():
                     if command.state == SENT_SENT:
-                        self._prove(command, Prove.BREAK)
-            elif make is Make.MARK_SYNC:
+                        self._prove(command, CommandEvent.BREAK)
+            elif make is LinkAction.MARK_SYNC:
                 out.append(self._mark("sync"))
-            elif make is Make.MARK_MOVE:
+            elif make is LinkAction.MARK_MOVE:
                 out.append(self._mark("move"))
-            elif make is Make.RELEASE:
+            elif make is LinkAction.RELEASE:
                 out += self._release()
             else:
-                out.append(Close())
+                out.append(CloseLink())
         return out
 
-    def _release(self) -> list[Order]:
+    def _release(self) -> list[LinkEffect]:
         """All replayed notices are read, so what was to be proven by them is."""
-        out: list[Order] = []
+        out: list[LinkEffect] = []
         for command in list(self.open.values()):
             if command.state == SENT_DOUBTFUL and command.harmless and self.wanted(command.rid):
-                out += self._prove(command, Prove.REPEAT)
+                out += self._prove(command, CommandEvent.REPEAT)
             elif command.state == SENT_KEPT:
                 stale = command.start and not self.wanted(command.rid)  # it never ran, and now nobody waits
-                out += self._prove(command, Prove.GIVE_UP if stale else PROVE_SEND)
+                out += self._prove(command, CommandEvent.GIVE_UP if stale else PROVE_SEND)
         return out
 
-    def _give_up(self) -> list[Order]:
+    def _give_up(self) -> list[LinkEffect]:
         """What is in doubt and unwanted holds a place for nothing; a wanted one may still show itself."""
-        out: list[Order] = []
+        out: list[LinkEffect] = []
         for command in list(self.open.values()):
             if command.state == SENT_DOUBTFUL and not self.wanted(command.rid):
-                out += self._prove(command, Prove.GIVE_UP)
+                out += self._prove(command, CommandEvent.GIVE_UP)
         return out
 
-    def _prove(self, command: Command, event: Prove) -> list[Order]:
-        row = COMMAND.step(command.state, event, command.rid)
+    def _prove(self, command: Command, event: CommandEvent) -> list[LinkEffect]:
+        row = COMMAND_TABLE.step(command.state, event, command.rid)
         command.state = row.next
         if row.next == SENT_DONE:
             self.open.pop(command.rid, None)
-        out: list[Order] = []
+        out: list[LinkEffect] = []
         if not row.effects:
             return out
         for do in row.effects:
             if do is DO_WRITE:
                 self.sent += 1
                 command.sent = self.sent
-                out.append(Write(command))
+                out.append(WriteCommand(command))
             else:
-                out.append(End(command.rid))
+                out.append(EndRun(command.rid))
         return out
