--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, auto
 
-from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Key(IntEnum):
+class KeyState(IntEnum):
     """What a key stands for."""
 
     FREE = 0
@@ -18,7 +18,7 @@
     KNOWN = auto()  # the outcome of a run
 
 
-class At(IntEnum):
+class KeyEvent(IntEnum):
     """What happens to a key."""
 
     TRY = 0
@@ -31,7 +31,7 @@
     EXPIRE = auto()
 
 
-class Then(IntEnum):
+class KeyAction(IntEnum):
     """What follows."""
 
     OWN = 0
@@ -44,24 +44,24 @@
     DROP = auto()
 
 
-KEY = Table("key", Key, At, {
-    (Key.FREE, At.TRY): Row(Key.OWNED, (Then.OWN,)),
-    (Key.FREE, At.FULL_TRY): Row(Key.FREE, (Then.TURN_AWAY,)),
-    (Key.OWNED, At.TRY): Row(Key.OWNED, (Then.FOLLOW,)),
-    (Key.OWNED, At.CROWDED_TRY): Row(Key.OWNED, (Then.FAIL,)),
-    (Key.OWNED, At.OUTCOME): Row(Key.KNOWN, (Then.SHARE,)),
-    (Key.OWNED, At.NEVER_RAN): Row(Key.FREE, (Then.SHARE, Then.DROP)),
-    (Key.OWNED, At.OWNER_LEFT): Row(Key.OWNED, (Then.PROMOTE,)),
-    (Key.OWNED, At.LAST_LEFT): Row(Key.FREE, (Then.DROP,)),
-    (Key.KNOWN, At.TRY): Row(Key.KNOWN, (Then.ANSWER,)),
-    (Key.KNOWN, At.EXPIRE): Row(Key.FREE, (Then.DROP,)),
+KEY_TABLE = TransitionTable("key", KeyState, KeyEvent, {
+    (KeyState.FREE, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.OWN,)),
+    (KeyState.FREE, KeyEvent.FULL_TRY): Transition(KeyState.FREE, (KeyAction.TURN_AWAY,)),
+    (KeyState.OWNED, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.FOLLOW,)),
+    (KeyState.OWNED, KeyEvent.CROWDED_TRY): Transition(KeyState.OWNED, (KeyAction.FAIL,)),
+    (KeyState.OWNED, KeyEvent.OUTCOME): Transition(KeyState.KNOWN, (KeyAction.SHARE,)),
+    (KeyState.OWNED, KeyEvent.NEVER_RAN): Transition(KeyState.FREE, (KeyAction.SHARE, KeyAction.DROP)),
+    (KeyState.OWNED, KeyEvent.OWNER_LEFT): Transition(KeyState.OWNED, (KeyAction.PROMOTE,)),
+    (KeyState.OWNED, KeyEvent.LAST_LEFT): Transition(KeyState.FREE, (KeyAction.DROP,)),
+    (KeyState.KNOWN, KeyEvent.TRY): Transition(KeyState.KNOWN, (KeyAction.ANSWER,)),
+    (KeyState.KNOWN, KeyEvent.EXPIRE): Transition(KeyState.FREE, (KeyAction.DROP,)),
 })
 
-Slot = tuple[int, str]  # class and key
+KeyId = tuple[int, str]  # class and key
 
 
 @dataclass(slots=True)
-class Entry:
+class KeyEntry:
     """One key."""
 
     state: int
@@ -70,86 +70,86 @@
     outcome: Answer | None = None
 
 
-class Keys:
+class IdempotencyKeyTable:
     """The table of keys. `most` bounds it, `key_ms` counts from the outcome, `followers` bounds repeats waiting."""
 
     def __init__(self, most: int, key_ms: float, followers: int, result_bytes: int) -> None:
         self.most, self.key_ms, self.followers, self.result_bytes = most, key_ms, followers, result_bytes
-        self.entries: dict[Slot, Entry] = {}
-        self.expiry: deque[tuple[float, Slot]] = deque()
+        self.entries: dict[KeyId, KeyEntry] = {}
+        self.expiry: deque[tuple[float, KeyId]] = deque()
         self.waiting = False  # for the keys of a process before this one: no new key is taken meanwhile
 
-    def arrive(self, x: Exchange) -> tuple[Then, Answer | None]:
+    def arrive(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
         """What a new try of this key becomes: OWN, FOLLOW, ANSWER (with it), TURN_AWAY or FAIL."""
-        slot = (x.cls, x.key)
+        slot = (exchange.cls, exchange.key)
         entry = self.entries.get(slot)
         if entry is None:
             # Guards against a flood of keys: none is forgotten early.
             # Guards against a second run beside an old process: no key is taken before its keys came.
-            event = At.FULL_TRY if self.waiting or len(self.entries) >= self.most else At.TRY
-            row = KEY.step(Key.FREE, event, x.key)
-            if row.next == Key.OWNED:
-                self.entries[slot] = Entry(Key.OWNED, x)
+            event = KeyEvent.FULL_TRY if self.waiting or len(self.entries) >= self.most else KeyEvent.TRY
+            row = KEY_TABLE.step(KeyState.FREE, event, exchange.key)
+            if row.next == KeyState.OWNED:
+                self.entries[slot] = KeyEntry(KeyState.OWNED, exchange)
             return row.effects[0], None
-        crowded = entry.state == Key.OWNED and len(entry.followers) >= self.followers
-        row = KEY.step(entry.state, At.CROWDED_TRY if crowded else At.TRY, x.key)
-        if row.effects[0] == Then.FOLLOW:
-            entry.followers.append(x)
+        crowded = entry.state == KeyState.OWNED and len(entry.followers) >= self.followers
+        row = KEY_TABLE.step(entry.state, KeyEvent.CROWDED_TRY if crowded else KeyEvent.TRY, exchange.key)
+        if row.effects[0] == KeyAction.FOLLOW:
+            entry.followers.append(exchange)
         return row.effects[0], entry.outcome
 
-    def conclude(self, x: Exchange, answer: Answer, ran: bool, now: float) -> list[Exchange]:
+    def conclude(self, exchange: Exchange, answer: Answer, ran: bool, now: float) -> list[Exchange]:
         """Its owner is over: the tries that share the answer. What never ran frees the key."""
-        slot = (x.cls, x.key)
+        slot = (exchange.cls, exchange.key)
         entry = self.entries.get(slot)
-        if entry is None or entry.owner is not x:
+        if entry is None or entry.owner is not exchange:
             return []
-        row = KEY.step(entry.state, At.OUTCOME if ran else At.NEVER_RAN, x.key)
+        row = KEY_TABLE.step(entry.state, KeyEvent.OUTCOME if ran else KeyEvent.NEVER_RAN, exchange.key)
         sharing, entry.followers = entry.followers, []
         entry.state, entry.owner = row.next, None
-        if row.next == Key.FREE:
+        if row.next == KeyState.FREE:
             del self.entries[slot]
         else:
             # Guards memory: long results are not remembered, a late repeat of those is failed.
-            entry.outcome = answer if len(answer.body) <= self.result_bytes else Answer(Kind.FAILED)
+            entry.outcome = answer if len(answer.body) <= self.result_bytes else Answer(AnswerKind.FAILED)
             self.expiry.append((now + self.key_ms, slot))
         return sharing
 
-    def leave(self, x: Exchange) -> Exchange | None:
+    def leave(self, exchange: Exchange) -> Exchange | None:
         """A try left before it ran. The follower that takes its place, if it was the owner and one waits."""
-        slot = (x.cls, x.key)
+        slot = (exchange.cls, exchange.key)
         entry = self.entries.get(slot)
         if entry is None:
             return None
-        if entry.owner is not x:
-            entry.followers = [one for one in entry.followers if one is not x]
+        if entry.owner is not exchange:
+            entry.followers = [one for one in entry.followers if one is not exchange]
             return None
-        row = KEY.step(entry.state, At.OWNER_LEFT if entry.followers else At.LAST_LEFT, x.key)
+        row = KEY_TABLE.step(entry.state, KeyEvent.OWNER_LEFT if entry.followers else KeyEvent.LAST_LEFT, exchange.key)
         entry.state = row.next
-        if row.next == Key.FREE:
+        if row.next == KeyState.FREE:
             del self.entries[slot]
             return None
         entry.owner = entry.followers.pop(0)
         return entry.owner
 
-    def owns(self, x: Exchange) -> bool:
+    def owns(self, exchange: Exchange) -> bool:
         """Whether this try is the one that stands for its key."""
-        entry = self.entries.get((x.cls, x.key))
-        return entry is not None and entry.owner is x
+        entry = self.entries.get((exchange.cls, exchange.key))
+        return entry is not None and entry.owner is exchange
 
-    def known(self) -> list[tuple[Slot, Answer, float]]:
+    def known(self) -> list[tuple[KeyId, Answer, float]]:
         """Keys with their outcomes and when they lapse, oldest first: what a successor must not run again."""
         return [(slot, entry.outcome, at) for at, slot in self.expiry
                 if (entry := self.entries.get(slot)) is not None and entry.outcome is not None]
 
-    def take(self, slot: Slot, outcome: Answer, lapses_at: float) -> None:
+    def take(self, slot: KeyId, outcome: Answer, lapses_at: float) -> None:
         """A key whose outcome an earlier process knew. Taken in the order they lapse, before any key of its own."""
         if slot not in self.entries and len(self.entries) < self.most:
-            self.entries[slot] = Entry(Key.KNOWN, None, [], outcome)
+            self.entries[slot] = KeyEntry(KeyState.KNOWN, None, [], outcome)
             self.expiry.append((lapses_at, slot))
 
     def expire(self, now: float) -> None:
         """Forget outcomes whose time is over."""
         while self.expiry and self.expiry[0][0] <= now:
             slot = self.expiry.popleft()[1]
-            if KEY.step(self.entries[slot].state, At.EXPIRE, slot[1]).next == Key.FREE:
+            if KEY_TABLE.step(self.entries[slot].state, KeyEvent.EXPIRE, slot[1]).next == KeyState.FREE:
                 del self.entries[slot]
--- a/myrtlespar/state_machines/lost_runs.py
+++ b/myrtlespar/state_machines/lost_runs.py
@@ -9,7 +9,7 @@
 import math
 
 
-class LostRuns:
+class LostRunDetector:
     """Compares the runs counted here with the gauge, look by look. Times in milliseconds."""
 
     def __init__(self, window_ms: float) -> None:
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -4,10 +4,10 @@
 
 from enum import IntEnum, auto
 
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 
-class Stage(IntEnum):
+class ProcessState(IntEnum):
     """Where the process stands."""
 
     SERVING = 0
@@ -17,10 +17,10 @@
     STOPPED = auto()
 
 
-FLUSHING = Stage.FLUSHING
+FLUSHING = ProcessState.FLUSHING
 
 
-class Say(IntEnum):
+class ProcessEvent(IntEnum):
     """What happens to it."""
 
     NOTICE = 0
@@ -33,7 +33,7 @@
     HANDOVER = auto()  # SIGTERM beside a second process: stop listening at once, no drain, answer all read
 
 
-class Act(IntEnum):
+class ProcessAction(IntEnum):
     """What follows."""
 
     TELL_POLICY = 0
@@ -45,80 +45,80 @@
     STOP = auto()
 
 
-_CLOSE = (Act.CLOSE_LISTENERS, Act.ASK_CLIENTS)
-
-PROCESS = Table("process", Stage, Say, {
-    (Stage.SERVING, Say.NOTICE): Row(Stage.DRAINING, (Act.TELL_POLICY, Act.ASK_CLIENTS)),
-    (Stage.SERVING, Say.RELOAD): Row(Stage.SERVING, (Act.MOVE_LINKS,)),
-    (Stage.SERVING, Say.HANDOVER): Row(Stage.CROSSING, _CLOSE),
-    (Stage.DRAINING, Say.HANDOVER): Row(Stage.CROSSING, _CLOSE),
-    (Stage.CROSSING, Say.HANDOVER): Row(Stage.CROSSING),
-    (Stage.FLUSHING, Say.HANDOVER): Row(Stage.FLUSHING),
-    (Stage.SERVING, Say.BAD_RELOAD): Row(Stage.SERVING, (Act.NAME_FAULT,)),
-    (Stage.DRAINING, Say.NOTICE): Row(Stage.DRAINING),  # a second notice changes nothing
-    (Stage.DRAINING, Say.RELOAD): Row(Stage.DRAINING, (Act.MOVE_LINKS,)),  # runs still end over those links
-    (Stage.DRAINING, Say.BAD_RELOAD): Row(Stage.DRAINING, (Act.NAME_FAULT,)),
-    (Stage.DRAINING, Say.EMPTY): Row(Stage.CROSSING, _CLOSE),
-    (Stage.DRAINING, Say.KILL_NEAR): Row(Stage.CROSSING, _CLOSE),
-    (Stage.CROSSING, Say.NOTICE): Row(Stage.CROSSING),
-    (Stage.CROSSING, Say.RELOAD): Row(Stage.CROSSING, (Act.MOVE_LINKS,)),  # what is owed still ends over them
-    (Stage.CROSSING, Say.BAD_RELOAD): Row(Stage.CROSSING, (Act.NAME_FAULT,)),
-    (Stage.CROSSING, Say.CROSSED): Row(Stage.FLUSHING, (Act.FLUSH,)),
-    (Stage.FLUSHING, Say.FLUSHED): Row(Stage.STOPPED, (Act.STOP,)),
-    (Stage.FLUSHING, Say.NOTICE): Row(Stage.FLUSHING),
-    (Stage.FLUSHING, Say.RELOAD): Row(Stage.FLUSHING),
-    (Stage.FLUSHING, Say.BAD_RELOAD): Row(Stage.FLUSHING, (Act.NAME_FAULT,)),
+_CLOSE = (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
+
+PROCESS_TABLE = TransitionTable("process", ProcessState, ProcessEvent, {
+    (ProcessState.SERVING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING, (ProcessAction.TELL_POLICY, ProcessAction.ASK_CLIENTS)),
+    (ProcessState.SERVING, ProcessEvent.RELOAD): Transition(ProcessState.SERVING, (ProcessAction.MOVE_LINKS,)),
+    (ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
+    (ProcessState.DRAINING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
+    (ProcessState.CROSSING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING),
+    (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
+    (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
+    (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING),  # a second notice changes nothing
+    (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)),  # runs still end over those links
+    (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)),
+    (ProcessState.DRAINING, ProcessEvent.EMPTY): Transition(ProcessState.CROSSING, _CLOSE),
+    (ProcessState.DRAINING, ProcessEvent.KILL_NEAR): Transition(ProcessState.CROSSING, _CLOSE),
+    (ProcessState.CROSSING, ProcessEvent.NOTICE): Transition(ProcessState.CROSSING),
+    (ProcessState.CROSSING, ProcessEvent.RELOAD): Transition(ProcessState.CROSSING, (ProcessAction.MOVE_LINKS,)),  # what is owed still ends over them
+    (ProcessState.CROSSING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.CROSSING, (ProcessAction.NAME_FAULT,)),
+    (ProcessState.CROSSING, ProcessEvent.CROSSED): Transition(ProcessState.FLUSHING, (ProcessAction.FLUSH,)),
+    (ProcessState.FLUSHING, ProcessEvent.FLUSHED): Transition(ProcessState.STOPPED, (ProcessAction.STOP,)),
+    (ProcessState.FLUSHING, ProcessEvent.NOTICE): Transition(ProcessState.FLUSHING),
+    (ProcessState.FLUSHING, ProcessEvent.RELOAD): Transition(ProcessState.FLUSHING),
+    (ProcessState.FLUSHING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.FLUSHING, (ProcessAction.NAME_FAULT,)),
 })
 
 
-class Process:
+class ProcessLifecycle:
     """One process. Times are Unix milliseconds."""
 
     def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float,
                  crossing_ms: float) -> None:
         self.stop_ms, self.grace_ms, self.sweep_ms = stop_ms, grace_ms, sweep_ms
         self.flush_ms, self.crossing_ms = flush_ms, crossing_ms
-        self.stage: int = Stage.SERVING
+        self.stage: int = ProcessState.SERVING
         self.answer_ms = 0.0  # what the last answers took to hand over, one by one
         self.notice_at = self.kill_at = self.closed_at = float("inf")
 
     @property
     def draining(self) -> bool:
         """Whether the notice to leave has come."""
-        return self.stage != Stage.SERVING
+        return self.stage != ProcessState.SERVING
 
-    def say(self, event: Say) -> tuple[Act, ...]:
+    def say(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
         """An event without a time."""
-        row = PROCESS.step(self.stage, event, "process")
+        row = PROCESS_TABLE.step(self.stage, event, "process")
         self.stage = row.next
         return row.effects
 
-    def notice(self, now: float) -> tuple[Act, ...]:
+    def notice(self, now: float) -> tuple[ProcessAction, ...]:
         """The notice to leave. The first one counts."""
-        if self.stage == Stage.SERVING:
+        if self.stage == ProcessState.SERVING:
             self.notice_at, self.kill_at = now, now + self.stop_ms
-        return self.say(Say.NOTICE)
+        return self.say(ProcessEvent.NOTICE)
 
-    def handover(self, now: float, kill_in_ms: float) -> tuple[Act, ...]:
+    def handover(self, now: float, kill_in_ms: float) -> tuple[ProcessAction, ...]:
         """SIGTERM while a second process serves beside this one: it is no notice to drain, so nothing is barred
         and health stays; listeners close now and all that was read is answered before the kill."""
-        if self.stage in (Stage.SERVING, Stage.DRAINING):
+        if self.stage in (ProcessState.SERVING, ProcessState.DRAINING):
             self.closed_at, self.kill_at = now, min(self.kill_at, now + kill_in_ms)
-        return self.say(Say.HANDOVER)
+        return self.say(ProcessEvent.HANDOVER)
 
-    def look(self, now: float, owed: int) -> tuple[Act, ...]:
+    def look(self, now: float, owed: int) -> tuple[ProcessAction, ...]:
         """Whether the drain may go one stage on."""
-        if self.stage == Stage.DRAINING:
+        if self.stage == ProcessState.DRAINING:
             if now > self.notice_at + self.grace_ms and not owed:
                 self.closed_at = now
-                return self.say(Say.EMPTY)
+                return self.say(ProcessEvent.EMPTY)
             if now > self.kill_at - 2 * self.flush_ms:
                 self.closed_at = now
-                return self.say(Say.KILL_NEAR)
-        elif self.stage == Stage.CROSSING:
+                return self.say(ProcessEvent.KILL_NEAR)
+        elif self.stage == ProcessState.CROSSING:
             crossed = now >= self.closed_at + self.crossing_ms and not owed
             if crossed or now >= self.kill_at:
-                return self.say(Say.CROSSED)
+                return self.say(ProcessEvent.CROSSED)
         return ()
 
     def may_start(self, arrived: float) -> bool:
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -6,69 +6,77 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from myrtlespar.exchange import Answer, Exchange, Kind
-from myrtlespar.policy.messages import Outcome
-from myrtlespar.state_machines.attempts import LAST_OUTWARD, OWED, STARTED, TRY, Do, On, Try
-from myrtlespar.state_machines.idempotency_keys import Keys, Slot, Then
-from myrtlespar.state_machines.process import Process
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.attempts import (
+    ATTEMPT_TABLE,
+    LAST_OUTWARD,
+    OWED,
+    STARTED,
+    AttemptAction,
+    AttemptEvent,
+    AttemptState,
+)
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable, KeyAction, KeyId
+from myrtlespar.state_machines.process import ProcessLifecycle
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
-DO_DELIVER, DO_DELIVER_FAILED, DO_FREE_KEY, DO_LEAVE = Do.DELIVER, Do.DELIVER_FAILED, Do.FREE_KEY, Do.LEAVE
-DO_PASS_ON, DO_REMEMBER, DO_UNFOLLOW, DO_WITHDRAW = Do.PASS_ON, Do.REMEMBER, Do.UNFOLLOW, Do.WITHDRAW
-ON_ADMIT, ON_BAR, ON_CALL, ON_CALL_BAD = On.ADMIT, On.BAR, On.CALL, On.CALL_BAD
-ON_CALL_NEEDED, ON_CALL_OK, ON_ENDED, ON_FAIL = On.CALL_NEEDED, On.CALL_OK, On.ENDED, On.FAIL
-ON_FOLLOW, ON_GONE, ON_KNOWN, ON_NEVER_RAN = On.FOLLOW, On.GONE, On.KNOWN, On.NEVER_RAN
-ON_OVERDUE, ON_PROMOTE, ON_REFUSE, ON_SHARE = On.OVERDUE, On.PROMOTE, On.REFUSE, On.SHARE
-ON_START = On.START
-THEN_FOLLOW, THEN_OWN, THEN_TURN_AWAY = Then.FOLLOW, Then.OWN, Then.TURN_AWAY
-TRY_READ, TRY_FOLLOWING, TRY_RUNNING_UNWANTED = Try.READ, Try.FOLLOWING, Try.RUNNING_UNWANTED
-TRY_AT_CALL_UNWANTED = Try.AT_CALL_UNWANTED
-ON_CORES = (Try.RUNNING, Try.RUNNING_UNWANTED)
-
-FAILED = Answer(Kind.FAILED)
-LATE = Answer(Kind.FAILED, late=True)
-NEVER_RAN = Answer(Kind.FAILED, headers=())  # told apart from others by identity: the kernel began nothing
-
-
-class Effect(NamedTuple):
+DO_DELIVER, DO_DELIVER_FAILED, DO_FREE_KEY, DO_LEAVE = AttemptAction.DELIVER, AttemptAction.DELIVER_FAILED, AttemptAction.FREE_KEY, AttemptAction.LEAVE
+DO_PASS_ON, DO_REMEMBER, DO_UNFOLLOW, DO_WITHDRAW = AttemptAction.PASS_ON, AttemptAction.REMEMBER, AttemptAction.UNFOLLOW, AttemptAction.WITHDRAW
+ON_ADMIT, ON_BAR, ON_CALL, ON_CALL_BAD = AttemptEvent.ADMIT, AttemptEvent.BAR, AttemptEvent.CALL, AttemptEvent.CALL_BAD
+ON_CALL_NEEDED, ON_CALL_OK, ON_ENDED, ON_FAIL = AttemptEvent.CALL_NEEDED, AttemptEvent.CALL_OK, AttemptEvent.ENDED, AttemptEvent.FAIL
+ON_FOLLOW, ON_GONE, ON_KNOWN, ON_NEVER_RAN = AttemptEvent.FOLLOW, AttemptEvent.GONE, AttemptEvent.KNOWN, AttemptEvent.NEVER_RAN
+ON_OVERDUE, ON_PROMOTE, ON_REFUSE, ON_SHARE = AttemptEvent.OVERDUE, AttemptEvent.PROMOTE, AttemptEvent.REFUSE, AttemptEvent.SHARE
+ON_START = AttemptEvent.START
+THEN_FOLLOW, THEN_OWN, THEN_TURN_AWAY = KeyAction.FOLLOW, KeyAction.OWN, KeyAction.TURN_AWAY
+TRY_READ, TRY_FOLLOWING, TRY_RUNNING_UNWANTED = AttemptState.READ, AttemptState.FOLLOWING, AttemptState.RUNNING_UNWANTED
+TRY_AT_CALL_UNWANTED = AttemptState.AT_CALL_UNWANTED
+ON_CORES = (AttemptState.RUNNING, AttemptState.RUNNING_UNWANTED)
+
+FAILED = Answer(AnswerKind.FAILED)
+LATE = Answer(AnswerKind.FAILED, late=True)
+NEVER_RAN = Answer(AnswerKind.FAILED, headers=())  # told apart from others by identity: the kernel began nothing
+
+
+class RequestEffect(NamedTuple):
     """One thing for the core to carry out. What a kind does not need is left at its default."""
 
-    do: Do
-    x: Exchange
+    do: AttemptAction
+    exchange: Exchange
     answer: Answer | None = None
-    outcome: Outcome = Outcome.OK
+    outcome: RunOutcome = RunOutcome.OK
     ms: float = 0.0  # elapsed, or the limit of a call
     body: bytes = b""
 
 
-class Note(NamedTuple):
+class EventDetails(NamedTuple):
     """What comes along with an event."""
 
     answer: Answer | None = None
-    outcome: Outcome = Outcome.OK
+    outcome: RunOutcome = RunOutcome.OK
     ms: float = 0.0
     body: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RequestTerms:
     """What the desk needs to know of classes and settings; times in milliseconds."""
 
-    give_up_ms: Sequence[float]  # by class: due so long after the arrival
+    client_timeout_ms: Sequence[float]  # by class: due so long after the arrival
     effectful: Sequence[bool]  # by class: must not run twice
     overdue_ms: float  # past its due time a try is failed, whatever else was decided
     retry_after_ms: float  # told when there is no room for a key, or a start comes too late
 
 
-NOTHING = Note()
+NOTHING = EventDetails()
 _tuple = tuple.__new__  # the same as Effect(...) or Note(...), without the time for defaults
 
 
-class Desk:
+class RequestTracker:
     """Every public method takes one event and returns the effects, in order. Unknown ids are passed over: they
     belong to tries that are over, or to an earlier life of the server."""
 
-    def __init__(self, terms: Terms, keys: Keys, process: Process) -> None:
+    def __init__(self, terms: RequestTerms, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
         self.terms, self.keys, self.process = terms, keys, process
         self.open: dict[str, Exchange] = {}  # by id, until answered and no longer running
         self.owed = 0  # tries without their final answer
@@ -79,156 +87,156 @@
 
     def wanted(self, id: str) -> bool:
         """Whether somebody still waits for this try."""
-        x = self.open.get(id)
-        return x is not None and x.state in OWED
+        exchange = self.open.get(id)
+        return exchange is not None and exchange.state in OWED
 
     # What happened.
 
-    def submit(self, x: Exchange) -> list[Effect] | None:
+    def submit(self, exchange: Exchange) -> list[RequestEffect] | None:
         """A request was read whole. None: its id is in use, nothing was taken."""
-        if x.id in self.open:
+        if exchange.id in self.open:
             return None
-        x.due = x.arrived + self.terms.give_up_ms[x.cls]
-        x.state = TRY_READ
-        self.open[x.id] = x
+        exchange.due = exchange.arrived + self.terms.client_timeout_ms[exchange.cls]
+        exchange.state = TRY_READ
+        self.open[exchange.id] = exchange
         self.owed += 1
-        if not x.key or not self.terms.effectful[x.cls]:
-            return self._step(x, ON_ADMIT)
-        then, outcome = self.keys.arrive(x)
+        if not exchange.key or not self.terms.effectful[exchange.cls]:
+            return self._step(exchange, ON_ADMIT)
+        then, outcome = self.keys.arrive(exchange)
         if then is THEN_OWN:
-            return self._step(x, ON_ADMIT)
+            return self._step(exchange, ON_ADMIT)
         if then is THEN_FOLLOW:
-            return self._step(x, ON_FOLLOW)
+            return self._step(exchange, ON_FOLLOW)
         if then is THEN_TURN_AWAY:
             outcome = self._refusal()
-        return self._step(x, ON_KNOWN, Note(outcome or FAILED))
+        return self._step(exchange, ON_KNOWN, EventDetails(outcome or FAILED))
 
-    def gone(self, x: Exchange) -> list[Effect]:
+    def gone(self, exchange: Exchange) -> list[RequestEffect]:
         """Nobody waits for this try any longer."""
-        return self._step(x, ON_GONE) if self.open.get(x.id) is x else []
+        return self._step(exchange, ON_GONE) if self.open.get(exchange.id) is exchange else []
 
-    def call_needed(self, id: str, body: bytes) -> list[Effect]:
+    def call_needed(self, id: str, body: bytes) -> list[RequestEffect]:
         """A run waits for a call."""
-        x = self.open.get(id)
-        if x is None:
+        exchange = self.open.get(id)
+        if exchange is None:
             return []
-        x.call_body = body
-        return self._step(x, ON_CALL_NEEDED)
+        exchange.call_body = body
+        return self._step(exchange, ON_CALL_NEEDED)
 
-    def called(self, id: str, outcome: Outcome, elapsed_ms: float, reply: bytes = b"") -> list[Effect]:
+    def called(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> list[RequestEffect]:
         """A call came back."""
-        x = self.open.get(id)
-        if x is None:
+        exchange = self.open.get(id)
+        if exchange is None:
             return []
-        event = ON_CALL_OK if outcome is Outcome.OK else ON_CALL_BAD
-        return self._step(x, event, _tuple(Note, (None, outcome, elapsed_ms, reply)))
+        event = ON_CALL_OK if outcome is RunOutcome.OK else ON_CALL_BAD
+        return self._step(exchange, event, _tuple(EventDetails, (None, outcome, elapsed_ms, reply)))
 
-    def ended(self, id: str, outcome: Outcome, elapsed_ms: float, answer: Answer | None,
-              now: float) -> list[Effect]:
+    def ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None,
+              now: float) -> list[RequestEffect]:
         """A run is over; a refusal or NEVER_RAN as its answer proves that it never began."""
-        x = self.open.get(id)
-        if x is None or x.state not in STARTED:
+        exchange = self.open.get(id)
+        if exchange is None or exchange.state not in STARTED:
             return []
         final = answer or FAILED
-        event = ON_NEVER_RAN if final.kind is Kind.REFUSED or final is NEVER_RAN else ON_ENDED
-        return self._step(x, event, _tuple(Note, (final, outcome, elapsed_ms, b"")), now)
+        event = ON_NEVER_RAN if final.kind is AnswerKind.REFUSED or final is NEVER_RAN else ON_ENDED
+        return self._step(exchange, event, _tuple(EventDetails, (final, outcome, elapsed_ms, b"")), now)
 
-    def sweep(self, now: float) -> list[Effect]:
+    def sweep(self, now: float) -> list[RequestEffect]:
         """Guards against anything that leaves a try open: a lost run, a policy that forgot it."""
-        out: list[Effect] = []
+        out: list[RequestEffect] = []
         end = self.process.answer_by(self.owed)
-        for x in list(self.open.values()):
-            if x.state in OWED:
-                slack = 0.0 if x.state == TRY_FOLLOWING else self.terms.overdue_ms
-                if now >= min(x.due + slack, end) and x.state in OWED:
-                    out += self._step(x, ON_OVERDUE, Note(LATE), now)
+        for exchange in list(self.open.values()):
+            if exchange.state in OWED:
+                slack = 0.0 if exchange.state == TRY_FOLLOWING else self.terms.overdue_ms
+                if now >= min(exchange.due + slack, end) and exchange.state in OWED:
+                    out += self._step(exchange, ON_OVERDUE, EventDetails(LATE), now)
         self.keys.expire(now)
         return out
 
     def on_cores(self) -> tuple[int, list[Exchange]]:
         """How many runs are on the kernel's cores, and those of them that nobody waits for, the oldest first."""
-        running = [x for x in self.open.values() if x.state in ON_CORES and not x.target]
-        return len(running), [x for x in running if x.state == TRY_RUNNING_UNWANTED]
+        running = [exchange for exchange in self.open.values() if exchange.state in ON_CORES and not exchange.target]
+        return len(running), [exchange for exchange in running if exchange.state == TRY_RUNNING_UNWANTED]
 
     def at_calls_unwanted(self) -> list[Exchange]:
         """Runs at a call that nobody waits for. The kernel ends them by itself and says so."""
-        return [x for x in self.open.values() if x.state == TRY_AT_CALL_UNWANTED and not x.target]
+        return [exchange for exchange in self.open.values() if exchange.state == TRY_AT_CALL_UNWANTED and not exchange.target]
 
-    def end_all(self, now: float) -> list[Effect]:
+    def end_all(self, now: float) -> list[RequestEffect]:
         """The process ends: fail every try that is owed its answer."""
-        out: list[Effect] = []
-        for x in list(self.open.values()):
-            if x.state in OWED:  # one that follows another may have been answered with it
-                out += self._step(x, ON_OVERDUE, Note(LATE), now)
+        out: list[RequestEffect] = []
+        for exchange in list(self.open.values()):
+            if exchange.state in OWED:  # one that follows another may have been answered with it
+                out += self._step(exchange, ON_OVERDUE, EventDetails(LATE), now)
         return out
 
-    def left(self, now: float) -> list[tuple[Slot, Answer, float]]:
+    def left(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Keys for a process that takes over, with their outcomes and when they lapse. A run that nobody waits for
         goes on in the kernel without us: its key stands for a failure, as nothing can be promised of it."""
-        running = [((x.cls, x.key), FAILED, now + self.keys.key_ms) for x in self.open.values()
-                   if x.key and x.state in STARTED and self.keys.owns(x)]
+        running = [((exchange.cls, exchange.key), FAILED, now + self.keys.key_ms) for exchange in self.open.values()
+                   if exchange.key and exchange.state in STARTED and self.keys.owns(exchange)]
         return self.keys.known() + running
 
     # What the policy decided.
 
-    def start(self, id: str, now: float) -> list[Effect]:
+    def start(self, id: str, now: float) -> list[RequestEffect]:
         """Run it, unless it came too long after the notice to leave."""
-        x = self.open.get(id)
-        if x is None:
+        exchange = self.open.get(id)
+        if exchange is None:
             return []
-        if not self.process.may_start(x.arrived):
-            return self._step(x, ON_BAR, Note(self._refusal(), Outcome.MOOT), now)
-        return self._step(x, ON_START)
+        if not self.process.may_start(exchange.arrived):
+            return self._step(exchange, ON_BAR, EventDetails(self._refusal(), RunOutcome.MOOT), now)
+        return self._step(exchange, ON_START)
 
-    def refuse(self, id: str, answer: Answer, now: float) -> list[Effect]:
+    def refuse(self, id: str, answer: Answer, now: float) -> list[RequestEffect]:
         """Turn it away. What has started fails instead."""
-        x = self.open.get(id)
-        return [] if x is None else self._step(x, ON_REFUSE, Note(answer), now)
+        exchange = self.open.get(id)
+        return [] if exchange is None else self._step(exchange, ON_REFUSE, EventDetails(answer), now)
 
-    def fail(self, id: str, now: float) -> list[Effect]:
+    def fail(self, id: str, now: float) -> list[RequestEffect]:
         """Give it up."""
-        x = self.open.get(id)
-        return [] if x is None else self._step(x, ON_FAIL, Note(LATE), now)
+        exchange = self.open.get(id)
+        return [] if exchange is None else self._step(exchange, ON_FAIL, EventDetails(LATE), now)
 
-    def call(self, id: str, limit_ms: float) -> list[Effect]:
+    def call(self, id: str, limit_ms: float) -> list[RequestEffect]:
         """Make the call that it waits for."""
-        x = self.open.get(id)
-        return [] if x is None else self._step(x, ON_CALL, Note(ms=limit_ms))
+        exchange = self.open.get(id)
+        return [] if exchange is None else self._step(exchange, ON_CALL, EventDetails(ms=limit_ms))
 
     # How a step is carried out.
 
     def _refusal(self) -> Answer:
-        return Answer(Kind.REFUSED, retry_after_ms=self.terms.retry_after_ms)
+        return Answer(AnswerKind.REFUSED, retry_after_ms=self.terms.retry_after_ms)
 
-    def _step(self, x: Exchange, event: On, note: Note = NOTHING, now: float = 0.0) -> list[Effect]:
-        row = TRY.step(x.state, event, x.id)
-        x.state = row.next
-        out: list[Effect] = []
+    def _step(self, exchange: Exchange, event: AttemptEvent, note: EventDetails = NOTHING, now: float = 0.0) -> list[RequestEffect]:
+        row = ATTEMPT_TABLE.step(exchange.state, event, exchange.id)
+        exchange.state = row.next
+        out: list[RequestEffect] = []
         for do in row.effects:
             if do is DO_DELIVER:
                 self.owed -= 1
-                out.append(_tuple(Effect, (do, x, note.answer, note.outcome, 0.0, b"")))
+                out.append(_tuple(RequestEffect, (do, exchange, note.answer, note.outcome, 0.0, b"")))
             elif do <= LAST_OUTWARD:
-                out.append(_tuple(Effect, (do, x, note.answer, note.outcome, note.ms, note.body)))
+                out.append(_tuple(RequestEffect, (do, exchange, note.answer, note.outcome, note.ms, note.body)))
             else:
-                self._inward(do, x, note, now, out)
+                self._inward(do, exchange, note, now, out)
         return out
 
-    def _inward(self, do: Do, x: Exchange, note: Note, now: float, out: list[Effect]) -> None:
+    def _inward(self, do: AttemptAction, exchange: Exchange, note: EventDetails, now: float, out: list[RequestEffect]) -> None:
         if do is DO_LEAVE:
-            del self.open[x.id]
+            del self.open[exchange.id]
         elif do is DO_WITHDRAW:
             self.owed -= 1
         elif do is DO_DELIVER_FAILED:
             self.owed -= 1
-            out.append(Effect(DO_DELIVER, x, FAILED))
-        elif not x.key:
+            out.append(RequestEffect(DO_DELIVER, exchange, FAILED))
+        elif not exchange.key:
             return
         elif do is DO_REMEMBER or do is DO_FREE_KEY:
             answer = note.answer or FAILED
-            for one in self.keys.conclude(x, answer, do is DO_REMEMBER, now):
-                out += self._step(one, ON_SHARE, Note(answer), now)
+            for one in self.keys.conclude(exchange, answer, do is DO_REMEMBER, now):
+                out += self._step(one, ON_SHARE, EventDetails(answer), now)
         elif do is DO_PASS_ON or do is DO_UNFOLLOW:
-            heir = self.keys.leave(x)
+            heir = self.keys.leave(exchange)
             if heir is not None:
                 out += self._step(heir, ON_PROMOTE)
--- a/myrtlespar/state_machines/transition_table.py
+++ b/myrtlespar/state_machines/transition_table.py
@@ -8,17 +8,17 @@
 from typing import Any, NamedTuple
 
 
-class Row(NamedTuple):
+class Transition(NamedTuple):
     """What an event does in one state: the state after it, and the effects, in their order."""
 
     next: int
     effects: tuple[Any, ...] = ()
 
 
-Watcher = Callable[["Table", str, int, int, "Row | None"], None]
+TransitionObserver = Callable[["TransitionTable", str, int, int, "Transition | None"], None]
 
 
-class Table:
+class TransitionTable:
     """The rows of one machine. All machines of one kind share it; each holds its own state.
 
     `watch` is told of every step, who made it, and None for the row of an impossible one. Nothing watches unless
@@ -27,13 +27,13 @@
     __slots__ = ("events", "impossible", "name", "rows", "states", "watch")
 
     def __init__(self, name: str, states: type[IntEnum], events: type[IntEnum],
-                 rows: Mapping[tuple[int, int], Row]) -> None:
+                 rows: Mapping[tuple[int, int], Transition]) -> None:
         self.name, self.states, self.events = name, states, events
-        self.rows: list[list[Row | None]] = [[rows.get((state, event)) for event in events] for state in states]
+        self.rows: list[list[Transition | None]] = [[rows.get((state, event)) for event in events] for state in states]
         self.impossible: Counter[str] = Counter()
-        self.watch: Watcher | None = None
+        self.watch: TransitionObserver | None = None
 
-    def step(self, state: int, event: int, who: str) -> Row:
+    def step(self, state: int, event: int, who: str) -> Transition:
         """The row for this event. Where there is none the state stays, nothing follows, and it is counted."""
         row = self.rows[state][event]
         if row is not None and self.watch is None:
@@ -42,7 +42,7 @@
             self.watch(self, who, state, event, row)
         if row is None:
             self.impossible[f"{self.states(state).name}.{self.events(event).name}"] += 1
-            return Row(state)
+            return Transition(state)
         return row
 
     def filled(self) -> list[tuple[int, int]]:
@@ -51,7 +51,7 @@
                 for event, row in enumerate(rows) if row is not None]
 
 
-def report(tables: tuple[Table, ...]) -> dict[str, int]:
+def report_invalid_transitions(tables: tuple[TransitionTable, ...]) -> dict[str, int]:
     """Counts of impossible events by `impossible.machine.STATE.EVENT`."""
     return {f"impossible.{table.name}.{what}": count
             for table in tables for what, count in sorted(table.impossible.items())}
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlespar.fakes import Client, Tile, until
-from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.fakes import ServerProcess, ThriftClient, until
+from myrtlespar.fakes.upstreams import FakeEngine
 from myrtlespar.net.codec.thrift import encode, idl
 
 GIVE_UP_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}
@@ -68,7 +68,7 @@
 """
 
 
-class TracedKernel(Kernel):
+class TracedKernel(FakeEngine):
     """Keeps all commands over restarts, and what it asked of the store for each run."""
 
     def __init__(self) -> None:
@@ -153,7 +153,7 @@
     sent_ms: float
 
 
-class TracedClient(Client):
+class TracedClient(ThriftClient):
     """Knows every request it made, and whether it ended its connection itself."""
 
     def __init__(self, port: int) -> None:
@@ -219,7 +219,7 @@
         start.write_text(FAULTY_START.format(seed=self.seed, chance=self.chance))
         self.kernel = TracedKernel()
         self.all_clients: list[TracedClient] = []
-        running = Tile(self.tmp, kernel=self.kernel, start=str(start), wait=False)
+        running = ServerProcess(self.tmp, kernel=self.kernel, start=str(start), wait=False)
         try:
             serving = until(lambda: running.event("serving"), "start")
             self.port = serving["ports"][0]
@@ -238,7 +238,7 @@
 
     # The schedule.
 
-    def _load(self, running: Tile) -> None:
+    def _load(self, running: ServerProcess) -> None:
         self.all_clients = [TracedClient(self.port) for _ in range(self.clients)]
         began, requests = time.monotonic(), int(self.rate * self.seconds)
         faults = {self.source.randrange(requests): self.source.choice(FAULTS) for _ in range(int(4 * self.seconds))}
@@ -287,7 +287,7 @@
 
     # What is wrong.
 
-    def _compare(self, running: Tile) -> None:
+    def _compare(self, running: ServerProcess) -> None:
         requests = {request.rid: request for client in self.all_clients
                     for request in (*client.sent.values(), *client.doubtful.values())}
         starts: Counter[str] = Counter()
@@ -343,12 +343,12 @@
 # The faults that a schedule draws from.
 
 
-def kernel_link_cut(trial: Trial, running: Tile) -> None:
+def kernel_link_cut(trial: Trial, running: ServerProcess) -> None:
     if trial.kernel.link is not None:
         trial.kernel.cut(trial.kernel.link)
 
 
-def kernel_link_cut_inside_a_notice(trial: Trial, running: Tile) -> None:
+def kernel_link_cut_inside_a_notice(trial: Trial, running: ServerProcess) -> None:
     with trial.kernel.lock:
         link = trial.kernel.link
         if link is not None:
@@ -359,11 +359,11 @@
             trial.kernel.cut(link)
 
 
-def kernel_starts_anew(trial: Trial, running: Tile) -> None:
+def kernel_starts_anew(trial: Trial, running: ServerProcess) -> None:
     trial.kernel.restart()
 
 
-def kernel_sends_odd_lines(trial: Trial, running: Tile) -> None:
+def kernel_sends_odd_lines(trial: Trial, running: ServerProcess) -> None:
     odd = [b"[" * 5000, b"{}", b'{"t":"INFO","mark":"gauges-1","v":[1e999]}', b"\xff\xfe", b'{"t":7,"no":"x"}', b""]
     with trial.kernel.lock:
         if trial.kernel.link is not None:
@@ -373,26 +373,26 @@
                 return
 
 
-def store_fails(trial: Trial, running: Tile) -> None:
+def store_fails(trial: Trial, running: ServerProcess) -> None:
     kinds = ["BUSY", "ERR", "LATE", "VOID", "cut", "hang", "noise", "short", "copy", "stray", "slow", "endless"]
     running.store.script += [trial.source.choice(kinds) for _ in range(trial.source.randrange(1, 5))]
 
 
-def store_links_cut(trial: Trial, running: Tile) -> None:
+def store_links_cut(trial: Trial, running: ServerProcess) -> None:
     running.store.cut()
 
 
-def roster_fails(trial: Trial, running: Tile) -> None:
+def roster_fails(trial: Trial, running: ServerProcess) -> None:
     running.roster.mode = trial.source.choice(["", "silent", "down", "cut inside", "upgrade"])
 
 
-def client_leaves(trial: Trial, running: Tile) -> None:
+def client_leaves(trial: Trial, running: ServerProcess) -> None:
     client = trial.source.choice(trial.all_clients)
     if not client.left:
         client.leave(trial.source.random() < 0.5)
 
 
-def client_gives_up(trial: Trial, running: Tile) -> None:
+def client_gives_up(trial: Trial, running: ServerProcess) -> None:
     client = trial.source.choice(trial.all_clients)
     seqs = [seq for seq in client.sent if seq not in client.answers]
     if seqs and not client.left:
@@ -404,7 +404,7 @@
             return
 
 
-def strangers(trial: Trial, running: Tile) -> None:
+def strangers(trial: Trial, running: ServerProcess) -> None:
     """Garbage, frames without an end, silence, resets: nothing that any answer is owed for."""
     for _ in range(3):
         sock = socket.create_connection(("127.0.0.1", trial.port))
@@ -420,21 +420,21 @@
             KEPT.append(sock)
 
 
-def reload(trial: Trial, running: Tile) -> None:
+def reload(trial: Trial, running: ServerProcess) -> None:
     running.process.send_signal(signal.SIGHUP)
 
 
-def counters(trial: Trial, running: Tile) -> None:
+def counters(trial: Trial, running: ServerProcess) -> None:
     running.process.send_signal(signal.SIGUSR1)
 
 
-def pause(trial: Trial, running: Tile) -> None:
+def pause(trial: Trial, running: ServerProcess) -> None:
     running.process.send_signal(signal.SIGSTOP)
     time.sleep(0.15)
     running.process.send_signal(signal.SIGCONT)
 
 
-def burst(trial: Trial, running: Tile) -> None:
+def burst(trial: Trial, running: ServerProcess) -> None:
     client = TracedClient(trial.port)
     trial.all_clients.append(client)
     for n in range(20):
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -6,7 +6,7 @@
 import os
 from pathlib import Path
 
-from myrtlespar.fakes import Tile, until
+from myrtlespar.fakes import ServerProcess, until
 
 START = """import importlib, json, os, runpy, sys
 sys.path.insert(0, os.getcwd())
@@ -38,7 +38,7 @@
         os.mkfifo(self.go)
         Path(self.start).write_text(START.format(where=where, when=when, go=self.go, first=first, then=then))
 
-    def reached(self, server: Tile) -> None:
+    def reached(self, server: ServerProcess) -> None:
         """Wait until the program stands there, with all of its greenlets."""
         until(lambda: server.event("at the gate"))
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,10 +7,10 @@
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.policy import Policy
 
-SAFE = api.RequestClass(aim_ms=2000, give_up_ms=6000, calls=True, skip_worth=0.5)
-COSTLY = api.RequestClass(aim_ms=2000, give_up_ms=6000, worth=0.2)
-KEYED = api.RequestClass(aim_ms=2000, give_up_ms=6000, effect=api.Effect.KEYED, window_ms=30000, calls=True)
-UNSAFE = api.RequestClass(aim_ms=2000, give_up_ms=6000, effect=api.Effect.UNSAFE, calls=True)
+SAFE = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, calls=True, degraded_weight=0.5)
+COSTLY = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, priority_weight=0.2)
+KEYED = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, effect=api.Effect.KEYED, window_ms=30000, calls=True)
+UNSAFE = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, effect=api.Effect.UNSAFE, calls=True)
 
 
 def settings(**changes: Any) -> api.Settings:
@@ -64,4 +64,4 @@
 
 def answers(log: list[api.Action], id: str) -> int:
     """Final answers other than a run's own result."""
-    return sum(1 for a in log if isinstance(a, api.Refuse | api.Fail) and a.id == id)
+    return sum(1 for a in log if isinstance(a, api.Reject | api.Fail) and a.id == id)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from myrtlespar.policy import messages as api
-from myrtlespar.simulator_adapter import READERS, BadInput, Host, parse, read_settings, serve
+from myrtlespar.simulator_adapter import READERS, MalformedInput, PolicyHost, parse, read_settings, serve
 
 ROOT = Path(__file__).parent.parent
 
@@ -41,7 +41,7 @@
 
 
 def test_round_trip() -> None:
-    host = Host()
+    host = PolicyHost()
     host.batch(batch(0, begin()))
     reply = host.batch(
         batch(
@@ -69,7 +69,7 @@
 
 
 def test_halt_and_begin_in_one_batch_start_a_clean_instance() -> None:
-    host = Host()
+    host = PolicyHost()
     host.batch(batch(0, begin()))
     host.batch(
         batch(5, {"backend": "backend/0", "arrivals": [{"type": "accept", "xid": "rq_a", "mem_kb": 20.0}]})
@@ -81,14 +81,14 @@
 
 
 def test_missing_setting_is_named_in_a_bug() -> None:
-    reply = Host().batch(batch(0, begin(family_info={"cores": 2})))
+    reply = PolicyHost().batch(batch(0, begin(family_info={"cores": 2})))
     assert reply["backends"][0]["out"] == [
         {"type": "bug", "message": "missing setting family_info.memory_kb"}
     ]
 
 
 def test_exception_in_the_policy_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = Host()
+    host = PolicyHost()
     host.batch(batch(0, begin()))
 
     def broken(now: float, events: object) -> None:
@@ -100,7 +100,7 @@
 
 
 def test_events_of_unknown_requests_and_instances_change_nothing() -> None:
-    host = Host()
+    host = PolicyHost()
     rows = [
         {"type": "finished", "xid": "rq_x", "status": 100},
         {"type": "abandoned", "xid": "rq_x"},
@@ -123,7 +123,7 @@
     ],
 )
 def test_bad_lines_are_named(line: str) -> None:
-    with pytest.raises(BadInput, match="input line 4"):
+    with pytest.raises(MalformedInput, match="input line 4"):
         parse(line, 4)
 
 
@@ -149,7 +149,7 @@
 
 def test_instances_act_alike_together_and_alone() -> None:
     def play(names: list[str]) -> dict[str, list[Any]]:
-        host, seen = Host(), {name: [] for name in names}
+        host, seen = PolicyHost(), {name: [] for name in names}
         for step in range(40):
             rows = [
                 begin(name)
@@ -179,7 +179,7 @@
 def test_hints_and_marks_are_passed_on_only_where_their_bits_say_so() -> None:
     read = READERS["accept"]
     assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival(
-        "a", 0, 10.0, further_try=True, cost_hint_ms=40.0
+        "a", 0, 10.0, is_retry=True, cost_hint_ms=40.0
     )
     assert read(arrive("b", bits=4, hint_ms=40.0)) == api.Arrival("b", 0, 10.0)
     assert read(arrive("c", bits=None, hint_ms=None)) == api.Arrival("c", 0, 10.0)
@@ -190,7 +190,7 @@
     [("discard", True), ("freeze", True), ("silent", False), ("odd", False), (None, False)],
 )
 def test_stop_is_written_only_where_it_is_allowed(halt: str | None, allowed: bool) -> None:
-    host = Host()
+    host = PolicyHost()
     first = begin()
     first["arrivals"][0]["params"]["family_info"]["halt"] = halt
     host.batch(batch(0, first))
@@ -205,5 +205,5 @@
     odd = {**params(), "worth_by": "moon", "clients": None, "goal": None}
     odd["family_info"] = {**odd["family_info"], "signal": "odd", "halt": "odd"}
     settings = read_settings(odd)
-    assert not settings.can_stop and not settings.worth_by_work and not settings.marks_retries
+    assert not settings.can_stop and not settings.weight_by_work and not settings.marks_retries
     assert settings.signal is api.Signal.NONE
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Gateway, Servlet, Tile, exactly, tile, until
+from myrtlespar.fakes import FakeAjpServer, FakeGateway, ServerProcess, ThriftClient, exactly, server_process, until
 from myrtlespar.net.codec import ajp as wire
 
 OPERATOR = """
@@ -32,16 +32,16 @@
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[Tile]:
-    with tile(tmp_path, operator=OPERATOR) as running:
+def server(tmp_path: Path) -> Iterator[ServerProcess]:
+    with server_process(tmp_path, operator=OPERATOR) as running:
         yield running
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("size", [1, 700, 2048])
-def test_body_comes_in_parts_and_result_goes_back_on_one_connection(server: Tile, size: int,
+def test_body_comes_in_parts_and_result_goes_back_on_one_connection(server: ServerProcess, size: int,
                                                                     chunked: bool) -> None:
-    gateway, body = Gateway(server.ports[1]), bytes(n % 251 for n in range(size))
+    gateway, body = FakeGateway(server.ports[1]), bytes(n % 251 for n in range(size))
     for _ in range(2):
         assert gateway.ask("/order/7", body, chunked=chunked) == (
             200, {"0xa001": "application/octet-stream", "0xa003": str(size + 10)}, b"result of " + body, True)
@@ -49,45 +49,45 @@
     assert {row["route"] for row in server.kernel.commands if row["t"] == "SCHED"} == {"order"}
 
 
-def test_without_a_body_the_kernel_gets_path_and_query_and_head_gets_no_body(server: Tile) -> None:
-    gateway = Gateway(server.ports[1])
+def test_without_a_body_the_kernel_gets_path_and_query_and_head_gets_no_body(server: ServerProcess) -> None:
+    gateway = FakeGateway(server.ports[1])
     assert gateway.ask("/fetch/a?z=9", method=2)[2] == b"result of /fetch/a?z=9"
     status, headers, body, reuse = gateway.ask("/fetch/a", method=3)
     assert (status, headers["0xa003"], body, reuse) == (200, "18", b"", True)
 
 
 @pytest.mark.parametrize(("body", "status"), [(b"end=FAIL", 500), (b"end=NOOP", 500), (b"x" * 2049, 413)])
-def test_failures_have_their_status(server: Tile, body: bytes, status: int) -> None:
-    assert Gateway(server.ports[1]).ask("/order", body)[0] == status
+def test_failures_have_their_status(server: ServerProcess, body: bytes, status: int) -> None:
+    assert FakeGateway(server.ports[1]).ask("/order", body)[0] == status
 
 
-def test_what_is_not_done_by_the_due_time_is_504(server: Tile) -> None:
+def test_what_is_not_done_by_the_due_time_is_504(server: ServerProcess) -> None:
     server.store.script = ["hang"]
-    assert Gateway(server.ports[1]).ask("/fetch", b"calls=1 ms=5")[0] == 504
+    assert FakeGateway(server.ports[1]).ask("/fetch", b"calls=1 ms=5")[0] == 504
 
 
 @pytest.mark.parametrize(("uri", "secret", "status"), [
     ("/moon", "s3", 404), ("/renderer", "s3", 404), ("/render", "s4", 403), ("/render", "", 403)])
-def test_unknown_paths_and_wrong_secrets_are_told(server: Tile, uri: str, secret: str, status: int) -> None:
-    assert Gateway(server.ports[1], secret).ask(uri)[0] == status
+def test_unknown_paths_and_wrong_secrets_are_told(server: ServerProcess, uri: str, secret: str, status: int) -> None:
+    assert FakeGateway(server.ports[1], secret).ask(uri)[0] == status
     assert not server.kernel.starts
 
 
 @pytest.mark.parametrize(("data", "status"), [
     (b"GET / HTTP/1.1\r\n\r\n", 0), (b"\x12\x34\xff\xff", 0), (b"\x12\x34\0\x03\x02\x04\0", 400),
     (b"\x12\x34\0\x01\x09", 0), (b"\x12\x34\0\0", 0)])
-def test_bad_packets_end_only_their_connection(server: Tile, data: bytes, status: int) -> None:
-    gateway = Gateway(server.ports[1])
+def test_bad_packets_end_only_their_connection(server: ServerProcess, data: bytes, status: int) -> None:
+    gateway = FakeGateway(server.ports[1])
     gateway.sock.sendall(data)
     if status:
         assert gateway.answer()[0] == status
     assert gateway.sock.recv(1) == b""
-    assert Gateway(server.ports[1]).ask("/fetch", b"x")[0] == 200
+    assert FakeGateway(server.ports[1]).ask("/fetch", b"x")[0] == 200
 
 
 @pytest.mark.parametrize("data", [b"", b"\x12", b"\x12\x34\x00\x09\x02"])
-def test_silent_and_half_sent_connections_are_closed(server: Tile, data: bytes) -> None:
-    asked, gateway = Gateway(server.ports[1]), Gateway(server.ports[1])
+def test_silent_and_half_sent_connections_are_closed(server: ServerProcess, data: bytes) -> None:
+    asked, gateway = FakeGateway(server.ports[1]), FakeGateway(server.ports[1])
     assert asked.ask("/fetch")[0] == 200
     gateway.sock.sendall(data)
     assert gateway.sock.recv(1) == b""
@@ -95,17 +95,17 @@
 
 
 def test_idle_gateways_make_room(tmp_path: Path) -> None:
-    with tile(tmp_path, operator=OPERATOR, sockets=100) as running:
-        gateways = [Gateway(running.ports[1])]
+    with server_process(tmp_path, operator=OPERATOR, sockets=100) as running:
+        gateways = [FakeGateway(running.ports[1])]
         assert gateways[0].ask("/fetch")[0] == 200
         for _ in range(11):  # a quarter of 44 places
-            gateways.append(Gateway(running.ports[1]))
+            gateways.append(FakeGateway(running.ports[1]))
             assert gateways[-1].ask("/fetch")[0] == 200
         assert gateways[0].sock.recv(1) == b"" and gateways[-1].ask("/fetch")[0] == 200
 
 
-def test_ping_is_answered_and_remote_shutdown_is_not_heeded(server: Tile) -> None:
-    gateway = Gateway(server.ports[1])
+def test_ping_is_answered_and_remote_shutdown_is_not_heeded(server: ServerProcess) -> None:
+    gateway = FakeGateway(server.ports[1])
     gateway.packet(b"\x07")
     gateway.packet(b"\x0a")
     assert gateway.next() == b"\x09"
@@ -113,12 +113,12 @@
     assert server.counters()["in.ignored.ajp"] == 1
 
 
-def test_overload_is_503_with_retry_after_before_the_due_time(server: Tile) -> None:
+def test_overload_is_503_with_retry_after_before_the_due_time(server: ServerProcess) -> None:
     answers: list[tuple[int, dict[str, str], float]] = []
 
     def ask() -> None:
         began = time.time()
-        status, headers, *_ = Gateway(server.ports[1]).ask("/render", b"ms=300")
+        status, headers, *_ = FakeGateway(server.ports[1]).ask("/render", b"ms=300")
         answers.append((status, headers, time.time() - began))
 
     threads = [threading.Thread(target=ask) for _ in range(60)]
@@ -131,12 +131,12 @@
     assert all(int(headers["retry-after"]) >= 1 and took < 6.25 for headers, took in refused)
 
 
-def test_a_gateway_that_leaves_frees_what_is_held(server: Tile) -> None:
-    busy = [Gateway(server.ports[1]) for _ in range(3)]
+def test_a_gateway_that_leaves_frees_what_is_held(server: ServerProcess) -> None:
+    busy = [FakeGateway(server.ports[1]) for _ in range(3)]
     for gateway in busy:
         gateway.forward("/render", b"ms=1000")
     until(lambda: server.kernel.starts)
-    leaver = Gateway(server.ports[1])
+    leaver = FakeGateway(server.ports[1])
     leaver.forward("/order", b"never")
     until(lambda: server.counters().get("in.request.ajp") == 4)
     leaver.sock.close()
@@ -144,22 +144,22 @@
     assert server.counters()["answer.gone.ajp"] == 1 and b"never" not in server.kernel.by_body
 
 
-def test_a_retry_over_thrift_gets_the_outcome_of_the_run_that_lost_its_gateway(server: Tile) -> None:
-    gateway, client = Gateway(server.ports[1]), Client(server.ports[0])
+def test_a_retry_over_thrift_gets_the_outcome_of_the_run_that_lost_its_gateway(server: ServerProcess) -> None:
+    gateway, client = FakeGateway(server.ports[1]), ThriftClient(server.ports[0])
     gateway.forward("/order", b"ms=300", Idempotency_Key="k1")
     until(lambda: server.kernel.starts)
     gateway.sock.close()
     during = client.ask("order", b"ms=300", idem="k1", again="1")
     after = client.ask("order", b"ms=300", idem="k1", again="1")
     assert during[0] == after[0] == "success" and during[1].body == after[1].body == b"result of ms=300"
-    assert Gateway(server.ports[1]).ask("/order", b"ms=300", Idempotency_Key="k1")[2] == b"result of ms=300"
+    assert FakeGateway(server.ports[1]).ask("/order", b"ms=300", Idempotency_Key="k1")[2] == b"result of ms=300"
     assert server.kernel.by_body[b"ms=300"] == 1
     assert client.ask("order", b"ms=300", idem="k2")[0] == "success"
     assert server.kernel.by_body[b"ms=300"] == 2
 
 
-def test_a_repeat_of_a_held_try_whose_caller_left_runs_in_its_place_once(server: Tile) -> None:
-    client, gateway = Client(server.ports[0]), Gateway(server.ports[1])
+def test_a_repeat_of_a_held_try_whose_caller_left_runs_in_its_place_once(server: ServerProcess) -> None:
+    client, gateway = ThriftClient(server.ports[0]), FakeGateway(server.ports[1])
     for _ in range(3):
         client.send("render", b"ms=300")
     until(lambda: server.kernel.starts)
@@ -171,16 +171,16 @@
     assert client.answer(repeat)[0] == "success" and server.kernel.by_body[b"held"] == 1
 
 
-def test_a_repeat_of_a_failed_order_is_failed_and_never_starts(server: Tile) -> None:
-    client = Client(server.ports[0])
+def test_a_repeat_of_a_failed_order_is_failed_and_never_starts(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
     assert client.ask("order", b"end=FAIL", idem="f")[0] == "failed"
-    assert Gateway(server.ports[1]).ask("/order", b"end=FAIL", Idempotency_Key="f")[0] == 500
+    assert FakeGateway(server.ports[1]).ask("/order", b"end=FAIL", Idempotency_Key="f")[0] == 500
     assert server.kernel.by_body[b"end=FAIL"] == 1
 
 
 def test_a_full_table_of_keys_turns_new_keys_away_and_forgets_none(tmp_path: Path) -> None:
-    with tile(tmp_path, operator=OPERATOR.replace("[idempotency]", "[idempotency]\nmost = 1")) as server:
-        client = Client(server.ports[0])
+    with server_process(tmp_path, operator=OPERATOR.replace("[idempotency]", "[idempotency]\nmost = 1")) as server:
+        client = ThriftClient(server.ports[0])
         assert client.ask("order", b"one", idem="1")[0] == "success"
         kind, refusal = client.ask("order", b"two", idem="2")
         assert kind == "refused" and float(refusal.fields["backoff"]) > 0
@@ -188,8 +188,8 @@
         assert server.kernel.by_body == {b"one": 1}
 
 
-def test_a_repeat_of_a_refused_order_may_run(server: Tile) -> None:
-    client = Client(server.ports[0])
+def test_a_repeat_of_a_refused_order_may_run(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
     busy = [client.send("render", b"ms=1500") for _ in range(3)]
     until(lambda: server.kernel.starts)
     held = [client.send("order", b"tried", idem="r"), client.send("order", b"tried", idem="r")]
@@ -199,8 +199,8 @@
     assert server.kernel.by_body[b"tried"] == 1
 
 
-def test_drain_answers_and_closes_gateways(server: Tile) -> None:
-    idle, busy = Gateway(server.ports[1]), Gateway(server.ports[1])
+def test_drain_answers_and_closes_gateways(server: ServerProcess) -> None:
+    idle, busy = FakeGateway(server.ports[1]), FakeGateway(server.ports[1])
     busy.forward("/render", b"ms=500")
     until(lambda: server.kernel.starts)
     server.process.terminate()
@@ -214,21 +214,21 @@
 
 
 @pytest.fixture
-def farm(tmp_path: Path) -> Iterator[tuple[Tile, Servlet, Servlet]]:
-    one, two = Servlet("one"), Servlet("two")
+def farm(tmp_path: Path) -> Iterator[tuple[ServerProcess, FakeAjpServer, FakeAjpServer]]:
+    one, two = FakeAjpServer("one"), FakeAjpServer("two")
     rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n'
                    for w in (one, two))
     operator = OPERATOR.replace('class = "order"', 'class = "order"\nto = "pair"') + rows + (
         '[[balancer]]\nname = "pair"\nmembers = ["one", "two"]\n')
-    with tile(tmp_path, operator=operator) as running:
+    with server_process(tmp_path, operator=operator) as running:
         yield running, one, two
     one.down()
     two.down()
 
 
-def test_requests_reach_ajp_servers_with_body_secret_and_route(farm: tuple[Tile, Servlet, Servlet]) -> None:
+def test_requests_reach_ajp_servers_with_body_secret_and_route(farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer]) -> None:
     server, one, two = farm
-    gateway = Gateway(server.ports[1])
+    gateway = FakeGateway(server.ports[1])
     for name in ("one", "two"):
         for _ in range(3):
             status, headers, body, reuse = gateway.ask(
@@ -244,20 +244,20 @@
 
 @pytest.mark.parametrize(("step", "status"), [("cut", 500), ("hang", 504), ("500", 500), ("404", 404)])
 def test_an_order_that_reached_an_ajp_server_is_never_sent_to_another(
-        farm: tuple[Tile, Servlet, Servlet], step: str, status: int) -> None:
+        farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer], step: str, status: int) -> None:
     server, one, two = farm
     one.script = two.script = [step]
-    assert Gateway(server.ports[1]).ask("/order", b"once", Idempotency_Key="o")[0] == status
-    assert Gateway(server.ports[1]).ask("/order", b"once", Idempotency_Key="o")[0] == status
+    assert FakeGateway(server.ports[1]).ask("/order", b"once", Idempotency_Key="o")[0] == status
+    assert FakeGateway(server.ports[1]).ask("/order", b"once", Idempotency_Key="o")[0] == status
     assert len(one.seen) + len(two.seen) == 1
 
 
-def test_an_unreachable_ajp_server_is_passed_over_none_is_503(farm: tuple[Tile, Servlet, Servlet]) -> None:
+def test_an_unreachable_ajp_server_is_passed_over_none_is_503(farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer]) -> None:
     server, one, two = farm
     one.down()
-    assert {Gateway(server.ports[1]).ask("/order", b"x")[1]["x-by"] for _ in range(4)} == {"two"}
+    assert {FakeGateway(server.ports[1]).ask("/order", b"x")[1]["x-by"] for _ in range(4)} == {"two"}
     two.down()
-    status, headers, *_ = Gateway(server.ports[1]).ask("/order", b"x", Idempotency_Key="u")
+    status, headers, *_ = FakeGateway(server.ports[1]).ask("/order", b"x", Idempotency_Key="u")
     assert status == 503 and int(headers["retry-after"]) >= 1
 
 
@@ -272,16 +272,16 @@
         b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0" + b"AB\0\x06\x03\0\x02hi\0"
         + b"AB\0\x02\x05\x01")
     for cut in range(len(payload)):
-        with pytest.raises(wire.BadPacket):
+        with pytest.raises(wire.MalformedPacket):
             wire.read_forward(payload[:cut])
 
 
-def test_mixed_callers_at_full_load_see_no_duplicate_and_no_late_answer(server: Tile) -> None:
+def test_mixed_callers_at_full_load_see_no_duplicate_and_no_late_answer(server: ServerProcess) -> None:
     """Both fronts at 100% of two cores: 50 ms a run, 40 requests a second; some orders' gateways break
     mid-answer or before it, and their retries come over Thrift; then the drain."""
     due = {"order": 4.4, "fetch": 2.7, "render": 6.1}
     late, kinds, lock = [], [], threading.Lock()
-    clients = [Client(server.ports[0]) for _ in range(2)]
+    clients = [ThriftClient(server.ports[0]) for _ in range(2)]
 
     def one(n: int) -> None:
         name, began = ("order", "fetch", "render")[n % 3], time.time()
@@ -289,7 +289,7 @@
         if n % 2:
             kind = clients[n % 4 // 2].ask(name, body, idem=key)[0]
         else:
-            gateway = Gateway(server.ports[1])
+            gateway = FakeGateway(server.ports[1])
             gateway.forward("/" + name, body, Idempotency_Key=key)
             if name == "order" and (n % 5 == 0 or n % 12 == 0):
                 if n % 5 == 0:
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -8,33 +8,33 @@
 
 import pytest
 
-from myrtlespar.exchange import Answer, Exchange, Kind
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.fakes import ROOT
-from myrtlespar.fakes.smoke_load import burst
+from myrtlespar.fakes.smoke_load import run_smoke_load
 from myrtlespar.model_checker import command
 from myrtlespar.model_checker import process_pair as twins
 from myrtlespar.model_checker.diagrams import document
 from myrtlespar.model_checker.explore import Bounds, explore
-from myrtlespar.model_checker.mutants import PLANTS, normalized_source
+from myrtlespar.model_checker.mutants import MUTATIONS, normalized_source
 from myrtlespar.model_checker.replay_on_process import play
 from myrtlespar.model_checker.scenarios import ALL
 from myrtlespar.model_checker.trace_checker import check_trace
 from myrtlespar.model_checker.world import Event
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import TRY, Do, On, Try
-from myrtlespar.state_machines.engine_link import Command, Commands, End, Link, Mark, Write
-from myrtlespar.state_machines.idempotency_keys import Keys
-from myrtlespar.state_machines.process import Process, Say, Stage
-from myrtlespar.state_machines.request_tracker import Desk, Terms
-from myrtlespar.state_machines.transition_table import Row, Table
+from myrtlespar.state_machines.attempts import ATTEMPT_TABLE, AttemptAction, AttemptEvent, AttemptState
+from myrtlespar.state_machines.engine_link import Command, CommandLog, EndRun, LinkState, RequestMark, WriteCommand
+from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
+from myrtlespar.state_machines.process import ProcessEvent, ProcessLifecycle, ProcessState
+from myrtlespar.state_machines.request_tracker import RequestTerms, RequestTracker
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
-REFUSED = Answer(Kind.REFUSED)
+REFUSED = Answer(AnswerKind.REFUSED)
 
 
-def desk(**more: float) -> Desk:
-    return Desk(Terms((6000.0, 4000.0), (False, True), 60.0, 500.0), Keys(4, 60000.0, 8, 4096),
-                Process(3000.0, 1000.0, 50.0, 300.0, 50.0))
+def tracker(**more: float) -> RequestTracker:
+    return RequestTracker(RequestTerms((6000.0, 4000.0), (False, True), 60.0, 500.0), IdempotencyKeyTable(4, 60000.0, 8, 4096),
+                ProcessLifecycle(3000.0, 1000.0, 50.0, 300.0, 50.0))
 
 
 def order(id: str = "a", key: str = "", at: float = 0.0) -> Exchange:
@@ -44,15 +44,15 @@
 
 
 @pytest.mark.parametrize("table", TABLES, ids=lambda table: table.name)
-def test_every_state_is_left_or_final_and_no_row_leads_nowhere(table: Table) -> None:
+def test_every_state_is_left_or_final_and_no_row_leads_nowhere(table: TransitionTable) -> None:
     reached = {table.rows[state][event].next for state, event in table.filled()} | {0}  # type: ignore[union-attr]
     assert reached == set(range(len(table.states)))
 
 
 def test_an_event_without_a_row_changes_nothing_and_is_counted() -> None:
-    before = TRY.impossible["HELD.ENDED"]
-    assert TRY.step(Try.HELD, On.ENDED, "a") == (Try.HELD, ())
-    assert TRY.impossible["HELD.ENDED"] == before + 1
+    before = ATTEMPT_TABLE.impossible["HELD.ENDED"]
+    assert ATTEMPT_TABLE.step(AttemptState.HELD, AttemptEvent.ENDED, "a") == (AttemptState.HELD, ())
+    assert ATTEMPT_TABLE.impossible["HELD.ENDED"] == before + 1
 
 
 @pytest.mark.parametrize("name", ["once", "kernels", "crowd", "full", "shared", "rude", "forgets"])
@@ -93,7 +93,7 @@
 
 
 def test_every_planted_bug_changes_one_place() -> None:
-    for plant in PLANTS.values():
+    for plant in MUTATIONS.values():
         text = normalized_source(ROOT / f"{plant.module.replace('.', '/')}.py")
         assert text.count(plant.old) == 1 and plant.old != plant.new, plant.name
 
@@ -106,77 +106,77 @@
 
 
 def test_a_lost_order_is_not_sent_again_by_a_mark_that_its_end_may_cross() -> None:
-    book = Commands(lambda rid: True, 8)
+    book = CommandLog(lambda rid: True, 8)
 
     def link() -> None:
         book.connected()
         mark = book.booted()[0]
-        assert isinstance(mark, Mark)
-        assert not [one for one in book.informed(mark.name) or [] if isinstance(one, Write)]
+        assert isinstance(mark, RequestMark)
+        assert not [one for one in book.informed(mark.name) or [] if isinstance(one, WriteCommand)]
 
     link()
-    assert isinstance(book.post(Command("a", b"", True))[0], Write)
+    assert isinstance(book.post(Command("a", b"", True))[0], WriteCommand)
     book.broken()
     link()
     doubt = book.settle()[0]
-    assert isinstance(doubt, Mark) and book.informed(doubt.name) == []
+    assert isinstance(doubt, RequestMark) and book.informed(doubt.name) == []
 
 
 def test_a_lost_order_that_nobody_waits_for_gives_its_place_back() -> None:
-    book = Commands(lambda rid: False, 8)
-    book.link = Link.READY
+    book = CommandLog(lambda rid: False, 8)
+    book.link = LinkState.READY
     book.post(Command("a", b"", True))
     book.broken()
     book.connected()
     mark = book.booted()[0]
-    assert isinstance(mark, Mark) and book.informed(mark.name) == []
+    assert isinstance(mark, RequestMark) and book.informed(mark.name) == []
     doubt = book.settle()[0]
-    assert isinstance(doubt, Mark) and book.informed(doubt.name) == [End("a")]
+    assert isinstance(doubt, RequestMark) and book.informed(doubt.name) == [EndRun("a")]
 
 
 def test_what_the_policy_forgot_is_failed_and_can_not_start_later() -> None:
-    d = desk()
+    d = tracker()
     x = order(key="k")
     d.submit(x)
-    assert [one.do for one in d.sweep(4060.0)] == [Do.DELIVER, Do.TELL_GONE]
+    assert [one.do for one in d.sweep(4060.0)] == [AttemptAction.DELIVER, AttemptAction.TELL_GONE]
     assert d.start("a", 4061.0) == [] and not d.open and not d.keys.entries and d.owed == 0
 
 
 def test_a_started_order_is_failed_where_the_policy_would_refuse_it() -> None:
-    d = desk()
+    d = tracker()
     d.submit(order())
     d.start("a", 1.0)
     answer = d.refuse("a", REFUSED, 2.0)[0].answer
-    assert answer is not None and answer.kind is Kind.FAILED
+    assert answer is not None and answer.kind is AnswerKind.FAILED
 
 
 def test_a_start_past_the_grace_is_turned_away() -> None:
-    d = desk()
+    d = tracker()
     d.process.notice(0.0)
-    for id, at, do in (("a", 1000.0, Do.START_RUN), ("b", 1001.0, Do.DELIVER)):
+    for id, at, do in (("a", 1000.0, AttemptAction.START_RUN), ("b", 1001.0, AttemptAction.DELIVER)):
         d.submit(order(id, at=at))
         assert d.start(id, at)[0].do is do
 
 
 def test_followers_move_up_and_share_the_outcome() -> None:
-    d = desk()
+    d = tracker()
     tries = [order(id, "k") for id in "abc"]
     for x in tries:
         d.submit(x)
-    assert [one.do for one in d.gone(tries[0])] == [Do.TELL_ARRIVAL, Do.TELL_GONE]
+    assert [one.do for one in d.gone(tries[0])] == [AttemptAction.TELL_ARRIVAL, AttemptAction.TELL_GONE]
     d.start("b", 1.0)
-    effects = d.ended("b", Outcome.OK, 5.0, Answer(Kind.SERVED, b"done"), 6.0)
-    assert [(one.x.id, one.answer.body) for one in effects if one.answer and one.do is Do.DELIVER] == [
+    effects = d.ended("b", RunOutcome.OK, 5.0, Answer(AnswerKind.SERVED, b"done"), 6.0)
+    assert [(one.exchange.id, one.answer.body) for one in effects if one.answer and one.do is AttemptAction.DELIVER] == [
         ("b", b"done"), ("c", b"done")]
 
 
 def test_the_process_leaves_only_when_nothing_is_owed() -> None:
-    process = Process(3000.0, 1000.0, 50.0, 300.0, 50.0)
+    process = ProcessLifecycle(3000.0, 1000.0, 50.0, 300.0, 50.0)
     process.notice(0.0)
     assert not process.look(1001.0, 1) and process.look(1001.0, 0)
     assert not process.look(1060.0, 1) and process.look(1060.0, 0)
-    process.say(Say.FLUSHED)
-    assert process.stage == Stage.STOPPED
+    process.say(ProcessEvent.FLUSHED)
+    assert process.stage == ProcessState.STOPPED
 
 
 def test_fixing_the_order_of_like_tries_loses_no_verdict() -> None:
@@ -184,12 +184,12 @@
     few, many = explore(ordered, Bounds()), explore(free, Bounds())
     assert few.whole and many.whole and not few.fell and not many.fell and few.states < many.states
     assert few.used == many.used
-    rows = TRY.rows[Try.RUNNING]
-    kept, rows[On.ENDED] = rows[On.ENDED], Row(Try.OVER, (Do.LEAVE, Do.DELIVER, Do.TELL_ENDED))
+    rows = ATTEMPT_TABLE.rows[AttemptState.RUNNING]
+    kept, rows[AttemptEvent.ENDED] = rows[AttemptEvent.ENDED], Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED))
     try:
         few, many = explore(ordered, Bounds()), explore(free, Bounds())
     finally:
-        rows[On.ENDED] = kept
+        rows[AttemptEvent.ENDED] = kept
     assert few.fell and few.fell == many.fell and len(few.path) == len(many.path)
 
 
@@ -260,5 +260,5 @@
 
 
 def test_a_burst_against_the_real_server_keeps_every_rule_and_its_trace_is_accepted(tmp_path: Path) -> None:
-    assert burst(60, 7, tmp_path / "log") == 0
+    assert run_smoke_load(60, 7, tmp_path / "log") == 0
     assert check_trace(tmp_path / "log") == 0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Tile, tile, until
+from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
 STEPPING_CLOCK = """import os, runpy, signal, sys, time
 sys.path.insert(0, os.getcwd())
@@ -24,7 +24,7 @@
 """
 
 
-def step_clock(running: Tile) -> None:
+def step_clock(running: ServerProcess) -> None:
     """Set the program's clock."""
     running.process.send_signal(signal.SIGUSR2)
     until(lambda: running.event("clock set"))
@@ -34,8 +34,8 @@
 def test_requests_before_and_after_a_step_of_the_clock_are_answered_in_time(tmp_path: Path, step_s: float) -> None:
     start = tmp_path / "stepping.py"
     start.write_text(STEPPING_CLOCK.format(step_s=step_s))
-    with tile(tmp_path, start=str(start)) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, start=str(start)) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"calls=1")[0] == "success"
         running_now = client.send("order", b"ms=1500 calls=1")
         until(lambda: len(running.store.calls) == 2)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Kernel, settings, tile, until
+from myrtlespar.fakes import FakeEngine, ThriftClient, server_process, settings, until
 from myrtlespar.net.codec.thrift import encode, idl
-from myrtlespar.net.thrift_front import Link
-from myrtlespar.resource_limits import Limits
+from myrtlespar.net.thrift_front import ThriftConnection
+from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.counters import Counters
 from tests.gates import Gate
 
@@ -27,12 +27,12 @@
         tmp_path: Path, why: str) -> None:
     """Its client sends it once more on another connection; read behind the close and run, it would run twice."""
     gate = Gate(tmp_path, "myrtlespar.net.listener:Listener." + ("close_idle" if why == "room" else "end"), then=BUSY)
-    with tile(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
-        clients = [Client(running.ports[0]) for _ in range(11)]  # all places
+    with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
+        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
         for client in clients:
             assert client.answer(client.say("ping", full=False))
         if why == "room":
-            new = Client(running.ports[0])  # the first one, which is the idlest, goes for it
+            new = ThriftClient(running.ports[0])  # the first one, which is the idlest, goes for it
         else:
             running.process.terminate()
         gate.reached(running)
@@ -53,8 +53,8 @@
     gate = Gate(tmp_path, "myrtlespar.net.connections:Reader.begun", "args[0]._data",
                 "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
                 "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)")
-    with tile(tmp_path, start=gate.start) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, start=gate.start) as running:
+        client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"late"))
         client.sock.sendall(frame[:9])
@@ -70,11 +70,11 @@
     taken: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         front: Any = SimpleNamespace(
-            limits=Limits(), serial=0, unsent=None, silent=False, classes={"order": 0}, conclude=lambda link: None,
+            limits=ResourceLimits(), serial=0, unsent=None, silent=False, classes={"order": 0}, conclude=lambda link: None,
             config=SimpleNamespace(thrift_key="", settings=SimpleNamespace(classes=[SimpleNamespace(effect=None)])),
             core=SimpleNamespace(counters=Counters(), value=1.0, submit=taken.append, gone=taken.append))
         with server.accept()[0] as sock:
-            link = Link(front, sock)
+            link = ThriftConnection(front, sock)
             args = idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"behind")
             client.sendall(encode("invoke", 1, 1, args) * 2)
             client.shutdown(socket.SHUT_WR)
@@ -89,7 +89,7 @@
 sys.path.insert(0, os.getcwd())
 import myrtlespar.net.engine_client as kernel
 from gevent.event import Event
-moved, connect, move = Event(), kernel.connect, kernel.Kernel.move
+moved, connect, move = Event(), kernel.connect, kernel.EngineClient.move
 def held(*args):
     sock = connect(*args)
     print(json.dumps({"event": "connected"}), flush=True)
@@ -98,17 +98,17 @@
 def told(*args):
     move(*args)
     moved.set()
-kernel.connect, kernel.Kernel.move = held, told
+kernel.connect, kernel.EngineClient.move = held, told
 sys.argv[:] = ["myrtlespar"]
 runpy.run_module("myrtlespar", run_name="__main__")
 """)
-    with tile(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
+    with server_process(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
         until(lambda: running.event("connected"))
-        old, running.kernel = running.kernel, Kernel()
+        old, running.kernel = running.kernel, FakeEngine()
         running.config["kernel"] = running.kernel.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
-        assert Client(running.ports[0]).ask("order", b"at the new address")[0] == "success"
+        assert ThriftClient(running.ports[0]).ask("order", b"at the new address")[0] == "success"
         assert not old.commands and running.stop() == 0
         old.down()
 
@@ -129,8 +129,8 @@
 runpy.run_module("myrtlespar", run_name="__main__")
 """)
     many = settings(classes=[{"name": "slow", "effect": "free", "aim_ms": 4000.0, "give_up_ms": 9000.0, "worth": 1.0}])
-    with tile(tmp_path, start=str(tmp_path / "slow.py"), given={"stop_ms": 2000, "settings": many}) as running:
-        clients = [Client(running.ports[0]) for _ in range(10)]
+    with server_process(tmp_path, start=str(tmp_path / "slow.py"), given={"stop_ms": 2000, "settings": many}) as running:
+        clients = [ThriftClient(running.ports[0]) for _ in range(10)]
         assert all(clients[0].ask("slow", b"ms=1")[0] == "success" for _ in range(30))
         seqs = [(client, client.send("slow", b"ms=60000")) for client in clients for _ in range(30)]
         for client in clients:
@@ -148,7 +148,7 @@
         tmp_path: Path, why: str) -> None:
     """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
     gate = Gate(tmp_path, "myrtlespar.net.connections:Outbox.finish")
-    with tile(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
+    with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.connect(("127.0.0.1", running.ports[0]))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 import pytest
 
 from myrtlespar.config import ConfigError, load
-from myrtlespar.fakes import ROOT, Client, settings, tile
+from myrtlespar.fakes import ROOT, ThriftClient, server_process, settings
 from tests.sites import GUARDED, classes
 
 
@@ -94,9 +94,9 @@
     assert 4 <= config.limits.connections < limits["sockets"] and config.limits.store_links >= 1
     guarded = [n for n, kind in enumerate(config.settings.classes) if kind.window_ms]
     assert not guarded or (config.limits.key_ms == 3000.0 and config.limits.keys >= 1)
-    with tile(tmp_path, given={**given, "limits": {**limits, "cores": 1.0}}) as running:
+    with server_process(tmp_path, given={**given, "limits": {**limits, "cores": 1.0}}) as running:
         name = config.class_names[-1]
-        assert Client(running.ports[0]).ask(name, b"x", token="t")[0] == "success"
+        assert ThriftClient(running.ports[0]).ask(name, b"x", token="t")[0] == "success"
         assert running.stop() == 0
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,55 +10,55 @@
 import pytest
 
 from myrtlespar.fakes import ROOT
-from myrtlespar.fakes.etcd import State, serve
+from myrtlespar.fakes.etcd import EtcdState, serve
 from myrtlespar.fakes.tcp_server import until
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import ScriptError, parse, read
-from myrtlespar.net.etcd_client import Etcd
-from myrtlespar.quota.lease_session import Do, Reply, Request, Session
-from myrtlespar.quota.limit_coordinator import Agent
-from myrtlespar.quota.settings import GrantTerms, Limit
+from myrtlespar.net.etcd_client import EtcdClient
+from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest, LeaseSession
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.settings import GrantSettings, Limit
 
-TERMS = GrantTerms()
+TERMS = GrantSettings()
 
 
 @pytest.fixture
-def engine() -> Iterator[tuple[State, str]]:
-    state = State()
+def engine() -> Iterator[tuple[EtcdState, str]]:
+    state = EtcdState()
     server, port = serve(state)
     yield state, f"127.0.0.1:{port}"
     server.stop(0)
 
 
-def client(address: str, name: str, freed: list[int] | None = None) -> Etcd:
-    return Etcd(address, "/t/", name, 2, 1.0, (freed if freed is not None else []).append, lambda code: None)
+def client(address: str, name: str, freed: list[int] | None = None) -> EtcdClient:
+    return EtcdClient(address, "/t/", name, 2, 1.0, (freed if freed is not None else []).append, lambda code: None)
 
 
-def asked(one: Etcd, do: Do, lease: int = 0, rng: int = 0) -> Reply:
-    reply = one.carry(Request(do, 0.0, lease, rng))
+def asked(one: EtcdClient, do: EngineOperation, lease: int = 0, rng: int = 0) -> EngineReply:
+    reply = one.carry(EngineRequest(do, 0.0, lease, rng))
     assert reply is not None
     return reply
 
 
-def test_one_lease_at_a_time_has_a_range_and_each_has_a_greater_epoch(engine: tuple[State, str]) -> None:
+def test_one_lease_at_a_time_has_a_range_and_each_has_a_greater_epoch(engine: tuple[EtcdState, str]) -> None:
     state, address = engine
     freed: list[int] = []
     a, b = client(address, "a"), client(address, "b", freed)
     b.watch()
     until(lambda: state.watchers, "watch")
-    first, second = asked(a, Do.GRANT).lease, asked(b, Do.GRANT).lease
-    mine = asked(a, Do.TAKE, first, 3).epoch
-    assert mine > 0 and asked(b, Do.TAKE, second, 3).epoch == 0
-    assert asked(a, Do.TAKE, first, 3).epoch == mine  # as after an answer that was lost
-    asked(b, Do.DROP, second, 3)  # not its own: changes nothing
-    assert asked(b, Do.TAKE, second, 3).epoch == 0 and asked(a, Do.KEEP, first).ttl_ms == 2000
-    asked(a, Do.DROP, first, 3)
-    assert asked(b, Do.TAKE, second, 3).epoch > mine
-    assert asked(a, Do.TAKE, first, 4).epoch > 0
+    first, second = asked(a, EngineOperation.GRANT).lease, asked(b, EngineOperation.GRANT).lease
+    mine = asked(a, EngineOperation.TAKE, first, 3).epoch
+    assert mine > 0 and asked(b, EngineOperation.TAKE, second, 3).epoch == 0
+    assert asked(a, EngineOperation.TAKE, first, 3).epoch == mine  # as after an answer that was lost
+    asked(b, EngineOperation.DROP, second, 3)  # not its own: changes nothing
+    assert asked(b, EngineOperation.TAKE, second, 3).epoch == 0 and asked(a, EngineOperation.KEEP, first).ttl_ms == 2000
+    asked(a, EngineOperation.DROP, first, 3)
+    assert asked(b, EngineOperation.TAKE, second, 3).epoch > mine
+    assert asked(a, EngineOperation.TAKE, first, 4).epoch > 0
     a.revoke(first)
     until(lambda: _turn() or {3, 4} <= {*freed}, "news of deletions")
-    assert asked(b, Do.TAKE, second, 4).epoch > 0 and asked(a, Do.KEEP, first).ttl_ms == 0
-    assert asked(a, Do.TAKE, first, 5) == Reply()
+    assert asked(b, EngineOperation.TAKE, second, 4).epoch > 0 and asked(a, EngineOperation.KEEP, first).ttl_ms == 0
+    assert asked(a, EngineOperation.TAKE, first, 5) == EngineReply()
     a.close(), b.close()
 
 
@@ -66,23 +66,23 @@
     gevent.sleep(0.01)  # the news comes in the loop
 
 
-def test_a_lease_that_is_not_renewed_ends_with_all_its_keys(engine: tuple[State, str]) -> None:
+def test_a_lease_that_is_not_renewed_ends_with_all_its_keys(engine: tuple[EtcdState, str]) -> None:
     state, address = engine
     a, b = client(address, "a"), client(address, "b")
-    lease = asked(a, Do.GRANT).lease
-    assert asked(a, Do.TAKE, lease, 1).epoch
-    other = asked(b, Do.GRANT).lease
+    lease = asked(a, EngineOperation.GRANT).lease
+    assert asked(a, EngineOperation.TAKE, lease, 1).epoch
+    other = asked(b, EngineOperation.GRANT).lease
     end = time.monotonic() + 20
-    while not asked(b, Do.TAKE, other, 1).epoch and time.monotonic() < end:
-        asked(b, Do.KEEP, other)
+    while not asked(b, EngineOperation.TAKE, other, 1).epoch and time.monotonic() < end:
+        asked(b, EngineOperation.KEEP, other)
         time.sleep(0.1)
     assert state.keys[b"/t/1"].value == b"b" and lease not in state.leases
     a.close(), b.close()
 
 
 def test_an_engine_that_is_away_is_no_answer() -> None:
-    one = Etcd("127.0.0.1:1", "/t/", "a", 2, 0.2, lambda rng: None, lambda code: None)
-    assert one.carry(Request(Do.GRANT, 0.0)) is None
+    one = EtcdClient("127.0.0.1:1", "/t/", "a", 2, 0.2, lambda rng: None, lambda code: None)
+    assert one.carry(EngineRequest(EngineOperation.GRANT, 0.0)) is None
     one.close()
 
 
@@ -90,7 +90,7 @@
     """Random answers, losses and delays: an epoch is told only within the last lease that the engine gave, counted
     from before its request was sent, and never for a range that was given up."""
     for seed in range(60):
-        dice, one, now, ends = Random(seed), Session(TERMS), 0.0, 0.0
+        dice, one, now, ends = Random(seed), LeaseSession(TERMS), 0.0, 0.0
         lease, keys, wanted = 0, set[int](), frozenset[int]()
         for _ in range(300):
             now += dice.expovariate(1 / 60)
@@ -103,21 +103,21 @@
             now += dice.choice((1.0, 5.0, 400.0, 1500.0))  # on its way there
             if now >= ends:
                 lease, keys = 0, set()
-            reply: Reply | None = None
-            if request.do is Do.GRANT:
+            reply: EngineReply | None = None
+            if request.do is EngineOperation.GRANT:
                 lease, ends, keys = lease + 1000 + int(now), now + 2000 / 1.01, set()
-                reply = Reply(lease=lease, ttl_ms=2000.0)
+                reply = EngineReply(lease=lease, ttl_ms=2000.0)
             elif request.lease != lease:
-                reply = Reply()
-            elif request.do is Do.KEEP:
+                reply = EngineReply()
+            elif request.do is EngineOperation.KEEP:
                 ends = now + 2000 / 1.01
-                reply = Reply(ttl_ms=2000.0)
-            elif request.do is Do.TAKE:
+                reply = EngineReply(ttl_ms=2000.0)
+            elif request.do is EngineOperation.TAKE:
                 keys.add(request.rng)
-                reply = Reply(epoch=7)
+                reply = EngineReply(epoch=7)
             else:
                 keys.discard(request.rng)
-                reply = Reply()
+                reply = EngineReply()
             if dice.random() < 0.3:
                 reply = None
             now += dice.choice((1.0, 5.0, 300.0, 1900.0))  # and back
@@ -142,14 +142,14 @@
 def test_a_range_is_given_up_before_the_engine_is_told() -> None:
     """Found on real members: a keeper that let go of its range granted on until the engine's answer came, while the
     next one had begun; 22 starts of 20 were counted."""
-    agent = Agent(("a", 1), TERMS, {"x": Limit(per_s=20.0)}, frozenset(("a", "b", "c")), 0.0, engine=True)
+    agent = LimitCoordinator(("a", 1), TERMS, {"x": Limit(per_s=20.0)}, frozenset(("a", "b", "c")), 0.0, engine=True)
     agent.seeks = {0}
-    for reply in (Reply(lease=5, ttl_ms=2000.0), Reply(epoch=7)):
+    for reply in (EngineReply(lease=5, ttl_ms=2000.0), EngineReply(epoch=7)):
         request, _ = agent.to_engine(100.0)
         assert request is not None
         agent.from_engine(101.0, request, reply)
     assert agent.ranges[0].candidacy.has(102.0) and agent.ranges[0].book is not None
     agent.seeks.clear()
     request, _ = agent.to_engine(110.0)
-    assert request is not None and request.do is Do.DROP
+    assert request is not None and request.do is EngineOperation.DROP
     assert not agent.ranges[0].candidacy.has(110.0) and agent.ranges[0].book is None
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -2,7 +2,7 @@
 
 
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from tests.helpers import Server
 
 
@@ -26,7 +26,7 @@
 
 
 def test_many_different_waits_leave_bounded_state() -> None:
-    server = Server(cores=1, passes_deadline=True, tells_gone=True)
+    server = Server(cores=1, passes_deadline=True, reports_cancellation=True)
     for n in range(500):
         server.arrive(10 + n, f"r{n}", 0, deadline=600.0 + 11 * n, sender=n)
         server.at(10.5 + n, api.CallerGone(f"r{n}"))
@@ -35,7 +35,7 @@
 
 
 def test_patience_is_learned_from_departures_that_agree() -> None:
-    server = Server(cores=1, tells_gone=True)
+    server = Server(cores=1, reports_cancellation=True)
     server.arrive(5, "busy", 3)
     for n in range(12):
         server.arrive(10 + 10 * n, f"left{n}", 0)
@@ -46,7 +46,7 @@
 
 
 def test_scattered_departures_teach_no_patience() -> None:
-    server = Server(cores=1, tells_gone=True)
+    server = Server(cores=1, reports_cancellation=True)
     server.arrive(5, "busy", 3)
     for n in range(12):
         server.arrive(10, f"left{n}", 0)
@@ -70,7 +70,7 @@
         long = n % 2
         server.arrive(now, f"h{n}", 0, cost_hint_ms=hint_of[long])
         now += 500.0 if long else 50.0
-        server.at(now, api.RunEnded(f"h{n}", Outcome.OK, 500.0 if long else 50.0))
+        server.at(now, api.RunEnded(f"h{n}", RunOutcome.OK, 500.0 if long else 50.0))
 
 
 def test_hints_are_trusted_as_far_as_they_told_costs_apart() -> None:
@@ -95,5 +95,5 @@
     for n in range(40):
         server.arrive(10 + n, f"a{n}", 0, deadline=5010.0 + n)
     server.arrive(60, "odd", 0, deadline=1700.0)
-    server.arrive(61, "again", 0, deadline=5561.0, further_try=True)
+    server.arrive(61, "again", 0, deadline=5561.0, is_retry=True)
     assert not server.policy.jobs["odd"].walked and server.policy.jobs["again"].walked
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -17,11 +17,11 @@
 import pytest
 import yaml
 
-from myrtlespar.fakes import ROOT, Client, until
-from myrtlespar.fleet_tests.process_launcher import FleetRun, Member
+from myrtlespar.fakes import ROOT, ThriftClient, until
+from myrtlespar.fleet_tests.process_launcher import FleetRun, MemberProcess
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import parse, read
-from myrtlespar.membership.messages import ALIVE, Packet, Ping, Rumour
+from myrtlespar.membership.messages import ALIVE, MemberUpdate, Packet, Ping
 from myrtlespar.net.codec.peer import encode
 
 pytestmark = pytest.mark.fleet
@@ -104,7 +104,7 @@
     target = ("127.0.1.1", three.port)
     view = three.view("a1")
     assert view is not None
-    lie = Rumour("a2", "a", f"127.8.0.2:{three.port}", 5, 0, ALIVE)  # an old life of a2
+    lie = MemberUpdate("a2", "a", f"127.8.0.2:{three.port}", 5, 0, ALIVE)  # an old life of a2
     packet = Packet("rehearsal", 1, lie, 0, 1, Ping(1))
     good = encode(packet)
     spoilt = [b"", b"x", os.urandom(400), good[:-3], good[:20] + b"\xff" + good[21:], good[:3] + b"\x09" + good[4:],
@@ -137,7 +137,7 @@
     end = time.monotonic() + 5
 
     def burn() -> None:
-        client, sent = Client(port, host), 0
+        client, sent = ThriftClient(port, host), 0
         while time.monotonic() < end and sent < 20_000:
             while sent - len(client.answers) < 30 and sent < 20_000:
                 client.send("render", b"ms=1")
@@ -190,7 +190,7 @@
     assert view is not None and view["roll"] == 2 and view["standing"]["fleet"]["of"] == 4
 
 
-def refused(member: Member, run: FleetRun, **changes: Any) -> str:
+def refused(member: MemberProcess, run: FleetRun, **changes: Any) -> str:
     """The line with which a start is refused."""
     path = member.folder / "fleet.yaml"
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **changes}))
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlespar.fakes import ROOT, Gateway, Servlet, tile
+from myrtlespar.fakes import ROOT, FakeAjpServer, FakeGateway, server_process
 
 WORKERS = """# a farm
 worker.base.type=ajp13
@@ -83,13 +83,13 @@
 
 
 def test_the_program_serves_what_was_imported(tmp_path: Path) -> None:
-    servlet = Servlet("one")
+    servlet = FakeAjpServer("one")
     (tmp_path / "w.properties").write_text(
         f"worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=one\nworker.one.port={servlet.port}\n"
         "worker.one.host=127.0.0.1\n")
     done = subprocess.run([sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp_path / "w.properties")],
                           cwd=ROOT, capture_output=True, text=True, check=True)
     front = '[ajp]\nlisten = "127.0.0.1:0"\n[[ajp.map]]\npath = "/"\nclass = "fetch"\nto = "lb"\n'
-    with tile(tmp_path, operator=front + done.stdout) as server:
-        assert Gateway(server.ports[1]).ask("/a", b"xyz")[2] == b"one got 3"
+    with server_process(tmp_path, operator=front + done.stdout) as server:
+        assert FakeGateway(server.ports[1]).ask("/a", b"xyz")[2] == b"one got 3"
     servlet.down()
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Tile, settings, tile, until
-from myrtlespar.fakes.upstreams import Kernel
-from myrtlespar.state_machines.engine_link import NEXT, OLD, RENUMBERED, Command, Commands
+from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, settings, until
+from myrtlespar.fakes.upstreams import FakeEngine
+from myrtlespar.state_machines.engine_link import NEXT, OLD, RENUMBERED, Command, CommandLog
 
 HUGE = "1" + "0" * 400  # a whole number that no float holds
 
 
-def restart(kernel: Kernel, born: float) -> None:
+def restart(kernel: FakeEngine, born: float) -> None:
     """The kernel is gone with its runs, and another one is there: its notices begin with 1."""
     with kernel.lock:
         kernel.notices, kernel.waits, kernel.born = [], {}, born
@@ -34,8 +34,8 @@
     b'{"t":"REAP","no":1,"rid":"ab","status":["PASS"],"time_ms":NaN}'], ids=[
     "deep", "deep inside", "huge gauge", "huge time", "unhashable"])
 def test_no_line_of_the_kernel_stops_the_link(tmp_path: Path, line: bytes) -> None:
-    with tile(tmp_path) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("fetch")[0] == "success"
         assert running.kernel.link
         running.kernel.link.sendall(line + b"\n")
@@ -47,15 +47,15 @@
     "[NaN, NaN, NaN, NaN]", "[-Infinity, Infinity, 0, 0]", f"[{HUGE}]", "[[]]", "[null]"],
                          ids=["no numbers", "endless", "huge", "lists", "null"])
 def test_gauges_that_are_no_numbers_change_no_decision(tmp_path: Path, gauges: str) -> None:
-    class Odd(Kernel):
+    class Odd(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             if command["mark"].startswith("gauges"):
                 link.sendall(b'{"t":"INFO","mark":"%s","v":%s}\n' % (command["mark"].encode(), gauges.encode()))
             else:
                 super().sysinfo(link, command)
 
-    with tile(tmp_path, kernel=Odd()) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, kernel=Odd()) as running:
+        client = ThriftClient(running.ports[0])
         until(lambda: sum(row["t"] == "SYSINFO" for row in running.kernel.commands) > 3)
         assert [client.ask("order", b"calls=1")[0] for _ in range(5)] == ["success"] * 5
 
@@ -64,8 +64,8 @@
                                     {"b64": '"%%%%"'}, {"b64": "7"}],
                          ids=["time is none", "time is huge", "time is null", "status", "not base64", "no text"])
 def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, spoilt: dict[str, str]) -> None:
-    with tile(tmp_path) as running:
-        client, kernel = Client(running.ports[0]), running.kernel
+    with server_process(tmp_path) as running:
+        client, kernel = ThriftClient(running.ports[0]), running.kernel
         seq = client.send("render", b"ms=60000")
         until(lambda: kernel.running)
         rid = next(iter(kernel.running))
@@ -81,8 +81,8 @@
 
 @pytest.mark.parametrize("born_s", [0.0, -3600.0], ids=["soon after its first start", "by a clock that was set back"])
 def test_a_kernel_that_starts_anew_unseen_by_its_age_is_known_by_its_numbers(tmp_path: Path, born_s: float) -> None:
-    with tile(tmp_path) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path) as running:
+        client = ThriftClient(running.ports[0])
         assert [client.ask("fetch")[0] for _ in range(3)] == ["success"] * 3  # notices 1 to 3
         lost = client.send("order", b"ms=60000")
         until(lambda: len(running.kernel.starts) == 4)
@@ -97,8 +97,8 @@
 
 def test_a_reply_that_waits_for_a_link_is_not_told_to_another_kernel(tmp_path: Path) -> None:
     """The run that it is for died with the old one; its request is failed at once."""
-    with tile(tmp_path) as running:
-        client, kernel = Client(running.ports[0]), running.kernel
+    with server_process(tmp_path) as running:
+        client, kernel = ThriftClient(running.ports[0]), running.kernel
         running.store.script = ["slow"]
         seq = client.send("order", b"calls=1")
         until(lambda: running.store.calls)
@@ -114,7 +114,7 @@
 
 def test_a_greeting_that_is_slow_on_its_way_is_no_new_kernel(tmp_path: Path) -> None:
     """A kernel that started just before its link broke: its age, taken at the end of the way, made it look newer."""
-    class Slow(Kernel):
+    class Slow(FakeEngine):
         delay_s = 0.0
 
         def tell(self, link: Any, row: dict[str, Any]) -> None:
@@ -123,9 +123,9 @@
             super().tell(link, row)
 
     kernel = Slow()
-    with tile(tmp_path, kernel=kernel) as running:
+    with server_process(tmp_path, kernel=kernel) as running:
         until(lambda: running.event("kernel up"))
-        client = Client(running.ports[0])
+        client = ThriftClient(running.ports[0])
         seq = client.send("order", b"ms=2500")
         until(lambda: kernel.starts)
         kernel.delay_s = 1.6
@@ -136,14 +136,14 @@
 @pytest.mark.parametrize("gauges", [[], ["cpu_busy", "runnable", "mem_used", "sockets"]])
 def test_a_site_that_does_not_allow_gauges_is_served(tmp_path: Path, gauges: list[str]) -> None:
     """The marks that prove a link to be in step are requests for gauges: refused, nothing was ever sent on it."""
-    class Closed(Kernel):
+    class Closed(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             self.tell(link, {"t": "EINVAL", "status": "SYSINFO", "rid": ""})
 
     given = settings()
     given["family_info"]["gauges"] = gauges
-    with tile(tmp_path, kernel=Closed(), given={"settings": given}) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, kernel=Closed(), given={"settings": given}) as running:
+        client = ThriftClient(running.ports[0])
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
         running.kernel.cut(running.kernel.link)
         assert client.ask("order", b"calls=1")[0] == "success"
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("spoilt", ["BOOTED", "INFO"])
 def test_a_greeting_or_mark_that_cannot_be_read_is_asked_for_again(tmp_path: Path, spoilt: str) -> None:
     """The link waited for it for good, with the kernel well and telling other things."""
-    class Spoiling(Kernel):
+    class Spoiling(FakeEngine):
         left = 2
 
         def tell(self, link: Any, row: dict[str, Any]) -> None:
@@ -165,14 +165,14 @@
             else:
                 super().tell(link, row)
 
-    with tile(tmp_path, kernel=Spoiling()) as running:
-        client, sent = Client(running.ports[0]), time.time()
+    with server_process(tmp_path, kernel=Spoiling()) as running:
+        client, sent = ThriftClient(running.ports[0]), time.time()
         assert client.ask("order", b"calls=1")[0] == "success" and time.time() - sent < 2.0
         assert [row["t"] for row in running.kernel.commands].count("OPEN") == 3
 
 
 def test_numbers_prove_another_kernel_on_the_first_notice_of_a_link_only() -> None:
-    commands = Commands(lambda rid: True, 8)
+    commands = CommandLog(lambda rid: True, 8)
     commands.connected()
     assert [commands.numbered(n) for n in (1, 2)] == [NEXT, NEXT]
     commands.post(Command("a", b"", start=True))
@@ -187,8 +187,8 @@
 @pytest.mark.parametrize("who", ["kernel", "store", "roster", "client"])
 def test_a_peer_that_sends_without_end_holds_up_nobody_else(tmp_path: Path, who: str) -> None:
     """It sends faster than it is read: a reader that never waits lets nothing else run."""
-    with tile(tmp_path) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"calls=1")[0] == "success"
         flood(running, who)
         for _ in range(3):
@@ -198,11 +198,11 @@
         assert running.stop() == 0
 
 
-def flood(running: Tile, who: str) -> None:
+def flood(running: ServerProcess, who: str) -> None:
     """Begin to send without end, from a process's thread of its own."""
     remark = json.dumps({"t": "DMESG", "status": "x"}).encode() + b"\n"
     if who == "client":
-        sock, data = Client(running.ports[0]).sock, b"\xff" * 65536
+        sock, data = ThriftClient(running.ports[0]).sock, b"\xff" * 65536
     elif who == "roster":
         running.roster.mode = "silent"
         sock = until(lambda: [link for link in running.roster.links if link.fileno() >= 0])[-1]
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -7,15 +7,15 @@
 from collections import Counter
 from pathlib import Path
 
-from myrtlespar.fakes import tile, until
-from myrtlespar.fakes.upstreams import Kernel
+from myrtlespar.fakes import server_process, until
+from myrtlespar.fakes.upstreams import FakeEngine
 from tests.fault_injection import TracedClient, TracedKernel
 from tests.test_standard_streams import free_port
 
 LIVES, CLIENTS = 5, 30
 
 
-def crowd(port: int, kernel: Kernel, life: int) -> list[TracedClient]:
+def crowd(port: int, kernel: FakeEngine, life: int) -> list[TracedClient]:
     """Clients that all connect at once and ask for much."""
     clients = [TracedClient(port) for _ in range(CLIENTS)]
     for n, client in enumerate(clients):
@@ -27,7 +27,7 @@
 
 def test_lives_that_end_by_kill_leave_the_next_one_ready_and_nothing_to_run(tmp_path: Path) -> None:
     port, kernel = free_port(), TracedKernel()
-    with tile(tmp_path, listen=f"127.0.0.1:{port}", kernel=kernel, wait=False) as running:
+    with server_process(tmp_path, listen=f"127.0.0.1:{port}", kernel=kernel, wait=False) as running:
         everyone: list[TracedClient] = []
         ready_s: list[float] = []
         for life in range(LIVES):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,23 +17,23 @@
 from myrtlespar.fleet_tests.limit_invariants import judge_limits
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import read
-from myrtlespar.model_checker.fleet.command import plants
+from myrtlespar.model_checker.fleet.command import mutations
 from myrtlespar.model_checker.mutants import normalized_source
 from myrtlespar.model_checker.quota.explore import explore
 from myrtlespar.model_checker.quota.world import HAND, RATE, Setting, begin
 from myrtlespar.net import budget_file as vaultfile
-from myrtlespar.net.codec.limits import KEY_MOST, Letter, decode, encode
-from myrtlespar.net.codec.peer import DATAGRAM_MOST, Spoilt
+from myrtlespar.net.codec.limits import KEY_MOST, LimitDatagram, decode, encode
+from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessage
 from myrtlespar.quota.grant_ledger import divide
-from myrtlespar.quota.limit_coordinator import HOLDS_MOST, WANTS_MOST, keeper_of
-from myrtlespar.quota.messages import Ask, Grants, Promise, Want
-from myrtlespar.quota.settings import GrantTerms, Kind, Limit
-from myrtlespar.quota.usage_windows import Window
+from myrtlespar.quota.limit_coordinator import HOLDS_MOST, WANTS_MOST, leader_of
+from myrtlespar.quota.messages import GrantRequest, GrantResponse, KeyDemand, LeaseVote
+from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
+from myrtlespar.quota.usage_windows import UsageWindow
 
 
 @given(st.lists(st.floats(0, 400), max_size=200), st.integers(1, 20))
 def test_a_window_forgets_no_start_early(gaps: list[float], allowance: int) -> None:
-    window, now, taken = Window(1000.0), 0.0, list[float]()
+    window, now, taken = UsageWindow(1000.0), 0.0, list[float]()
     for gap in gaps:
         now += gap
         if window.look(now) < allowance:
@@ -57,11 +57,11 @@
 def test_one_member_s_end_moves_its_own_ranges_only() -> None:
     names = [f"m{n}" for n in range(12)]
     for rng in range(64):
-        before = keeper_of(rng, names)
+        before = leader_of(rng, names)
         for gone in names:
             if gone != before:
-                assert keeper_of(rng, [name for name in names if name != gone]) == before
-    assert len({keeper_of(rng, names) for rng in range(64)}) > 8 and keeper_of(0, []) == ""
+                assert leader_of(rng, [name for name in names if name != gone]) == before
+    assert len({leader_of(rng, names) for rng in range(64)}) > 8 and leader_of(0, []) == ""
 
 
 @pytest.mark.parametrize("limit", [RATE, HAND], ids=["rate", "hand"])
@@ -89,13 +89,13 @@
 
 
 def test_every_planted_bug_of_limits_changes_one_place() -> None:
-    for plant in plants("limits").values():
+    for plant in mutations("limits").values():
         text = normalized_source(ROOT / f"{plant.module.replace('.', '/')}.py")
         assert text.count(plant.old) == 1 and plant.old != plant.new, plant.name
 
 
 def test_the_judge_sees_one_too_many_and_nothing_else() -> None:
-    limits, terms = {"x": Limit(per_s=3.0, cls="order")}, GrantTerms()
+    limits, terms = {"x": Limit(per_s=3.0, cls="order")}, GrantSettings()
     runs = [(b"order n=%d" % n, 1000.0 + at, 1010.0 + at) for n, at in enumerate((0, 10, 20, 1000, 1010, 1020))]
     broken, figures = judge_limits(limits, runs, terms, 0.0, 3000.0, 0.0, {})
     assert broken == [] and figures["x"]["most"] == 3 and figures["x"]["started"] == 6
@@ -110,20 +110,20 @@
 
 def test_every_message_about_limits_fits_a_datagram_and_comes_back_whole() -> None:
     key, dice = "k" * KEY_MOST, Random(1)
-    most = (Ask(3, 2**40, tuple(Want(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
-            Grants(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
-            Promise(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(HOLDS_MOST))))
+    most = (GrantRequest(3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
+            GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
+            LeaseVote(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(HOLDS_MOST))))
     for message in most:
-        letter = Letter("f" * 48, "n" * 48, 2**45, message)
+        letter = LimitDatagram("f" * 48, "n" * 48, 2**45, message)
         data = encode(letter)
         assert len(data) <= DATAGRAM_MOST and decode(data) == letter
         for _ in range(200):
             spoilt = bytearray(data)
             spoilt[dice.randrange(len(data))] ^= 1 << dice.randrange(8)
-            with pytest.raises(Spoilt):
+            with pytest.raises(MalformedPeerMessage):
                 decode(bytes(spoilt))
-    with pytest.raises(Spoilt):
-        decode(encode(Letter("f", "n", 1, Grants(0, 1, 1, 1, (("k", -1),)))))
+    with pytest.raises(MalformedPeerMessage):
+        decode(encode(LimitDatagram("f", "n", 1, GrantResponse(0, 1, 1, 1, (("k", -1),)))))
 
 
 FILE = "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1, a2, a3]}}\n"
@@ -154,7 +154,7 @@
     with pytest.raises(ConfigError, match=r"^limits\.x\.kind: strict needs an electorate"):
         read_fleet(str(path), "a1")
     path.write_text(path.read_text().replace("per_s: 5", "per_s: 5, kind: advisory"))
-    assert read_fleet(str(path), "a1").limits["x"].kind is Kind.ADVISORY
+    assert read_fleet(str(path), "a1").limits["x"].kind is LimitKind.ADVISORY
 
 
 def test_no_schedule_with_one_fault_spends_a_budget_twice_or_seats_two_keepers() -> None:
@@ -179,7 +179,7 @@
     for n in range(len(whole)):
         for spoilt in (whole[:n], whole[:n] + bytes([whole[n] ^ 4]) + whole[n + 1:]):
             path.write_bytes(spoilt)
-            with pytest.raises(vaultfile.Torn):
+            with pytest.raises(vaultfile.CorruptBudgetFile):
                 vaultfile.read(path)
 
 
@@ -207,7 +207,7 @@
 @given(st.integers(1, 400), st.integers(1, 400), st.floats(0, 1), st.integers(1, 40))
 def test_in_a_change_nobody_s_version_takes_the_sum_over_the_greater_number(now: int, was: int, standing: float,
                                                                             members: int) -> None:
-    terms = GrantTerms()
+    terms = GrantSettings()
     limit = Limit(per_s=float(now), before=float(was), standing=standing)
     former = Limit(per_s=float(was), standing=standing)
     joint, settled, old = (terms.shares(limit, members, False), terms.shares(limit, members),
@@ -220,10 +220,10 @@
 def test_the_judge_sees_a_budget_that_is_spent_twice() -> None:
     limits, day = {"x": Limit(per_day=3, cls="order")}, 86_400_000.0
     runs = [(b"order n=%d" % n, 5 * day + 1000.0 * n, 5 * day + 1000.0 * n + 5) for n in range(1, 4)]
-    assert judge_limits(limits, runs, GrantTerms(), 5 * day, 6 * day, 250.0, {})[0] == []
+    assert judge_limits(limits, runs, GrantSettings(), 5 * day, 6 * day, 250.0, {})[0] == []
     for at, over in ((5 * day + 9e6, True), (6 * day + 9e6, False)):
         more = [*runs, (b"order n=9", at, at + 5)]
-        assert bool(judge_limits(limits, more, GrantTerms(), 5 * day, 7 * day, 250.0, {})[0]) is over
+        assert bool(judge_limits(limits, more, GrantSettings(), 5 * day, 7 * day, 250.0, {})[0]) is over
 
 
 @pytest.mark.fleet
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, settings, tile, until
-from myrtlespar.fakes.upstreams import Kernel
-from myrtlespar.state_machines.lost_runs import LostRuns
+from myrtlespar.fakes import ThriftClient, server_process, settings, until
+from myrtlespar.fakes.upstreams import FakeEngine
+from myrtlespar.state_machines.lost_runs import LostRunDetector
 
 
 def test_a_surplus_counts_once_it_has_held_for_the_whole_window() -> None:
-    lost = LostRuns(1000.0)
+    lost = LostRunDetector(1000.0)
     assert [lost.look(now, 5, 2.0) for now in (0.0, 500.0, 999.0)] == [0, 0, 0]
     assert lost.look(1000.0, 6, 4.5) == 1  # the least of all looks
     assert lost.look(1500.0, 6, 4.0) == 0 and lost.look(2000.0, 6, 6.0) == 0  # none any longer: it begins anew
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("gauges", [["cpu_busy", "runnable", "mem_used", "sockets"], ["cpu_busy"]])
 def test_runs_that_a_kernel_lost_hold_no_places_for_good(tmp_path: Path, gauges: list[str]) -> None:
     """As many of them as may run at a time. Nothing could start again, and all was turned away as in a hang."""
-    class Forgetful(Kernel):
+    class Forgetful(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             values = {"runnable": float(len(self.running))}
             self.tell(link, {"t": "INFO", "mark": command["mark"], "v": [values.get(name, 0.1) for name in gauges]})
@@ -33,8 +33,8 @@
     given = settings()
     given["classes"] = [{"name": "fetch", "effect": "free", "aim_ms": 400, "give_up_ms": 800}]
     given["family_info"] |= {"gauges": gauges, "cores": 1}
-    with tile(tmp_path, kernel=Forgetful(), given={"settings": given}) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, kernel=Forgetful(), given={"settings": given}) as running:
+        client = ThriftClient(running.ports[0])
         assert [client.ask("fetch", b"ms=1")[0] for _ in range(30)] == ["success"] * 30
         lost = client.send("fetch", b"ms=60000")
         until(lambda: running.kernel.running)
@@ -50,8 +50,8 @@
     """It ends a run at a call once its request is over, and says so. Lost with that, each held memory for ever."""
     given = settings()
     given["classes"] = [{"name": "order", "effect": "single_shot", "aim_ms": 400, "give_up_ms": 600}]
-    with tile(tmp_path, given={"settings": given}) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, given={"settings": given}) as running:
+        client = ThriftClient(running.ports[0])
         running.store.script = ["hang"]
         assert client.ask("order", b"calls=1")[0] == "failed"
         until(lambda: running.counters().get("run.lost") == 1, "the run given up")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,12 +13,12 @@
 from hypothesis import strategies as st
 
 from myrtlespar.config import ConfigError
-from myrtlespar.fault_proxy.faults import Faults, Rule
+from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule
 from myrtlespar.fleet.settings import read_fleet
-from myrtlespar.fleet_tests.ground_truth import Truth
-from myrtlespar.fleet_tests.invariants import Belief, judge_members
+from myrtlespar.fleet_tests.ground_truth import GroundTruth
+from myrtlespar.fleet_tests.invariants import ObservedBelief, judge_members
 from myrtlespar.fleet_tests.script import ScriptError, parse
-from myrtlespar.membership.dissemination import Spread
+from myrtlespar.membership.dissemination import Dissemination
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     ALIVE,
@@ -26,34 +26,34 @@
     LEFT,
     SUSPECT,
     Ack,
+    GossipPush,
+    IndirectProbe,
+    MemberUpdate,
     Nack,
     Packet,
     Ping,
-    Push,
-    Relay,
-    Row,
-    Rumour,
-    Send,
-    Sync,
+    ReachabilityRow,
+    SendPacket,
+    ViewSync,
 )
-from myrtlespar.membership.quorum import ACTS, Electorate, Standing, judge, step_fault
+from myrtlespar.membership.quorum import ACTS, QuorumStatus, VoterSet, judge, step_fault
 from myrtlespar.membership.reachability import broken
-from myrtlespar.membership.settings import Terms
-from myrtlespar.membership.view import Entry, Pool
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.view import MemberEntry, SampledSet
 from myrtlespar.net.codec import peer
-from myrtlespar.simulation.fleet import Fleet, real
+from myrtlespar.simulation.fleet import SimulatedFleet, real
 from myrtlespar.simulation.runner import play
 
-TERMS = Terms()
-ROLL = Electorate(1, {"x": ("a", "b", "c")})
+TERMS = MembershipSettings()
+ROLL = VoterSet(1, {"x": ("a", "b", "c")})
 
 
-def member(name: str = "a", terms: Terms = TERMS) -> Member:
+def member(name: str = "a", terms: MembershipSettings = TERMS) -> Member:
     return Member(name, "x", "127.8.0.1:7", 1000, "f", terms, ROLL, [], Random(1), 0.0)
 
 
-def said(name: str, boot: int, counter: int, state: int, by: str = "", age: int = 0) -> Rumour:
-    return Rumour(name, "x", "127.8.0.2:7", boot, counter, state, age, by)
+def said(name: str, boot: int, counter: int, state: int, by: str = "", age: int = 0) -> MemberUpdate:
+    return MemberUpdate(name, "x", "127.8.0.2:7", boot, counter, state, age, by)
 
 
 def test_statements_merge_to_the_same_in_every_order() -> None:
@@ -62,35 +62,35 @@
     for order in permutations(rows):
         one = member()
         for n, rumour in enumerate(order):
-            one.receive(float(n), Packet("f", n + 1, said("c", 7, 0, ALIVE), 0, 1, Push(), (rumour,)))
+            one.receive(float(n), Packet("f", n + 1, said("c", 7, 0, ALIVE), 0, 1, GossipPush(), (rumour,)))
         ends.add((one.view.entries["b"].rumour.key, one.view.hash))
     assert len(ends) == 1
 
 
 def test_a_failure_is_void_if_its_member_answered_since() -> None:
     one = member()
-    one.receive(0.0, Packet("f", 1, said("b", 5, 0, ALIVE), 0, 1, Push()))
-    one.receive(0.0, Packet("f", 1, said("c", 5, 0, ALIVE), 0, 1, Push()))
+    one.receive(0.0, Packet("f", 1, said("b", 5, 0, ALIVE), 0, 1, GossipPush()))
+    one.receive(0.0, Packet("f", 1, said("c", 5, 0, ALIVE), 0, 1, GossipPush()))
     one.view.proven("b", 100.0)
-    one.receive(120.0, Packet("f", 2, said("c", 5, 0, ALIVE), 0, 1, Push(), (said("b", 5, 0, FAILED, "c", 50),)))
+    one.receive(120.0, Packet("f", 2, said("c", 5, 0, ALIVE), 0, 1, GossipPush(), (said("b", 5, 0, FAILED, "c", 50),)))
     assert one.view.entries["b"].rumour.state == ALIVE  # the word is older than the answer
-    one.receive(121.0, Packet("f", 3, said("c", 5, 0, ALIVE), 0, 1, Push(), (said("b", 5, 0, FAILED, "c", 0),)))
+    one.receive(121.0, Packet("f", 3, said("c", 5, 0, ALIVE), 0, 1, GossipPush(), (said("b", 5, 0, FAILED, "c", 0),)))
     assert one.view.entries["b"].rumour.state == SUSPECT  # first it may refute
 
 
 def test_a_member_that_left_is_not_brought_back_by_rumour() -> None:
     one = member()
-    one.receive(0.0, Packet("f", 1, said("b", 5, 3, ALIVE), 0, 1, Push()))
-    one.receive(1.0, Packet("f", 1, said("c", 5, 0, ALIVE), 0, 1, Push(), (said("b", 5, 3, LEFT),)))
-    one.receive(2.0, Packet("f", 2, said("c", 5, 0, ALIVE), 0, 1, Push(), (said("b", 5, 3, ALIVE),)))
+    one.receive(0.0, Packet("f", 1, said("b", 5, 3, ALIVE), 0, 1, GossipPush()))
+    one.receive(1.0, Packet("f", 1, said("c", 5, 0, ALIVE), 0, 1, GossipPush(), (said("b", 5, 3, LEFT),)))
+    one.receive(2.0, Packet("f", 2, said("c", 5, 0, ALIVE), 0, 1, GossipPush(), (said("b", 5, 3, ALIVE),)))
     assert one.view.entries["b"].rumour.state == LEFT
     stale = said("d", 5, 0, ALIVE, age=TERMS.forget_ms)  # perhaps long forgotten here
-    one.receive(3.0, Packet("f", 3, said("c", 5, 0, ALIVE), 0, 1, Push(), (stale,)))
+    one.receive(3.0, Packet("f", 3, said("c", 5, 0, ALIVE), 0, 1, GossipPush(), (stale,)))
     assert "d" not in one.view.entries
 
 
 def test_replays_are_told_from_packets_out_of_order() -> None:
-    entry = Entry(said("b", 5, 0, ALIVE), 0.0, 0.0)
+    entry = MemberEntry(said("b", 5, 0, ALIVE), 0.0, 0.0)
     assert entry.fresh(5, 10) and entry.fresh(5, 8) and entry.fresh(5, 9)
     assert not entry.fresh(5, 8) and not entry.fresh(4, 99) and not entry.fresh(5, 10)
     assert entry.fresh(5, 5000) and not entry.fresh(5, 10) and entry.fresh(6, 1)
@@ -98,7 +98,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 9)), max_size=60))
 def test_a_pool_holds_what_a_set_holds(steps: list[tuple[bool, int]]) -> None:
-    pool, plain, dice = Pool(), set[str](), Random(0)
+    pool, plain, dice = SampledSet(), set[str](), Random(0)
     for add, n in steps:
         (pool.add if add else pool.discard)(str(n))
         (plain.add if add else plain.discard)(str(n))
@@ -107,7 +107,7 @@
 
 
 def test_each_statement_is_told_a_bounded_number_of_times() -> None:
-    spread = Spread(TERMS)
+    spread = Dissemination(TERMS)
     for n in range(20):
         spread.put(said(f"m{n}", 1, 0, ALIVE), 0.0)
     told = 0
@@ -120,18 +120,18 @@
 
 def test_standing_counts_an_electorate() -> None:
     assert [judge(9, n, n - 1) for n in (1, 2, 4, 5, 8, 9)] == [
-        Standing.ALONE, Standing.MINORITY, Standing.MINORITY, Standing.MAJORITY, Standing.MAJORITY, Standing.WHOLE]
-    assert judge(8, 4, 3) == Standing.MINORITY  # an even split leaves no majority
-    assert judge(0, 0, 0) == Standing.ALONE  # nor does an empty roll
-    three = Electorate(3, {"x": ("a", "b", "c")})
-    assert step_fault(three, Electorate(4, {"x": ("a", "b", "c", "d")})) == ""
-    assert "more than one" in step_fault(three, Electorate(4, {"x": ("a", "d", "c")}))
-    assert "does not follow" in step_fault(three, Electorate(3, {"x": ("a", "b")}))
+        QuorumStatus.ALONE, QuorumStatus.MINORITY, QuorumStatus.MINORITY, QuorumStatus.MAJORITY, QuorumStatus.MAJORITY, QuorumStatus.WHOLE]
+    assert judge(8, 4, 3) == QuorumStatus.MINORITY  # an even split leaves no majority
+    assert judge(0, 0, 0) == QuorumStatus.ALONE  # nor does an empty roll
+    three = VoterSet(3, {"x": ("a", "b", "c")})
+    assert step_fault(three, VoterSet(4, {"x": ("a", "b", "c", "d")})) == ""
+    assert "more than one" in step_fault(three, VoterSet(4, {"x": ("a", "d", "c")}))
+    assert "does not follow" in step_fault(three, VoterSet(3, {"x": ("a", "b")}))
 
 
 def test_reach_rows_read_as_a_matrix() -> None:
-    def row(by: str, *cannot: tuple[str, bool]) -> Row:
-        return Row(by, 1, 1, cannot)
+    def row(by: str, *cannot: tuple[str, bool]) -> ReachabilityRow:
+        return ReachabilityRow(by, 1, 1, cannot)
     assert broken({"a": row("a", ("b", True)), "b": row("b", ("a", False))}) == ["a -> b lost"]
     assert broken({"a": row("a", ("b", False)), "b": row("b", ("a", False))}) == ["a <-> b cut"]
     assert broken({"a": row("a", ("b", False))}) == ["a gets no answer from b"]
@@ -140,8 +140,8 @@
 
 def test_bounds_follow_the_settings() -> None:
     assert TERMS.fault() == "" and TERMS.detect_ms(24) < 4000 and 1000 < TERMS.pause_ms() < TERMS.detect_ms(2)
-    assert Terms(suspect_min_ms=3000).fault().startswith("suspect_min_ms")
-    assert Terms(probe_ms=0).fault().startswith("probe_ms") and Terms(carry=9).fault().startswith("carry")
+    assert MembershipSettings(suspect_min_ms=3000).fault().startswith("suspect_min_ms")
+    assert MembershipSettings(probe_ms=0).fault().startswith("probe_ms") and MembershipSettings(carry=9).fault().startswith("carry")
 
 
 # The codec.
@@ -150,11 +150,11 @@
 ADDRESSES = st.builds(lambda a, b, p: f"127.{a}.{b}.9:{p}", st.integers(0, 255), st.integers(0, 255),
                       st.integers(1, 65535))
 NUMBERS = st.integers(0, 2**53 - 1)
-RUMOURS = st.builds(Rumour, NAMES, NAMES, ADDRESSES, NUMBERS, NUMBERS, st.integers(0, 3), st.integers(0, 2**31),
+RUMOURS = st.builds(MemberUpdate, NAMES, NAMES, ADDRESSES, NUMBERS, NUMBERS, st.integers(0, 3), st.integers(0, 2**31),
                     st.one_of(st.just(""), NAMES))
-ROWS = st.builds(Row, NAMES, NUMBERS, NUMBERS, st.lists(st.tuples(NAMES, st.booleans()), max_size=8).map(tuple))
+ROWS = st.builds(ReachabilityRow, NAMES, NUMBERS, NUMBERS, st.lists(st.tuples(NAMES, st.booleans()), max_size=8).map(tuple))
 BODIES = st.one_of(st.builds(Ping, NUMBERS), st.builds(Ack, NUMBERS, NAMES), st.builds(Nack, NUMBERS),
-                   st.builds(Relay, NUMBERS, NAMES, ADDRESSES), st.just(Push()))
+                   st.builds(IndirectProbe, NUMBERS, NAMES, ADDRESSES), st.just(GossipPush()))
 PACKETS = st.builds(Packet, NAMES, st.integers(1, 2**53 - 1), RUMOURS, st.integers(0, 2**64 - 1), NUMBERS, BODIES,
                     st.lists(RUMOURS, max_size=3).map(tuple), st.lists(ROWS, max_size=1).map(tuple))
 
@@ -174,31 +174,31 @@
     at, to = data.draw(st.integers(0, len(raw) - 1)), data.draw(st.integers(0, 255))
     spoilt = raw[:at] + bytes([to]) + raw[at + 1:]
     for one in (raw[:at], data.draw(st.binary(max_size=200)), *([spoilt] if spoilt != raw else [])):
-        with pytest.raises(peer.Spoilt):
+        with pytest.raises(peer.MalformedPeerMessage):
             peer.decode(one)
 
 
 @pytest.mark.parametrize("change", [{"no": 0}, {"fleet": "a b"}, {"fleet": "x" * 49}, {"hash": -1}, {"roll": -1},
                                     {"me": said("", 1, 0, ALIVE)}, {"me": said("a", 1, 0, 7)},
-                                    {"me": Rumour("a", "x", "example.org:1", 1, 0, 0)},
-                                    {"body": Relay(1, "b", "127.0.0.1:0")}, {"body": Ping(-1)},
+                                    {"me": MemberUpdate("a", "x", "example.org:1", 1, 0, 0)},
+                                    {"body": IndirectProbe(1, "b", "127.0.0.1:0")}, {"body": Ping(-1)},
                                     {"rumours": tuple(said("b", 1, 0, ALIVE) for _ in range(10))},
-                                    {"rows": (Row("a", 1, 1, tuple(("b", True) for _ in range(9))),)}])
+                                    {"rows": (ReachabilityRow("a", 1, 1, tuple(("b", True) for _ in range(9))),)}])
 def test_values_out_of_range_are_refused(change: dict[str, object]) -> None:
     good = Packet("f", 1, said("a", 1, 0, ALIVE), 0, 1, Ping(1))
     assert peer.decode(peer.encode(good)) == good
-    with pytest.raises(peer.Spoilt):
+    with pytest.raises(peer.MalformedPeerMessage):
         peer.decode(peer.encode(msgspec.structs.replace(good, **change)))
 
 
 def test_the_fullest_packet_of_a_member_fits_a_datagram() -> None:
     one = Member("n" * 48, "s" * 48, "127.255.255.255:65535", 2**45, "f" * 48, TERMS, ROLL, [], Random(1), 0.0)
     for n in range(40):
-        one.voice.spread.put(Rumour(f"{n:048d}", "s" * 48, "127.255.255.255:65535", 2**45, 9, SUSPECT, 9, "b" * 48), 0)
-    one.voice.send(1.0, "127.0.0.1:1", Relay(2**40, "n" * 48, "127.255.255.255:65535"))
-    sizes = [len(peer.encode(effect.packet)) for effect in one.voice.done() if isinstance(effect, Send)]
+        one.voice.spread.put(MemberUpdate(f"{n:048d}", "s" * 48, "127.255.255.255:65535", 2**45, 9, SUSPECT, 9, "b" * 48), 0)
+    one.voice.send(1.0, "127.0.0.1:1", IndirectProbe(2**40, "n" * 48, "127.255.255.255:65535"))
+    sizes = [len(peer.encode(effect.packet)) for effect in one.voice.done() if isinstance(effect, SendPacket)]
     assert len(sizes) == 1 and 800 < sizes[0] <= peer.DATAGRAM_MOST
-    assert peer.decode_sync(peer.encode(one.sync(2.0))) == Sync("f" * 48, one.me, ())
+    assert peer.decode_sync(peer.encode(one.sync(2.0))) == ViewSync("f" * 48, one.me, ())
 
 
 # Files with faults.
@@ -264,9 +264,9 @@
 
 
 def test_rules_of_links_add_up() -> None:
-    faults, everyone = Faults(), frozenset(("a1", "a2", "b1"))
-    faults.put(1, Rule(everyone, everyone, drop=0.5, delay_ms=10))
-    faults.put(2, Rule(frozenset(("a1",)), frozenset(("b1",)), one_way=True, cut=True))
+    faults, everyone = ActiveFaults(), frozenset(("a1", "a2", "b1"))
+    faults.put(1, FaultRule(everyone, everyone, drop=0.5, delay_ms=10))
+    faults.put(2, FaultRule(frozenset(("a1",)), frozenset(("b1",)), one_way=True, cut=True))
     assert faults.link("a1", "b1").cut and not faults.link("b1", "a1").cut
     assert faults.link("b1", "a1").drop == 0.5 and not faults.link("b1", "a1").firm
     faults.drop(1)
@@ -275,27 +275,27 @@
 
 # The judge can say no, and the emulator says the same each time.
 
-def beliefs_of(script: str, seed: int = 1) -> tuple[Fleet, Truth]:
+def beliefs_of(script: str, seed: int = 1) -> tuple[SimulatedFleet, GroundTruth]:
     found = parse(script)
-    fleet = Fleet(found.sites, real(TERMS), seed, sizes=False)
+    fleet = SimulatedFleet(found.sites, real(TERMS), seed, sizes=False)
     fleet.begin()
     fleet.play(found.steps, 6000)
     fleet.run(6000 + found.length_ms)
-    return fleet, Truth(found.members, fleet.deeds, 6000 + found.length_ms, TERMS.pause_ms())
+    return fleet, GroundTruth(found.members, fleet.deeds, 6000 + found.length_ms, TERMS.pause_ms())
 
 
 KILL = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: 14\nevents: [{at_s: 1, kill: b2}]\n"
 
 
 @pytest.mark.parametrize(("lie", "rule"), [
-    (Belief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
-    (Belief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
-    (Belief(12_000, "a1", "member", "c1", None, 0), "presence known"),
-    (Belief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
-    (Belief(9_500, "a1", "standing", "", Standing.WHOLE), "standing right"),
-    (Belief(9_500, "a1", "standing", "a", Standing.MINORITY), "standing right"),
+    (ObservedBelief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
+    (ObservedBelief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
+    (ObservedBelief(12_000, "a1", "member", "c1", None, 0), "presence known"),
+    (ObservedBelief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
+    (ObservedBelief(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
+    (ObservedBelief(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
 ])
-def test_the_judge_finds_a_lie(lie: Belief, rule: str) -> None:
+def test_the_judge_finds_a_lie(lie: ObservedBelief, rule: str) -> None:
     fleet, truth = beliefs_of(KILL)
     assert judge_members(truth, fleet.beliefs, TERMS, fleet.sites).broken == []
     found = judge_members(truth, [*fleet.beliefs, lie], TERMS, fleet.sites).broken
@@ -321,7 +321,7 @@
     script = parse("fleet: {sites: {a: 3, b: 3}}\nlength_s: 20\nevents:\n"
                    + "".join(f"  - {{at_s: {n}, pause: a1, for_s: 1.2}}\n" for n in range(1, 16, 2)))
     with_it = play(script, 1)
-    without = play(script, 1, Terms(health_most=0, late_ms=86_400_000))
+    without = play(script, 1, MembershipSettings(health_most=0, late_ms=86_400_000))
     blamed = "refuted"
     assert with_it["counts"].get("late", 0) > 0 and without["counts"].get("late", 0) == 0
     assert with_it["counts"].get(blamed, 0) <= without["counts"].get(blamed, 0) and with_it["broken"] == []
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,19 +15,19 @@
 
 import pytest
 
-from myrtlespar.admin.commands import LINE_MOST, Figures, ManagementCommands, exposition
-from myrtlespar.fakes import ROOT, Client, tile, until
+from myrtlespar.admin.commands import LINE_MOST, AdminCommands, MetricsSnapshot, exposition
+from myrtlespar.fakes import ROOT, ThriftClient, server_process, until
 from myrtlespar.fakes.tcp_server import exactly
-from myrtlespar.handover.keys_file import Known, Refused, Stand, Successor, decode, encode
+from myrtlespar.handover.keys_file import HandoverReceiver, HandoverRejected, HandoverState, KnownKey, decode, encode
 from myrtlespar.net.codec.thrift import encode as encode_message
 from myrtlespar.net.codec.thrift import idl
-from myrtlespar.state_machines.process import Act, Process, Stage
+from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle, ProcessState
 
 KIND = {"success": "succeeded", "refused": "declined", "failed": "aborted"}
 
 
 def test_each_call_is_done_and_bad_lines_are_errors_that_name_them() -> None:
-    ops = ManagementCommands()
+    ops = AdminCommands()
     assert ops.line(b"STATUS", 0.0, ready=False) == (b"done no\n", False)
     assert ops.line(b"STATUS\r", 0.0, ready=True) == (b"done yes\n", False)
     assert ops.line(b"RESUME", 1.0, True)[0].startswith(b"done")  # one without a PAUSE is no fault
@@ -41,7 +41,7 @@
 
 
 def test_figures_are_prometheus_text_with_a_type_for_each_family() -> None:
-    text = exposition(Figures(["render", "order"], [[3, 1, 0], [0, 0, 2]], [4, 2], 5)).decode()
+    text = exposition(MetricsSnapshot(["render", "order"], [[3, 1, 0], [0, 0, 2]], [4, 2], 5)).decode()
     assert 'app_succeeded{service="render"} 3\n' in text and 'app_aborted{service="order"} 2\n' in text
     assert 'app_declined{service="render"} 1\n' in text and 'app_forwards{service="order"} 2\n' in text
     assert "# TYPE app_outstanding gauge\napp_outstanding 5\n" in text
@@ -50,12 +50,12 @@
 
 
 def test_a_hand_over_bars_nothing_closes_at_once_and_is_answered_before_the_kill() -> None:
-    process = Process(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
-    assert process.handover(1000.0, 3700.0) == (Act.CLOSE_LISTENERS, Act.ASK_CLIENTS)
-    assert process.stage == Stage.CROSSING and process.may_start(9000.0)  # no notice to drain: nothing barred
+    process = ProcessLifecycle(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
+    assert process.handover(1000.0, 3700.0) == (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
+    assert process.stage == ProcessState.CROSSING and process.may_start(9000.0)  # no notice to drain: nothing barred
     assert process.answer_by() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
     assert process.handover(1200.0, 3700.0) == () and process.kill_at == 4700.0
-    assert process.look(1040.0, owed=0) == () and process.look(1060.0, owed=0) == (Act.FLUSH,)
+    assert process.look(1040.0, owed=0) == () and process.look(1060.0, owed=0) == (ProcessAction.FLUSH,)
 
 
 def mgmt_answer(port: int, data: bytes) -> tuple[bytes, float]:
@@ -69,12 +69,12 @@
 
 
 def test_management_answers_while_callers_hold_half_lines_and_clients_press(tmp_path: Path) -> None:
-    with tile(tmp_path, mgmt=True) as server:
+    with server_process(tmp_path, mgmt=True) as server:
         assert server.ask(b"STATUS\n") == "done yes\n"
         holders = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
         for holder in holders:
             holder.sendall(b"STA")
-        clients = [Client(server.ports[0]) for _ in range(4)]
+        clients = [ThriftClient(server.ports[0]) for _ in range(4)]
         sent = [(client, client.send("render", b"ms=300")) for client in clients for _ in range(32)]
         waits = [mgmt_answer(server.mgmt, b"STATUS\n") for _ in range(10)]
         assert all(reply == b"done yes\n" for reply, _ in waits)
@@ -87,8 +87,8 @@
 
 
 def test_figures_match_the_outcomes_of_a_burst_exactly(tmp_path: Path) -> None:
-    with tile(tmp_path, mgmt=True) as server:
-        clients = [Client(server.ports[0]) for _ in range(3)]
+    with server_process(tmp_path, mgmt=True) as server:
+        clients = [ThriftClient(server.ports[0]) for _ in range(3)]
         bodies = [("render", b"ms=200"), ("fetch", b"end=FAIL"), ("order", b"ms=5"), ("render", b"ms=400")]
         sent = [(client, method, client.send(method, body)) for client in clients for method, body in bodies * 6]
         seen = Counter((method, KIND[client.answer(seq)[0]]) for client, method, seq in sent)
@@ -104,8 +104,8 @@
 
 
 def test_pause_makes_health_bad_at_once_and_resume_good_again(tmp_path: Path) -> None:
-    with tile(tmp_path, mgmt=True) as server:
-        client = Client(server.ports[0])
+    with server_process(tmp_path, mgmt=True) as server:
+        client = ThriftClient(server.ports[0])
         assert client.answer(client.say("ping", full=True))[1].good
         assert server.ask(b"PAUSE\n") == "done paused\n"
         assert not client.answer(client.say("ping", full=True))[1].good
@@ -133,35 +133,35 @@
 
 
 def test_a_handover_file_is_taken_whole_or_refused_whole() -> None:
-    known = [Known(2, "k1", "served", b"\x00result", 0.0, 9000.0), Known(2, "k0", "refused", b"", 250.0, 5000.0)]
+    known = [KnownKey(2, "k1", "served", b"\x00result", 0.0, 9000.0), KnownKey(2, "k0", "refused", b"", 250.0, 5000.0)]
     data = encode(known)
     assert decode(data, 1000.0, 3) == sorted(known, key=lambda one: one.lapses_at)
     assert decode(data, 6000.0, 3) == known[:1]  # what lapsed is left out
     for spoilt, why in [(data[:-3], "torn"), (data.replace(b"keys 1", b"keys 2"), "version"),
                         (data.replace(b"k1", b"k2"), "spoilt"), (b"", "header")]:
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(HandoverRejected, match=why):
             decode(spoilt, 1000.0, 3)
-    with pytest.raises(Refused, match="class"):
+    with pytest.raises(HandoverRejected, match="class"):
         decode(data, 1000.0, 2)
 
 
 def test_a_successor_waits_past_a_refused_file_until_the_old_process_is_gone() -> None:
-    waiting = Successor(Stand.WAITING)
+    waiting = HandoverReceiver(HandoverState.WAITING)
     assert waiting.look(True, None, 0.0, 3) == ([], "")
-    assert waiting.look(True, b"junk", 0.0, 3)[1].startswith("hand-over refused") and waiting.stand is Stand.WAITING
+    assert waiting.look(True, b"junk", 0.0, 3)[1].startswith("hand-over refused") and waiting.stand is HandoverState.WAITING
     assert waiting.look(True, encode([]), 0.0, 3) == ([], "")  # refused once: only the old one's end opens
     assert waiting.look(False, None, 0.0, 3)[1].startswith("the old process is gone")
-    assert waiting.stand is Stand.OPEN
-    taking = Successor(Stand.WAITING)
-    keys, line = taking.look(True, encode([Known(0, "k", "served", b"r", 0.0, 10.0)]), 0.0, 3)
-    assert len(keys) == 1 and line == "hand-over taken: 1 keys" and taking.stand is Stand.OPEN
+    assert waiting.stand is HandoverState.OPEN
+    taking = HandoverReceiver(HandoverState.WAITING)
+    keys, line = taking.look(True, encode([KnownKey(0, "k", "served", b"r", 0.0, 10.0)]), 0.0, 3)
+    assert len(keys) == 1 and line == "hand-over taken: 1 keys" and taking.stand is HandoverState.OPEN
 
 
 def ask_as_a_proxy(port: int) -> str:
     """One request as a client proxy sends it: sent once more on a new connection if it crossed a shutdown."""
     for _ in range(2):
         try:
-            client = Client(port)
+            client = ThriftClient(port)
         except OSError as error:
             return f"refused: {error}"
         seq = client.send("render", b"ms=20")
@@ -179,7 +179,7 @@
     shared, old_dir, new_dir = tmp_path / "shared", tmp_path / "old", tmp_path / "new"
     for folder in (shared, old_dir, new_dir):
         folder.mkdir()
-    with tile(old_dir, mgmt=True, shared=shared) as old:
+    with server_process(old_dir, mgmt=True, shared=shared) as old:
         port, results, stop = old.ports[0], [], threading.Event()
 
         def load() -> None:
@@ -188,12 +188,12 @@
                     return
                 results.append(ask_as_a_proxy(port))
 
-        held = Client(port)
+        held = ThriftClient(port)
         slow = [held.send("render", b"ms=700") for _ in range(8)]
         loaders = [threading.Thread(target=load) for _ in range(4)]
         for loader in loaders:
             loader.start()
-        with tile(new_dir, mgmt=True, shared=shared, listen=f"127.0.0.1:{port}") as new:
+        with server_process(new_dir, mgmt=True, shared=shared, listen=f"127.0.0.1:{port}") as new:
             until(lambda: new.ask(b"STATUS\n") == "done yes\n", "the new process ready")
             if kill_new:  # the new process dies mid-hand-over: the old one goes on alone
                 new.process.kill()
@@ -216,7 +216,7 @@
 def test_a_second_process_that_is_refused_its_start_takes_no_connection(tmp_path: Path) -> None:
     """It found the operators' address taken only after it had listened beside the first: what connected in between
     was dropped unheard."""
-    with tile(tmp_path, mgmt=True) as old:
+    with server_process(tmp_path, mgmt=True) as old:
         path, listen = tmp_path / "new.json", f"127.0.0.1:{old.ports[0]}"
         path.write_text(json.dumps({**old.config, "listen": listen, "mgmt": f"127.0.0.1:{old.mgmt}"}))
         env = {**os.environ, "BALANCER_CONFIG": str(path)}
@@ -244,18 +244,18 @@
     for folder in (shared, old_dir, new_dir):
         folder.mkdir()
     keyed = '[idempotency]\nthrift_field = "key"\n'
-    with tile(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
+    with server_process(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
         port = old.ports[0]
-        assert Client(port).ask("order", b"ms=5 once", key="k-1")[0] == "success"
-        with tile(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
+        assert ThriftClient(port).ask("order", b"ms=5 once", key="k-1")[0] == "success"
+        with server_process(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
             assert new.event("an old process lives: keys wait for its hand-over") is not None
             old.process.terminate()
             assert old.process.wait(10) == 0
             until(lambda: new.event("hand-over taken: 1 keys"), "the keys taken")
-            kind, answer = Client(port).ask("order", b"ms=5 once", key="k-1")
+            kind, answer = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
             assert kind == "success" and answer.body == b"result of ms=5 once"
             assert new.kernel.by_body[b"ms=5 once"] == 0 and old.kernel.by_body[b"ms=5 once"] == 1
-            assert Client(port).ask("order", b"ms=5 twice", key="k-2")[0] == "success"
+            assert ThriftClient(port).ask("order", b"ms=5 twice", key="k-2")[0] == "success"
             assert new.kernel.by_body[b"ms=5 twice"] == 1
 
 
@@ -265,15 +265,15 @@
     for folder in (shared, old_dir, new_dir):
         folder.mkdir()
     keyed = '[idempotency]\nthrift_field = "key"\n'
-    with tile(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
+    with server_process(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
         port = old.ports[0]
-        client = Client(port)
+        client = ThriftClient(port)
         client.send("order", b"ms=6000 slow", key="k-1")
         until(lambda: old.kernel.by_body[b"ms=6000 slow"], "the run")
         client.sock.close()  # nobody waits for it now
-        with tile(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
+        with server_process(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
             old.process.terminate()
             assert old.process.wait(10) == 0
             until(lambda: new.event("hand-over taken: 1 keys"), "the keys taken")
-            assert Client(port).ask("order", b"ms=6000 slow", key="k-1")[0] == "failed"
+            assert ThriftClient(port).ask("order", b"ms=6000 slow", key="k-1")[0] == "failed"
             assert new.kernel.by_body[b"ms=6000 slow"] == 0 and old.kernel.by_body[b"ms=6000 slow"] == 1
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlespar.fleet.limits_driver import HELD_MOST, Limits
+from myrtlespar.fleet.limits_driver import HELD_MOST, LimitsDriver
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.policy.messages import (
     Arrival,
@@ -14,27 +14,27 @@
     CallEnded,
     CallerGone,
     CallNeeded,
-    Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     Run,
     RunEnded,
+    RunOutcome,
     Settings,
     Tick,
 )
 from myrtlespar.policy.policy import FOR_ROOM, Policy
-from myrtlespar.quota.admission_queue import Places
-from myrtlespar.quota.limit_coordinator import Agent
-from myrtlespar.quota.retry_budget import Repeats, RepeatTerms
-from myrtlespar.quota.settings import GrantTerms, Limit, prefix
+from myrtlespar.quota.admission_queue import AdmissionQueue
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.retry_budget import RetryBudget, RetryBudgetSettings
+from myrtlespar.quota.settings import GrantSettings, Limit, prefix
 from myrtlespar.runtime.counters import Counters
 
 
-def places(amount: int) -> Places:
+def places(amount: int) -> AdmissionQueue:
     """The only member of a fleet, with all of a rate as its standing share."""
-    agent = Agent(("a", 1), GrantTerms(), {"x": Limit(per_s=amount, standing=1.0), "y": Limit(per_s=2.0, standing=1.0)},
+    agent = LimitCoordinator(("a", 1), GrantSettings(), {"x": Limit(per_s=amount, standing=1.0), "y": Limit(per_s=2.0, standing=1.0)},
                   frozenset(("a",)), 0.0)
-    return Places(agent)
+    return AdmissionQueue(agent)
 
 
 @given(st.lists(st.tuples(st.floats(0, 300), st.floats(0, 2000), st.booleans()), max_size=120), st.integers(1, 9))
@@ -105,46 +105,46 @@
         self.told: list[tuple[str, float]] = []
         self.over_: list[str] = []
 
-    def room(self, id: str, cls: int, sender: int) -> float:
+    def admit(self, id: str, cls: int, sender: int) -> float:
         self.left -= 1
         return 0.0 if self.left >= 0 else self.after_ms
 
-    def wait(self, id: str, order: float) -> None:
+    def enqueue(self, id: str, order: float) -> None:
         self.held[id] = order
 
-    def ready(self) -> list[str]:
+    def take_ready(self) -> list[str]:
         out = sorted(self.held, key=lambda id: self.held[id])[:max(0, self.left)]
         for id in out:
             del self.held[id]
         return out
 
-    def next_ms(self) -> float:
+    def next_ready_ms(self) -> float:
         return self.after_ms if self.held else float("inf")
 
-    def turned_away(self, id: str, after_ms: float) -> float:
+    def reject(self, id: str, after_ms: float) -> float:
         self.told.append((id, after_ms))
         return 2 * after_ms
 
-    def over(self, id: str) -> None:
+    def release(self, id: str) -> None:
         self.held.pop(id, None)
         self.over_.append(id)
 
-    def call(self, id: str, cls: int) -> bool:
+    def admit_call(self, id: str, cls: int) -> bool:
         return self.calls > 0
 
-    def called(self, id: str, after_ms: float) -> None:
+    def release_call(self, id: str, after_ms: float) -> None:
         self.over_.append(f"call {id} {after_ms:.0f}")
 
-    def tried(self, again: bool) -> bool:
+    def record_attempt(self, again: bool) -> bool:
         return not again or self.fed > 0
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         self.fed -= 1
         return self.fed >= 0
 
 
 def policy(port: Port, **more: object) -> Policy:
-    out = Policy(Settings([RequestClass(aim_ms=1000, give_up_ms=3000, calls=True)], cores=8, memory_kb=4000,
+    out = Policy(Settings([RequestClass(latency_objective_ms=1000, client_timeout_ms=3000, calls=True)], cores=8, memory_kb=4000,
                           max_retry_after_ms=10_000, linger_ms=300, **more), seed=1)  # type: ignore[arg-type]
     out.fleet = port
     return out
@@ -155,7 +155,7 @@
     one = policy(port)
     out = one.handle(0.0, [Arrival(f"{n}", 0, 20.0) for n in range(3)])
     assert [action.id for action in out if isinstance(action, Run)] == ["0"] and set(port.held) == {"1", "2"}
-    assert not [action for action in out if isinstance(action, Refuse)]
+    assert not [action for action in out if isinstance(action, Reject)]
     port.left = 1  # a window later there is room for one
     out = one.handle(200.0, [Tick(FOR_ROOM)])
     assert [action.id for action in out if isinstance(action, Run)] == ["1"] and set(port.held) == {"2"}
@@ -163,12 +163,12 @@
     assert not port.held and "2" in port.over_
     port.left, port.after_ms = 0, 5000.0
     out = one.handle(220.0, [Arrival("4", 0, 20.0)])
-    assert [(a.id, a.retry_after_ms) for a in out if isinstance(a, Refuse)] == [("4", 10_000.0)]
+    assert [(a.id, a.retry_after_ms) for a in out if isinstance(a, Reject)] == [("4", 10_000.0)]
     port.after_ms, port.left = 300.0, 0
     one.handle(230.0, [Arrival("5", 0, 20.0)])
     assert set(port.held) == {"5"}
     out = [action for at in range(250, 1300, 50) for action in one.handle(float(at), [Tick(0)])]
-    assert [a.id for a in out if isinstance(a, Refuse)] == ["5"] and not port.held and port.told[-1][0] == "5"
+    assert [a.id for a in out if isinstance(a, Reject)] == ["5"] and not port.held and port.told[-1][0] == "5"
     assert one.memory == pytest.approx(40.0) and one.held_kb == 0.0  # two runs
 
 
@@ -179,10 +179,10 @@
     assert not [a for a in one.handle(5.0, [CallNeeded("a")]) if isinstance(a, Call)]
     port.calls = 1
     assert [a for a in one.handle(10.0, [Tick(0)]) if isinstance(a, Call)]
-    one.handle(20.0, [CallEnded("a", Outcome.OK, 10.0)])
+    one.handle(20.0, [CallEnded("a", RunOutcome.OK, 10.0)])
     assert port.over_[-1] == "call a 0"
     one.handle(30.0, [CallNeeded("a")])
-    one.handle(40.0, [RunEnded("a", Outcome.STOPPED, 40.0)])
+    one.handle(40.0, [RunEnded("a", RunOutcome.STOPPED, 40.0)])
     assert port.over_[-2:] == ["a", "call a 300"]
 
 
@@ -191,15 +191,15 @@
     port.fed = 2
     one = policy(port)
     out = one.handle(0.0, [Arrival(f"{n}", 0, 20.0) for n in range(4)])
-    assert [a.last for a in out if isinstance(a, Refuse)] == [False, False, True, True]
-    out = one.handle(1.0, [Arrival("again", 0, 20.0, further_try=True)])
-    assert [(a.id, a.last) for a in out if isinstance(a, Refuse)] == [("again", True)]
+    assert [a.last for a in out if isinstance(a, Reject)] == [False, False, True, True]
+    out = one.handle(1.0, [Arrival("again", 0, 20.0, is_retry=True)])
+    assert [(a.id, a.last) for a in out if isinstance(a, Reject)] == [("again", True)]
 
 
 @given(st.lists(st.sampled_from(["first", "again", "refused"]), max_size=400), st.floats(0, 2), st.integers(1, 9))
 def test_repeats_stay_within_their_budget(events: list[str], share: float, burst: int) -> None:
-    terms = RepeatTerms(share, burst)
-    one, first, taken = Repeats(terms), 0, 0
+    terms = RetryBudgetSettings(share, burst)
+    one, first, taken = RetryBudget(terms), 0, 0
     for n, event in enumerate(events):
         if event == "refused":
             one.may_repeat(n * 10.0)
@@ -229,17 +229,17 @@
     path.write_text("fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1]}}\n"
                     "limits: {x: {per_s: 1, standing: 1.0}}\nrepeats: {share: 0.5, burst: 2}")
     counters = Counters()
-    limits = Limits(read_fleet(str(path), "a1"), ["order"], Nobody(), counters, 1)  # type: ignore[arg-type]
+    limits = LimitsDriver(read_fleet(str(path), "a1"), ["order"], Nobody(), counters, 1)  # type: ignore[arg-type]
     limits.begin(1)
-    assert limits.agent is not None and limits.room("early", 0, 1) > 0  # its standing share is not its own yet
+    assert limits.agent is not None and limits.admit("early", 0, 1) > 0  # its standing share is not its own yet
     limits.agent.holder.began -= 5000
-    assert limits.room("0", 0, 1) == 0.0
+    assert limits.admit("0", 0, 1) == 0.0
     for n in range(HELD_MOST):
-        assert 0 < limits.room(f"{n + 1}", 0, 1) < float("inf")
-        limits.wait(f"{n + 1}", float(n))
-    assert limits.room("more", 0, 1) == float("inf") and 0 < limits.turned_away("more", float("inf")) < 60_000
-    assert limits.room("other", 0, 2) < float("inf") and counters.report()["limits.line_full"] == 1
-    limits.over("1")
-    assert limits.room("again", 0, 1) < float("inf") and not limits.ready() and limits.next_ms() < 2000
-    assert [limits.tried(True) for _ in range(3)] == [True, True, False] and not limits.may_repeat()
+        assert 0 < limits.admit(f"{n + 1}", 0, 1) < float("inf")
+        limits.enqueue(f"{n + 1}", float(n))
+    assert limits.admit("more", 0, 1) == float("inf") and 0 < limits.reject("more", float("inf")) < 60_000
+    assert limits.admit("other", 0, 2) < float("inf") and counters.report()["limits.line_full"] == 1
+    limits.release("1")
+    assert limits.admit("again", 0, 1) < float("inf") and not limits.take_ready() and limits.next_ready_ms() < 2000
+    assert [limits.record_attempt(True) for _ in range(3)] == [True, True, False] and not limits.may_retry()
     limits.retire()
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -14,29 +14,29 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Kernel, Tile, tile, until
-from myrtlespar.fakes.scripted_engine import ScriptedKernel
+from myrtlespar.fakes import FakeEngine, ServerProcess, ThriftClient, server_process, until
+from myrtlespar.fakes.scripted_engine import ScriptedEngine
 from myrtlespar.net.codec.thrift import encode, idl
 from tests.sites import GUARDED, classes
 
 
 @pytest.fixture
-def scripted(tmp_path: Path) -> Iterator[tuple[Tile, ScriptedKernel, Client]]:
+def scripted(tmp_path: Path) -> Iterator[tuple[ServerProcess, ScriptedEngine, ThriftClient]]:
     """A program whose kernel does only what the test says, and one client."""
-    kernel = ScriptedKernel()
-    with tile(tmp_path, kernel=kernel, given=GUARDED) as running:
+    kernel = ScriptedEngine()
+    with server_process(tmp_path, kernel=kernel, given=GUARDED) as running:
         until(kernel.hear)  # that it is up
         until(lambda: running.event("kernel up"))
-        yield running, kernel, Client(running.ports[0])
+        yield running, kernel, ThriftClient(running.ports[0])
 
 
-def runs_of(kernel: ScriptedKernel, body: bytes) -> int:
+def runs_of(kernel: ScriptedEngine, body: bytes) -> int:
     return kernel.by_body[body]
 
 
 @pytest.mark.parametrize("when", ["running", "at a call", "ended", "gone", "failed"])
 def test_a_guarded_try_that_returns_never_runs_again(
-        scripted: tuple[Tile, ScriptedKernel, Client], when: str) -> None:
+        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], when: str) -> None:
     server, kernel, client = scripted
     first = client.send("booking", b"seat 1", token="aa")
     until(kernel.read)  # its start
@@ -52,7 +52,7 @@
     if when == "gone":
         client.say("abort", seqid=first)
         assert client.answer(client.say("ping", full=False))  # read behind it, so it was taken
-    other = Client(server.ports[0])
+    other = ThriftClient(server.ports[0])
     repeat = other.send("booking", b"seat 1", token="aa", again="1")
     assert other.answer(other.say("ping", full=False))
     if when not in ("ended", "failed"):
@@ -67,7 +67,7 @@
 
 
 def test_a_guarded_try_that_never_began_may_run_and_one_without_its_token_may_not(
-        scripted: tuple[Tile, ScriptedKernel, Client]) -> None:
+        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient]) -> None:
     server, kernel, client = scripted
     first = client.send("booking", b"seat 2", token="bb")
     until(kernel.read)
@@ -93,21 +93,21 @@
 @pytest.mark.parametrize("moment", ["early", "import", "config", "listen"])
 def test_a_signal_at_any_moment_of_the_start_neither_kills_nor_is_lost(tmp_path: Path, sent: str, moment: str) -> None:
     """The signal is raised by the process itself, at a line of its start."""
-    hooks = {"early": "import myrtlespar.runtime.startup_signals as e; old = e.EarlySignals.__init__\n"
-                      "def at(s): old(s); raise_()\ne.EarlySignals.__init__ = at",
+    hooks = {"early": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
+                      "def at(s): old(s); raise_()\ne.StartupSignals.__init__ = at",
              "import": "sys.meta_path.insert(0, type('F', (), {'find_spec': staticmethod(\n"
                        "    lambda name, *a: raise_() if name == 'myrtlespar.server.main' else None)}))",
-             "config": "import myrtlespar.runtime.startup_signals as e; old = e.EarlySignals.__init__\n"
+             "config": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
                        "def at(s):\n    old(s)\n    import myrtlespar.server.main as v; load = v.load\n"
                        "    def late(): c = load(); raise_(); v.load = load; return c\n    v.load = late\n"
-                       "e.EarlySignals.__init__ = at",
+                       "e.StartupSignals.__init__ = at",
              "listen": "import myrtlespar.net.listener as n; old = n.Listener.start\n"
                        "def at(s): raise_(); old(s)\nn.Listener.start = at"}
     start = ("import os, runpy, signal, sys\nsys.path.insert(0, os.getcwd())\n"
              f"def raise_(): os.kill(os.getpid(), signal.{sent})\n{hooks[moment]}\n"
              "sys.argv[:] = ['myrtlespar']\nrunpy.run_module('myrtlespar', run_name='__main__')\n")
     (tmp_path / "started.py").write_text(start)
-    with tile(tmp_path, start=str(tmp_path / "started.py"), wait=False) as running:
+    with server_process(tmp_path, start=str(tmp_path / "started.py"), wait=False) as running:
         if sent in ("SIGTERM", "SIGINT"):
             until(lambda: running.event("told to leave at the start") or running.event("draining"))
             while running.process.poll() is None:  # again, in its last moments
@@ -116,15 +116,15 @@
         else:
             running.ports = until(lambda: running.event("serving"))["ports"]
             until(lambda: running.event("reloaded" if sent == "SIGHUP" else "counters"))
-            assert Client(running.ports[0]).ask("order", b"x")[0] == "success"
+            assert ThriftClient(running.ports[0]).ask("order", b"x")[0] == "success"
 
 
 @pytest.mark.parametrize("kernel", ["down", "silent", "late"])
 def test_a_notice_before_the_kernel_is_up_answers_all_and_ends_clean(tmp_path: Path, kernel: str) -> None:
-    with tile(tmp_path, late_kernel=True, given={"stop_ms": 1500}) as running:
+    with server_process(tmp_path, late_kernel=True, given={"stop_ms": 1500}) as running:
         if kernel == "down":
             running.kernel.down()
-        client = Client(running.ports[0])
+        client = ThriftClient(running.ports[0])
         seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
         assert client.answer(client.say("ping", full=False))  # read behind them
         running.process.terminate()
@@ -137,16 +137,16 @@
 
 
 def test_a_kernel_that_is_gone_again_before_its_first_word_is_reached_again(tmp_path: Path) -> None:
-    kernel = Kernel()
+    kernel = FakeEngine()
     kernel.leaves = 3
-    with tile(tmp_path, kernel=kernel) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, kernel=kernel) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("order", b"held meanwhile")[0] == "success" and not kernel.leaves
         assert kernel.by_body[b"held meanwhile"] == 1 and running.stop() == 0
 
 
 def test_a_client_that_closes_one_direction_gets_all_that_it_asked_for(
-        scripted: tuple[Tile, ScriptedKernel, Client]) -> None:
+        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient]) -> None:
     server, kernel, client = scripted
     seqs = [client.send("tide", b"one"), client.send("booking", b"two", token="dd")]
     until(kernel.read)
@@ -162,7 +162,7 @@
 
 
 def test_a_reload_of_a_half_written_file_is_named_and_taken_once_it_is_whole(tmp_path: Path) -> None:
-    with tile(tmp_path) as running:
+    with server_process(tmp_path) as running:
         old = running.kernel
         running.kernel = type(old)()
         text = json.dumps({**running.config, "kernel": running.kernel.address})
@@ -171,14 +171,14 @@
         assert until(lambda: running.event("reload refused"))["error"].startswith("BALANCER_CONFIG: not JSON")
         running.path.write_text(text)
         until(lambda: running.event("reloaded"))
-        assert Client(running.ports[0]).ask("order", b"on the new link")[0] == "success"
+        assert ThriftClient(running.ports[0]).ask("order", b"on the new link")[0] == "success"
         assert running.kernel.by_body[b"on the new link"] == 1
         old.down()
 
 
 def test_a_reload_in_a_hand_over_moves_the_links_that_its_runs_end_over(tmp_path: Path) -> None:
-    with tile(tmp_path, mgmt=True) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, mgmt=True) as running:
+        client = ThriftClient(running.ports[0])
         running.store.script = ["hang"]
         seq = client.send("order", b"calls=1")
         until(lambda: running.store.calls)
@@ -196,9 +196,9 @@
 
 def test_what_is_taken_last_from_the_queue_is_told_and_answered(tmp_path: Path) -> None:
     """Connections made while the process stands still lie in the accept queue as it closes its listener."""
-    with tile(tmp_path, mgmt=True) as running:
+    with server_process(tmp_path, mgmt=True) as running:
         running.process.send_signal(signal.SIGSTOP)
-        clients = [Client(running.ports[0]) for _ in range(12)]
+        clients = [ThriftClient(running.ports[0]) for _ in range(12)]
         seqs = [client.send("order", b"ms=100") for client in clients]
         running.process.terminate()
         running.process.send_signal(signal.SIGCONT)
@@ -208,13 +208,13 @@
 
 
 def test_no_connection_with_a_request_that_just_came_makes_room(tmp_path: Path) -> None:
-    with tile(tmp_path, sockets=64) as running:
-        clients = [Client(running.ports[0]) for _ in range(11)]  # all places
+    with server_process(tmp_path, sockets=64) as running:
+        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
         for client in clients:
             assert client.answer(client.say("ping", full=False))
         for busy in clients[:10:2]:  # each in turn is the idlest, and the one behind it goes
             running.process.send_signal(signal.SIGSTOP)
-            new = Client(running.ports[0])
+            new = ThriftClient(running.ports[0])
             seq = busy.send("fetch", b"crosses")
             running.process.send_signal(signal.SIGCONT)
             assert busy.answer(seq)[0] == "success"
@@ -225,8 +225,8 @@
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_signals_through_the_whole_drain_leave_status_0_beside_a_client_that_does_not_read(
         tmp_path: Path, again: signal.Signals) -> None:
-    with tile(tmp_path, given={"stop_ms": 700, "settings": classes(("slow", "free", 9000.0))}) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, given={"stop_ms": 700, "settings": classes(("slow", "free", 9000.0))}) as running:
+        client = ThriftClient(running.ports[0])
         seq = client.send("slow", b"ms=60000")
         until(lambda: running.kernel.starts)
         deaf = socket.create_connection(("127.0.0.1", running.ports[0]))
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("roster", ["silent", "down", "cut inside", "upgrade", "hangs twice"])
 def test_a_list_that_goes_quiet_hears_of_us_in_time_once_it_listens(tmp_path: Path, roster: str) -> None:
-    with tile(tmp_path) as running:
+    with server_process(tmp_path) as running:
         until(lambda: running.roster.reports)
         if roster == "hangs twice":  # on the connection that was kept, and on the new one after it
             running.roster.hang, seen = 2, len(running.roster.taken)
@@ -265,7 +265,7 @@
 
 
 @contextlib.contextmanager
-def frozen(server: Tile) -> Iterator[None]:
+def frozen(server: ServerProcess) -> Iterator[None]:
     """The program stands still meanwhile: all that comes and ends in it is there at once when it goes on."""
     server.process.send_signal(signal.SIGSTOP)
     stat = Path(f"/proc/{server.process.pid}/stat")
@@ -274,7 +274,7 @@
     server.process.send_signal(signal.SIGCONT)
 
 
-def reset(client: Client) -> None:
+def reset(client: ThriftClient) -> None:
     """End a connection with a reset, whatever is unread."""
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.sock.shutdown(socket.SHUT_RD)  # wakes its reader, which holds the descriptor
@@ -285,9 +285,9 @@
 @pytest.mark.parametrize("other", ["abort", "reset", "half close", "link cut", "SIGTERM", "SIGHUP", "repeat"])
 @pytest.mark.parametrize("what", ["result", "call", "request"])
 def test_two_things_in_one_moment_leave_one_answer_and_one_run(
-        scripted: tuple[Tile, ScriptedKernel, Client], what: str, other: str) -> None:
+        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], what: str, other: str) -> None:
     server, kernel, client = scripted
-    first = Client(server.ports[0])
+    first = ThriftClient(server.ports[0])
     seq = 0
     if what != "request":
         seq = first.send("booking", b"it", token="ee")
@@ -325,7 +325,7 @@
         finish(kernel, lambda: second in client.answers)
         assert client.answer(second)[0] == "success"
     if other != "SIGTERM":
-        last = Client(server.ports[0])  # the one that has said nothing yet may have been closed for that
+        last = ThriftClient(server.ports[0])  # the one that has said nothing yet may have been closed for that
         after = last.send("tide", b"after")
         finish(kernel, lambda: after in last.answers)
         assert last.answer(after)[0] == "success"
@@ -335,7 +335,7 @@
     assert set(first.count.values()) <= {1} and kernel.by_body[b"it"] <= 1
 
 
-def finish(kernel: ScriptedKernel, ready: Callable[[], bool]) -> None:
+def finish(kernel: ScriptedEngine, ready: Callable[[], bool]) -> None:
     """End all that runs until this is so."""
     def look() -> bool:
         for rid in list(kernel.running):
@@ -347,8 +347,8 @@
 @pytest.mark.parametrize("notice", [False, True])
 @pytest.mark.parametrize("at", [1, 4, 5, 40, -1])
 def test_a_request_cut_at_any_byte_is_whole_once_its_last_byte_came(tmp_path: Path, at: int, notice: bool) -> None:
-    with tile(tmp_path) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path) as running:
+        client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))
         fields = {"method": "order", "rid": "ab" * 8, "t0": str(int(time.time() * 1000)), "mem": "20.0"}
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields=fields, body=b"in two"))
@@ -357,7 +357,7 @@
             running.process.terminate()
             until(lambda: client.told)
         else:
-            other = Client(running.ports[0])
+            other = ThriftClient(running.ports[0])
             assert other.ask("fetch", b"meanwhile")[0] == "success"
         client.sock.sendall(frame[at:])
         assert client.answer(7)[0] == "success" and running.kernel.by_body[b"in two"] == 1
@@ -365,8 +365,8 @@
 
 
 def test_a_reply_for_a_dropped_call_changes_nothing_that_comes_later(tmp_path: Path) -> None:
-    with tile(tmp_path) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path) as running:
+        client = ThriftClient(running.ports[0])
         running.store.script = ["slow"]  # its reply comes when nobody waits for it
         seq = client.send("render", b"calls=1 dropped")
         until(lambda: running.store.calls)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The four rules, one or more tests each."""
 
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.messages import Outcome
+from myrtlespar.policy.messages import RunOutcome
 from tests.helpers import Server, answers
 
 
@@ -11,7 +11,7 @@
     server.arrive(20, "held", 1)
     server.at(7000)
     assert answers(server.log, "held") == 1
-    assert server.said(api.Refuse, "held")
+    assert server.said(api.Reject, "held")
 
 
 def test_running_request_is_failed_at_its_due_time_and_never_refused() -> None:
@@ -22,8 +22,8 @@
     assert not server.said(api.Fail, "a") or server.now > 6010
     server.at(6110)
     assert len(server.said(api.Fail, "a")) == 1
-    assert not server.said(api.Refuse, "a")
-    server.at(6200, api.RunEnded("a", Outcome.OK, 6100))
+    assert not server.said(api.Reject, "a")
+    server.at(6200, api.RunEnded("a", RunOutcome.OK, 6100))
     assert answers(server.log, "a") == 1
     assert server.policy.memory == 0
 
@@ -32,7 +32,7 @@
     server = Server()
     server.at(50)
     out = server.arrive(60, "a", 0, deadline=55.0)
-    assert any(isinstance(a, api.Refuse) for a in out)
+    assert any(isinstance(a, api.Reject) for a in out)
 
 
 def test_gone_caller_is_owed_nothing() -> None:
@@ -61,7 +61,7 @@
         assert server.said(api.Reuse, id)
         assert not server.said(api.Run, id)
     server.at(8000)
-    assert not server.said(api.Refuse, "again")
+    assert not server.said(api.Reject, "again")
     assert len(server.said(api.Fail, "again")) == 1
 
 
@@ -77,17 +77,17 @@
 def test_no_room_for_a_key_means_no_run() -> None:
     server = Server(key_kb=1e9)
     server.arrive(10, "k", 2)
-    assert server.said(api.Refuse, "k")
+    assert server.said(api.Reject, "k")
     assert not server.said(api.Run, "k")
 
 
 def test_unsafe_call_is_repeated_only_when_it_never_ran() -> None:
     for outcome, repeated in (
-        (Outcome.REJECTED, True),
-        (Outcome.UNREACHABLE, True),
-        (Outcome.TIMED_OUT, False),
-        (Outcome.CUT_OFF, False),
-        (Outcome.ERROR, False),
+        (RunOutcome.REJECTED, True),
+        (RunOutcome.UNREACHABLE, True),
+        (RunOutcome.TIMED_OUT, False),
+        (RunOutcome.CUT_OFF, False),
+        (RunOutcome.ERROR, False),
     ):
         server = Server()
         server.arrive(10, "u", 3)
@@ -97,7 +97,7 @@
         server.at(800)
         assert (len(server.said(api.Call, "u")) == 2) == repeated
         assert bool(server.said(api.Fail, "u")) != repeated
-        assert not server.said(api.Refuse, "u")
+        assert not server.said(api.Reject, "u")
 
 
 def test_drain_runs_nothing_that_came_past_the_grace() -> None:
@@ -108,7 +108,7 @@
     server.arrive(1200, "late")
     server.arrive(1210, "queued", waited_ms=400.0)
     assert server.said(api.Run, "early") and server.said(api.Run, "queued")
-    assert server.said(api.Refuse, "late") and not server.said(api.Run, "late")
+    assert server.said(api.Reject, "late") and not server.said(api.Run, "late")
 
 
 def test_drain_answers_everything_before_the_kill() -> None:
@@ -177,17 +177,17 @@
     server.at(20, api.CallNeeded("r0"), api.CallNeeded("r1"))
     calls = server.said(api.Call)
     assert len(calls) == 2 and all(call.limit_ms <= 0.6 * 0.6 * 5000 / 2 for call in calls)
-    server.at(900, *(api.CallEnded(f"r{n}", Outcome.OK, 880) for n in range(2)))
+    server.at(900, *(api.CallEnded(f"r{n}", RunOutcome.OK, 880) for n in range(2)))
     server.at(901, api.CallNeeded("r0"))
     assert server.said(api.SkipCall, "r0")
 
 
 def test_nothing_told_and_a_leaping_clock_get_ordinary_decisions() -> None:
     server = Server(cores=0, servers=0, senders=0, tenant_quotas=[0.0], calls_share=0.0, calls_over_ms=0.0,
-                    shared_dependency=True, caller_idle_ms=0.0, cold=True, warm_up_ms=0.0, list_follows=True)
+                    shared_dependency=True, caller_idle_ms=0.0, cold=True, warm_up_ms=0.0, discovery_follows_health=True)
     for n in range(60):
         server.arrive(10, f"still{n}", 0, tenant=7, sender=90 + n)
-    server.at(10, api.RunEnded("unknown", Outcome.OK, 5), api.CallerGone("unknown"), api.Tick(0, []))
+    server.at(10, api.RunEnded("unknown", RunOutcome.OK, 5), api.CallerGone("unknown"), api.Tick(0, []))
     server.policy.handle(1e7, [api.Tick(3, [9.0])])
     server.policy.handle(5.0, [api.Tick(3, []), api.Arrival("back", 0, 20.0)])
     owed = [id for id, job in server.policy.jobs.items() if not job.answered]
@@ -209,7 +209,7 @@
     server.policy.handle(1460.0, [api.Drain(9000.0)])  # it may have come right after 1000
     out = server.policy.handle(3300.0, [api.Arrival("late", 0, 20.0, waited_ms=200.0)])
     assert not any(isinstance(a, api.Run) for a in out)
-    assert any(isinstance(a, api.Refuse) and a.id == "late" for a in out)
+    assert any(isinstance(a, api.Reject) and a.id == "late" for a in out)
 
 
 def test_answers_come_before_a_stillness_that_could_cover_the_kill() -> None:
@@ -234,9 +234,9 @@
     server.arrive(10, "a", 3)
     out = server.at(2015)
     assert out.index(api.Fail("a")) < out.index(api.Stop("a"))
-    server.at(2020, api.RunEnded("a", Outcome.STOPPED, 2010))
+    server.at(2020, api.RunEnded("a", RunOutcome.STOPPED, 2010))
     server.at(9000)
-    assert answers(server.log, "a") == 1 and not server.said(api.Refuse, "a")
+    assert answers(server.log, "a") == 1 and not server.said(api.Reject, "a")
     assert len(server.said(api.Run, "a")) == 1
     assert server.policy.memory == 0 and server.policy.on_core == 0
 
@@ -252,7 +252,7 @@
     server = Server(can_stop=True)
     server.arrive(10, "a", 3)
     server.at(100, api.CallerGone("a"))
-    server.at(110, api.RunEnded("a", Outcome.STOPPED, 95))
+    server.at(110, api.RunEnded("a", RunOutcome.STOPPED, 95))
     server.at(9000)
     assert server.said(api.Stop, "a") and answers(server.log, "a") == 0
     assert server.policy.elapsed[3] > 95  # a run cut short says nothing of how long runs take
@@ -262,12 +262,12 @@
     server = Server(cores=1, can_stop=True)
     server.arrive(10, "run", 3)
     server.arrive(20, "held", 0)
-    for outcome in Outcome:
+    for outcome in RunOutcome:
         server.at(server.now + 1, api.RunEnded("held", outcome, 5.0))
-    server.at(100, api.RunEnded("run", Outcome.OK, 90.0))
-    for outcome in Outcome:
+    server.at(100, api.RunEnded("run", RunOutcome.OK, 90.0))
+    for outcome in RunOutcome:
         server.at(server.now + 1, api.RunEnded("run", outcome, 5.0), api.CallEnded("run", outcome, 5.0))
-    server.at(150, api.RunEnded("held", Outcome.OK, 40.0))
+    server.at(150, api.RunEnded("held", RunOutcome.OK, 40.0))
     server.at(200, api.Drain(-50.0))
     server.at(9000)
     assert answers(server.log, "held") <= 1 and answers(server.log, "run") == 0
@@ -281,5 +281,5 @@
     assert not server.said(api.Fail, "a")  # it runs, and may yet end by itself
     out = server.at(2110, api.CallNeeded("a"))
     assert api.Fail("a") in out and not server.said(api.Call, "a")
-    server.at(2120, api.RunEnded("a", Outcome.STOPPED, 2110))
+    server.at(2120, api.RunEnded("a", RunOutcome.STOPPED, 2110))
     assert answers(server.log, "a") == 1 and server.policy.memory == 0
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from myrtlespar.fakes import Client, tile, until
+from myrtlespar.fakes import ThriftClient, server_process, until
 
 EXAMPLES = 25
 SLACK_MS = 500.0  # over a due time: 150 of the pages, the rest for a busy machine
@@ -30,11 +30,11 @@
     """One class or dozens, of any effect."""
     rows = []
     for name in draw(st.lists(names, min_size=1, max_size=draw(st.sampled_from([1, 3, 40])), unique=True)):
-        give_up_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
+        client_timeout_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
         rows.append({"name": name, "effect": draw(st.sampled_from(["free", "guarded", "single_shot"])),
-                     "aim_ms": draw(st.sampled_from([0.0, 0.1, give_up_ms / 2, give_up_ms])),
-                     "give_up_ms": give_up_ms, **draw(optional(
-                         worth=numbers, late_worth=st.floats(0, 1), window_ms=st.sampled_from([0, 80.5, 3000]),
+                     "aim_ms": draw(st.sampled_from([0.0, 0.1, client_timeout_ms / 2, client_timeout_ms])),
+                     "give_up_ms": client_timeout_ms, **draw(optional(
+                         priority_weight=numbers, late_weight=st.floats(0, 1), window_ms=st.sampled_from([0, 80.5, 3000]),
                          aim_stretch=numbers))})
     return rows
 
@@ -57,16 +57,16 @@
                 degraded_worth=st.lists(st.floats(0, 1), max_size=size), fresh_ms=numbers,
                 gauges=st.lists(st.sampled_from(["cpu_busy", "runnable", "mem_used", "sockets"]), unique=True),
                 halt=st.sampled_from(["silent", "discard", "freeze"]), heeded_ms=numbers, caller_idle_ms=numbers,
-                key_kb=numbers, linger_ms=numbers, list_follows=st.booleans(), passes_deadline=st.booleans(),
+                key_kb=numbers, linger_ms=numbers, discovery_follows_health=st.booleans(), passes_deadline=st.booleans(),
                 senders=st.integers(0, 300), signal=st.sampled_from(["floor", "allowance", "weight", "silent", "odd"]),
-                tells_gone=st.booleans()))},
+                reports_cancellation=st.booleans()))},
         "invariants": {
             "fall_multiple": draw(st.sampled_from([1, 8.0])), "fall_ms": draw(st.sampled_from([100, 1500.0])),
             **draw(optional(answer_slack_ms=st.sampled_from([0, 2.5, 100]), cold_from=st.floats(0, 1),
                             drain_grace_ms=st.sampled_from([0, 100, 5000.0]),
                             warm_up_ms=st.sampled_from([0, 500, 15000])))},
         **draw(optional(
-            areas=st.lists(names), clients=optional(marks_retry=st.booleans()), over_share_worth=st.floats(0, 1),
+            areas=st.lists(names), clients=optional(marks_retry=st.booleans()), over_quota_weight=st.floats(0, 1),
             permissions=optional(max_retry_after_ms=numbers, retry_after=st.booleans()), projects=shares,
             round_ms=numbers, self_index=st.integers(0, 300), servers=st.integers(0, 300), tier=st.integers(0, 2),
             tiers=st.lists(names), worth_by=st.sampled_from(["request", "work"]), zone=st.integers(0, 3),
@@ -81,8 +81,8 @@
 def test_valid_settings_are_served_reloaded_and_drained(given_settings: dict[str, Any], stop_ms: int,
                                                         limits: dict[str, int]) -> None:
     more = {"settings": given_settings, "stop_ms": stop_ms, "limits": limits}
-    with tempfile.TemporaryDirectory() as folder, tile(Path(folder), given=more) as running:
-        client, sent = Client(running.ports[0]), dict[int, tuple[dict[str, Any], float]]()
+    with tempfile.TemporaryDirectory() as folder, server_process(Path(folder), given=more) as running:
+        client, sent = ThriftClient(running.ports[0]), dict[int, tuple[dict[str, Any], float]]()
 
         def ask(n: int) -> None:
             row = given_settings["classes"][n % len(given_settings["classes"])]
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Tile, tile, until
+from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
 PIPE_BYTES = 4096  # the least that the system gives a pipe
 
@@ -24,14 +24,14 @@
         return int(probe.getsockname()[1])
 
 
-def reach(port: int) -> Client:
+def reach(port: int) -> ThriftClient:
     """A client, once the program listens."""
-    def connected() -> Client | None:
+    def connected() -> ThriftClient | None:
         with contextlib.suppress(OSError):
-            return Client(port)
+            return ThriftClient(port)
         return None
 
-    found: Client = until(connected, "a listener")
+    found: ThriftClient = until(connected, "a listener")
     return found
 
 
@@ -55,7 +55,7 @@
         os.close(reader)
 
 
-def serves_and_leaves(running: Tile, port: int) -> None:
+def serves_and_leaves(running: ServerProcess, port: int) -> None:
     """Requests, a log line asked for by an operator, an odd line of the kernel, and a drain."""
     client = reach(port)
     until(lambda: running.kernel.link)
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("kind", ["blocked", "no reader", "full disk"])
 def test_a_log_that_cannot_be_written_stops_nothing(tmp_path: Path, kind: str) -> None:
     port = free_port()
-    with stream(kind) as output, tile(tmp_path, listen=f"127.0.0.1:{port}", output=output, wait=False) as running:
+    with stream(kind) as output, server_process(tmp_path, listen=f"127.0.0.1:{port}", output=output, wait=False) as running:
         serves_and_leaves(running, port)
 
 
@@ -81,7 +81,7 @@
     """Their numbers go to the first sockets: what is written to them must reach no client and no server."""
     port = free_port()
     command = ["/bin/sh", "-c", f"exec {sys.executable} -m myrtlespar <&- >&- 2>&-"]
-    with tile(tmp_path, listen=f"127.0.0.1:{port}", command=command, wait=False) as running:
+    with server_process(tmp_path, listen=f"127.0.0.1:{port}", command=command, wait=False) as running:
         serves_and_leaves(running, port)
         kinds = {row["t"] for row in running.kernel.commands}
         assert kinds <= {"OPEN", "SCHED", "IODONE", "SYSINFO"}
@@ -89,14 +89,14 @@
 
 @pytest.mark.parametrize("kind", ["blocked", "no reader"])
 def test_a_faulty_start_ends_though_nobody_reads_why(tmp_path: Path, kind: str) -> None:
-    with stream(kind) as output, tile(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running:
+    with stream(kind) as output, server_process(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running:
         assert running.process.wait(20) == 2
 
 
 def test_the_log_goes_on_once_it_is_read_again_and_tells_what_was_lost(tmp_path: Path) -> None:
     port, (reader, writer) = free_port(), os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-    with tile(tmp_path, listen=f"127.0.0.1:{port}", output=writer, wait=False) as running:
+    with server_process(tmp_path, listen=f"127.0.0.1:{port}", output=writer, wait=False) as running:
         client = reach(port)
         for _ in range(900):  # more than the pipe and the backlog hold
             running.process.send_signal(signal.SIGUSR1)
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -18,11 +18,11 @@
 
 import pytest
 
-from myrtlespar.exchange import Answer, Kind
-from myrtlespar.fakes import Client, settings, tile, until
+from myrtlespar.exchange import Answer, AnswerKind
+from myrtlespar.fakes import ThriftClient, server_process, settings, until
 from myrtlespar.fakes.server_process import ROOT
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.handover.keys_file import Known, Refused, decode, encode, known_of
+from myrtlespar.handover.keys_file import HandoverRejected, KnownKey, decode, encode, known_keys
 from myrtlespar.net.connections import connect
 from tests.gates import Gate
 from tests.sites import GUARDED
@@ -77,8 +77,8 @@
     shared = tmp_path / "shared"
     shared.mkdir()
     left(shared)
-    with tile(tmp_path, mgmt=True, shared=shared, given=GUARDED) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, mgmt=True, shared=shared, given=GUARDED) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("tide", b"calls=1")[0] == "success"
 
         def booked() -> bool:
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("entry", [[0, "k", "served", "", float("nan"), 1e15], [0, "k", "served", "", 0, float("inf")],
                                    [0, "k", "served", "", 10**400, 1e15], [0, "k", "served", "", -1, 1e15]])
 def test_an_entry_whose_times_are_none_is_refused_whole(entry: list[Any]) -> None:
-    with pytest.raises(Refused):
+    with pytest.raises(HandoverRejected):
         decode(keys_file(entry), 0.0, 1)
 
 
@@ -101,8 +101,8 @@
 def test_the_names_of_two_servers_share_no_file(tmp_path: Path, name: str) -> None:
     one, other = HandoverFolder(str(tmp_path), name), HandoverFolder(str(tmp_path), name + ".b")
     assert one.claim() and other.claim() and not HandoverFolder(str(tmp_path), name).claim()
-    one.write(encode(known_of([((0, "k"), Answer(Kind.SERVED, b"r"), 9.0)])))
-    assert other.read() is None and decode(one.read() or b"", 0.0, 1) == [Known(0, "k", "served", b"r", 0.0, 9.0)]
+    one.write(encode(known_keys([((0, "k"), Answer(AnswerKind.SERVED, b"r"), 9.0)])))
+    assert other.read() is None and decode(one.read() or b"", 0.0, 1) == [KnownKey(0, "k", "served", b"r", 0.0, 9.0)]
     assert all(path.parent == tmp_path for path in tmp_path.rglob("*"))
 
 
@@ -113,9 +113,9 @@
     port = free_port()
     (tmp_path / "old").mkdir()
     (tmp_path / "new").mkdir()
-    with tile(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
-        assert Client(port).ask("booking", b"seat 1", token="t")[0] == "success"
-        with tile(tmp_path / "new", mgmt=True, shared=tmp_path, given={**GUARDED, "kernel": old.kernel.address},
+    with server_process(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
+        assert ThriftClient(port).ask("booking", b"seat 1", token="t")[0] == "success"
+        with server_process(tmp_path / "new", mgmt=True, shared=tmp_path, given={**GUARDED, "kernel": old.kernel.address},
                   listen=f"127.0.0.1:{port}", start=gate.start, wait=False) as new:
             gate.reached(new)  # in its second look, with the old process alive in the first
             old.process.terminate()
@@ -135,11 +135,11 @@
     with socket.create_server(("127.0.0.1", 0), reuse_port=False) as holder:
         address, start = f"127.0.0.1:{holder.getsockname()[1]}", tmp_path / "telling.py"
         start.write_text(TELLS_A_TAKEN_ADDRESS)
-        with tile(tmp_path, given={which: address}, start=str(start), wait=False) as running:
+        with server_process(tmp_path, given={which: address}, start=str(start), wait=False) as running:
             until(lambda: running.event("address taken") or running.process.poll() is not None)
             holder.close()
             serving = until(lambda: running.event("serving"), "start")
-            assert Client(serving["ports"][0]).ask("fetch")[0] == "success"
+            assert ThriftClient(serving["ports"][0]).ask("fetch")[0] == "success"
             assert running.stop() == 0
 
 
@@ -164,7 +164,7 @@
     start.write_text(TELLS_A_TAKEN_ADDRESS)
     with socket.create_server(("127.0.0.1", 0)) as holder:
         address = f"127.0.0.1:{holder.getsockname()[1]}"
-        with tile(tmp_path, listen=address, start=str(start), wait=False) as running:
+        with server_process(tmp_path, listen=address, start=str(start), wait=False) as running:
             until(lambda: running.event("address taken"))
             running.process.terminate()
             assert running.process.wait(5) == 0
@@ -184,14 +184,14 @@
 
 def test_few_descriptors_of_the_system_are_heeded(tmp_path: Path) -> None:
     """The system grants fewer than the platform's file names: places follow the smaller number."""
-    with tile(tmp_path) as running:
-        assert Client(running.ports[0]).ask("fetch")[0] == "success"
+    with server_process(tmp_path) as running:
+        assert ThriftClient(running.ports[0]).ask("fetch")[0] == "success"
     command = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m myrtlespar"]
     (tmp_path / "few").mkdir()
-    with tile(tmp_path / "few", command=command) as running:
+    with server_process(tmp_path / "few", command=command) as running:
         clients = []
         for _ in range(90):  # more than there are descriptors; each is served, the idlest make room
-            clients.append(Client(running.ports[0]))
+            clients.append(ThriftClient(running.ports[0]))
             assert clients[-1].ask("fetch", b"calls=1")[0] == "success"
         soft, _ = resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE)
         assert soft == 64 and not running.counters().get("uncaught")
@@ -207,9 +207,9 @@
     ids=lambda given: next(iter(given)))
 def test_what_may_be_absent_null_fractional_or_unknown_is_no_obstacle(tmp_path: Path, given: dict[str, Any]) -> None:
     classes = given.get("settings", settings())["classes"]
-    with tile(tmp_path, given=given) as running:
+    with server_process(tmp_path, given=given) as running:
         names = [row.get("name") or str(n) for n, row in enumerate(classes)]
-        client = Client(running.ports[0])
+        client = ThriftClient(running.ports[0])
         assert [client.ask(name, b"calls=1")[0] for name in names] == ["success"] * len(names)
         until(lambda: running.roster.reports)
         assert len(running.roster.reports[0][0].split("/")) == 3
@@ -221,8 +221,8 @@
     del given["family_info"]["calls_by_class"]
     config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "roster": "127.0.0.1:1"}
     assert refusal(tmp_path, json.dumps({**config, "settings": settings()})).startswith("store: missing")
-    with tile(tmp_path, given={"settings": given, "store": None}) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, given={"settings": given, "store": None}) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("order")[0] == "success"
         assert client.ask("fetch", b"calls=1")[0] in ("failed", "refused")  # it asks all the same: no call can run
         assert client.ask("order")[0] == "success"
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from myrtlespar.fakes import Client, Tile, tile, until
+from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
 PLANTED = """import os, runpy, sys
 sys.path.insert(0, os.getcwd())
@@ -30,7 +30,7 @@
     return str(path)
 
 
-def told_once(running: Tile, event: str, counter: str) -> None:
+def told_once(running: ServerProcess, event: str, counter: str) -> None:
     """It is in the log with its traceback, and counted."""
     row = until(lambda: running.event(event))
     assert "ZeroDivisionError: planted" in row["exception"] and "Traceback" in row["exception"]
@@ -38,9 +38,9 @@
 
 
 def test_a_fault_with_one_message_ends_its_connection_behind_what_is_owed(tmp_path: Path) -> None:
-    start = planted(tmp_path, "net.thrift", "Link", "_frame", "b'boom' in args[1]")
-    with tile(tmp_path, start=start) as running:
-        other, client = Client(running.ports[0]), Client(running.ports[0])
+    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
+    with server_process(tmp_path, start=start) as running:
+        other, client = ThriftClient(running.ports[0]), ThriftClient(running.ports[0])
         owed = client.send("order", b"ms=400 calls=1")
         until(lambda: running.kernel.starts)
         client.send("fetch", b"boom")
@@ -50,9 +50,10 @@
 
 
 def test_a_fault_with_one_answer_costs_no_other_one(tmp_path: Path) -> None:
-    start = planted(tmp_path, "net.thrift", "Link", "_answer", "not planted and args[2].kind.value == 'served'")
-    with tile(tmp_path, start=start) as running:
-        client = Client(running.ports[0])
+    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_answer",
+                    "not planted and args[2].kind.value == 'served'")
+    with server_process(tmp_path, start=start) as running:
+        client = ThriftClient(running.ports[0])
         client.send("fetch", b"ms=1")
         until(lambda: running.event("effect failed"))
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
@@ -60,22 +61,23 @@
 
 
 @pytest.mark.parametrize(("module", "owner", "name", "part"), [
-    ("net.kernel", "Kernel", "_connect", "kernel"), ("net.store", "Calls", "look", "store"),
-    ("net.roster", "Roster", "_report", "roster"), ("net.listener", "Listener", "_close_silent", "thrift.look")])
+    ("net.engine_client", "EngineClient", "_connect", "kernel"),
+    ("net.dependency_client", "DependencyCalls", "look", "store"),
+    ("net.registry_client", "RegistryClient", "_report", "roster"), ("net.listener", "Listener", "_close_silent", "thrift.look")])
 def test_a_part_that_has_to_go_on_goes_on(tmp_path: Path, module: str, owner: str, name: str, part: str) -> None:
-    with tile(tmp_path, start=planted(tmp_path, module, owner, name, "len(planted) < 2")) as running:
-        silent = Client(running.ports[0])
+    with server_process(tmp_path, start=planted(tmp_path, module, owner, name, "len(planted) < 2")) as running:
+        silent = ThriftClient(running.ports[0])
         told_once(running, "part failed and goes on", f"fault.{part}")
         until(lambda: running.roster.reports)
-        assert Client(running.ports[0]).ask("order", b"calls=1")[0] == "success"
+        assert ThriftClient(running.ports[0]).ask("order", b"calls=1")[0] == "success"
         assert silent.ended.wait(20)  # closed, as any that sends nothing
         assert running.stop() == 0
 
 
 def test_without_its_core_the_process_ends_at_once_and_says_why(tmp_path: Path) -> None:
     start = planted(tmp_path, "core", "Core", "_turn", "args[0].counters._counts['in.request.thrift'] > 1")
-    with tile(tmp_path, start=start) as running:
-        client = Client(running.ports[0])
+    with server_process(tmp_path, start=start) as running:
+        client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"ms=1")[0] == "success"
         client.send("fetch", b"ms=1")
         assert running.process.wait(5) == 1
