--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -1,6 +1,6 @@
 """Events a second of the emulator's own heap beside simpy, for the load that membership makes: short callbacks.
 
-    python -m benchmarks.engines --events 300000
+python -m benchmarks.engines --events 300000
 """
 
 from __future__ import annotations
@@ -69,8 +69,10 @@
 def main(events: int, rounds: int) -> None:
     """Print a line a round."""
     for _ in range(rounds):
-        print(f"own heap {own(events):,.0f}/s, simpy callbacks {simpys(events, False):,.0f}/s, "
-              f"simpy processes {simpys(events, True):,.0f}/s")
+        print(
+            f"own heap {own(events):,.0f}/s, simpy callbacks {simpys(events, False):,.0f}/s, "
+            f"simpy processes {simpys(events, True):,.0f}/s"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -55,10 +55,14 @@
     """Print both, and their ratio."""
     mine, theirs = [own(answers) for _ in range(rounds)], [client(answers) for _ in range(rounds)]
     for label, rows in (("own lists", mine), ("prometheus-client", theirs)):
-        click.echo(f"{label:18} count {statistics.median(r[0] for r in rows):.3f} us, "
-                   f"render {statistics.median(r[1] for r in rows):.1f} us")
-    click.echo(f"ratio of a count, client / own: "
-               f"{statistics.median(r[0] for r in theirs) / statistics.median(r[0] for r in mine):.2f}")
+        click.echo(
+            f"{label:18} count {statistics.median(r[0] for r in rows):.3f} us, "
+            f"render {statistics.median(r[1] for r in rows):.1f} us"
+        )
+    click.echo(
+        f"ratio of a count, client / own: "
+        f"{statistics.median(r[0] for r in theirs) / statistics.median(r[0] for r in mine):.2f}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -27,7 +27,13 @@
     """One counter for all. Without it nothing is let in, as the limit is strict."""
 
     def __init__(self, names: list[str], limit: Limit, seed: int, hop_ms: float, hold_ms: float) -> None:
-        self.engine, self.dice, self.limit, self.hop_ms, self.hold_ms = EventLoop(), Random(seed), limit, hop_ms, hold_ms
+        self.engine, self.dice, self.limit, self.hop_ms, self.hold_ms = (
+            EventLoop(),
+            Random(seed),
+            limit,
+            hop_ms,
+            hold_ms,
+        )
         self.names, self.rates = names, dict.fromkeys(names, 0.0)
         self.meter = UsageWindow(float(limit.window_ms))
         self.starts_by: Counter[tuple[str, int]] = Counter()
@@ -62,10 +68,13 @@
     """One run."""
     names = [f"m{n}" for n in range(members)]
     limit = Limit(per_s=per_s, standing=1.0 if kind == "static" else 0.1)
-    fleet: SimulatedLimits | Central = Central(names, limit, seed, 1.0, 1000.0) if kind == "central" else \
-        SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
+    fleet: SimulatedLimits | Central = (
+        Central(names, limit, seed, 1.0, 1000.0)
+        if kind == "central"
+        else SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
+    )
     fleet.run(3000)
-    lone = frozenset(names[-(members // 3):])
+    lone = frozenset(names[-(members // 3) :])
     for hot, until in ((names[0], 15_000), (names[-1], 25_000)):
         for name in names:
             fleet.rates[name] = per_s * over * (HOT if name == hot else (1 - HOT) / (members - 1))
@@ -76,8 +85,17 @@
     fleet.run(55_000)
     row: dict[str, object] = {"kind": kind, "members": members, "over": over, "seed": seed}
     for phase, (first, last) in PHASES.items():
-        sides = [sum(fleet.starts_by[name, second] for name in names if (name in lone) is side
-                     for second in range(first, last)) / (last - first) / per_s for side in (False, True)]
+        sides = [
+            sum(
+                fleet.starts_by[name, second]
+                for name in names
+                if (name in lone) is side
+                for second in range(first, last)
+            )
+            / (last - first)
+            / per_s
+            for side in (False, True)
+        ]
         row[phase] = round(sum(sides), 3)
         if phase == "cut":
             row["cut, greater side"], row["cut, lesser side"] = (round(side, 3) for side in sides)
--- a/benchmarks/fleet_cases.py
+++ b/benchmarks/fleet_cases.py
@@ -37,8 +37,20 @@
 def one(job: tuple[Path, int, float, int, float]) -> dict[str, Any]:
     """One run, in a process of its own, so that the load of several fleets shares no interpreter."""
     path, members, times, seed, slack_ms = job
-    began, words = time.monotonic(), [sys.executable, "-m", "benchmarks.fleet_cases", "--play", str(path), str(members),
-                                      str(times), str(seed), str(slack_ms)]
+    began, words = (
+        time.monotonic(),
+        [
+            sys.executable,
+            "-m",
+            "benchmarks.fleet_cases",
+            "--play",
+            str(path),
+            str(members),
+            str(times),
+            str(seed),
+            str(slack_ms),
+        ],
+    )
     done = subprocess.run(words, capture_output=True, text=True, timeout=600, check=False)
     try:
         row: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
@@ -64,8 +76,12 @@
 @click.option("--slack-ms", default=250.0, show_default=True, type=click.FloatRange(0, 10_000))
 def main(folder: Path, members: int, seeds: int, over: str, jobs: int, slack_ms: float) -> None:
     """Print one JSON line a run, then the tightest of each script."""
-    work = [(path, members, float(times), seed, slack_ms) for seed in range(1, seeds + 1)
-            for times in over.split(",") for path in sorted(folder.glob("*.yaml"))]
+    work = [
+        (path, members, float(times), seed, slack_ms)
+        for seed in range(1, seeds + 1)
+        for times in over.split(",")
+        for path in sorted(folder.glob("*.yaml"))
+    ]
     tight: dict[str, tuple[float, str]] = {}
     held = runs = 0
     with ThreadPoolExecutor(jobs) as pool:
@@ -74,8 +90,9 @@
             print(json.dumps(row), flush=True)
             for name, limit in row["limits"].items():
                 label = f"{row['script']} {name}"
-                tight[label] = max(tight.get(label, (0.0, "")),
-                                   (limit["ratio"], f"seed {row['seed']}, {row['over']:g} limits"))
+                tight[label] = max(
+                    tight.get(label, (0.0, "")), (limit["ratio"], f"seed {row['seed']}, {row['over']:g} limits")
+                )
     for label, (ratio, where) in tight.items():
         print(f"{label}: {ratio:.3f} of its bound at the most ({where})")
     print(f"{held} of {runs} runs held every promise")
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -66,25 +66,42 @@
             wait(24)
             crowd.finish()
             end = time.time() * 1000
-            versions = {name: (run.limits(name).get("version"), run.limits(name).get("settled"))
-                        for name in run.members}
-            runs = [(body, at, float("inf") if done is None else done) for member in run.members.values()
-                    for kernel in member.kernels for body, at, done in kernel.runs]
+            versions = {
+                name: (run.limits(name).get("version"), run.limits(name).get("settled")) for name in run.members
+            }
+            runs = [
+                (body, at, float("inf") if done is None else done)
+                for member in run.members.values()
+                for kernel in member.kernels
+                for body, at, done in kernel.runs
+            ]
         finally:
             run.close()
     holds = last + terms.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
     broken, most = [], {}
     for label, amount, since in (("the greater number", 30.0, 0.0), ("the lower number", 12.0, holds)):
-        lines, figures = judge_limits({"order-farms": Limit(per_s=amount)}, [row for row in runs if row[1] >= since],
-                                      terms, since or told, end, SLACK_MS, {})
+        lines, figures = judge_limits(
+            {"order-farms": Limit(per_s=amount)},
+            [row for row in runs if row[1] >= since],
+            terms,
+            since or told,
+            end,
+            SLACK_MS,
+            {},
+        )
         broken += [f"{label}: {line}" for line in lines]
         most[label] = figures["order-farms"]["most"]
     between = [row for row in runs if told + terms.lowered_ms(Limit(per_s=30.0)) <= row[1] < last]
     figures = judge_limits({"x": Limit(per_s=12.0)}, between, terms, told, last, SLACK_MS, {})[1]
     if set(versions.values()) != {(2, True)}:
         broken.append(f"all go by version 2 in the end: {versions}")
-    return {"seed": seed, "broken": broken, "most": most, "most_while_c1_was_behind": figures["x"]["most"],
-            "told_behind": sorted(behind)}
+    return {
+        "seed": seed,
+        "broken": broken,
+        "most": most,
+        "most_while_c1_was_behind": figures["x"]["most"],
+        "told_behind": sorted(behind),
+    }
 
 
 @click.command()
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -34,8 +34,11 @@
 
 def rss_kb(pid: int) -> int:
     """Resident size of a process."""
-    return next(int(line.split()[1]) for line in Path(f"/proc/{pid}/status").read_text().splitlines()
-                if line.startswith("VmRSS"))
+    return next(
+        int(line.split()[1])
+        for line in Path(f"/proc/{pid}/status").read_text().splitlines()
+        if line.startswith("VmRSS")
+    )
 
 
 def helper(first: int, count: int, port: int, seconds: float) -> None:
@@ -49,11 +52,31 @@
     from myrtlespar.runtime.counters import Counters
 
     def make(n: int, now: float) -> Member:
-        return Member(f"m{n}", f"s{n % 3}", f"{host(n)}:{port}", int(time.time() * 1000), "cost", MembershipSettings(),
-                      VoterSet(0, {}), [f"{host(1)}:{port}"], Random(n), now)
-
-    peers = [PeerTransport(f"{host(n)}:{port}", "cost", f"m{n}", 2000, Counters(), lambda now, n=n: make(n, now),  # type: ignore[misc]
-                   lambda effect: None) for n in range(first, first + count)]
+        return Member(
+            f"m{n}",
+            f"s{n % 3}",
+            f"{host(n)}:{port}",
+            int(time.time() * 1000),
+            "cost",
+            MembershipSettings(),
+            VoterSet(0, {}),
+            [f"{host(1)}:{port}"],
+            Random(n),
+            now,
+        )
+
+    peers = [
+        PeerTransport(
+            f"{host(n)}:{port}",
+            "cost",
+            f"m{n}",
+            2000,
+            Counters(),
+            lambda now, n=n: make(n, now),  # type: ignore[misc]
+            lambda effect: None,
+        )
+        for n in range(first, first + count)
+    ]
     for one in peers:
         one.open()
         gevent.sleep(0.02)
@@ -64,8 +87,17 @@
     """The real program, with the fleet on or off."""
     folder.mkdir()
     if on:
-        (folder / "fleet.yaml").write_text(yaml.safe_dump({
-            "fleet": "cost", "site": "s0", "bind": f"{host(0)}:{port}", "name": "m0", "seeds": [f"{host(1)}:{port}"]}))
+        (folder / "fleet.yaml").write_text(
+            yaml.safe_dump(
+                {
+                    "fleet": "cost",
+                    "site": "s0",
+                    "bind": f"{host(0)}:{port}",
+                    "name": "m0",
+                    "seeds": [f"{host(1)}:{port}"],
+                }
+            )
+        )
         os.environ["MYRTLESPAR_FLEET"] = str(folder / "fleet.yaml")
     try:
         return ServerProcess(folder, mgmt=True, root=root)
@@ -76,8 +108,16 @@
 def imports(root: Path) -> int:
     """Modules that the server loads before it reads its configuration."""
     code = "import sys, myrtlespar.server.main; print(len(sys.modules))"
-    return int(subprocess.run([sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True,
-                              env={**os.environ, "PYTHONPATH": str(root)}).stdout)
+    return int(
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=root,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONPATH": str(root)},
+        ).stdout
+    )
 
 
 @click.command()
@@ -96,19 +136,33 @@
         if off is not None:
             print(f"modules loaded: now {imports(ROOT)}, before {imports(off)}")
             for n in range(3):
-                tiles = [member(Path(tmp) / f"{kind}{n}", 0, False, root) for kind, root in (("now", ROOT),
-                                                                                            ("before", off.resolve()))]
+                tiles = [
+                    member(Path(tmp) / f"{kind}{n}", 0, False, root)
+                    for kind, root in (("now", ROOT), ("before", off.resolve()))
+                ]
                 time.sleep(1)
-                print(f"resident, fleet off: now {rss_kb(tiles[0].process.pid)} kB, before "
-                      f"{rss_kb(tiles[1].process.pid)} kB")
+                print(
+                    f"resident, fleet off: now {rss_kb(tiles[0].process.pid)} kB, before "
+                    f"{rss_kb(tiles[1].process.pid)} kB"
+                )
                 for tile in tiles:
                     tile.close()
             return None
         port = PORTS[os.getpid() % len(PORTS)]
         each = -(-(members - 1) // HELPERS)
-        helpers = [subprocess.Popen([sys.executable, "-m", "benchmarks.fleet_cost", "--helper",
-                                     f"{first},{min(each, members - first)},{port},{seconds + 60}"], cwd=ROOT)
-                   for first in range(1, members, each)]
+        helpers = [
+            subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "benchmarks.fleet_cost",
+                    "--helper",
+                    f"{first},{min(each, members - first)},{port},{seconds + 60}",
+                ],
+                cwd=ROOT,
+            )
+            for first in range(1, members, each)
+        ]
         tiles = []
         try:
             time.sleep(3)
@@ -127,9 +181,11 @@
             view = json.loads(tiles[0].ask(b"MEMBERS\n").split("\n")[1])
             alive = sum(row["state"] == "alive" for row in view["members"]) + 1
             size = [rss_kb(tile.process.pid) for tile in tiles]
-            print(f"{alive} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; resident "
-                  f"{size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; late {view['late_ms']} ms, "
-                  f"counts {view['counts']}")
+            print(
+                f"{alive} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; resident "
+                f"{size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; late {view['late_ms']} ms, "
+                f"counts {view['counts']}"
+            )
         finally:
             for tile in tiles:
                 tile.close()
--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -43,8 +43,11 @@
         medians = [row[name]["median"] for row in rows if row[name]["median"] is not None]
         worst = [row[name]["worst"] for row in rows if row[name]["worst"] is not None]
         out[name] = {"median": percentile(medians, 0.5), "worst": max(worst, default=None)}
-    return {**out, "false_failures": sum(row["false_failures"] for row in rows),
-            "broken": sum(len(row["broken"]) for row in rows)}
+    return {
+        **out,
+        "false_failures": sum(row["false_failures"] for row in rows),
+        "broken": sum(len(row["broken"]) for row in rows),
+    }
 
 
 @click.command()
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -65,29 +65,53 @@
             names, demand = list(run.members), per_s * over
             rest = demand * (1 - SHARE) / (len(names) - 1)
             began, wall = time.monotonic(), time.time() * 1000
-            threads = [threading.Thread(target=flood, args=(
-                run, name, [(12.0, demand * SHARE if name == names[0] else rest),
-                            (22.0, demand * SHARE if name == names[-1] else rest)], began, seed * 100 + n))
-                for n, name in enumerate(names)]
+            threads = [
+                threading.Thread(
+                    target=flood,
+                    args=(
+                        run,
+                        name,
+                        [
+                            (12.0, demand * SHARE if name == names[0] else rest),
+                            (22.0, demand * SHARE if name == names[-1] else rest),
+                        ],
+                        began,
+                        seed * 100 + n,
+                    ),
+                )
+                for n, name in enumerate(names)
+            ]
             for thread in threads:
                 thread.start()
             for thread in threads:
                 thread.join(60)
-            runs = [(body, at, end or float("inf")) for member in run.members.values()
-                    for body, at, end in member.kernel.runs]
+            runs = [
+                (body, at, end or float("inf"))
+                for member in run.members.values()
+                for body, at, end in member.kernel.runs
+            ]
         finally:
             run.close()
-    most = {slack: judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack,
-                                {})[1]["order-farms"]["most"]
-            for slack in (0.0, 25.0, 50.0, 100.0)}  # of the way from a decision to its kernel
+    most = {
+        slack: judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack, {})[1]["order-farms"][
+            "most"
+        ]
+        for slack in (0.0, 25.0, 50.0, 100.0)
+    }  # of the way from a decision to its kernel
     broken, _ = judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, SLACK_MS, {})
     seconds = [0] * 22
     for _, at, _ in runs:
         if 0 <= at - wall < 22_000:
             seconds[int((at - wall) / 1000)] += 1
-    return {"standing": standing, "seed": seed, "calm": round(sum(seconds[3:12]) / 9 / per_s, 3),
-            "moved": round(sum(seconds[14:22]) / 8 / per_s, 3), "by_second": seconds, "broken": broken,
-            "most_by_slack_ms": most}
+    return {
+        "standing": standing,
+        "seed": seed,
+        "calm": round(sum(seconds[3:12]) / 9 / per_s, 3),
+        "moved": round(sum(seconds[14:22]) / 8 / per_s, 3),
+        "by_second": seconds,
+        "broken": broken,
+        "most_by_slack_ms": most,
+    }
 
 
 def decisions(count: int) -> None:
@@ -143,14 +167,19 @@
     cold.run(12_000)
     quiet = cold.seen.messages
     cold.run(16_000)
-    return {"members": size, "seed": seed, "calm": round(sum(starts[8:15]) / 7, 3),
-            "moved": round(sum(starts[19:27]) / 8, 3), "seconds_until_0.9_of_calm": back,
-            "most_of_limit": round(fleet.seen.most / per_s, 4),
-            "messages_s_member": round((fleet.seen.messages - before[0]) / 12 / size, 2),
-            "bytes_s_member": round((fleet.seen.bytes - before[1]) / 12 / size, 1),
-            "keys_left": sum(len(agent.holder.shares) for agent in cold.agents.values()),
-            "messages_s_member_cold": round((cold.seen.messages - quiet) / 4 / size, 2),
-            "real_s": round(time.monotonic() - began, 1)}
+    return {
+        "members": size,
+        "seed": seed,
+        "calm": round(sum(starts[8:15]) / 7, 3),
+        "moved": round(sum(starts[19:27]) / 8, 3),
+        "seconds_until_0.9_of_calm": back,
+        "most_of_limit": round(fleet.seen.most / per_s, 4),
+        "messages_s_member": round((fleet.seen.messages - before[0]) / 12 / size, 2),
+        "bytes_s_member": round((fleet.seen.bytes - before[1]) / 12 / size, 1),
+        "keys_left": sum(len(agent.holder.shares) for agent in cold.agents.values()),
+        "messages_s_member_cold": round((cold.seen.messages - quiet) / 4 / size, 2),
+        "real_s": round(time.monotonic() - began, 1),
+    }
 
 
 @click.command()
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -72,10 +72,15 @@
             for budget in (RetryBudgetSettings(share, burst), None):
                 run = Outage(int(size), budget, deaf, seed)
                 run.engine.run(STOP + 5000)
-                row = {"members": int(size), "seed": seed, "share": budget.share if budget else None, "deaf": deaf,
-                       "tries_a_request": round(run.tries / run.requests, 3),
-                       "taken_a_request": round(1 + run.taken / run.requests, 3),
-                       "lost_in_calm": round(run.calm_lost / run.calm, 5)}
+                row = {
+                    "members": int(size),
+                    "seed": seed,
+                    "share": budget.share if budget else None,
+                    "deaf": deaf,
+                    "tries_a_request": round(run.tries / run.requests, 3),
+                    "taken_a_request": round(1 + run.taken / run.requests, 3),
+                    "lost_in_calm": round(run.calm_lost / run.calm, 5),
+                }
                 print(json.dumps(row), flush=True)
 
 
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -35,11 +35,15 @@
     return {site: tuple(f"{site}{n + 1}" for n in range(size // 3 + (size % 3 > k))) for k, site in enumerate("abc")}
 
 
-def settled(size: int, seed: int, plain: bool = False, terms: MembershipSettings | None = None, sizes: bool = True) -> SimulatedFleet:
+def settled(
+    size: int, seed: int, plain: bool = False, terms: MembershipSettings | None = None, sizes: bool = True
+) -> SimulatedFleet:
     """A fleet that has joined and has nothing left to tell; only the baseline has to join here."""
     sites = sites_of(size)
-    observers = [name for row in sites.values() for name in row[1:1 + max(1, OBSERVERS // 3)]]
-    fleet = SimulatedFleet(sites, baseline() if plain else real(terms or MembershipSettings()), seed, observers, sizes=sizes)
+    observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
+    fleet = SimulatedFleet(
+        sites, baseline() if plain else real(terms or MembershipSettings()), seed, observers, sizes=sizes
+    )
     if plain:
         fleet.begin(400.0 + 2 * size)
     else:
@@ -63,9 +67,13 @@
         rows = [b for b in fleet.beliefs if b.subject == victim and b.at > start]
         suspected = [b.at - start for b in rows if b.state == MemberState.SUSPECT]
         known = [b.at - start for b in rows if b.state == MemberState.FAILED]
-        out |= {"first_suspected_ms": round(min(suspected, default=0), 1), "known": len(known),
-                "known_median_ms": percentile(known, 0.5), "known_worst_ms": percentile(known, 1.0),
-                "spread_ms": round(max(known, default=0) - min(known, default=0), 1)}
+        out |= {
+            "first_suspected_ms": round(min(suspected, default=0), 1),
+            "known": len(known),
+            "known_median_ms": percentile(known, 0.5),
+            "known_worst_ms": percentile(known, 1.0),
+            "spread_ms": round(max(known, default=0) - min(known, default=0), 1),
+        }
     elif part == "cut":
         a, rest = frozenset(fleet.sites["a"]), frozenset(fleet.sites["b"] + fleet.sites["c"])
         fleet.faults.put(1, FaultRule(a, rest, cut=True))
@@ -80,12 +88,16 @@
     else:
         fleet.run(start + seconds * 1000)
     span = (fleet.engine.now - start) / 1000
-    moved = [(node.sent_bytes - b, node.datagrams - d) for node, (b, d) in zip(fleet.nodes.values(), before,
-                                                                              strict=False)]
-    out |= {"bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
-            "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
-            "virtual_s": round(fleet.engine.now / 1000, 1), "real_s": round(time.monotonic() - began, 1),
-            "events_per_s": round((fleet.engine.events - events) / max(1e-9, time.monotonic() - began))}
+    moved = [
+        (node.sent_bytes - b, node.datagrams - d) for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
+    ]
+    out |= {
+        "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
+        "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
+        "virtual_s": round(fleet.engine.now / 1000, 1),
+        "real_s": round(time.monotonic() - began, 1),
+        "events_per_s": round((fleet.engine.events - events) / max(1e-9, time.monotonic() - began)),
+    }
     return out
 
 
@@ -112,9 +124,16 @@
     wrong = [b for b in fleet.beliefs if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick]
     events = {(b.subject, round(b.at / 3000)) for b in wrong}
     days = (len(names) - len(sick)) * seconds / 86_400
-    return {"part": "health", "on": on, "seed": seed, "false_failures": len(events),
-            "false_beliefs": len(wrong), "a_member_day": round(len(events) / days, 2), "member_days": round(days, 3),
-            "accused": fleet.notes.get("accused", 0)}
+    return {
+        "part": "health",
+        "on": on,
+        "seed": seed,
+        "false_failures": len(events),
+        "false_beliefs": len(wrong),
+        "a_member_day": round(len(events) / days, 2),
+        "member_days": round(days, 3),
+        "accused": fleet.notes.get("accused", 0),
+    }
 
 
 def plot(rows: list[dict[str, Any]], folder: Path) -> None:
@@ -125,16 +144,22 @@
     from matplotlib import pyplot
 
     folder.mkdir(parents=True, exist_ok=True)
-    for part, key, title in (("kill", "known_worst_ms", "a crash known to all observers, ms"),
-                             ("calm", "bytes_per_s", "bytes a second a member, nothing to tell"),
-                             ("cut", "agree_ms", "views equal after a 10 s cut, ms")):
+    for part, key, title in (
+        ("kill", "known_worst_ms", "a crash known to all observers, ms"),
+        ("calm", "bytes_per_s", "bytes a second a member, nothing to tell"),
+        ("cut", "agree_ms", "views equal after a 10 s cut, ms"),
+    ):
         figure, axes = pyplot.subplots(figsize=(6, 4))
         for plain in (False, True):
-            points = [(row["members"], row[key]) for row in rows if row["part"] == part and row["baseline"] == plain
-                      and row.get(key) is not None]
+            points = [
+                (row["members"], row[key])
+                for row in rows
+                if row["part"] == part and row["baseline"] == plain and row.get(key) is not None
+            ]
             if points:
-                axes.plot(*zip(*points, strict=True), "x" if plain else "o",
-                          label="heartbeats" if plain else "membership")
+                axes.plot(
+                    *zip(*points, strict=True), "x" if plain else "o", label="heartbeats" if plain else "membership"
+                )
         axes.set(xscale="log", xlabel="members", ylabel=title, ylim=(0, None))
         axes.legend()
         figure.savefig(folder / f"{part}.png", dpi=110)
@@ -150,17 +175,30 @@
 @click.option("--health", "only_health", is_flag=True, help="Local health on and off instead.")
 @click.option("--plots", type=click.Path(path_type=Path), help="Write plots to this folder.")
 @click.option("--jobs", default=8, show_default=True, type=click.IntRange(1, 256))
-def main(sizes: str, seeds: int, seconds: float, parts: str, with_baseline: bool, only_health: bool,
-         plots: Path | None, jobs: int) -> None:
+def main(
+    sizes: str,
+    seeds: int,
+    seconds: float,
+    parts: str,
+    with_baseline: bool,
+    only_health: bool,
+    plots: Path | None,
+    jobs: int,
+) -> None:
     """Print one JSON line a run."""
     with ProcessPoolExecutor(jobs) as pool:
         if only_health:
             for row in pool.map(health, [(on, seed, seconds) for seed in range(1, seeds + 1) for on in (True, False)]):
                 print(json.dumps(row), flush=True)
             return
-        work = [(part, int(size), seed, seconds, plain) for size in sizes.split(",") for part in parts.split(",")
-                for seed in range(1, seeds + 1) for plain in (False, True)
-                if not plain or (with_baseline and int(size) <= 200 and part != "cut")]
+        work = [
+            (part, int(size), seed, seconds, plain)
+            for size in sizes.split(",")
+            for part in parts.split(",")
+            for seed in range(1, seeds + 1)
+            for plain in (False, True)
+            if not plain or (with_baseline and int(size) <= 200 and part != "cut")
+        ]
         rows = []
         for row in pool.map(one, work):
             rows.append(row)
--- a/benchmarks/fleet_tight.py
+++ b/benchmarks/fleet_tight.py
@@ -19,21 +19,38 @@
 NINE = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: %g\nevents:\n"
 HARD = "  - {at_s: 0, link: [all, all], drop: 0.2, delay_ms: 50, jitter_ms: 150}\n"
 SCRIPTS = {  # by promise: figure, bound's name, script
-    "failure known, a crash, links as bad as promises allow":
-        ("detect_ms", "detect", NINE % 14 + HARD + "  - {at_s: 2, kill: b2}\n"),
-    "failure known, two of three crash":
-        ("detect_ms", "standing", "fleet: {sites: {a: 3}}\nlength_s: 14\nevents:\n" + HARD
-         + "  - {at_s: 2, kill: a2}\n  - {at_s: 2, kill: a3}\n"),
-    "standing right, one is heard by none":
-        ("standing_ms", "standing", NINE % 14 + "  - {at_s: 1, cut: [a1, all], one_way: true}\n"),
-    "standing right, three ways, links as bad as promises allow":
-        ("standing_ms", "standing", NINE % 16 + HARD + "".join(
-            f"  - {{at_s: 2, cut: [site {x}, site {y}]}}\n" for x, y in ("ab", "ac", "bc"))),
-    "presence known, after a cut, links as bad as promises allow":
-        ("known_ms", "heal", NINE % 24 + HARD + "".join(
-            f"  - {{at_s: 1, cut: [site {x}, site {y}], for_s: 12}}\n" for x, y in ("ab", "ac", "bc"))),
-    "presence known, one heard by none is heard again":
-        ("known_ms", "heal", NINE % 24 + HARD + "  - {at_s: 1, cut: [a1, all], for_s: 12, one_way: true}\n"),
+    "failure known, a crash, links as bad as promises allow": (
+        "detect_ms",
+        "detect",
+        NINE % 14 + HARD + "  - {at_s: 2, kill: b2}\n",
+    ),
+    "failure known, two of three crash": (
+        "detect_ms",
+        "standing",
+        "fleet: {sites: {a: 3}}\nlength_s: 14\nevents:\n" + HARD + "  - {at_s: 2, kill: a2}\n  - {at_s: 2, kill: a3}\n",
+    ),
+    "standing right, one is heard by none": (
+        "standing_ms",
+        "standing",
+        NINE % 14 + "  - {at_s: 1, cut: [a1, all], one_way: true}\n",
+    ),
+    "standing right, three ways, links as bad as promises allow": (
+        "standing_ms",
+        "standing",
+        NINE % 16 + HARD + "".join(f"  - {{at_s: 2, cut: [site {x}, site {y}]}}\n" for x, y in ("ab", "ac", "bc")),
+    ),
+    "presence known, after a cut, links as bad as promises allow": (
+        "known_ms",
+        "heal",
+        NINE % 24
+        + HARD
+        + "".join(f"  - {{at_s: 1, cut: [site {x}, site {y}], for_s: 12}}\n" for x, y in ("ab", "ac", "bc")),
+    ),
+    "presence known, one heard by none is heard again": (
+        "known_ms",
+        "heal",
+        NINE % 24 + HARD + "  - {at_s: 1, cut: [a1, all], for_s: 12, one_way: true}\n",
+    ),
 }
 
 
@@ -65,14 +82,18 @@
             worst, bound = max(row[1] for row in mine), mine[0][2]
             broken = [line for row in mine for line in row[3]]
             bad = bad or bool(broken)
-            print(f"{name}: worst {worst:.0f} ms of {bound} ms, ratio {worst / bound:.2f}, broken {len(broken)}"
-                  + (f", such as {broken[0]}" if broken else ""))
+            print(
+                f"{name}: worst {worst:.0f} ms of {bound} ms, ratio {worst / bound:.2f}, broken {len(broken)}"
+                + (f", such as {broken[0]}" if broken else "")
+            )
         lengths = list(pool.map(stopped, [(ms, seed) for ms in range(1000, 3000, 100) for seed in range(1, seeds + 1)]))
     shortest = min((ms for ms, failed in lengths if failed), default=0)
     pause = MembershipSettings().pause_ms()
     bad = bad or 0 < shortest <= pause
-    print(f"silence taken for no failure: the shortest that was, {shortest} ms, promised none up to {pause:.0f} ms, "
-          f"ratio {pause / shortest if shortest else 0:.2f}")
+    print(
+        f"silence taken for no failure: the shortest that was, {shortest} ms, promised none up to {pause:.0f} ms, "
+        f"ratio {pause / shortest if shortest else 0:.2f}"
+    )
     sys.exit(int(bad))
 
 
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -62,8 +62,12 @@
 
 
 @click.command()
-@click.option("--against", type=click.Path(exists=True, file_okay=False, path_type=Path), required=True,
-              help="An earlier checkout of this project.")
+@click.option(
+    "--against",
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
+    required=True,
+    help="An earlier checkout of this project.",
+)
 @click.option("--rounds", default=5, show_default=True, type=click.IntRange(1, 50))
 @click.option("--requests", default=3000, show_default=True, type=click.IntRange(100, 100_000))
 @click.option("--figures", is_flag=True, help="Also this tree with the management address on and scraped.")
@@ -82,10 +86,14 @@
             line += f", figures on / off {scraped[-1]:.3f}"
         click.echo(line)
     if scraped:
-        click.echo(f"median figures on / off {statistics.median(scraped):.3f} "
-                   f"(from {min(scraped):.3f} to {max(scraped):.3f})")
-    click.echo(f"median: before {statistics.median(theirs):.1f} us, now {statistics.median(ours):.1f} us, "
-               f"ratio {statistics.median(ratios):.3f} (from {min(ratios):.3f} to {max(ratios):.3f})")
+        click.echo(
+            f"median figures on / off {statistics.median(scraped):.3f} "
+            f"(from {min(scraped):.3f} to {max(scraped):.3f})"
+        )
+    click.echo(
+        f"median: before {statistics.median(theirs):.1f} us, now {statistics.median(ours):.1f} us, "
+        f"ratio {statistics.median(ratios):.3f} (from {min(ratios):.3f} to {max(ratios):.3f})"
+    )
 
 
 if __name__ == "__main__":
--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -21,15 +21,33 @@
 @click.option("--plant", default="", help="With --replay: with this planted bug in it.")
 @click.option("--save", type=click.Path(), help="Save the counter-examples found in this folder.")
 @click.option("--jobs", default=CORES, show_default=True, type=click.IntRange(1, 256), help="Processes.")
-@click.option("--seconds", default=600.0, show_default=True, type=click.FloatRange(0, 86400, min_open=True),
-              help="For each scenario; longer ends without a verdict.")
+@click.option(
+    "--seconds",
+    default=600.0,
+    show_default=True,
+    type=click.FloatRange(0, 86400, min_open=True),
+    help="For each scenario; longer ends without a verdict.",
+)
 @click.option("--states", default=8_000_000, show_default=True, type=click.IntRange(1), help="The same, in states.")
-@click.option("--memory-mb", default=6000, show_default=True, type=click.IntRange(64),
-              help="The same, of the main process.")
+@click.option(
+    "--memory-mb", default=6000, show_default=True, type=click.IntRange(64), help="The same, of the main process."
+)
 @click.pass_context
-def check(ctx: click.Context, quick: bool, full: bool, names: tuple[str, ...], planted: bool, replay: str | None,
-          real: bool, plant: str, save: str | None, jobs: int, seconds: float, states: int,
-          memory_mb: int) -> int | None:
+def check(
+    ctx: click.Context,
+    quick: bool,
+    full: bool,
+    names: tuple[str, ...],
+    planted: bool,
+    replay: str | None,
+    real: bool,
+    plant: str,
+    save: str | None,
+    jobs: int,
+    seconds: float,
+    states: int,
+    memory_mb: int,
+) -> int | None:
     """Explore the state machines that the server runs on, in every order of events.
 
     Status 0: every rule holds in every state. 1: a rule fell; the shortest way there is printed. 2: faulty input.
--- a/myrtlespar/cli/fleet.py
+++ b/myrtlespar/cli/fleet.py
@@ -38,8 +38,12 @@
 @fleet.command()
 @click.argument("script", type=click.Path())
 @click.option("--seed", default=1, show_default=True, help="For chances on links and members' own choices.")
-@click.option("--members", default=0, type=click.IntRange(0, 20_000),
-              help="Grow the sites in proportion to so many members; 0 leaves them.")
+@click.option(
+    "--members",
+    default=0,
+    type=click.IntRange(0, 20_000),
+    help="Grow the sites in proportion to so many members; 0 leaves them.",
+)
 @click.option("--baseline", is_flag=True, help="Plain heartbeats, all to all with a fixed time-out, instead.")
 @click.option("--json", "result", type=click.Path(), help="Write the line of figures to this file as well.")
 def emulate(script: str, seed: int, members: int, baseline: bool, result: str | None) -> int:
@@ -65,8 +69,13 @@
 @click.option("--full", is_flag=True, help="Two faults a run at finer steps, three at coarse ones.")
 @click.option("--planted", is_flag=True, help="Find every planted bug.")
 @click.option("--jobs", default=0, type=click.IntRange(0, 256), help="Processes; 0 is one a core.")
-@click.option("--seconds", default=600.0, show_default=True, type=click.FloatRange(0, 86400, min_open=True),
-              help="For each plan or bug; longer ends without a verdict.")
+@click.option(
+    "--seconds",
+    default=600.0,
+    show_default=True,
+    type=click.FloatRange(0, 86400, min_open=True),
+    help="For each plan or bug; longer ends without a verdict.",
+)
 @click.option("--area", "areas", multiple=True, type=click.Choice(["members", "limits"]), help="Only this; repeatable.")
 def check(quick: bool, full: bool, planted: bool, jobs: int, seconds: float, areas: tuple[str, ...]) -> int:
     """Explore membership and limits: three members under every schedule with a bounded number of faults.
@@ -83,9 +92,21 @@
         if planted:
             now = command.planted(area, jobs, seconds)
         else:
-            finer = {"members": ["late", "deaf"],
-                     "limits": ["keepers", "lives", "fence", "shifts", "leases", "voters", "changes", "engine",
-                                "budgets", "written"]}[area]
+            finer = {
+                "members": ["late", "deaf"],
+                "limits": [
+                    "keepers",
+                    "lives",
+                    "fence",
+                    "shifts",
+                    "leases",
+                    "voters",
+                    "changes",
+                    "engine",
+                    "budgets",
+                    "written",
+                ],
+            }[area]
             plans = (["single", "quick"] if quick else []) + ([*finer, "double", "triples"] if full else [])
             now = command.explored(area, plans or ["single"], jobs, seconds)
         status = status if status == 1 else now or status
--- a/myrtlespar/cli/fleet_tables.py
+++ b/myrtlespar/cli/fleet_tables.py
@@ -48,20 +48,36 @@
     if found.get("waiting"):
         console.print(f"{found['name']} waits for the address of an old process of its name")
         return
-    stands = "  ".join(f"{scope} [bold]{row['is']}[/bold] {row['here']}/{row['of']} for {age(row['for_ms'])}"
-                       for scope, row in found["standing"].items())
-    console.print(f"{found['name']} of {found['site']}, life {found['life'][0]}.{found['life'][1]}, roll "
-                  f"{found['roll']}, view {found['hash']}, local health {found['health']} (0 is well)")
+    stands = "  ".join(
+        f"{scope} [bold]{row['is']}[/bold] {row['here']}/{row['of']} for {age(row['for_ms'])}"
+        for scope, row in found["standing"].items()
+    )
+    console.print(
+        f"{found['name']} of {found['site']}, life {found['life'][0]}.{found['life'][1]}, roll "
+        f"{found['roll']}, view {found['hash']}, local health {found['health']} (0 is well)"
+    )
     console.print(f"standing: {stands}")
     rows = Table()
     for name in ("member", "site", "state", "for", "evidence", "heard", "proven", "life", "address"):
         rows.add_column(name)
     for row in found["members"]:
-        rows.add_row(row["name"], row["site"], row["state"], age(row["for_ms"]), age(row["evidence_ms"]),
-                     age(row["heard_ms"]), age(row["proven_ms"]), f"{row['life'][0]}.{row['life'][1]}", row["address"])
+        rows.add_row(
+            row["name"],
+            row["site"],
+            row["state"],
+            age(row["for_ms"]),
+            age(row["evidence_ms"]),
+            age(row["heard_ms"]),
+            age(row["proven_ms"]),
+            f"{row['life'][0]}.{row['life'][1]}",
+            row["address"],
+        )
     console.print(rows)
-    for title, lines in (("broken links", found["links"]), ("heard, but do not hear us", found["unheard"]),
-                         ("views that differ for long", found["disagree"])):
+    for title, lines in (
+        ("broken links", found["links"]),
+        ("heard, but do not hear us", found["unheard"]),
+        ("views that differ for long", found["disagree"]),
+    ):
         if lines:
             console.print(f"{title}: {', '.join(lines)}")
 
@@ -78,8 +94,12 @@
             out.add_row(address, "no answer" if isinstance(found, str) else "waiting")
             continue
         states = {row["name"]: row["state"] for row in found["members"]} | {found["name"]: "self"}
-        out.add_row(found["name"], found["standing"].get("fleet", {}).get("is", ""), found["hash"][:6],
-                    *(MARKS.get(states.get(name, ""), " ") for name in names))
+        out.add_row(
+            found["name"],
+            found["standing"].get("fleet", {}).get("is", ""),
+            found["hash"][:6],
+            *(MARKS.get(states.get(name, ""), " ") for name in names),
+        )
     return out
 
 
--- a/myrtlespar/cli/limit_tables.py
+++ b/myrtlespar/cli/limit_tables.py
@@ -28,26 +28,42 @@
             status = 1
             continue
         for row in found.get("keys", []):
-            rows.add_row(row["key"], found["name"], f"{row['limit']} {row['of']}", row["kind"], str(row["standing"]),
-                         str(row["granted"]), age(row["granted_for_ms"]), str(row["used"]), row["keeper"])
+            rows.add_row(
+                row["key"],
+                found["name"],
+                f"{row['limit']} {row['of']}",
+                row["kind"],
+                str(row["standing"]),
+                str(row["granted"]),
+                age(row["granted_for_ms"]),
+                str(row["used"]),
+                row["keeper"],
+            )
             total = sums.setdefault(row["key"], [row["limit"], 0, 0, 0])
             for n, name in enumerate(("granted", "standing", "used"), 1):
                 total[n] += row[name]
         for kept in found.get("keeps", []):
             unknown = f", waits out {' '.join(kept['unknown'])}" if kept["unknown"] else ""
-            console.print(f"{found['name']} keeps range {kept['range']}, epoch {kept['epoch']}, for "
-                          f"{age(kept['since_ms'])}{unknown}")
+            console.print(
+                f"{found['name']} keeps range {kept['range']}, epoch {kept['epoch']}, for "
+                f"{age(kept['since_ms'])}{unknown}"
+            )
         if found.get("behind"):
-            console.print(f"{found['name']}: not known to go by version {found['version']} of the limits: "
-                          f"{' '.join(found['behind'])}")
+            console.print(
+                f"{found['name']}: not known to go by version {found['version']} of the limits: "
+                f"{' '.join(found['behind'])}"
+            )
         for row in found.get("budgets", []):
             left = "unknown" if row["left"] < 0 else f"{row['left']}"
-            console.print(f"{found['name']}: {row['key']}, period {row['period']}: {row['spent']} spent of "
-                          f"{row['got']} drawn, {left} of {row['limit']} left to draw; kept by {row['keeper']}")
+            console.print(
+                f"{found['name']}: {row['key']}, period {row['period']}: {row['spent']} spent of "
+                f"{row['got']} drawn, {left} of {row['limit']} left to draw; kept by {row['keeper']}"
+            )
     console.print(rows)
     for key, (limit, granted, standing, used) in sorted(sums.items()):
-        console.print(f"{key}: {granted} granted + {standing} standing of {limit}, {used} used, "
-                      f"{max(0, limit - used)} fallow")
+        console.print(
+            f"{key}: {granted} granted + {standing} standing of {limit}, {used} used, " f"{max(0, limit - used)} fallow"
+        )
     return status
 
 
@@ -66,12 +82,18 @@
             console.print(f"{found.get('name', address)}: {name} has refused nothing, {admitted} let in")
             continue
         left = why["granted_for_ms"]
-        grant = f"granted {why['granted']} by {why['keeper']}, for {age(left)} more" if left > 0 else \
-            f"no grant: the last one from {why['keeper']} lapsed {age(-left)} before" if left > -1e8 else \
-            f"never had a grant; {why['keeper']} is to keep it"
-        console.print(f"{found['name']}: {why['key']} refused {age(time.time() * 1000 - why['at'])} ago: "
-                      f"{why['used']} in use of {why['allowance']} that this member may use; {grant}. "
-                      f"{refused} refused, {admitted} let in since the start")
+        grant = (
+            f"granted {why['granted']} by {why['keeper']}, for {age(left)} more"
+            if left > 0
+            else f"no grant: the last one from {why['keeper']} lapsed {age(-left)} before"
+            if left > -1e8
+            else f"never had a grant; {why['keeper']} is to keep it"
+        )
+        console.print(
+            f"{found['name']}: {why['key']} refused {age(time.time() * 1000 - why['at'])} ago: "
+            f"{why['used']} in use of {why['allowance']} that this member may use; {grant}. "
+            f"{refused} refused, {admitted} let in since the start"
+        )
     return status
 
 
@@ -79,26 +101,39 @@
     """Each promise of one limit in numbers."""
     pool, each = terms.shares(limit, members)
     if limit.of is CountedUnit.BUDGET:
-        return [("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
-                ("over", "0, over restarts of any or all members whose state folders are kept"),
-                ("lost with a keeper", f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what "
-                                       "was short"),
-                ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
-                ("without a majority", "what is drawn is spent, nothing more is drawn")]
+        return [
+            ("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
+            ("over", "0, over restarts of any or all members whose state folders are kept"),
+            (
+                "lost with a keeper",
+                f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what " "was short",
+            ),
+            ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
+            ("without a majority", "what is drawn is spent, nothing more is drawn"),
+        ]
     runs = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
     what = f"starts in any {limit.window_ms} ms" if limit.of is CountedUnit.RATE else f"{runs} at once"
     if limit.kind is LimitKind.ADVISORY:
         return [("limit", f"{limit.amount} {what}"), ("promise", "none: it is counted only")]
     return [
         ("limit", f"{limit.amount} {what}"),
-        ("over", f"{terms.over(limit)}" + ("" if limit.kind is LimitKind.STRICT else
-                                           f", for at most {terms.over_ms(limit):.0f} ms after a keeper's change")),
+        (
+            "over",
+            f"{terms.over(limit)}"
+            + (
+                ""
+                if limit.kind is LimitKind.STRICT
+                else f", for at most {terms.over_ms(limit):.0f} ms after a keeper's change"
+            ),
+        ),
         ("granted by keepers", f"{pool}"),
         ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
         ("a part of k members cut off without a majority may use", f"k x {each}"),
         ("demand that moves has what is due to it after", f"{terms.moved_ms(limit):.0f} ms"),
-        ("after a keeper's death its keys are granted anew after", f"{terms.rebuilt_ms(limit):.0f} ms, "
-                                                                   "beside what membership takes to notice"),
+        (
+            "after a keeper's death its keys are granted anew after",
+            f"{terms.rebuilt_ms(limit):.0f} ms, " "beside what membership takes to notice",
+        ),
         ("a number that is lowered holds after", f"{terms.lowered_ms(limit):.0f} ms; never over the greater one"),
         ("a new process uses its standing share after", f"{terms.silent_ms(limit):.0f} ms"),
     ]
@@ -111,19 +146,28 @@
     except ConfigError as error:
         return str(error)
     members = found.grants.members_most or len(found.roll.names)
-    print(f"clocks may run fast or slow by {found.grants.drift:.1%}; grants {found.grants.grant_ms} ms, leases "
-          f"{found.grants.lease_ms} ms, asks every {found.grants.ask_ms} ms")
+    print(
+        f"clocks may run fast or slow by {found.grants.drift:.1%}; grants {found.grants.grant_ms} ms, leases "
+        f"{found.grants.lease_ms} ms, asks every {found.grants.ask_ms} ms"
+    )
     for name, limit in found.limits.items():
-        print(f"{name}: {limit.kind.value}" + (f", class {limit.cls}" if limit.cls else "")
-              + (f", one for each {limit.by}" if limit.by else ""))
+        print(
+            f"{name}: {limit.kind.value}"
+            + (f", class {limit.cls}" if limit.cls else "")
+            + (f", one for each {limit.by}" if limit.by else "")
+        )
         for what, number in promises(limit, found.grants, members):
             print(f"  {what}: {number}")
     if found.repeats is not None:
         terms = found.repeats
-        print(f"repeats: at most {terms.share:g} x first tries + {terms.burst} x {members} = "
-              f"{terms.most(1000, members):.0f} with 1000 first tries, whatever links fail")
+        print(
+            f"repeats: at most {terms.share:g} x first tries + {terms.burst} x {members} = "
+            f"{terms.most(1000, members):.0f} with 1000 first tries, whatever links fail"
+        )
     if found.engine is not None:
         lease = found.grants.used(found.grants.used(found.engine.ttl_s * 1000))
-        print(f"engine: keepers by leases of {found.engine.ttl_s} s; without it a keeper goes on for at most "
-              f"{lease:.0f} ms, grants for {found.grants.grant_ms} ms more")
+        print(
+            f"engine: keepers by leases of {found.engine.ttl_s} s; without it a keeper goes on for at most "
+            f"{lease:.0f} ms, grants for {found.grants.grant_ms} ms more"
+        )
     return ""
--- a/myrtlespar/config.py
+++ b/myrtlespar/config.py
@@ -191,13 +191,21 @@
     config = Config(
         name=env.get("BALANCER_NAME") or rows.text("name"),
         listen=parse_address(listen, "BALANCER_LISTEN") if listen else rows.address("listen"),
-        kernel=rows.address("kernel"), store=_store(rows, settings), roster=rows.address("roster"),
-        seed=int(seed, 16), settings=_on_sockets(settings), class_names=names, limits=limits,
+        kernel=rows.address("kernel"),
+        store=_store(rows, settings),
+        roster=rows.address("roster"),
+        seed=int(seed, 16),
+        settings=_on_sockets(settings),
+        class_names=names,
+        limits=limits,
     )
     mgmt = env.get("BALANCER_MGMT", "")
     if mgmt or rows.rows.get("mgmt") is not None:
-        config = replace(config, mgmt=parse_address(mgmt, "BALANCER_MGMT") if mgmt else rows.address("mgmt"),
-                         tmpdir=env.get("TMPDIR", "") or "/tmp")
+        config = replace(
+            config,
+            mgmt=parse_address(mgmt, "BALANCER_MGMT") if mgmt else rows.address("mgmt"),
+            tmpdir=env.get("TMPDIR", "") or "/tmp",
+        )
     config = replace(config, fleet=env.get("MYRTLESPAR_FLEET", ""))
     operator = env.get("MYRTLESPAR_OPERATOR", "")
     return _operator(config, Table(_toml(operator), "")) if operator else config
@@ -224,8 +232,13 @@
     # With less memory than the program takes a few places are had all the same: nobody else can serve here.
     places = max(LEAST_PLACES, min(sockets - spare - links, int((spare_kb - keys_kb) / CONNECTION_KB)))
     unsent = max(LEAST_UNSENT, int(1024 * spare_kb * UNSENT_PART))
-    limits = replace(ResourceLimits(), store_links=links, connections=places, outboxes_bytes=unsent,
-                     stop_ms=rows.number("stop_ms", 3000, 0, 1e7))
+    limits = replace(
+        ResourceLimits(),
+        store_links=links,
+        connections=places,
+        outboxes_bytes=unsent,
+        stop_ms=rows.number("stop_ms", 3000, 0, 1e7),
+    )
     if windows:  # a run is remembered from its end on, its window counts from before it began
         limits = replace(limits, key_ms=max(windows), keys=max(1, int(keys_kb / KEY_KB)))
     return limits
@@ -240,8 +253,9 @@
 def needs_restart(old: Config, new: Config) -> list[str]:
     """Keys that differ in a new file but are read at a start only; a reload moves the server side's links."""
     moved = ("kernel", "store", "roster")
-    return [row.name for row in fields(Config)
-            if row.name not in moved and getattr(old, row.name) != getattr(new, row.name)]
+    return [
+        row.name for row in fields(Config) if row.name not in moved and getattr(old, row.name) != getattr(new, row.name)
+    ]
 
 
 def _read(path: str, key: str) -> bytes:
@@ -276,8 +290,11 @@
     keys, ajp = rows.table("idempotency"), rows.table("ajp")
     # Guards guarded classes against an operator's time that is shorter than their window.
     least_ms = max((kind.window_ms for kind in config.settings.classes if kind.effect is api.Effect.KEYED), default=0.0)
-    limits = replace(config.limits, key_ms=max(least_ms, keys.number("remember_ms", ResourceLimits().key_ms, 1, 1e8)),
-                     keys=int(keys.number("most", config.limits.keys, 1, 1e6)))
+    limits = replace(
+        config.limits,
+        key_ms=max(least_ms, keys.number("remember_ms", ResourceLimits().key_ms, 1, 1e8)),
+        keys=int(keys.number("most", config.limits.keys, 1, 1e6)),
+    )
     thrift_key, key_header = keys.text("thrift_field", ""), keys.text("ajp_header", "").lower()
     keys.done()
     workers = tuple(_worker(row) for row in rows.tables("worker"))
@@ -290,8 +307,12 @@
     known = names | set(balancers) | {""}
     maps = tuple(_map(row, config.class_names, known) for row in ajp.tables("map"))
     listen = ajp.address("listen") if "listen" in ajp.rows else None
-    done = replace(config, limits=limits, thrift_key=thrift_key, ajp=Ajp(
-        listen, ajp.text("secret", ""), ajp.text("route", ""), key_header, maps, workers, balancers))
+    done = replace(
+        config,
+        limits=limits,
+        thrift_key=thrift_key,
+        ajp=Ajp(listen, ajp.text("secret", ""), ajp.text("route", ""), key_header, maps, workers, balancers),
+    )
     ajp.done()
     trace = rows.table("trace")
     done = replace(done, trace=trace.flag("transitions", False))
@@ -308,15 +329,21 @@
         raise ConfigError(f"{row.key('class')}: no class named {name!r} in settings.classes")
     if to not in known:
         raise ConfigError(f"{row.key('to')}: no worker or balancer named {to!r}")
-    done = PathRule(path, classes.index(name), row.number("worth", 0.5, 0, 0.999999),
-                    row.number("memory_kb", 20, 0.001, 2000), to)
+    done = PathRule(
+        path, classes.index(name), row.number("worth", 0.5, 0, 0.999999), row.number("memory_kb", 20, 0.001, 2000), to
+    )
     row.done()
     return done
 
 
 def _worker(row: Table) -> Worker:
     name = row.text("name")
-    done = Worker(name, row.address("address"), row.number("factor", 1, 0.001, 1000),
-                  row.text("route", name), row.text("secret", ""))
+    done = Worker(
+        name,
+        row.address("address"),
+        row.number("factor", 1, 0.001, 1000),
+        row.text("route", name),
+        row.text("secret", ""),
+    )
     row.done()
     return done
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -33,11 +33,32 @@
 
     Only the desk moves `state`; it sees to it that `deliver` is called once at the most."""
 
-    __slots__ = ("arrived", "body", "call_body", "cls", "deliver", "due", "front", "headers", "id", "is_retry", "kb",
-                 "key", "method", "query", "rank", "route", "sender", "state", "target", "uri")
+    __slots__ = (
+        "arrived",
+        "body",
+        "call_body",
+        "cls",
+        "deliver",
+        "due",
+        "front",
+        "headers",
+        "id",
+        "is_retry",
+        "kb",
+        "key",
+        "method",
+        "query",
+        "rank",
+        "route",
+        "sender",
+        "state",
+        "target",
+        "uri",
+    )
 
-    def __init__(self, id: str, front: str, cls: int, body: bytes, arrived: float,
-                 deliver: Callable[[Exchange, Answer], None]) -> None:
+    def __init__(
+        self, id: str, front: str, cls: int, body: bytes, arrived: float, deliver: Callable[[Exchange, Answer], None]
+    ) -> None:
         self.id, self.front, self.cls, self.body, self.arrived = id, front, cls, body, arrived
         self.deliver = deliver
         self.kb, self.rank, self.sender, self.is_retry = 1.0, 0.0, 0, False
--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -27,8 +27,7 @@
         """One packet."""
         self.sock.sendall(b"\x12\x34" + struct.pack(">H", len(payload)) + payload)
 
-    def forward(self, uri: str, body: bytes = b"", chunked: bool = False, method: int = 4,
-                **headers: str) -> None:
+    def forward(self, uri: str, body: bytes = b"", chunked: bool = False, method: int = 4, **headers: str) -> None:
         """A Forward Request; the first part of a body whose length is told follows unasked."""
         rows = [(text(name.replace("_", "-")), value) for name, value in headers.items()]
         if chunked:
@@ -47,7 +46,7 @@
 
     def part(self, most: int) -> None:
         """The next part of the body, or its end."""
-        part, self.rest = self.rest[:min(most, 700)], self.rest[min(most, 700):]
+        part, self.rest = self.rest[: min(most, 700)], self.rest[min(most, 700) :]
         self.packet(struct.pack(">H", len(part)) + part if part else b"")
 
     def next(self) -> bytes:
@@ -65,21 +64,21 @@
                 self.part(struct.unpack(">H", payload[1:3])[0])
             elif payload[0] == 4:
                 status, at = struct.unpack(">H", payload[1:3])[0], 3
-                at += 3 + struct.unpack(">H", payload[at:at + 2])[0]
-                count, at = struct.unpack(">H", payload[at:at + 2])[0], at + 2
+                at += 3 + struct.unpack(">H", payload[at : at + 2])[0]
+                count, at = struct.unpack(">H", payload[at : at + 2])[0], at + 2
                 for _ in range(count):
                     row = []
                     for _ in range(2):
-                        size = struct.unpack(">H", payload[at:at + 2])[0]
+                        size = struct.unpack(">H", payload[at : at + 2])[0]
                         coded = size >> 8 == 0xA0
-                        row.append(hex(size) if coded else payload[at + 2:at + 2 + size].decode())
+                        row.append(hex(size) if coded else payload[at + 2 : at + 2 + size].decode())
                         at += 2 if coded else 3 + size
                     headers[row[0].lower()] = row[1]
                 assert at == len(payload)
             elif payload[0] == 3:
                 size = struct.unpack(">H", payload[1:3])[0]
                 assert len(payload) == size + 4 and payload[-1] == 0
-                body += payload[3:3 + size]
+                body += payload[3 : 3 + size]
             else:
                 assert payload[0] == 5 and len(payload) == 2
                 return status, headers, body, payload[1] == 1
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -54,8 +54,13 @@
         if old is not None and old.lease:
             self.leases[old.lease].keys.discard(key)
         self.keys[key] = TYPES["KeyValue"](
-            key=key, value=value, lease=lease, mod_revision=self.revision, version=old.version + 1 if old else 1,
-            create_revision=old.create_revision if old else self.revision)
+            key=key,
+            value=value,
+            lease=lease,
+            mod_revision=self.revision,
+            version=old.version + 1 if old else 1,
+            create_revision=old.create_revision if old else self.revision,
+        )
         if lease:
             self.leases[lease].keys.add(key)
         self._tell(PUT, self.keys[key])
@@ -106,11 +111,15 @@
             return self._range(request)
 
     def _range(self, request: Any) -> Any:
-        rows = [row for key, row in sorted(self.state.keys.items())
-                if key == request.key or (request.range_end and request.key <= key < request.range_end)]
-        shown = rows[:request.limit] if request.limit else rows
-        return TYPES["RangeResponse"](header=self.state.header(), kvs=shown, count=len(rows),
-                                      more=len(shown) < len(rows))
+        rows = [
+            row
+            for key, row in sorted(self.state.keys.items())
+            if key == request.key or (request.range_end and request.key <= key < request.range_end)
+        ]
+        shown = rows[: request.limit] if request.limit else rows
+        return TYPES["RangeResponse"](
+            header=self.state.header(), kvs=shown, count=len(rows), more=len(shown) < len(rows)
+        )
 
     def delete(self, request: Any, _: grpc.ServicerContext) -> Any:
         """Delete keys."""
@@ -125,8 +134,11 @@
             good = all(self._same(row) for row in request.compare)
             steps = request.success if good else request.failure
             for step in steps:
-                if step.HasField("request_put") and step.request_put.lease \
-                        and step.request_put.lease not in self.state.leases:
+                if (
+                    step.HasField("request_put")
+                    and step.request_put.lease
+                    and step.request_put.lease not in self.state.leases
+                ):
                     context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
             if any(not step.HasField("request_range") for step in steps):
                 self.state.revision += 1
@@ -176,8 +188,9 @@
                 one = self.state.leases.get(request.ID)
                 if one is not None:
                     one.until = time.monotonic() + one.ttl_s
-                yield TYPES["LeaseKeepAliveResponse"](header=self.state.header(), ID=request.ID,
-                                                      TTL=one.ttl_s if one else 0)
+                yield TYPES["LeaseKeepAliveResponse"](
+                    header=self.state.header(), ID=request.ID, TTL=one.ttl_s if one else 0
+                )
 
     def watch(self, requests: Iterator[Any], context: grpc.ServicerContext) -> Iterator[Any]:
         """One watch a stream."""
@@ -202,10 +215,13 @@
         _, name, method = path.split("/")
         make = grpc.stream_stream_rpc_method_handler if streams else grpc.unary_unary_rpc_method_handler
         by_service.setdefault(name, {})[method] = make(
-            getattr(service, word), request_deserializer=TYPES[request].FromString,
-            response_serializer=TYPES[response].SerializeToString)
-    server.add_generic_rpc_handlers(tuple(grpc.method_handlers_generic_handler(name, rows)
-                                          for name, rows in by_service.items()))
+            getattr(service, word),
+            request_deserializer=TYPES[request].FromString,
+            response_serializer=TYPES[response].SerializeToString,
+        )
+    server.add_generic_rpc_handlers(
+        tuple(grpc.method_handlers_generic_handler(name, rows) for name, rows in by_service.items())
+    )
     port = server.add_insecure_port("127.0.0.1:0")
     server.start()
     threading.Thread(target=state.expire, daemon=True).start()
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -49,9 +49,11 @@
         link = command.pop("link")
         if command["t"] == "OPEN":
             self.links_seen += 1
-            self.link, self.outbox = link, [{"t": "BOOTED", "status": "LOADED",
-                                             "time_ms": int((time.time() - self.born) * 1000)}]
-            self.outbox += self.notices[command["no"]:]
+            self.link, self.outbox = (
+                link,
+                [{"t": "BOOTED", "status": "LOADED", "time_ms": int((time.time() - self.born) * 1000)}],
+            )
+            self.outbox += self.notices[command["no"] :]
         elif command["t"] == "SYSINFO":
             if not command["mark"].startswith("gauges") or self.free:
                 self.outbox.append({"t": "INFO", "mark": command["mark"], "v": [0.1, len(self.running), 0.1, 3]})
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -19,39 +19,75 @@
 from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
 
 ROOT = Path(__file__).parent.parent.parent
-CLASSES = [("render", "free", 2400.0, 6100.0, 1.0), ("fetch", "free", 1100.0, 2700.0, 2.0),
-           ("order", "single_shot", 1700.0, 4400.0, 3.0)]
+CLASSES = [
+    ("render", "free", 2400.0, 6100.0, 1.0),
+    ("fetch", "free", 1100.0, 2700.0, 2.0),
+    ("order", "single_shot", 1700.0, 4400.0, 3.0),
+]
 
 
 def settings(**changes: Any) -> dict[str, Any]:
     """The settings object of a small server."""
     return {
-        "classes": [{"name": name, "effect": effect, "aim_ms": aim, "give_up_ms": due, "worth": priority_weight}
-                    for name, effect, aim, due, priority_weight in CLASSES],
-        "family_info": {"cores": 2, "memory_kb": 200000.0, "blowup": 16.0, "calls_by_class": [True] * 3,
-                        "calls_out": 6.0, "calls_over_ms": 5000.0, "below": "one_for_all", "signal": "weight",
-                        "tells_gone": True, "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
-        "invariants": {"fall_multiple": 8.0, "fall_ms": 1500.0, "answer_slack_ms": 100.0,
-                       "drain_grace_ms": 1000.0},
-        "permissions": {"max_retry_after_ms": 1000.0, "retry_after": True}, **changes}
+        "classes": [
+            {"name": name, "effect": effect, "aim_ms": aim, "give_up_ms": due, "worth": priority_weight}
+            for name, effect, aim, due, priority_weight in CLASSES
+        ],
+        "family_info": {
+            "cores": 2,
+            "memory_kb": 200000.0,
+            "blowup": 16.0,
+            "calls_by_class": [True] * 3,
+            "calls_out": 6.0,
+            "calls_over_ms": 5000.0,
+            "below": "one_for_all",
+            "signal": "weight",
+            "tells_gone": True,
+            "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
+        },
+        "invariants": {"fall_multiple": 8.0, "fall_ms": 1500.0, "answer_slack_ms": 100.0, "drain_grace_ms": 1000.0},
+        "permissions": {"max_retry_after_ms": 1000.0, "retry_after": True},
+        **changes,
+    }
 
 
 class ServerProcess:
     """The program, with a stand-in for each neighbour."""
 
-    def __init__(self, tmp: Path, operator: str = "", late_kernel: bool = False, sockets: int = 1024,
-                 kernel: FakeEngine | None = None, program: Sequence[str] = ("myrtlespar",), root: Path = ROOT,
-                 mgmt: bool = False, listen: str = "127.0.0.1:0", shared: Path | None = None,
-                 given: Mapping[str, Any] = MappingProxyType({}), wait: bool = True, start: str = "",
-                 output: int = subprocess.PIPE, command: Sequence[str] = (),
-                 env: Mapping[str, str] = MappingProxyType({})) -> None:
+    def __init__(
+        self,
+        tmp: Path,
+        operator: str = "",
+        late_kernel: bool = False,
+        sockets: int = 1024,
+        kernel: FakeEngine | None = None,
+        program: Sequence[str] = ("myrtlespar",),
+        root: Path = ROOT,
+        mgmt: bool = False,
+        listen: str = "127.0.0.1:0",
+        shared: Path | None = None,
+        given: Mapping[str, Any] = MappingProxyType({}),
+        wait: bool = True,
+        start: str = "",
+        output: int = subprocess.PIPE,
+        command: Sequence[str] = (),
+        env: Mapping[str, str] = MappingProxyType({}),
+    ) -> None:
         """`output` takes standard output and error when it is not a pipe read here; `command` replaces the whole
         command line; `env` adds to the environment."""
         self.kernel, self.store, self.roster = kernel or FakeEngine(), FakeDependency(), FakeRegistry()
         self.config = {
-            "name": "n3", "listen": listen, "kernel": self.kernel.address, "store": self.store.address,
-            "roster": self.roster.address, "seed": "8c1f30d27a5be964", "stop_ms": 2500,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": settings(), **given}
+            "name": "n3",
+            "listen": listen,
+            "kernel": self.kernel.address,
+            "store": self.store.address,
+            "roster": self.roster.address,
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": 2500,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+            "settings": settings(),
+            **given,
+        }
         if mgmt:
             self.config["mgmt"] = "127.0.0.1:0"
         self.path = tmp / "config.json"
@@ -76,8 +112,14 @@
 
     def _launch(self) -> subprocess.Popen[str]:
         piped = self._output == subprocess.PIPE
-        process = subprocess.Popen(self._command, cwd=self._root, env=self._environment, text=True,
-                                   stdout=self._output, stderr=None if piped else self._output)
+        process = subprocess.Popen(
+            self._command,
+            cwd=self._root,
+            env=self._environment,
+            text=True,
+            stdout=self._output,
+            stderr=None if piped else self._output,
+        )
         if piped:
             threading.Thread(target=self._read, args=(process,), daemon=True).start()
         return process
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -90,9 +90,14 @@
     """Send it, drain, print a table. 0 only if every rule held."""
     dice, out = random.Random(seed), SmokeLoad()
     with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), operator=OPERATOR) as server:
-        plan = [(dice.choices([row[0] for row in CLASSES], [47, 36, 17])[0],
-                 f"n={n} ms={dice.randrange(5, 90)} calls={dice.randrange(3)}".encode(), dice.uniform(0, 0.02))
-                for n in range(requests)]
+        plan = [
+            (
+                dice.choices([row[0] for row in CLASSES], [47, 36, 17])[0],
+                f"n={n} ms={dice.randrange(5, 90)} calls={dice.randrange(3)}".encode(),
+                dice.uniform(0, 0.02),
+            )
+            for n in range(requests)
+        ]
         third = len(plan) // 3
         gateways = [threading.Thread(target=_gateway, args=(server.ports[1], plan[n:third:2], out)) for n in (0, 1)]
         for thread in gateways:
@@ -126,11 +131,15 @@
         "by the due time": sum(row.answered > row.sent + due[row.cls] + SLACK_MS for row in rows),
         "orders run once at the most": sum(starts[row.body] > 1 for row in rows if row.cls == "order"),
         "what ran is not refused": sum(row.outcome == "refused" and starts[row.body] > 0 for row in rows),
-        "served is what the run made": sum(row.outcome == "served" and row.result != b"result of " + row.body
-                                           for row in rows),
+        "served is what the run made": sum(
+            row.outcome == "served" and row.result != b"result of " + row.body for row in rows
+        ),
         "the drain ends well": int(status != 0),
-        "no impossible step": sum(count for name, count in (server.event("counters") or {}).items()
-                                  if name.startswith("impossible.") and isinstance(count, int)),
+        "no impossible step": sum(
+            count
+            for name, count in (server.event("counters") or {}).items()
+            if name.startswith("impossible.") and isinstance(count, int)
+        ),
     }
     console, table = Console(), Table(title="A burst against the real server, drained at its end")
     for name in ("class", "front", "served", "refused", "failed", "median ms", "slowest ms"):
@@ -140,9 +149,13 @@
         groups[row.cls, row.front].append(row)
     for (cls, front), group in sorted(groups.items()):
         times = sorted(row.answered - row.sent for row in group)
-        table.add_row(cls, front, *(str(sum(row.outcome == kind for row in group))
-                                    for kind in ("served", "refused", "failed")),
-                      f"{times[len(times) // 2]:.0f}", f"{times[-1]:.0f}")
+        table.add_row(
+            cls,
+            front,
+            *(str(sum(row.outcome == kind for row in group)) for kind in ("served", "refused", "failed")),
+            f"{times[len(times) // 2]:.0f}",
+            f"{times[-1]:.0f}",
+        )
     console.print(table)
     for name, broken in rules.items():
         console.print(f"{'held  ' if not broken else 'BROKEN'} {name}{f': {broken} times' if broken else ''}")
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -47,8 +47,11 @@
                 else:
                     result = getattr(idl.Front, f"{name}_result")()
                     protocol.read_struct(result)
-                    answer = next((kind, value) for kind in ("success", "refused", "failed")
-                                  if (value := getattr(result, kind, None)) is not None)
+                    answer = next(
+                        (kind, value)
+                        for kind in ("success", "refused", "failed")
+                        if (value := getattr(result, kind, None)) is not None
+                    )
                 self.count[seq] += 1
                 self.times[seq] = time.time() * 1000
                 self.answers[seq] = answer
@@ -57,8 +60,15 @@
     def send(self, method: str, body: bytes = b"", **fields: str) -> int:
         """A request; returns its sequence number."""
         self.seq += 1
-        given = {"method": method, "rid": os.urandom(8).hex(), "t0": str(int(time.time() * 1000)),
-                 "peer": "1", "mem": "20.0", "prio": "0.5", **fields}
+        given = {
+            "method": method,
+            "rid": os.urandom(8).hex(),
+            "t0": str(int(time.time() * 1000)),
+            "peer": "1",
+            "mem": "20.0",
+            "prio": "0.5",
+            **fields,
+        }
         args = idl.Front.invoke_args(fields=given, body=body)
         self.sock.sendall(encode("invoke", TMessageType.CALL, self.seq, args))
         return self.seq
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -60,7 +60,7 @@
             self.cut(old)
         age = int((time.time() - self.born) * 1000)
         self.tell(link, {"t": "BOOTED", "status": "LOADED", "time_ms": age})
-        for row in self.notices[command["no"]:]:
+        for row in self.notices[command["no"] :]:
             self.tell(link, row)
 
     def _open_later(self, link: socket.socket, command: dict[str, Any]) -> None:
@@ -133,10 +133,15 @@
                 return
             reply = b"reply\r\nto " + body
             good = b"%s OK %d\r\n%s\r\n" % (words[1], len(reply), reply)
-            odd = {"OK": good, "noise": b"\0\xff noise\r\n", "endless": b"x" * 5000, "copy": good * 2,
-                   "stray": b"ffff OK 3\r\nabc\r\n" + good,
-                   "short": b"%s OK %d\r\n%s\r\n" % (words[1], len(reply) - 3, reply),
-                   "huge": b"%s OK 3000000000\r\n%s" % (words[1], reply)}
+            odd = {
+                "OK": good,
+                "noise": b"\0\xff noise\r\n",
+                "endless": b"x" * 5000,
+                "copy": good * 2,
+                "stray": b"ffff OK 3\r\nabc\r\n" + good,
+                "short": b"%s OK %d\r\n%s\r\n" % (words[1], len(reply) - 3, reply),
+                "huge": b"%s OK 3000000000\r\n%s" % (words[1], reply),
+            }
             if end == "slow":
                 time.sleep(0.4)
                 link.sendall(good)
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -100,8 +100,14 @@
     kept, single, ordered = 1.0, 1.0, 1.0
     for rule in rules:
         kept, single, ordered = kept * (1 - rule.drop), single * (1 - rule.duplicate), ordered * (1 - rule.reorder)
-    return LinkFaults(any(rule.cut for rule in rules), 1 - kept, sum(rule.delay_ms for rule in rules),
-                sum(rule.jitter_ms for rule in rules), 1 - single, 1 - ordered)
+    return LinkFaults(
+        any(rule.cut for rule in rules),
+        1 - kept,
+        sum(rule.delay_ms for rule in rules),
+        sum(rule.jitter_ms for rule in rules),
+        1 - single,
+        1 - ordered,
+    )
 
 
 def resolve(name: str, sites: Mapping[str, Sequence[str]]) -> frozenset[str] | None:
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -19,13 +19,27 @@
 class LeaseSource:
     """One greenlet. `now` is the clock that limits go by, `carry` what the agent's effects are handed to."""
 
-    def __init__(self, settings: EngineSettings, fleet: str, agent: LimitCoordinator, now: Callable[[], float],
-                 carry: Callable[[list[LimitEffect]], None], counters: Counters) -> None:
+    def __init__(
+        self,
+        settings: EngineSettings,
+        fleet: str,
+        agent: LimitCoordinator,
+        now: Callable[[], float],
+        carry: Callable[[list[LimitEffect]], None],
+        counters: Counters,
+    ) -> None:
         assert agent.session is not None
         self.settings, self.agent, self.session = settings, agent, agent.session
         self.now, self.carry, self.counters = now, carry, counters
-        self.etcd = EtcdClient(settings.address, f"/myrtlespar/{fleet}/ranges/", agent.me[0], settings.ttl_s,
-                         settings.timeout_ms / 1000.0, self._freed, self._failed)
+        self.etcd = EtcdClient(
+            settings.address,
+            f"/myrtlespar/{fleet}/ranges/",
+            agent.me[0],
+            settings.ttl_s,
+            settings.timeout_ms / 1000.0,
+            self._freed,
+            self._failed,
+        )
         self.answered_at = float("-inf")
         self._due = Event()
 
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -39,8 +39,15 @@
 class LimitsDriver:
     """Made once the address is ours; until then, and as long as nothing is known, only what needs nobody is let in."""
 
-    def __init__(self, settings: FleetSettings, classes: Sequence[str], peers: PeerTransport, counters: Counters,
-                 seed: int, key_of: Callable[[str], str] = lambda id: "") -> None:
+    def __init__(
+        self,
+        settings: FleetSettings,
+        classes: Sequence[str],
+        peers: PeerTransport,
+        counters: Counters,
+        seed: int,
+        key_of: Callable[[str], str] = lambda id: "",
+    ) -> None:
         """`key_of` tells a request's idempotency key."""
         self.settings, self.peers, self.counters, self.dice = settings, peers, counters, Random(seed)
         self.rate = settings.clock_rate
@@ -48,8 +55,13 @@
         self.refused: dict[str, int] = {}
         self.admitted: dict[str, int] = {}
         rows = settings.limits.items()
-        self._applying, self._calling = ([[(name, limit) for name, limit in rows if limit.cls in ("", cls)
-                                           and limit.counts is what] for cls in classes] for what in CountedWork)
+        self._applying, self._calling = (
+            [
+                [(name, limit) for name, limit in rows if limit.cls in ("", cls) and limit.counts is what]
+                for cls in classes
+            ]
+            for what in CountedWork
+        )
         self._key_of: Callable[[str], str] = key_of
         self.repeats = RetryBudget(settings.repeats) if settings.repeats is not None else None
         self._keeps: list[PersistThenSend] = []
@@ -92,8 +104,16 @@
             except ConfigError as error:
                 log.error("fleet: no budget is vouched for", error=str(error))
                 self._file = None
-        self.agent = LimitCoordinator((self.settings.name, boot), self.settings.grants, self.settings.limits, names, now,
-                           self.settings.limits_version, self.settings.engine is not None, self._vault)
+        self.agent = LimitCoordinator(
+            (self.settings.name, boot),
+            self.settings.grants,
+            self.settings.limits,
+            names,
+            now,
+            self.settings.limits_version,
+            self.settings.engine is not None,
+            self._vault,
+        )
         self.agent.wall_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
         self.places, self.calls = AdmissionQueue(self.agent), AdmissionQueue(self.agent)
         self.peers.others[MAGIC[:3]] = self._heard
@@ -103,8 +123,9 @@
         if self.settings.engine is not None:  # loaded only where one is set
             from myrtlespar.fleet.lease_source import LeaseSource
 
-            self.engine = LeaseSource(self.settings.engine, self.settings.fleet, self.agent, self.now, self._carry,
-                                 self.counters)
+            self.engine = LeaseSource(
+                self.settings.engine, self.settings.fleet, self.agent, self.now, self._carry, self.counters
+            )
             gevent.spawn(self.engine.run)
 
     def retire(self) -> None:
@@ -241,9 +262,16 @@
             name = key.partition("/")[0]
             self.counters.add("limits.refused")
             self.refused[name] = self.refused.get(name, 0) + 1
-            self._why[name] = {"key": key, "at": time.time() * 1000, "allowance": room.allowance,
-                               "used": room.used, "granted": room.granted, "keeper": self.agent.keeper(key),
-                               "granted_for_ms": round(room.left_ms), "waiting": len(self.places.waiting)}
+            self._why[name] = {
+                "key": key,
+                "at": time.time() * 1000,
+                "allowance": room.allowance,
+                "used": room.used,
+                "granted": room.granted,
+                "keeper": self.agent.keeper(key),
+                "granted_for_ms": round(room.left_ms),
+                "waiting": len(self.places.waiting),
+            }
         return after_ms * (1 + self.dice.random())
 
     def take_ready(self) -> list[str]:
@@ -271,8 +299,9 @@
             return False
         now = self.now()
         self.calls.settle(now)
-        key, _ = self.calls.ask(now, id, [self._key(name, limit, id, 0) for name, limit in applying],
-                                id in self._no_call)
+        key, _ = self.calls.ask(
+            now, id, [self._key(name, limit, id, 0) for name, limit in applying], id in self._no_call
+        )
         if key:
             if id not in self._no_call:
                 self.counters.add("limits.call_waits")
@@ -320,36 +349,78 @@
             return b'{"waiting": true}\n'
         rows = []
         for key, share in sorted(agent.holder.shares.items()):
-            rows.append({"key": key, "limit": share.limit.amount, "kind": share.limit.kind.value,
-                         "of": share.limit.of.value, "standing": share.standing, "granted": share.granted(now),
-                         "granted_for_ms": round(max(0.0, share.until - now)), "used": share.meter.look(now),
-                         "keeper": agent.keeper(key), "range": shard_of(key, agent.terms.ranges)})
-        kept = [{"range": n, "epoch": one.candidacy.epoch, "since_ms": round(now - one.candidacy.since),
-                 "unknown": sorted(one.book.unknown),
-                 "out": {key: one.book.outstanding(now, key) for key in one.book.keys}}
-                for n, one in enumerate(agent.ranges) if one.book is not None and one.candidacy.has(now)]
-        return json.dumps({"name": self.settings.name, "version": agent.version, "settled": agent.holder.settled,
-                           "engine_ms": None if self.engine is None else round(now - self.engine.answered_at)
-                           if self.engine.answered_at > 0 else "never",
-                           "behind": agent.behind() if kept else None, "waiting": len(self.places.waiting)
-                           if self.places is not None else 0,
-                           "repeats_left": None if self.repeats is None else round(self.repeats.left, 1),
-                           "budgets": [
-                               {"key": key, "period": number, "limit": one.limit.amount, "got": one.got - one.back,
-                                "spent": one.spent, "left": one.left, "keeper": agent.keeper(key)}
-                               for (key, number), one in sorted(agent.purse.pockets.items())],
-                           "keys": rows, "keeps": kept, "admitted": self.admitted,
-                           "refused": self.refused, "why": self._why,
-                           "counts": {name: count for name, count in self.counters.report().items()
-                                      if name.startswith("limits.")}}).encode() + b"\n"
+            rows.append(
+                {
+                    "key": key,
+                    "limit": share.limit.amount,
+                    "kind": share.limit.kind.value,
+                    "of": share.limit.of.value,
+                    "standing": share.standing,
+                    "granted": share.granted(now),
+                    "granted_for_ms": round(max(0.0, share.until - now)),
+                    "used": share.meter.look(now),
+                    "keeper": agent.keeper(key),
+                    "range": shard_of(key, agent.terms.ranges),
+                }
+            )
+        kept = [
+            {
+                "range": n,
+                "epoch": one.candidacy.epoch,
+                "since_ms": round(now - one.candidacy.since),
+                "unknown": sorted(one.book.unknown),
+                "out": {key: one.book.outstanding(now, key) for key in one.book.keys},
+            }
+            for n, one in enumerate(agent.ranges)
+            if one.book is not None and one.candidacy.has(now)
+        ]
+        return (
+            json.dumps(
+                {
+                    "name": self.settings.name,
+                    "version": agent.version,
+                    "settled": agent.holder.settled,
+                    "engine_ms": None
+                    if self.engine is None
+                    else round(now - self.engine.answered_at)
+                    if self.engine.answered_at > 0
+                    else "never",
+                    "behind": agent.behind() if kept else None,
+                    "waiting": len(self.places.waiting) if self.places is not None else 0,
+                    "repeats_left": None if self.repeats is None else round(self.repeats.left, 1),
+                    "budgets": [
+                        {
+                            "key": key,
+                            "period": number,
+                            "limit": one.limit.amount,
+                            "got": one.got - one.back,
+                            "spent": one.spent,
+                            "left": one.left,
+                            "keeper": agent.keeper(key),
+                        }
+                        for (key, number), one in sorted(agent.purse.pockets.items())
+                    ],
+                    "keys": rows,
+                    "keeps": kept,
+                    "admitted": self.admitted,
+                    "refused": self.refused,
+                    "why": self._why,
+                    "counts": {
+                        name: count for name, count in self.counters.report().items() if name.startswith("limits.")
+                    },
+                }
+            ).encode()
+            + b"\n"
+        )
 
     def figures(self) -> list[str]:
         """Lines of Prometheus text, by limit; keys of one limit are summed."""
         agent, now = self.agent, self.now()
         if agent is None:
             return []
-        sums: dict[str, dict[str, int]] = {name: {"granted": 0, "standing": 0, "used": 0}
-                                           for name in self.settings.limits}
+        sums: dict[str, dict[str, int]] = {
+            name: {"granted": 0, "standing": 0, "used": 0} for name in self.settings.limits
+        }
         for (key, _), one in agent.purse.pockets.items():
             sums[key.partition("/")[0]]["granted"] += one.got - one.back
             sums[key.partition("/")[0]]["used"] += one.spent
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -29,12 +29,20 @@
 class FleetNode:
     """What `serve` holds when the fleet is on."""
 
-    def __init__(self, settings: FleetSettings, path: str, counters: Counters, seed: int,
-                 classes: Sequence[str] = (), key_of: Callable[[str], str] = lambda id: "") -> None:
+    def __init__(
+        self,
+        settings: FleetSettings,
+        path: str,
+        counters: Counters,
+        seed: int,
+        classes: Sequence[str] = (),
+        key_of: Callable[[str], str] = lambda id: "",
+    ) -> None:
         self.settings, self.path, self.counters, self.seed = settings, path, counters, seed
         self.roll = settings.roll
-        self.peers = PeerTransport(settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters,
-                           self._make, self._changed)
+        self.peers = PeerTransport(
+            settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters, self._make, self._changed
+        )
         self.limits: LimitsDriver | None = None
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
             raise ConfigError("engine: needs the libraries of requirements-engine.txt")
@@ -48,10 +56,21 @@
     def _make(self, now: float) -> Member:
         own = self.settings
         boot = int(time.time() * 1000) + own.wall_shift_ms
-        log.info("fleet: joining", name=own.name, site=own.site, boot=boot, roll=self.roll.version,
-                 at=time.time() * 1000)
-        member = Member(own.name, own.site, own.advertise, boot, own.fleet, own.membership, self.roll, own.seeds,
-                        Random(self.seed), now)
+        log.info(
+            "fleet: joining", name=own.name, site=own.site, boot=boot, roll=self.roll.version, at=time.time() * 1000
+        )
+        member = Member(
+            own.name,
+            own.site,
+            own.advertise,
+            boot,
+            own.fleet,
+            own.membership,
+            self.roll,
+            own.seeds,
+            Random(self.seed),
+            now,
+        )
         for scope, tally in member.standings.scopes.items():
             self._changed(QuorumChanged(scope, tally.now, tally.now))
         if self.limits is not None:
@@ -61,13 +80,25 @@
     def _changed(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
         """Every change of the view and of one's standing is a line of the log."""
         if isinstance(effect, MemberChanged):
-            log.info("fleet member", member=effect.name, old=_state(effect.old), new=_state(effect.new),
-                     life=[effect.boot, effect.counter], by=effect.by, at=time.time() * 1000)
+            log.info(
+                "fleet member",
+                member=effect.name,
+                old=_state(effect.old),
+                new=_state(effect.new),
+                life=[effect.boot, effect.counter],
+                by=effect.by,
+                at=time.time() * 1000,
+            )
             if self.limits is not None and self.peers.member is not None:
                 self.limits.here(frozenset(self.peers.member.view.all))
         elif isinstance(effect, QuorumChanged):
-            log.info("fleet standing", scope=effect.scope, old=QuorumStatus(effect.old).name.lower(),
-                     new=QuorumStatus(effect.new).name.lower(), at=time.time() * 1000)
+            log.info(
+                "fleet standing",
+                scope=effect.scope,
+                old=QuorumStatus(effect.old).name.lower(),
+                new=QuorumStatus(effect.new).name.lower(),
+                at=time.time() * 1000,
+            )
         elif effect.text and self.counters.rare(f"fleet.log.{effect.what}"):
             log.warning("fleet: " + effect.text)
 
@@ -117,28 +148,56 @@
         if member is None:
             return json.dumps({"name": own.name, "site": own.site, "waiting": True}).encode() + b"\n"
         rows: list[dict[str, Any]] = [
-            {"name": name, "site": entry.rumour.site, "address": entry.rumour.address,
-             "state": MemberState(entry.rumour.state).name.lower(), "life": [entry.rumour.boot, entry.rumour.counter],
-             "for_ms": round(now - entry.since), "evidence_ms": round(now - entry.evidence),
-             "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
-             "proven_ms": round(now - entry.answered) if entry.answered > 0 else None}
-            for name, entry in sorted(member.view.entries.items())]
-        return json.dumps({
-            "name": own.name, "site": own.site, "fleet": own.fleet, "address": own.advertise,
-            "life": [member.me.boot, member.me.counter], "hash": f"{member.view.hash:016x}",
-            "roll": member.standings.electorate.version, "health": member.rounds.prober.health,
-            "late_ms": round(self.peers.latest_late, 1),
-            "standing": {scope or "fleet": {"is": tally.now.name.lower(), "for_ms": round(now - tally.since),
-                                            "here": len(tally.here) + tally.mine, "of": len(tally.electors)}
-                         for scope, tally in member.standings.scopes.items()},
-            "members": rows, "links": broken(member.reach.rows),
-            "unheard": member.reach.one_way(member.view, now), "differ": sorted(member.differ.since),
-            "disagree": sorted(member.differ.lasting),
-            "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.rounds.prober.rtt.items()},
-            "bytes": {"sent": self.peers.sent_bytes, "read": self.peers.read_bytes},
-            "counts": {name: count for name, count in self.counters.report().items()
-                       if name.startswith(("fleet.", "peers."))},
-        }).encode() + b"\n"
+            {
+                "name": name,
+                "site": entry.rumour.site,
+                "address": entry.rumour.address,
+                "state": MemberState(entry.rumour.state).name.lower(),
+                "life": [entry.rumour.boot, entry.rumour.counter],
+                "for_ms": round(now - entry.since),
+                "evidence_ms": round(now - entry.evidence),
+                "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
+                "proven_ms": round(now - entry.answered) if entry.answered > 0 else None,
+            }
+            for name, entry in sorted(member.view.entries.items())
+        ]
+        return (
+            json.dumps(
+                {
+                    "name": own.name,
+                    "site": own.site,
+                    "fleet": own.fleet,
+                    "address": own.advertise,
+                    "life": [member.me.boot, member.me.counter],
+                    "hash": f"{member.view.hash:016x}",
+                    "roll": member.standings.electorate.version,
+                    "health": member.rounds.prober.health,
+                    "late_ms": round(self.peers.latest_late, 1),
+                    "standing": {
+                        scope or "fleet": {
+                            "is": tally.now.name.lower(),
+                            "for_ms": round(now - tally.since),
+                            "here": len(tally.here) + tally.mine,
+                            "of": len(tally.electors),
+                        }
+                        for scope, tally in member.standings.scopes.items()
+                    },
+                    "members": rows,
+                    "links": broken(member.reach.rows),
+                    "unheard": member.reach.one_way(member.view, now),
+                    "differ": sorted(member.differ.since),
+                    "disagree": sorted(member.differ.lasting),
+                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.rounds.prober.rtt.items()},
+                    "bytes": {"sent": self.peers.sent_bytes, "read": self.peers.read_bytes},
+                    "counts": {
+                        name: count
+                        for name, count in self.counters.report().items()
+                        if name.startswith(("fleet.", "peers."))
+                    },
+                }
+            ).encode()
+            + b"\n"
+        )
 
     def figures(self) -> list[str]:
         """Lines of Prometheus text for METRICS."""
@@ -154,21 +213,33 @@
         out = ["# TYPE fleet_members gauge"]
         out += [f'fleet_members{{state="{state.name.lower()}"}} {count}' for state, count in counts.items()]
         out.append("# TYPE fleet_standing gauge")
-        out += [f'fleet_standing{{scope="{scope or "fleet"}"}} {int(tally.now)}'
-                for scope, tally in member.standings.scopes.items()]
-        gauges = {"oldest_evidence_seconds": oldest / 1000, "local_health": member.rounds.prober.health,
-                  "broken_links": len(broken(member.reach.rows)), "disagreements": len(member.differ.lasting),
-                  "roll_version": member.standings.electorate.version,
-                  "majority": int(member.standings.scopes[FLEET].now >= QuorumStatus.MAJORITY)}
+        out += [
+            f'fleet_standing{{scope="{scope or "fleet"}"}} {int(tally.now)}'
+            for scope, tally in member.standings.scopes.items()
+        ]
+        gauges = {
+            "oldest_evidence_seconds": oldest / 1000,
+            "local_health": member.rounds.prober.health,
+            "broken_links": len(broken(member.reach.rows)),
+            "disagreements": len(member.differ.lasting),
+            "roll_version": member.standings.electorate.version,
+            "majority": int(member.standings.scopes[FLEET].now >= QuorumStatus.MAJORITY),
+        }
         for name, value in gauges.items():
             out += [f"# TYPE fleet_{name} gauge", f"fleet_{name} {value:g}"]
         out.append("# TYPE fleet_probe_round_trip_seconds gauge")
-        out += [f'fleet_probe_round_trip_seconds{{site="{site}"}} {mean / 1000:.6f}'
-                for site, (mean, _) in sorted(member.rounds.prober.rtt.items())]
-        totals = {"suspicions_refuted": report.get("fleet.refuted", 0), "accused": report.get("fleet.accused", 0),
-                  "late_turns": report.get("fleet.late", 0), "sent_bytes": self.peers.sent_bytes,
-                  "read_bytes": self.peers.read_bytes,
-                  "spoilt": sum(count for name, count in report.items() if name.startswith("peers.spoilt"))}
+        out += [
+            f'fleet_probe_round_trip_seconds{{site="{site}"}} {mean / 1000:.6f}'
+            for site, (mean, _) in sorted(member.rounds.prober.rtt.items())
+        ]
+        totals = {
+            "suspicions_refuted": report.get("fleet.refuted", 0),
+            "accused": report.get("fleet.accused", 0),
+            "late_turns": report.get("fleet.late", 0),
+            "sent_bytes": self.peers.sent_bytes,
+            "read_bytes": self.peers.read_bytes,
+            "spoilt": sum(count for name, count in report.items() if name.startswith("peers.spoilt")),
+        }
         for name, total in totals.items():
             out += [f"# TYPE fleet_{name}_total counter", f"fleet_{name}_total {total}"]
         return out + (self.limits.figures() if self.limits is not None else [])
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -113,8 +113,11 @@
     for key, value in (("fleet", found.fleet), ("name", found.name), ("site", found.site)):
         if not is_valid_name(value):
             raise ConfigError(f"{key}: expected 1 to 48 printable characters without spaces, got {value!r}")
-    places = [("bind", found.bind), ("advertise", found.advertise),
-              *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds))]
+    places = [
+        ("bind", found.bind),
+        ("advertise", found.advertise),
+        *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds)),
+    ]
     for key, value in places:
         if not is_valid_address(value):
             raise ConfigError(f"{key}: expected A.B.C.D:PORT, got {value!r}")
@@ -165,8 +168,10 @@
 def limits_fault(old: FleetSettings, new: FleetSettings) -> str:
     """Why the limits can't change so while in service: key and cause; empty if they can. Only numbers change."""
     if new.limits_version != old.limits_version + 1:
-        return f"limits_version: {old.limits_version} is in force, expected {old.limits_version + 1}, " \
-               f"got {new.limits_version}"
+        return (
+            f"limits_version: {old.limits_version} is in force, expected {old.limits_version + 1}, "
+            f"got {new.limits_version}"
+        )
     if set(new.limits) != set(old.limits):
         name = min(set(new.limits) ^ set(old.limits))
         return f"limits.{name}: a limit comes or goes with a restart of all members"
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -32,11 +32,14 @@
         return closing(done, seed, None)
     console = Console()
     console.print(lines(done["beliefs"], script.members))
-    console.print(f"requests: {', '.join(f'{count} {what}' for what, count in sorted(done['outcomes'].items()))}; "
-                  f"{done['tries']} tries each")
+    console.print(
+        f"requests: {', '.join(f'{count} {what}' for what, count in sorted(done['outcomes'].items()))}; "
+        f"{done['tries']} tries each"
+    )
     for name, bound in (("standing", "standing"), ("known", "heal")):
-        console.print(f"{name} right after at worst {done[f'{name}_ms']['worst']} ms, promised "
-                      f"{done['bounds_ms'][bound]} ms")
+        console.print(
+            f"{name} right after at worst {done[f'{name}_ms']['worst']} ms, promised " f"{done['bounds_ms'][bound]} ms"
+        )
     return closing(done, seed, None)
 
 
@@ -49,8 +52,10 @@
         mine = [b for b in beliefs if b.observer == name]
         stands = [b for b in mine if b.kind == "standing" and b.subject == FLEET]
         before = [b for b in stands if b.at <= 0][-1:]
-        shown = [f"{max(0.0, b.at) / 1000:.2f} {QuorumStatus(b.state or 0).name.lower()}"
-                 for b in before + [b for b in stands if b.at > 0]]
+        shown = [
+            f"{max(0.0, b.at) / 1000:.2f} {QuorumStatus(b.state or 0).name.lower()}"
+            for b in before + [b for b in stands if b.at > 0]
+        ]
         failed: dict[str, list[Any]] = {}
         for belief in mine:
             if belief.kind == "member" and belief.at > 0:
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -42,7 +42,8 @@
         one, two = self.kind[a], self.kind[b]
         return self.firm[one][two] or any(
             self.firm[one][third] and self.firm[third][two] and count > (third == one) + (third == two)
-            for third, count in enumerate(self.size))
+            for third, count in enumerate(self.size)
+        )
 
     def apart(self, a: str, b: str) -> bool:
         """`a` runs, and `b` does not, or no chain of members leads there or none leads back."""
@@ -93,8 +94,10 @@
     def _moment(self, at: float, well: set[str], left: set[str], faults: ActiveFaults) -> TruthInterval:
         rules = list(faults.rules.values())
         labels: dict[tuple[tuple[bool, bool], ...], int] = {}
-        kind = {name: labels.setdefault(tuple((name in r.first, name in r.second) for r in rules), len(labels))
-                for name in sorted(well)}
+        kind = {
+            name: labels.setdefault(tuple((name in r.first, name in r.second) for r in rules), len(labels))
+            for name in sorted(well)
+        }
         size, some = [0] * len(labels), [""] * len(labels)
         for name, number in kind.items():
             size[number] += 1
@@ -128,7 +131,7 @@
     def between(self, start: float, end: float) -> list[TruthInterval]:
         """All moments that held at some time in [start, end]."""
         first = max(0, bisect_right(self._times, start) - 1)
-        return self.moments[first:bisect_right(self._times, end)]
+        return self.moments[first : bisect_right(self._times, end)]
 
 
 def _without_short_stops(deeds: list[FaultAction], short_ms: float) -> list[FaultAction]:
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -64,7 +64,8 @@
             else:
                 table = self.of if belief.kind == "member" else self.standings
                 table.setdefault((belief.observer, belief.subject), [(float("-inf"), None, 0)]).append(
-                    (belief.at, belief.state, belief.boot))
+                    (belief.at, belief.state, belief.boot)
+                )
 
     @staticmethod
     def during(steps: Steps, start: float, end: float) -> Steps:
@@ -73,8 +74,14 @@
         return before[-1:] + [step for step in steps if start < step[0] < end]
 
 
-def judge_members(truth: GroundTruth, beliefs: Iterable[ObservedBelief], terms: MembershipSettings, sites: Mapping[str, Sequence[str]],
-                  observers: Sequence[str] = (), settle_ms: float = SLACK_MS) -> InvariantReport:
+def judge_members(
+    truth: GroundTruth,
+    beliefs: Iterable[ObservedBelief],
+    terms: MembershipSettings,
+    sites: Mapping[str, Sequence[str]],
+    observers: Sequence[str] = (),
+    settle_ms: float = SLACK_MS,
+) -> InvariantReport:
     """All promises of membership; `observers` limits who is looked at (all, if empty)."""
     out, seen, n = InvariantReport(), BeliefHistory(beliefs), len(truth.members)
     who = list(observers) or list(truth.members)
@@ -93,8 +100,15 @@
     return out
 
 
-def _no_false_failure(out: InvariantReport, truth: GroundTruth, seen: BeliefHistory, terms: MembershipSettings, n: int, who: Sequence[str],
-                      slack: float) -> None:
+def _no_false_failure(
+    out: InvariantReport,
+    truth: GroundTruth,
+    seen: BeliefHistory,
+    terms: MembershipSettings,
+    n: int,
+    who: Sequence[str],
+    slack: float,
+) -> None:
     """Promise: who ran and was linked to the observer for all of the last standing_ms(n) is not failed by it."""
     watch, window = set(who), terms.standing_ms(n) + slack
     for row in seen.rows:
@@ -106,8 +120,16 @@
                 out.broken.append(f"no false failure: {row.observer} failed {row.subject} at {row.at / 1000:.2f} s")
 
 
-def _failure_known(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, b: str,
-                   slack: float) -> None:
+def _failure_known(
+    out: InvariantReport,
+    truth: GroundTruth,
+    steps: Steps,
+    terms: MembershipSettings,
+    n: int,
+    a: str,
+    b: str,
+    slack: float,
+) -> None:
     """Promise: who stopped or is cut off is not believed here later than its bound: detect_ms(n) where it does not
     run and the observer is linked to a majority, else standing_ms(n). Who runs unheard over bad links comes back to
     an observer by each refutation of what others say of it; there the standing alone is promised."""
@@ -126,13 +148,23 @@
         for number, (_, state, _) in enumerate(spans):
             until = spans[number + 1][0] if number + 1 < len(spans) else end
             if state in HERE and until > start + bound:
-                out.broken.append(f"failure known: {a} believed {b} here at {until / 1000:.2f} s, gone since "
-                                  f"{start / 1000:.2f} s, bound {bound:.0f} ms")
+                out.broken.append(
+                    f"failure known: {a} believed {b} here at {until / 1000:.2f} s, gone since "
+                    f"{start / 1000:.2f} s, bound {bound:.0f} ms"
+                )
                 break
 
 
-def _presence_known(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, b: str,
-                    slack: float) -> None:
+def _presence_known(
+    out: InvariantReport,
+    truth: GroundTruth,
+    steps: Steps,
+    terms: MembershipSettings,
+    n: int,
+    a: str,
+    b: str,
+    slack: float,
+) -> None:
     """Promise: who runs and is linked is believed here at the latest heal_ms(n) after that began."""
     bound = terms.heal_ms(n) + slack
     for start, end in truth.spans(lambda m: m.linked(a, b)):
@@ -146,8 +178,10 @@
         for number, (_, state, _) in enumerate(spans):
             until = spans[number + 1][0] if number + 1 < len(spans) else end
             if state not in HERE and until > start + bound:
-                out.broken.append(f"presence known: {a} did not believe {b} here at {until / 1000:.2f} s, linked since "
-                                  f"{start / 1000:.2f} s, bound {bound:.0f} ms")
+                out.broken.append(
+                    f"presence known: {a} did not believe {b} here at {until / 1000:.2f} s, linked since "
+                    f"{start / 1000:.2f} s, bound {bound:.0f} ms"
+                )
                 break
 
 
@@ -193,8 +227,17 @@
     return frozenset(here)
 
 
-def _standing_right(out: InvariantReport, truth: GroundTruth, steps: Steps, terms: MembershipSettings, n: int, a: str, scope: str,
-                    electors: Sequence[str], slack: float) -> None:
+def _standing_right(
+    out: InvariantReport,
+    truth: GroundTruth,
+    steps: Steps,
+    terms: MembershipSettings,
+    n: int,
+    a: str,
+    scope: str,
+    electors: Sequence[str],
+    slack: float,
+) -> None:
     """Promise: a standing is right standing_ms(n) after the last change of who should be counted."""
     bound = terms.standing_ms(n) + slack
     sets = {present(moment, a, electors) for moment in truth.moments if a in moment.well} - {None}
@@ -214,5 +257,7 @@
                 continue
             out.judged("standing right")
             if late > bound:
-                out.broken.append(f"standing right: {a} was not {wanted.name.lower()} in {scope or 'the fleet'} "
-                                  f"{late:.0f} ms after {start / 1000:.2f} s, bound {bound:.0f} ms")
+                out.broken.append(
+                    f"standing right: {a} was not {wanted.name.lower()} in {scope or 'the fleet'} "
+                    f"{late:.0f} ms after {start / 1000:.2f} s, bound {bound:.0f} ms"
+                )
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -11,8 +11,15 @@
 Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
 
 
-def judge_limits(limits: Mapping[str, Limit], runs: Iterable[Run], terms: GrantSettings, begin: float, end: float,
-                 slack_ms: float, sites: Mapping[bytes, str]) -> tuple[list[str], dict[str, Any]]:
+def judge_limits(
+    limits: Mapping[str, Limit],
+    runs: Iterable[Run],
+    terms: GrantSettings,
+    begin: float,
+    end: float,
+    slack_ms: float,
+    sites: Mapping[bytes, str],
+) -> tuple[list[str], dict[str, Any]]:
     """Promise: in any window W, started <= limit + `terms.over(limit)`; runs in hand at any time likewise. Windows
     are judged `slack_ms` short. Times are Unix ms; `sites` tells where a body ran. Broken lines, and figures."""
     rows = sorted(runs, key=lambda run: run[1])
@@ -39,8 +46,10 @@
         if limit.of is CountedUnit.RATE and not limit.by:
             figures[name]["use"] = round(started / span / limit.amount, 3)
         if limit.kind.value != "advisory" and most > allowed:
-            broken.append(f"limits: {most} of {name}{'/' + where if where else ''} within a window, {allowed} allowed, "
-                          f"at {(at - begin) / 1000:.2f} s")
+            broken.append(
+                f"limits: {most} of {name}{'/' + where if where else ''} within a window, {allowed} allowed, "
+                f"at {(at - begin) / 1000:.2f} s"
+            )
     return broken, figures
 
 
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -91,8 +91,9 @@
                 continue
             try:
                 more = {"again": "1"} if request.tries > 1 else {}
-                request.seq = client.send(request.cls, request.body, t0=str(int(request.born)),
-                                          peer=str(self.number + 1), **more)
+                request.seq = client.send(
+                    request.cls, request.body, t0=str(int(request.born)), peer=str(self.number + 1), **more
+                )
                 request.client, request.member = client, name
                 return
             except OSError:  # it may have read it
@@ -161,8 +162,9 @@
 
     def __init__(self, run: FleetRun) -> None:
         self.run, self.stop = run, threading.Event()
-        self.proxies = [ClientProxy(n, run.script.load, run, self.stop, time.monotonic())
-                        for n in range(run.script.load.proxies)]
+        self.proxies = [
+            ClientProxy(n, run.script.load, run, self.stop, time.monotonic()) for n in range(run.script.load.proxies)
+        ]
 
     def begin(self) -> None:
         """Start."""
@@ -188,15 +190,21 @@
             starts.update(kernel.by_body)
             for body, at, _ in kernel.runs:
                 first[member.name, body] = min(at, first.get((member.name, body), at))
-    broken = [f"orders: {body.decode()} was started {count} times" for body, count in starts.items()
-              if body.startswith(b"order") and count > 1]
+    broken = [
+        f"orders: {body.decode()} was started {count} times"
+        for body, count in starts.items()
+        if body.startswith(b"order") and count > 1
+    ]
     for request in requests:
         for name, heard in zip(request.refused_by, request.refused_at, strict=True):
             if first.get((name, request.body), heard) < heard:
                 broken.append(f"orders: {name} ran {request.body.decode()} and refused it")
     touched = {deed.name for deed in run.deeds if deed.kind in ("down", "pause", "left")}
-    cut = any((rule.cut and rule.second & {"store", "kernel"}) or rule.first & {"store", "kernel"}
-              for deed in run.deeds if (rule := deed.rule) is not None)
+    cut = any(
+        (rule.cut and rule.second & {"store", "kernel"}) or rule.first & {"store", "kernel"}
+        for deed in run.deeds
+        if (rule := deed.rule) is not None
+    )
     for request in requests:
         if request.outcome == "none" and request.member not in touched and not cut:
             broken.append(f"orders: {request.member} gave {request.body.decode()} no answer by its due time")
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -38,8 +38,13 @@
     """The relay's process, and its control."""
 
     def __init__(self, members: Sequence[str], seed: int, services: dict[str, int]) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.fault_proxy.relay"], cwd=ROOT,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "myrtlespar.fault_proxy.relay"],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         self._lock = threading.Lock()
         self.port = int(self.ask(members=list(members), seed=seed, services=services)["port"])
 
@@ -71,8 +76,13 @@
     """The engine's stand-in, a process of its own."""
 
     def __init__(self) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "myrtlespar.fakes.etcd"], cwd=ROOT,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "myrtlespar.fakes.etcd"],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         assert self.process.stdout is not None
         self.port = int(json.loads(self.process.stdout.readline())["port"])
 
@@ -114,9 +124,17 @@
 class FleetRun:
     """A fleet, from its start to its end. Times of deeds and beliefs are Unix milliseconds."""
 
-    def __init__(self, script: Script, seed: int, folder: Path, membership: dict[str, Any] | None = None,
-                 env: dict[str, str] | None = None, pin: bool = False, own: dict[str, dict[str, Any]] | None = None,
-                 grants: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self,
+        script: Script,
+        seed: int,
+        folder: Path,
+        membership: dict[str, Any] | None = None,
+        env: dict[str, str] | None = None,
+        pin: bool = False,
+        own: dict[str, dict[str, Any]] | None = None,
+        grants: dict[str, Any] | None = None,
+    ) -> None:
         self.script, self.seed, self.folder, self.membership = script, seed, folder, membership or {}
         self.grants = grants or {}
         self.env, self.pin, self.own = env or {}, pin, own or {}
@@ -130,7 +148,9 @@
         self._lost: dict[int, list[str]] = {}
         self.engine = EtcdProcess() if script.engine else None
         services = {"store": self.store.port, "roster": self.roster.port}
-        self.fabric = FaultProxyProcess(script.members, seed, services | ({"engine": self.engine.port} if self.engine else {}))
+        self.fabric = FaultProxyProcess(
+            script.members, seed, services | ({"engine": self.engine.port} if self.engine else {})
+        )
         self.port = self.fabric.port
         for member in self.members.values():
             self.fabric.ask(target=["kernel", member.name, member.kernel.port])
@@ -148,20 +168,31 @@
 
     def _configure(self, member: MemberProcess) -> None:
         n, port = member.n, self.port
-        config = {"name": member.name, "listen": f"{bind_host(n)}:{port + 1}",
-                  **{service: f"{service_host(n, service)}:{port}" for service in ("store", "roster", "kernel")},
-                  "seed": f"{(self.seed * 1000 + n) % 2**64:x}", "stop_ms": STOP_MS,
-                  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()}
+        config = {
+            "name": member.name,
+            "listen": f"{bind_host(n)}:{port + 1}",
+            **{service: f"{service_host(n, service)}:{port}" for service in ("store", "roster", "kernel")},
+            "seed": f"{(self.seed * 1000 + n) % 2**64:x}",
+            "stop_ms": STOP_MS,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings(),
+        }
         (member.folder / "config.json").write_text(json.dumps(config))
         seeds = dict.fromkeys(row[0] for row in self.script.sites.values())
-        fleet = {"fleet": "rehearsal", "site": self.script.site_of(member.name), "bind": f"{bind_host(n)}:{port}",
-                 "advertise": f"{relay_host(n)}:{port}",
-                 "seeds": [f"{relay_host(self.members[seed].n)}:{port}" for seed in seeds],
-                 "electorate": {"version": 1, "sites": {site: list(row) for site, row in self.script.sites.items()}},
-                 "state": str(member.folder),
-                 "limits": {name: msgspec.to_builtins(limit) for name, limit in self.script.limits.items()},
-                 **({"engine": {"address": f"{service_host(n, 'engine')}:{port}"}} if self.engine else {}),
-                 "grants": self.grants, "membership": self.membership, **self.own.get(member.name, {})}
+        fleet = {
+            "fleet": "rehearsal",
+            "site": self.script.site_of(member.name),
+            "bind": f"{bind_host(n)}:{port}",
+            "advertise": f"{relay_host(n)}:{port}",
+            "seeds": [f"{relay_host(self.members[seed].n)}:{port}" for seed in seeds],
+            "electorate": {"version": 1, "sites": {site: list(row) for site, row in self.script.sites.items()}},
+            "state": str(member.folder),
+            "limits": {name: msgspec.to_builtins(limit) for name, limit in self.script.limits.items()},
+            **({"engine": {"address": f"{service_host(n, 'engine')}:{port}"}} if self.engine else {}),
+            "grants": self.grants,
+            "membership": self.membership,
+            **self.own.get(member.name, {}),
+        }
         (member.folder / "fleet.yaml").write_text(yaml.safe_dump(fleet))
 
     # Processes.
@@ -171,10 +202,22 @@
         mgmt = f"{bind_host(member.n)}:{self.port + 2 + (member.second != beside)}"
         if not beside:
             member.second = False
-        env = {**os.environ, **self.env, "BALANCER_CONFIG": str(member.folder / "config.json"), "BALANCER_MGMT": mgmt,
-               "MYRTLESPAR_FLEET": str(member.folder / "fleet.yaml"), "TMPDIR": str(member.folder)}
-        process = subprocess.Popen([sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, text=True,
-                                   stdout=subprocess.PIPE, stderr=(member.folder / "stderr.txt").open("a"))
+        env = {
+            **os.environ,
+            **self.env,
+            "BALANCER_CONFIG": str(member.folder / "config.json"),
+            "BALANCER_MGMT": mgmt,
+            "MYRTLESPAR_FLEET": str(member.folder / "fleet.yaml"),
+            "TMPDIR": str(member.folder),
+        }
+        process = subprocess.Popen(
+            [sys.executable, "-m", "myrtlespar"],
+            cwd=ROOT,
+            env=env,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=(member.folder / "stderr.txt").open("a"),
+        )
         if self.pin:  # three members share a core
             cores = sorted(os.sched_getaffinity(0))
             os.sched_setaffinity(process.pid, {cores[(member.n - 1) // 3 % len(cores)]})
@@ -229,8 +272,14 @@
 
     def standing(self, name: str) -> str | None:
         """The last fleet standing in its log."""
-        return next((row["new"] for row in reversed(self.members[name].log)
-                     if row["event"] == "fleet standing" and not row["scope"]), None)
+        return next(
+            (
+                row["new"]
+                for row in reversed(self.members[name].log)
+                if row["event"] == "fleet standing" and not row["scope"]
+            ),
+            None,
+        )
 
     def up_again(self, member: MemberProcess) -> None:
         """Start a process of it and record when it serves."""
@@ -254,8 +303,9 @@
 
     def kill(self, member: MemberProcess) -> None:
         """SIGKILL, to both processes where it is being replaced."""
-        running = [process for process in (member.waiting, member.process)
-                   if process is not None and process.poll() is None]
+        running = [
+            process for process in (member.waiting, member.process) if process is not None and process.poll() is None
+        ]
         for process in running:
             process.kill()
         if running:
@@ -291,7 +341,9 @@
         new = member.waiting = self.spawn(member, beside=True)
         threading.Thread(target=self._swap, args=(member, old, new, lines), daemon=True).start()
 
-    def _swap(self, member: MemberProcess, old: subprocess.Popen[str] | None, new: subprocess.Popen[str], lines: int) -> None:
+    def _swap(
+        self, member: MemberProcess, old: subprocess.Popen[str] | None, new: subprocess.Popen[str], lines: int
+    ) -> None:
         end = time.monotonic() + WAIT_S
         while time.monotonic() < end and new.poll() is None:
             if member.count("serving") > lines:
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -58,23 +58,42 @@
 def figures(verdict: InvariantReport, terms: MembershipSettings, n: int) -> dict[str, Any]:
     """What a run's last line tells of membership."""
     rows: dict[str, Any] = {}
-    for name, values in (("detect", verdict.detect_ms), ("known", verdict.known_ms),
-                         ("restart", verdict.restart_ms), ("standing", verdict.standing_ms)):
-        rows[f"{name}_ms"] = {"count": len(values), "median": percentile(values, 0.5),
-                              "p99": percentile(values, 0.99), "worst": percentile(values, 1.0)}
-    return {**rows, "false_failures": verdict.false_failures, "checked": verdict.checked,
-            "bounds_ms": {"detect": round(terms.detect_ms(n)), "standing": round(terms.standing_ms(n)),
-                          "heal": round(terms.heal_ms(n)), "pause": round(terms.pause_ms())}}
+    for name, values in (
+        ("detect", verdict.detect_ms),
+        ("known", verdict.known_ms),
+        ("restart", verdict.restart_ms),
+        ("standing", verdict.standing_ms),
+    ):
+        rows[f"{name}_ms"] = {
+            "count": len(values),
+            "median": percentile(values, 0.5),
+            "p99": percentile(values, 0.99),
+            "worst": percentile(values, 1.0),
+        }
+    return {
+        **rows,
+        "false_failures": verdict.false_failures,
+        "checked": verdict.checked,
+        "bounds_ms": {
+            "detect": round(terms.detect_ms(n)),
+            "standing": round(terms.standing_ms(n)),
+            "heal": round(terms.heal_ms(n)),
+            "pause": round(terms.pause_ms()),
+        },
+    }
 
 
 def shifted(run: FleetRun, begin: float) -> tuple[list[FaultAction], list[Any]]:
     """Deeds and beliefs with the run's begin as time 0."""
-    return ([replace(deed, at=deed.at - begin) for deed in run.deeds],
-            [replace(belief, at=belief.at - begin) for belief in run.beliefs])
+    return (
+        [replace(deed, at=deed.at - begin) for deed in run.deeds],
+        [replace(belief, at=belief.at - begin) for belief in run.beliefs],
+    )
 
 
-def play(script: Script, seed: int, keep: Path | None = None, say: Any = print, slack_ms: float = SLACK_MS,
-         **more: Any) -> dict[str, Any]:
+def play(
+    script: Script, seed: int, keep: Path | None = None, say: Any = print, slack_ms: float = SLACK_MS, **more: Any
+) -> dict[str, Any]:
     """Run it and judge it, each bound longer by `slack_ms`: the figures, with `broken` the lines of broken promises.
     `more` goes to the fleet."""
     terms = MembershipSettings(**more.get("membership") or {})
@@ -86,7 +105,11 @@
             try:
                 run.begin()
             except (AssertionError, RuntimeError) as error:
-                return {**figures(InvariantReport(), terms, len(script.members)), "broken": [f"start: {error}"], "judged": []}
+                return {
+                    **figures(InvariantReport(), terms, len(script.members)),
+                    "broken": [f"start: {error}"],
+                    "judged": [],
+                }
             crowd = LoadGenerator(run)
             if script.load.rate:
                 crowd.begin()
@@ -99,8 +122,7 @@
                     say(f"{step.at_ms / 1000:7.2f} s  {tell(step)}")
             time.sleep(max(0.0, began + script.length_ms / 1000 - time.monotonic()))
             end = time.time() * 1000 - begin
-            views = {name: run.view(name) for name, member in run.members.items()
-                     if member.up and not member.stopped}
+            views = {name: run.view(name) for name, member in run.members.items() if member.up and not member.stopped}
             requests = crowd.finish() if script.load.rate else []
             stats = run.fabric.ask(stats=True)
             deeds, beliefs = shifted(run, begin)
@@ -110,18 +132,26 @@
                 verdict = judge_members(truth, beliefs, terms, script.sites, (), slack_ms)
             over, limits = judge_runs(run, script, begin, end, slack_ms)
             orders, outcomes = judge_orders(run, crowd, requests) if "orders" in script.judge else ([], {})
-            return {**figures(verdict, terms, len(script.members)),
-                    "broken": [*run.faults, *verdict.broken, *over, *orders], **({"limits": limits} if limits else {}),
-                    "replaced": run.replaced, "judged": list(script.judge),
-                    "outcomes": outcomes, "fabric": {key: value for key, value in stats.items() if key != "done"},
-                    "hashes": len({view["hash"] for view in views.values() if view}), "beliefs": beliefs,
-                    "views": views, "tries": round(sum(r.tries for r in requests) / max(1, len(requests)), 3)}
+            return {
+                **figures(verdict, terms, len(script.members)),
+                "broken": [*run.faults, *verdict.broken, *over, *orders],
+                **({"limits": limits} if limits else {}),
+                "replaced": run.replaced,
+                "judged": list(script.judge),
+                "outcomes": outcomes,
+                "fabric": {key: value for key, value in stats.items() if key != "done"},
+                "hashes": len({view["hash"] for view in views.values() if view}),
+                "beliefs": beliefs,
+                "views": views,
+                "tries": round(sum(r.tries for r in requests) / max(1, len(requests)), 3),
+            }
         finally:
             run.close()
 
 
-def judge_runs(run: FleetRun, script: Script, begin: float, end: float, slack_ms: float
-               ) -> tuple[list[str], dict[str, Any]]:
+def judge_runs(
+    run: FleetRun, script: Script, begin: float, end: float, slack_ms: float
+) -> tuple[list[str], dict[str, Any]]:
     """Fleet limits against what all kernels ran, if the script asks for it."""
     if not script.limits or "limits" not in script.judge:
         return [], {}
@@ -141,8 +171,10 @@
     rule = step.rule
     arrow = "->" if rule.one_way else "<->"
     what = "cut" if rule.cut else f"drop {rule.drop:g}, {rule.delay_ms:g}+{rule.jitter_ms:g} ms"
-    return (f"{'begin' if step.kind == 'rule_on' else 'end'} {what}: {' '.join(sorted(rule.first))} {arrow} "
-            f"{' '.join(sorted(rule.second))}")
+    return (
+        f"{'begin' if step.kind == 'rule_on' else 'end'} {what}: {' '.join(sorted(rule.first))} {arrow} "
+        f"{' '.join(sorted(rule.second))}"
+    )
 
 
 def closing(result: dict[str, Any], seed: int, keep: Path | None) -> int:
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -18,8 +18,12 @@
 NAMED = ("members", "limits", "verdicts", "orders", "site")
 CLASSES = ("render", "fetch", "order")
 VERBS: Mapping[str, tuple[str, ...]] = {  # beside at_s
-    "cut": ("for_s", "one_way"), "kill": ("restart_after_s",), "pause": ("for_s",), "lose": ("for_s",),
-    "leave": (), "replace": (),
+    "cut": ("for_s", "one_way"),
+    "kill": ("restart_after_s",),
+    "pause": ("for_s",),
+    "lose": ("for_s",),
+    "leave": (),
+    "replace": (),
     "link": ("drop", "delay_ms", "jitter_ms", "duplicate", "reorder", "for_s", "one_way"),
 }
 MOST_MEMBERS, MOST_S, MOST_EVENTS = 60, 7200.0, 500  # of real processes; the emulator scales sites up by itself
@@ -134,8 +138,9 @@
     for step in steps:
         if not engine and step.rule is not None and "engine" in step.rule.first | step.rule.second:
             raise ScriptError(f"events[{step.number}]: engine: this fleet has none (fleet.engine)")
-    return Script(sites, length_ms, tuple(steps), _load(rows.rows.get("load")), _judge(rows.rows.get("judge")), limits,
-                  engine)
+    return Script(
+        sites, length_ms, tuple(steps), _load(rows.rows.get("load")), _judge(rows.rows.get("judge")), limits, engine
+    )
 
 
 def _sites(fleet: _Rows, members: int) -> Mapping[str, tuple[str, ...]]:
@@ -173,8 +178,13 @@
     for name, value in whole.items():
         if value != int(value):
             raise ScriptError(f"load.{'retry.' if name == 'most' else ''}{name}: expected a whole number")
-    return LoadSettings(rows.number("rate", None, 0, 5000), shares, int(whole["proxies"]), int(whole["most"]),
-                retry.number("after_ms", 200, 0, 60_000))
+    return LoadSettings(
+        rows.number("rate", None, 0, 5000),
+        shares,
+        int(whole["proxies"]),
+        int(whole["most"]),
+        retry.number("after_ms", 200, 0, 60_000),
+    )
 
 
 def _limits(raw: Any) -> Mapping[str, Limit]:
@@ -228,14 +238,23 @@
     end = at + rows.number("for_s", None, 0.001, MOST_S) * 1000 if "for_s" in rows.rows else float("inf")
     if verb in ("cut", "link"):
         rule = _rule(rows, verb, sites)
-        return [ScriptStep(at, "rule_on", number=n, rule=rule), *_until(ScriptStep(end, "rule_off", number=n, rule=rule))]
+        return [
+            ScriptStep(at, "rule_on", number=n, rule=rule),
+            *_until(ScriptStep(end, "rule_off", number=n, rule=rule)),
+        ]
     names = _who(rows, verb, sites)
     if verb == "kill":
-        back = at + rows.number("restart_after_s", None, 0, MOST_S) * 1000 \
-            if "restart_after_s" in rows.rows else float("inf")
+        back = (
+            at + rows.number("restart_after_s", None, 0, MOST_S) * 1000
+            if "restart_after_s" in rows.rows
+            else float("inf")
+        )
         return [ScriptStep(at, "kill", names, n), *_until(ScriptStep(back, "start", names, n))]
     if verb in ("pause", "lose"):
-        return [ScriptStep(at, verb, names, n), *_until(ScriptStep(end, "resume" if verb == "pause" else "back", names, n))]
+        return [
+            ScriptStep(at, verb, names, n),
+            *_until(ScriptStep(end, "resume" if verb == "pause" else "back", names, n)),
+        ]
     return [ScriptStep(at, verb, names, n)]
 
 
@@ -264,9 +283,17 @@
         raise ScriptError(f"{rows.key(verb)}: no link joins {ends[0]} and {ends[1]}")
     if verb == "cut":
         return FaultRule(first, second, rows.flag("one_way"), True)
-    return FaultRule(first, second, rows.flag("one_way"), False, rows.number("drop", 0, 0, 1),
-                rows.number("delay_ms", 0, 0, 60_000), rows.number("jitter_ms", 0, 0, 60_000),
-                rows.number("duplicate", 0, 0, 1), rows.number("reorder", 0, 0, 1))
+    return FaultRule(
+        first,
+        second,
+        rows.flag("one_way"),
+        False,
+        rows.number("drop", 0, 0, 1),
+        rows.number("delay_ms", 0, 0, 60_000),
+        rows.number("jitter_ms", 0, 0, 60_000),
+        rows.number("duplicate", 0, 0, 1),
+        rows.number("reorder", 0, 0, 1),
+    )
 
 
 def _running(steps: list[ScriptStep], sites: Mapping[str, tuple[str, ...]]) -> None:
@@ -275,8 +302,9 @@
     for step in steps:
         for name in step.names:
             if step.kind in ("leave", "replace") and not up[name]:
-                raise ScriptError(f"events[{step.number}].{step.kind}: {name} does not run at "
-                                  f"{step.at_ms / 1000:g} s")
+                raise ScriptError(
+                    f"events[{step.number}].{step.kind}: {name} does not run at " f"{step.at_ms / 1000:g} s"
+                )
             if step.kind in ("kill", "lose", "leave"):
                 up[name] = False
             elif step.kind in ("start", "back"):
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -38,8 +38,9 @@
 
 def known_keys(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KnownKey]:
     """What the desk leaves, as rows of the file."""
-    return [KnownKey(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at)
-            for (cls, key), answer, at in rows]
+    return [
+        KnownKey(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at) for (cls, key), answer, at in rows
+    ]
 
 
 def answer_of(known: KnownKey) -> Answer:
@@ -49,8 +50,11 @@
 
 def encode(known: Iterable[KnownKey]) -> bytes:
     """The file's bytes."""
-    rows = b"".join(json.dumps([k.cls, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms,
-                                k.lapses_at]).encode() + b"\n" for k in known)
+    rows = b"".join(
+        json.dumps([k.cls, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms, k.lapses_at]).encode()
+        + b"\n"
+        for k in known
+    )
     return b"%s %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(rows), len(rows)) + rows
 
 
@@ -70,8 +74,12 @@
     try:
         for line in rows.splitlines():
             cls, key, kind, body, retry, lapses = json.loads(line)
-            if not (isinstance(cls, int) and 0 <= cls < classes and isinstance(key, str)
-                    and kind in ("served", "refused", "failed")):
+            if not (
+                isinstance(cls, int)
+                and 0 <= cls < classes
+                and isinstance(key, str)
+                and kind in ("served", "refused", "failed")
+            ):
                 raise HandoverRejected(f"an entry that names no known class or kind: {line[:60]!r}")
             if not (0 <= float(retry) < math.inf and 0 <= float(lapses) < math.inf):
                 raise HandoverRejected(f"an entry with a time that is none: {line[-60:]!r}")
--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -76,8 +76,9 @@
         """How often each statement is told by one member."""
         return math.ceil(self.terms.repeat * math.log2(n + 1))
 
-    def pick(self, now: float, n: int, room: int, first: Iterable[MemberUpdate] = ()) -> tuple[tuple[MemberUpdate, ...],
-                                                                                        tuple[ReachabilityRow, ...]]:
+    def pick(
+        self, now: float, n: int, room: int, first: Iterable[MemberUpdate] = ()
+    ) -> tuple[tuple[MemberUpdate, ...], tuple[ReachabilityRow, ...]]:
         """What rides on the next packet, `room` bytes of it at the most: `first`, then the least told, `carry` in
         all, each told at most `times`."""
         out = list(first)
@@ -121,5 +122,13 @@
     """The same with older evidence."""
     if by_ms < 1:
         return rumour
-    return MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, rumour.state,
-                  min(rumour.age_ms + int(by_ms), 2**31), rumour.by)
+    return MemberUpdate(
+        rumour.name,
+        rumour.site,
+        rumour.address,
+        rumour.boot,
+        rumour.counter,
+        rumour.state,
+        min(rumour.age_ms + int(by_ms), 2**31),
+        rumour.by,
+    )
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -42,8 +42,19 @@
 class Member:
     """A view of all others, kept up by probing and by what others tell."""
 
-    def __init__(self, name: str, site: str, address: str, boot: int, fleet: str, terms: MembershipSettings,
-                 electorate: VoterSet, seeds: Sequence[str], dice: Random, now: float) -> None:
+    def __init__(
+        self,
+        name: str,
+        site: str,
+        address: str,
+        boot: int,
+        fleet: str,
+        terms: MembershipSettings,
+        electorate: VoterSet,
+        seeds: Sequence[str],
+        dice: Random,
+        now: float,
+    ) -> None:
         self.name, self.site, self.fleet, self.terms, self.dice = name, site, fleet, terms, dice
         me = MemberUpdate(name, site, address, boot, 0, ALIVE)
         self.seeds = [seed for seed in seeds if seed != address]
@@ -60,9 +71,15 @@
         self._sync_at = now
         self._bumps = TokenBucket(5, now)
         self.rounds.proof_at = now
-        self._handlers = {"period": self._period, "direct": self.rounds.direct, "reply": self.rounds.reply,
-                          "knock": self._knock,
-                          "suspect": self._suspect_due, "push": self._push, "look": self._look}
+        self._handlers = {
+            "period": self._period,
+            "direct": self.rounds.direct,
+            "reply": self.rounds.reply,
+            "knock": self._knock,
+            "suspect": self._suspect_due,
+            "push": self._push,
+            "look": self._look,
+        }
         self.view.set_self(self.me.key)
         self.voice.spread.put(self.me, now)
         for kind, span in (("period", terms.probe_ms), ("knock", terms.knock_ms), ("look", 1000)):
@@ -195,13 +212,17 @@
         self.voice.roll = electorate.version
         for name in self.view.all:
             self.standings.tell(name, True, now)
-        return [QuorumChanged(scope, before[scope], tally.now) for scope, tally in self.standings.scopes.items()
-                if scope in before and before[scope] != tally.now]
+        return [
+            QuorumChanged(scope, before[scope], tally.now)
+            for scope, tally in self.standings.scopes.items()
+            if scope in before and before[scope] != tally.now
+        ]
 
     def sync(self, now: float) -> ViewSync:
         """The whole view, ages as of now."""
-        entries = tuple(aged(entry.rumour, now - entry.evidence - entry.rumour.age_ms)
-                        for entry in self.view.entries.values())
+        entries = tuple(
+            aged(entry.rumour, now - entry.evidence - entry.rumour.age_ms) for entry in self.view.entries.values()
+        )
         return ViewSync(self.fleet, self.me, entries, tuple(self.reach.rows.values()))
 
     def _only(self, count: str) -> list[MembershipEffect]:
@@ -233,8 +254,11 @@
                 self._accept(now, rumour, entry, True)
         elif rumour.state == SUSPECT and rumour.key == entry.rumour.key:
             suspicion = self.suspicions.get(name)
-            if suspicion is not None and rumour.by not in suspicion.accusers \
-                    and len(suspicion.accusers) <= self.terms.accusers:
+            if (
+                suspicion is not None
+                and rumour.by not in suspicion.accusers
+                and len(suspicion.accusers) <= self.terms.accusers
+            ):
                 suspicion.accusers.add(rumour.by)
                 self._set_deadline(name, suspicion)
                 self.voice.spread.put(rumour, now)
@@ -259,8 +283,9 @@
             self.reach.lost(self.view, name)
             self.differ.end(name)
         if old is None or old.state != state or old.boot != rumour.boot:
-            self.voice.out.append(MemberChanged(name, None if old is None else old.state, state, rumour.boot, rumour.counter,
-                                     rumour.by))
+            self.voice.out.append(
+                MemberChanged(name, None if old is None else old.state, state, rumour.boot, rumour.counter, rumour.by)
+            )
             self.voice.out += self.standings.tell(name, state in HERE, now)
         if tell:
             self.voice.spread.put(rumour, now)
@@ -276,8 +301,9 @@
         suspicion = self.suspicions.get(rumour.name)
         if suspicion is not None and now - suspicion.started >= self.terms.suspect_min_ms / 2:
             return rumour
-        return MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, SUSPECT, rumour.age_ms,
-                      rumour.by)
+        return MemberUpdate(
+            rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, SUSPECT, rumour.age_ms, rumour.by
+        )
 
     def _verify(self, now: float, name: str, rumour: MemberUpdate) -> None:
         """Look for ourselves at one of whom something bad is told; the ping tells it what is said of it."""
@@ -318,7 +344,9 @@
 
     def _accuse(self, now: float, known: MemberUpdate) -> None:
         """No probe of ours reached it."""
-        self._hear(now, MemberUpdate(known.name, known.site, known.address, known.boot, known.counter, SUSPECT, 0, self.name))
+        self._hear(
+            now, MemberUpdate(known.name, known.site, known.address, known.boot, known.counter, SUSPECT, 0, self.name)
+        )
 
     def _set_deadline(self, name: str, suspicion: Suspicion) -> None:
         suspicion.deadline = suspicion.started + suspicion.wait(self.terms, self.voice.size)
@@ -336,8 +364,12 @@
             self.timers.put(suspicion.deadline, "suspect", name)
             return self.voice.send(now, known.rumour.address, GossipPush(), str(name))
         rumour = known.rumour
-        self._accept(now, MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, FAILED, 0,
-                                 self.name), known, True)
+        self._accept(
+            now,
+            MemberUpdate(rumour.name, rumour.site, rumour.address, rumour.boot, rumour.counter, FAILED, 0, self.name),
+            known,
+            True,
+        )
 
     # Spreading and looking around.
 
@@ -375,12 +407,22 @@
         """Forget what is long gone; name lasting disagreement."""
         self.timers.put(now + 1000, "look")
         roll = self.standings.fleet.electors
-        old = [name for name, entry in self.view.entries.items() if not entry.here
-               and now - entry.since > self.terms.forget_ms and (entry.rumour.state == LEFT or name not in roll)] \
-            if len(self.view.entries) > len(self.view.all) else []
+        old = (
+            [
+                name
+                for name, entry in self.view.entries.items()
+                if not entry.here
+                and now - entry.since > self.terms.forget_ms
+                and (entry.rumour.state == LEFT or name not in roll)
+            ]
+            if len(self.view.entries) > len(self.view.all)
+            else []
+        )
         for name in old:
             entry = self.view.drop(name)
-            self.voice.out.append(MemberChanged(name, entry.rumour.state, None, entry.rumour.boot, entry.rumour.counter, ""))
+            self.voice.out.append(
+                MemberChanged(name, entry.rumour.state, None, entry.rumour.boot, entry.rumour.counter, "")
+            )
         for name in self.differ.look(now, self.view):
             self.voice.out.append(CountEvent("disagree", f"views differ for long: {self.name} and {name}"))
         unheard = self.reach.one_way(self.view, now) if len(self.view.gone) else []
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -37,8 +37,9 @@
         room = DATAGRAM - FRAME - len(self.fleet) - weight(self.me) - named
         rumours, rows = self.spread.pick(now, self.size, room, first)
         self._no += 1
-        self.out.append(SendPacket(address, Packet(self.fleet, self._no, self.me, self.view.hash, self.roll, body, rumours,
-                                             rows)))
+        self.out.append(
+            SendPacket(address, Packet(self.fleet, self._no, self.me, self.view.hash, self.roll, body, rumours, rows))
+        )
 
     def done(self) -> list[MembershipEffect]:
         """The effects since the last call."""
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -16,8 +16,17 @@
 class ProbeRounds:
     """`accuse` is called with what is believed of a member that no probe reached."""
 
-    def __init__(self, site: str, terms: MembershipSettings, dice: Random, view: View, voice: PacketOutbox, timers: Timers, reach: ReachabilityMatrix,
-                 accuse: Callable[[float, MemberUpdate], None]) -> None:
+    def __init__(
+        self,
+        site: str,
+        terms: MembershipSettings,
+        dice: Random,
+        view: View,
+        voice: PacketOutbox,
+        timers: Timers,
+        reach: ReachabilityMatrix,
+        accuse: Callable[[float, MemberUpdate], None],
+    ) -> None:
         self.site, self.terms, self.dice, self.view, self.voice = site, terms, dice, view, voice
         self.timers, self.reach, self.accuse = timers, reach, accuse
         self.prober = Prober(terms, dice)
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -163,7 +163,7 @@
         others = [pool for key, pool in view.sites.items() if key not in (site, own_site) and len(pool)]
         self.dice.shuffle(others)
         mine = [view.sites[key] for key in dict.fromkeys((site, own_site)) if key in view.sites]
-        for pool in [*others[:max(1, self.terms.relays - 2)], *mine, view.all, view.all]:
+        for pool in [*others[: max(1, self.terms.relays - 2)], *mine, view.all, view.all]:
             if len(out) == self.terms.relays:
                 break
             out += pool.some(self.dice, 1, frozenset(without))[:1]
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -48,8 +48,11 @@
 
     def hears(self, view: View, entry: MemberEntry) -> None:
         """A packet of itself came: if we named its link as broken, one way works."""
-        if entry.missed >= self.terms.link_tries and self._heard(entry) \
-                and (entry.rumour.name, True) not in self.rows[self.me].cannot:
+        if (
+            entry.missed >= self.terms.link_tries
+            and self._heard(entry)
+            and (entry.rumour.name, True) not in self.rows[self.me].cannot
+        ):
             self.tell(view)
 
     def _heard(self, entry: MemberEntry) -> bool:
@@ -73,10 +76,13 @@
 
     def tell(self, view: View) -> None:
         """Tell our row anew. We hear one if something of it came since its direct answers ended."""
-        cannot = [(name, self._heard(entry)) for name, entry in view.entries.items()
-                  if entry.here and entry.missed >= self.terms.link_tries]
+        cannot = [
+            (name, self._heard(entry))
+            for name, entry in view.entries.items()
+            if entry.here and entry.missed >= self.terms.link_tries
+        ]
         self._no += 1
-        self._put(view, ReachabilityRow(self.me, self.boot, self._no, tuple(cannot[:self.terms.cannot])))
+        self._put(view, ReachabilityRow(self.me, self.boot, self._no, tuple(cannot[: self.terms.cannot])))
 
     def _put(self, view: View, row: ReachabilityRow) -> None:
         view.hash ^= row_stamp(self.rows.get(row.by)) ^ row_stamp(row)
@@ -86,14 +92,21 @@
     def heard(self, view: View, row: ReachabilityRow) -> None:
         """Another's row; the newest of each counts."""
         known, entry = self.rows.get(row.by), view.entries.get(row.by)
-        if entry is not None and entry.here and row.boot >= entry.rumour.boot \
-                and (known is None or (row.boot, row.no) > (known.boot, known.no)):
+        if (
+            entry is not None
+            and entry.here
+            and row.boot >= entry.rumour.boot
+            and (known is None or (row.boot, row.no) > (known.boot, known.no))
+        ):
             self._put(view, row)
 
     def one_way(self, view: View, now: float) -> list[str]:
         """Members taken for failed that we hear all the same: they don't hear us, or we are heard by none."""
-        return [name for name, entry in view.entries.items()
-                if not entry.here and now - entry.since > 3000 and now - entry.heard < 2000]
+        return [
+            name
+            for name, entry in view.entries.items()
+            if not entry.here and now - entry.since > 3000 and now - entry.heard < 2000
+        ]
 
 
 class ViewDivergence:
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -42,8 +42,12 @@
                 return f"{name}: expected at least 1, got {getattr(self, name)}"
             if getattr(self, name) > 86_400_000:
                 return f"{name}: expected at most 86400000, got {getattr(self, name)}"
-        for low, high in (("direct_min_ms", "direct_max_ms"), ("direct_max_ms", "reply_ms"),
-                          ("suspect_min_ms", "suspect_max_ms"), ("reply_ms", "suspect_min_ms")):
+        for low, high in (
+            ("direct_min_ms", "direct_max_ms"),
+            ("direct_max_ms", "reply_ms"),
+            ("suspect_min_ms", "suspect_max_ms"),
+            ("reply_ms", "suspect_min_ms"),
+        ):
             if getattr(self, low) > getattr(self, high):
                 return f"{low}: {getattr(self, low)} is over {high}, {getattr(self, high)}"
         if self.carry > 8:
@@ -69,8 +73,13 @@
         """A standing is right this long after the last change of links, n members in all: the first lost one is
         found, the rest in bursts, each with a probe at our worst local health and the longest suspicion."""
         bursts = math.ceil(n / (1 + self.burst)) * self.probe_ms
-        return (self._found_ms(n) + bursts + self.reply_ms * (1 + self.health_most)
-                + self.suspect_max_ms + self.spread_ms(n))
+        return (
+            self._found_ms(n)
+            + bursts
+            + self.reply_ms * (1 + self.health_most)
+            + self.suspect_max_ms
+            + self.spread_ms(n)
+        )
 
     def isolated_ms(self) -> float:
         """Who has had no answer from anybody for so long claims nothing for others, whatever it hears: one that hears
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -189,6 +189,7 @@
     def stalest(self, dice: Random, busy: Container[str]) -> str | None:
         """Of three picked by chance that are not being probed, the one least recently probed. Chance keeps the
         members' turns apart: in one common order all would probe one member at once, and then none for long."""
-        some = [name for name in self.all.some(dice, 3) if name not in busy] \
-            or [name for name in self.all if name not in busy][:3]
+        some = [name for name in self.all.some(dice, 3) if name not in busy] or [
+            name for name in self.all if name not in busy
+        ][:3]
         return min(some, key=lambda name: self.entries[name].probed) if some else None
--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -43,8 +43,11 @@
         found = explore(ALL[name], bounds, jobs, progress if live else None)
         used |= found.used
         verdict = "holds" if found.whole and not found.fell else "fell" if found.fell else "no verdict"
-        print(f"{name:10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
-              f"{found.seconds:7.1f} s  {verdict}", flush=True)
+        print(
+            f"{name:10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
+            f"{found.seconds:7.1f} s  {verdict}",
+            flush=True,
+        )
         if found.fell:
             tell(found)
             if folder is not None:
--- a/myrtlespar/model_checker/diagrams.py
+++ b/myrtlespar/model_checker/diagrams.py
@@ -15,8 +15,12 @@
 def document() -> str:
     """The whole page."""
     rules = "".join(f"| {name} | {text} |\n" for name, text in RULES.items())
-    return (HEAD + "\n## The rules that the checker looks at\n\n| rule | |\n| --- | --- |\n" + rules
-            + "".join(section(table) for table in TABLES))
+    return (
+        HEAD
+        + "\n## The rules that the checker looks at\n\n| rule | |\n| --- | --- |\n"
+        + rules
+        + "".join(section(table) for table in TABLES)
+    )
 
 
 def section(table: TransitionTable) -> str:
@@ -32,5 +36,7 @@
         if after != before:
             arrows.setdefault((before, after), []).append(on)
     lines = "".join(f"    {before} --> {after}: {', '.join(names)}\n" for (before, after), names in arrows.items())
-    return (f"\n## {table.name}\n\n```mermaid\nstateDiagram-v2\n{lines}```\n\n"
-            f"| state | event | then | effects |\n| --- | --- | --- | --- |\n{''.join(rows)}")
+    return (
+        f"\n## {table.name}\n\n```mermaid\nstateDiagram-v2\n{lines}```\n\n"
+        f"| state | event | then | effects |\n| --- | --- | --- | --- |\n{''.join(rows)}"
+    )
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -87,7 +87,6 @@
         self.tell("REAP", rid, status)
 
 
-
 @dataclass(slots=True)
 class PolicyModel:
     """What a policy knows: it may decide anything about what it was told of and has not decided."""
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -390,7 +390,12 @@
             for n, one in enumerate(w.callers):
                 if one.stage == WAITS and one.life == w.life and not one.answers and not one.gone:
                     w.fell.append("the drain answers all")
-                w.be(n, ConnectionEvent.RESET if w.conns[w.line(n)].state != ConnectionState.CLOSED else ConnectionEvent.CLOSE)
+                w.be(
+                    n,
+                    ConnectionEvent.RESET
+                    if w.conns[w.line(n)].state != ConnectionState.CLOSED
+                    else ConnectionEvent.CLOSE,
+                )
 
 
 def _flushed(w: World) -> None:
@@ -430,15 +435,49 @@
 
 
 EVENTS: dict[str, Callable[..., None]] = {
-    "send": _send, "whole": _whole, "cut short": _cut_short, "spoil": _spoil, "give up": _give_up,
-    "reset": _reset, "close": _close, "run": _run, "refuse": _refuse, "fail": _fail, "call": _call, "rude": _rude,
-    "connect": _connect, "break": _break, "settle": _settle, "gauges": _gauges, "hear": _hear,
-    "double": _double, "gap": _gap,
-    "read": _read, "read einval": _read_einval, "read over": _read_over, "end": _end, "ask": _ask,
-    "kernel restart": _kernel_restart, "reply": _reply, "worker": _worker, "wire opened": _wire_opened,
-    "wire refused": _wire_refused, "wire over": _wire_over, "wire broken": _wire_broken,
-    "wire reply": _wire_reply, "wire doubled": _wire_doubled, "wire copy": _wire_copy,
-    "notice": _notice_to_leave, "hand over": _hand_over, "move": _move, "bad reload": _bad_reload, "look": _look,
-    "flushed": _flushed, "deaf": _deaf, "turn away": _turn_away, "tick": _tick,
-    "kill": _kill}
+    "send": _send,
+    "whole": _whole,
+    "cut short": _cut_short,
+    "spoil": _spoil,
+    "give up": _give_up,
+    "reset": _reset,
+    "close": _close,
+    "run": _run,
+    "refuse": _refuse,
+    "fail": _fail,
+    "call": _call,
+    "rude": _rude,
+    "connect": _connect,
+    "break": _break,
+    "settle": _settle,
+    "gauges": _gauges,
+    "hear": _hear,
+    "double": _double,
+    "gap": _gap,
+    "read": _read,
+    "read einval": _read_einval,
+    "read over": _read_over,
+    "end": _end,
+    "ask": _ask,
+    "kernel restart": _kernel_restart,
+    "reply": _reply,
+    "worker": _worker,
+    "wire opened": _wire_opened,
+    "wire refused": _wire_refused,
+    "wire over": _wire_over,
+    "wire broken": _wire_broken,
+    "wire reply": _wire_reply,
+    "wire doubled": _wire_doubled,
+    "wire copy": _wire_copy,
+    "notice": _notice_to_leave,
+    "hand over": _hand_over,
+    "move": _move,
+    "bad reload": _bad_reload,
+    "look": _look,
+    "flushed": _flushed,
+    "deaf": _deaf,
+    "turn away": _turn_away,
+    "tick": _tick,
+    "kill": _kill,
+}
 CALLERS = frozenset({"send", "whole", "cut short", "spoil", "turn away", "give up", "reset", "close"})
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -120,11 +120,10 @@
 
 def _chunks(frontier: list[tuple[int, bytes]], size: int) -> Iterator[list[tuple[int, bytes]]]:
     for at in range(0, len(frontier), size):
-        yield frontier[at:at + size]
+        yield frontier[at : at + size]
 
 
-def explore(s: Scenario, bounds: Bounds, jobs: int = 1,
-            progress: Callable[[Result], None] | None = None) -> Result:
+def explore(s: Scenario, bounds: Bounds, jobs: int = 1, progress: Callable[[Result], None] | None = None) -> Result:
     """Visit every state, or stop at the first rule that falls, or at a bound."""
     if jobs == 1:
         _begin(s)
@@ -139,8 +138,12 @@
             pool.shutdown(cancel_futures=True)
 
 
-def _levels(s: Scenario, bounds: Bounds, expand: Callable[[list[tuple[int, bytes]]], Any],
-            progress: Callable[[Result], None] | None) -> Result:
+def _levels(
+    s: Scenario,
+    bounds: Bounds,
+    expand: Callable[[list[tuple[int, bytes]]], Any],
+    progress: Callable[[Result], None] | None,
+) -> Result:
     began = time.monotonic()
     first = freeze(begin(s))
     root = digest(first)
@@ -194,6 +197,5 @@
                 path.append(event)
                 plain = thaw(state)
                 break
-    path.append(next(event for event in unpack(s, plain).enabled()
-                     if tuple(step(s, plain, event, watch)[1]) == fell))
+    path.append(next(event for event in unpack(s, plain).enabled() if tuple(step(s, plain, event, watch)[1]) == fell))
     return path
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -17,7 +17,7 @@
 
 def mutations(area: str) -> Mapping[str, Mutation]:
     """The planted bugs of an area."""
-    found: Mapping[str, Mutation] = importlib.import_module(f"{AREAS[area]}.mutants").PLANTS
+    found: Mapping[str, Mutation] = importlib.import_module(f"{AREAS[area]}.mutants").MUTATIONS
     return found
 
 
@@ -32,8 +32,11 @@
     for name in plans:
         found = module.explore(name, jobs, seconds)
         verdict = "fell" if found.fell else "holds" if found.whole else "no verdict"
-        print(f"{area} {name:8} {found.runs:>9,} runs {found.steps:>13,} steps (longest run {found.longest:,}), up to "
-              f"{module.PLANS[name].deep} faults a run {found.seconds:7.1f} s  {verdict}", flush=True)
+        print(
+            f"{area} {name:8} {found.runs:>9,} runs {found.steps:>13,} steps (longest run {found.longest:,}), up to "
+            f"{module.PLANS[name].deep} faults a run {found.seconds:7.1f} s  {verdict}",
+            flush=True,
+        )
         for line in found.fell:
             print(f"  {line}")
         for at, fault in found.path if found.fell else ():
@@ -44,6 +47,7 @@
 
 def planted(area: str, jobs: int, seconds: float) -> int:
     """Find every planted bug. A survivor is a hole in the explorer."""
+
     def hunt(name: str) -> tuple[str, str]:
         words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
         done = subprocess.run(words, capture_output=True, text=True, check=False)
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -26,12 +26,19 @@
     first: int = 1  # the first one at each so-many-th step
 
 
-PLANS = {plan.name: plan for plan in (
-    Plan("single", 1), Plan("quick", 2, every=47, first=41), Plan("double", 2, every=23, first=17),
-    Plan("pairs", 2, every=4, first=2), Plan("full", 2),
-    Plan("deaf", 2, frozenset(("cut", "stop")), every=2, first=5),
-    Plan("late", 2, frozenset(("losses", "stop")), every=3, first=7), Plan("triples", 3, every=29, first=23),
-)}
+PLANS = {
+    plan.name: plan
+    for plan in (
+        Plan("single", 1),
+        Plan("quick", 2, every=47, first=41),
+        Plan("double", 2, every=23, first=17),
+        Plan("pairs", 2, every=4, first=2),
+        Plan("full", 2),
+        Plan("deaf", 2, frozenset(("cut", "stop")), every=2, first=5),
+        Plan("late", 2, frozenset(("losses", "stop")), every=3, first=7),
+        Plan("triples", 3, every=29, first=23),
+    )
+}
 
 
 @dataclass(slots=True)
@@ -88,6 +95,7 @@
 
     def both(x: str, y: str) -> bool:
         return way(x, y) and way(y, x)
+
     if both(a, b) or (there and both(a, third) and both(third, b)):
         return True
     path = [way(x, y) or (there and way(x, third) and way(third, y)) for x, y in ((a, b), (b, a))]
@@ -100,8 +108,11 @@
     for name, member in world.members.items():
         if member is None or member.leaving:
             continue
-        others = [linked(world, name, other) for other in NAMES if other != name
-                  and (there := world.members[other]) is not None and not there.leaving]
+        others = [
+            linked(world, name, other)
+            for other in NAMES
+            if other != name and (there := world.members[other]) is not None and not there.leaving
+        ]
         if None in others:
             continue
         here = sum(bool(one) for one in others)
@@ -125,12 +136,19 @@
             if other == name:
                 continue
             if there is not None and (entry is None or entry.rumour.key != there.me.key):
-                world.fall("all know who is there, in its present life",
-                           f"{name} has {entry and entry.rumour} of {other}")
+                world.fall(
+                    "all know who is there, in its present life", f"{name} has {entry and entry.rumour} of {other}"
+                )
             if there is None and entry is not None and entry.rumour.state in HERE:
                 world.fall("all know who is not there", f"{name} believes {other} here")
-            if there is None and other in world.gone and entry is not None and entry.rumour.state != MemberState.LEFT \
-                    and world.lost == 0 and len(world.faults) == 1:
+            if (
+                there is None
+                and other in world.gone
+                and entry is not None
+                and entry.rumour.state != MemberState.LEFT
+                and world.lost == 0
+                and len(world.faults) == 1
+            ):
                 world.fall("a goodbye is heard", f"{name} has {other} as {entry.rumour.state}")
         if member.suspicions:
             world.fall("nothing is left behind", f"{name} still suspects {sorted(member.suspicions)}")
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -92,8 +92,11 @@
     def next(self) -> tuple[str, Any]:
         """What comes by default: the earliest packet or event, else the earliest timer."""
         first = min(self.queue, default=None, key=lambda row: row[:2])
-        timers = [(member.next_at(), name) for name, member in self.members.items()
-                  if member is not None and name not in self.stopped]
+        timers = [
+            (member.next_at(), name)
+            for name, member in self.members.items()
+            if member is not None and name not in self.stopped
+        ]
         timer = min(timers, default=None)
         if first is None or (timer is not None and timer[0] < first[0]):
             return "tick", timer
@@ -133,8 +136,11 @@
             before, known = member.view.hash, member.view.entries.get(sender)
             old = known is not None and message.me.boot < known.boot
             effects = member.receive(self.now, message)
-            if again and (member.view.hash != before or any(isinstance(e, MemberChanged | QuorumChanged) for e in effects)
-                          or not any(isinstance(e, CountEvent) and e.what == "replayed" for e in effects)):
+            if again and (
+                member.view.hash != before
+                or any(isinstance(e, MemberChanged | QuorumChanged) for e in effects)
+                or not any(isinstance(e, CountEvent) and e.what == "replayed" for e in effects)
+            ):
                 self.fall("a doubled packet changes nothing", f"{to} took one of {sender} twice")
             if old and not any(isinstance(e, CountEvent) and e.what == "replayed" for e in effects):
                 self.fall("a packet of an old life changes nothing", f"{to} took one of {sender}")
@@ -186,13 +192,24 @@
         elif effect.new in (MemberState.ALIVE, MemberState.SUSPECT) and self.left.get(pair, -1) >= effect.boot:
             self.fall("nobody is brought back after it left", f"{name} believes {effect.name} back")
         if (effect.boot, effect.counter) > self.lives[effect.name]:
-            self.fall("only a member raises its own counter", f"{name} has {effect.boot, effect.counter} of "
-                                                              f"{effect.name}, it had {self.lives[effect.name]}")
-        if effect.new == MemberState.SUSPECT and len(self.faults) == 1 and self.faults[0][1][0] == "cut" \
-                and len({end for pair in self.faults[0][1][1] for end in pair}) == 2:
+            self.fall(
+                "only a member raises its own counter",
+                f"{name} has {effect.boot, effect.counter} of " f"{effect.name}, it had {self.lives[effect.name]}",
+            )
+        if (
+            effect.new == MemberState.SUSPECT
+            and len(self.faults) == 1
+            and self.faults[0][1][0] == "cut"
+            and len({end for pair in self.faults[0][1][1] for end in pair}) == 2
+        ):
             self.fall("who answers another is not suspected", f"{name} suspects {effect.name}")
-        if effect.new == MemberState.SUSPECT and effect.by == name and effect.name not in self.touched and self.lost <= 1 \
-                and all(fault[0] in ("lose", "stop") for _, fault in self.faults):
+        if (
+            effect.new == MemberState.SUSPECT
+            and effect.by == name
+            and effect.name not in self.touched
+            and self.lost <= 1
+            and all(fault[0] in ("lose", "stop") for _, fault in self.faults)
+        ):
             self.fall("one lost packet and a stop blame nobody", f"{name} suspects {effect.name}")
         if effect.new == MemberState.FAILED and not {name, effect.name} & self.touched and self.lost <= 2:
             self.fall("who is well is not failed", f"{name} failed {effect.name}")
@@ -208,8 +225,18 @@
         self.boots += 1
         number = NAMES.index(name)
         roll = VoterSet(1, {"x": NAMES})
-        member = Member(name, "x", address_of(name), boot, "small", TERMS, roll, [address_of("a")],
-                        SeededRandom(self.boots * 77 + number), self.now)
+        member = Member(
+            name,
+            "x",
+            address_of(name),
+            boot,
+            "small",
+            TERMS,
+            roll,
+            [address_of("a")],
+            SeededRandom(self.boots * 77 + number),
+            self.now,
+        )
         self.members[name] = member
         for pair in [pair for pair in self.beliefs if pair[0] == name]:
             del self.beliefs[pair]
@@ -326,14 +353,23 @@
         return out
     if kind != "tick":
         return out
-    up = [name for name, member in world.members.items() if member is not None and name not in world.gone
-          and name not in world.stopped]
+    up = [
+        name
+        for name, member in world.members.items()
+        if member is not None and name not in world.gone and name not in world.stopped
+    ]
     if "crash" in kinds:
-        out += [("crash", name, back, clock) for name in up
-                for back, clock in ((5.0, 10), (500.0, 10), (500.0, -3_600_000), (4000.0, 10), (None, 0))]
+        out += [
+            ("crash", name, back, clock)
+            for name in up
+            for back, clock in ((5.0, 10), (500.0, 10), (500.0, -3_600_000), (4000.0, 10), (None, 0))
+        ]
     if "cut" in kinds:
-        out += [("cut", cut_off(name, ways), ms) for name in up
-                for ways, ms in (("both", 700.0), ("both", 7000.0), ("out", 7000.0), ("in", 7000.0))]
+        out += [
+            ("cut", cut_off(name, ways), ms)
+            for name in up
+            for ways, ms in (("both", 700.0), ("both", 7000.0), ("out", 7000.0), ("in", 7000.0))
+        ]
         out += [("cut", pairs, 7000.0) for pairs in ((("a", "b"), ("b", "a")), (("a", "b"),), (("b", "c"),))]
     if "stop" in kinds:
         out += [("stop", name, ms) for name in up for ms in (900.0, 3000.0, 6000.0)]
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -50,8 +50,12 @@
 
 def unused(used: set[tuple[str, int, int]]) -> list[str]:
     """Rows that no run used: they are to be reached or removed."""
-    return [f"{table.name} {table.states(state).name} {table.events(event).name}" for table in TABLES
-            for state, event in table.filled() if (table.name, state, event) not in used]
+    return [
+        f"{table.name} {table.states(state).name} {table.events(event).name}"
+        for table in TABLES
+        for state, event in table.filled()
+        if (table.name, state, event) not in used
+    ]
 
 
 def fallen(world: World, watch: TransitionCoverage, ticked: bool) -> list[str]:
@@ -67,8 +71,9 @@
     if world.kernel.wrong_reply:
         out.append("true replies")
     if not world.stopped:
-        if (ticked and any(x.state in OWED and world.now >= x.due + OVERDUE_MS
-                          for x in world.tracker.open.values())) or (ticked and _forgotten(world)):
+        if (
+            ticked and any(x.state in OWED and world.now >= x.due + OVERDUE_MS for x in world.tracker.open.values())
+        ) or (ticked and _forgotten(world)):
             out.append("answered in time")
         if not _agree(world):
             out.append("books agree")
@@ -82,14 +87,22 @@
 def _stranded(world: World) -> bool:
     if not world.calls.wires and any(one.state == CallState.WAITING for one in world.calls.waiting):
         return True
-    return any(x.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
-               for id, x in world.tracker.open.items())
+    return any(
+        x.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
+        for id, x in world.tracker.open.items()
+    )
 
 
 def _forgotten(world: World) -> bool:
     """A caller waits past its due time for what nobody knows any longer."""
-    return any(one.stage == WAITS and one.life == world.life and not one.answers and not one.gone
-               and IDS[n] not in world.tracker.open for n, one in enumerate(world.callers))
+    return any(
+        one.stage == WAITS
+        and one.life == world.life
+        and not one.answers
+        and not one.gone
+        and IDS[n] not in world.tracker.open
+        for n, one in enumerate(world.callers)
+    )
 
 
 def _agree(world: World) -> bool:
@@ -97,12 +110,15 @@
     owed = sum(x.state in OWED for x in tracker.open.values())
     if owed != tracker.owed or any(x.state == AttemptState.OVER for x in tracker.open.values()):
         return False
-    waiting = sum(one.stage == WAITS and one.life == world.life and not one.gone and not one.answers
-                  for one in world.callers)
+    waiting = sum(
+        one.stage == WAITS and one.life == world.life and not one.gone and not one.answers for one in world.callers
+    )
     if waiting != owed:
         return False
     for entry in tracker.keys.entries.values():
-        if entry.state == KeyState.OWNED and (entry.owner is None or tracker.open.get(entry.owner.id) is not entry.owner):
+        if entry.state == KeyState.OWNED and (
+            entry.owner is None or tracker.open.get(entry.owner.id) is not entry.owner
+        ):
             return False
         if any(tracker.open.get(x.id) is not x or x.state != AttemptState.FOLLOWING for x in entry.followers):
             return False
--- a/myrtlespar/model_checker/mutants.py
+++ b/myrtlespar/model_checker/mutants.py
@@ -37,15 +37,18 @@
             "started twice",
             "attempts",
             "(AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL",
-            "(AttemptState.RUNNING, AttemptEvent.START): Transition(AttemptState.RUNNING, (AttemptAction.START_RUN,)),\n"
+            "(AttemptState.RUNNING, AttemptEvent.START): Transition(AttemptState.RUNNING, "
+            "(AttemptAction.START_RUN,)),\n"
             "    (AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(AttemptState.AT_CALL",
             "rude",
         ),
         _mutation(
             "refused after the start",
             "attempts",
-            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, " "(AttemptAction.DELIVER_FAILED,))",
-            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,))",
+            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, "
+            "(AttemptAction.DELIVER_FAILED,))",
+            "(AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED, "
+            "(AttemptAction.DELIVER,))",
             "rude",
         ),
         _mutation(
@@ -65,7 +68,8 @@
         _mutation(
             "departure not booked",
             "attempts",
-            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, "
+            "AttemptAction.WITHDRAW, ",
             "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, ",
             "quick",
         ),
@@ -79,8 +83,10 @@
         _mutation(
             "heir not called",
             "attempts",
-            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.PASS_ON, ",
-            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, "
+            "AttemptAction.WITHDRAW, AttemptAction.PASS_ON, ",
+            "(AttemptState.HELD, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, "
+            "AttemptAction.WITHDRAW, ",
             "quick",
         ),
         _mutation(
@@ -100,15 +106,20 @@
         _mutation(
             "follower left in the list",
             "attempts",
-            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW, " "AttemptAction.UNFOLLOW))",
-            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.WITHDRAW))",
+            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, "
+            "AttemptAction.WITHDRAW, "
+            "AttemptAction.UNFOLLOW))",
+            "(AttemptState.FOLLOWING, AttemptEvent.GONE): Transition(AttemptState.OVER, (AttemptAction.LEAVE, "
+            "AttemptAction.WITHDRAW))",
             "quick",
         ),
         _mutation(
             "late reply to a given-up call",
             "attempts",
-            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, AttemptAction.DROP_CALL, ",
-            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.WITHDRAW, ",
+            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, "
+            "(AttemptAction.WITHDRAW, AttemptAction.DROP_CALL, ",
+            "(AttemptState.CALLING, AttemptEvent.GONE): Transition(AttemptState.AT_CALL_UNWANTED, "
+            "(AttemptAction.WITHDRAW, ",
             "calls",
         ),
         _mutation(
@@ -118,9 +129,15 @@
             "if exchange.state == AttemptState.HELD:\n                slack",
             "quick",
         ),
-        _mutation("due time ignored", "request_tracker", "if now >= min(exchange.due + slack, end)", "if now >= end", "quick"),
-        _mutation("kill ignored", "request_tracker", "min(exchange.due + slack, end)", "exchange.due + 10 * slack", "forgets"),
-        _mutation("grace ignored", "request_tracker", "if not self.process.may_start(exchange.arrived):", "if False:", "quick"),
+        _mutation(
+            "due time ignored", "request_tracker", "if now >= min(exchange.due + slack, end)", "if now >= end", "quick"
+        ),
+        _mutation(
+            "kill ignored", "request_tracker", "min(exchange.due + slack, end)", "exchange.due + 10 * slack", "forgets"
+        ),
+        _mutation(
+            "grace ignored", "request_tracker", "if not self.process.may_start(exchange.arrived):", "if False:", "quick"
+        ),
         _mutation(
             "every repeat starts",
             "request_tracker",
@@ -153,7 +170,8 @@
             "hand-over leaves with answers owed",
             "process",
             "(ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE)",
-            "(ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING, (ProcessAction.FLUSH, *_CLOSE))",
+            "(ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING, "
+            "(ProcessAction.FLUSH, *_CLOSE))",
             "handover",
         ),
         _mutation(
@@ -206,7 +224,9 @@
             "command.state == SENT_DOUBTFUL and (command.harmless or not command.start) and",
             "calls",
         ),
-        _mutation("doubt forgotten", "engine_link", "(LinkAction.DOUBT, LinkAction.GREET)", "(LinkAction.GREET,)", "once"),
+        _mutation(
+            "doubt forgotten", "engine_link", "(LinkAction.DOUBT, LinkAction.GREET)", "(LinkAction.GREET,)", "once"
+        ),
         _mutation(
             "proof by any mark",
             "engine_link",
@@ -266,11 +286,14 @@
         _mutation(
             "reset forgets what was owed",
             "client_connection",
-            "(ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,))",
+            "(ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, "
+            "(ConnectionAction.GONE,))",
             "(ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED)",
             "fronts",
         ),
-        _mutation("key hand-over dropped", "request_tracker", "return self.keys.known() + running", "return []", "twins"),
+        _mutation(
+            "key hand-over dropped", "request_tracker", "return self.keys.known() + running", "return []", "twins"
+        ),
         _mutation(
             "runs in hand not handed over",
             "request_tracker",
--- a/myrtlespar/model_checker/mutation_testing.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -33,8 +33,10 @@
         print(f"survived {found.states:,} states of {found.scenario}{'' if found.whole else ', not all'}")
         sys.exit(1)
     long = len(found.path) > command.LONGEST
-    print(f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
-          f"{found.states:,} states of {found.scenario}")
+    print(
+        f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
+        f"{found.states:,} states of {found.scenario}"
+    )
     if save is not None:
         command.save(found, Path(save) / f"{name.replace(' ', '-')}.yaml", name)
     sys.exit(int(long))
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -49,7 +49,10 @@
 def side(name: str) -> ProcessSide:
     """A process at its start."""
     process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
-    return ProcessSide(name, RequestTracker(RequestTerms([8000.0], [True], 100.0, 1000.0), IdempotencyKeyTable(8, KEY_MS, 4, 1000), process))
+    return ProcessSide(
+        name,
+        RequestTracker(RequestTerms([8000.0], [True], 100.0, 1000.0), IdempotencyKeyTable(8, KEY_MS, 4, 1000), process),
+    )
 
 
 @dataclass(slots=True)
@@ -217,8 +220,11 @@
 
 def shown(found: PairResult) -> int:
     """Print what was found; the exit status."""
-    print(f"{'twins':10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
-          f"{found.seconds:7.1f} s  {'fell' if found.fell else 'holds'}", flush=True)
+    print(
+        f"{'twins':10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
+        f"{found.seconds:7.1f} s  {'fell' if found.fell else 'holds'}",
+        flush=True,
+    )
     for rule in found.fell:
         print(f"  fell: {rule}: {RULES.get(rule, '')}")
     for number, event in enumerate(found.path, 1):
@@ -232,6 +238,8 @@
         print(f"survived {found.states:,} states of twins")
         return 1
     long = len(found.path) > longest
-    print(f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
-          f"{found.states:,} states of twins")
+    print(
+        f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
+        f"{found.states:,} states of twins"
+    )
     return int(long)
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -30,8 +30,12 @@
 ALL = frozenset(("packets", "crash", "stop", "cut", "part", "believe", "demand"))
 FAST, SLOW = 1.02, 0.98
 SETTINGS = {
-    "true": Setting(), "drift": Setting(rates=(SLOW, FAST, 1.0)), "drift back": Setting(rates=(FAST, SLOW, SLOW)),
-    "loose": Setting(LOOSE), "hand": Setting(HAND), "hand drift": Setting(HAND, (SLOW, FAST, 1.0)),
+    "true": Setting(),
+    "drift": Setting(rates=(SLOW, FAST, 1.0)),
+    "drift back": Setting(rates=(FAST, SLOW, SLOW)),
+    "loose": Setting(LOOSE),
+    "hand": Setting(HAND),
+    "hand drift": Setting(HAND, (SLOW, FAST, 1.0)),
     "engine": Setting(RATE, (SLOW, FAST, 1.0), engine=True),
     "engine hand": Setting(HAND, (FAST, SLOW, 1.0), engine=True),
     "budget": Setting(BUDGET, (SLOW, FAST, 1.0)),
@@ -55,33 +59,92 @@
     def at(self, left: int) -> frozenset[str]:
         """The kinds that may come while so many faults are left."""
         return self.firsts if self.firsts and left == self.deep else self.kinds
+
     kinds: frozenset[str] = ALL
 
 
-PLANS = {plan.name: plan for plan in (
-    Plan("sample", 1, first=37), Plan("single", 1, first=4), Plan("every", 1),
-    Plan("quick", 2, first=31, every=71, settings=("drift",)),
-    Plan("double", 2, first=11, every=23, settings=("true", "drift", "hand")),
-    Plan("keepers", 2, first=5, every=11, settings=("drift",), kinds=frozenset(("crash", "stop", "believe"))),
-    Plan("lives", 2, first=5, every=9, settings=("hand", "true"), kinds=frozenset(("crash", "sleep"))),
-    Plan("fence", 2, first=3, every=3, settings=("true",), kinds=frozenset(("sleep",)), firsts=frozenset(("late",))),
-    Plan("shifts", 2, first=4, every=1, settings=("drift",), span_ms=1100.0, kinds=frozenset(("late",)),
-         firsts=frozenset(("long quiet",))),
-    Plan("leases", 2, first=3, every=5, settings=("true",), kinds=frozenset(("part", "sleep")),
-         firsts=frozenset(("late",))),
-    Plan("voters", 2, first=5, every=7, settings=("drift",), kinds=frozenset(("crash",)), firsts=frozenset(("shun",))),
-    Plan("changes", 2, first=7, every=9, settings=("lowered", "raised"), span_ms=1000.0,
-         kinds=frozenset(("crash", "part", "believe", "sleep")), firsts=frozenset(("change",))),
-    Plan("engine", 2, first=7, every=13, settings=("engine", "engine hand"),
-         kinds=frozenset(("crash", "stop", "believe", "away"))),
-    Plan("budgets", 2, first=17, every=13, settings=("budget",), span_ms=900.0,
-         kinds=frozenset(("crash", "outage", "stop", "believe", "part"))),
-    Plan("newer", 1, first=23, settings=("budget", "engine", "engine hand"),
-         kinds=frozenset(("crash", "outage", "stop", "believe", "part", "away", "packets"))),
-    Plan("written", 2, first=5, every=3, settings=("budget",), span_ms=300.0, kinds=frozenset(("crash",)),
-         firsts=frozenset(("cut",))),
-    Plan("triples", 3, first=37, every=61, settings=("drift back",)),
-)}
+PLANS = {
+    plan.name: plan
+    for plan in (
+        Plan("sample", 1, first=37),
+        Plan("single", 1, first=4),
+        Plan("every", 1),
+        Plan("quick", 2, first=31, every=71, settings=("drift",)),
+        Plan("double", 2, first=11, every=23, settings=("true", "drift", "hand")),
+        Plan("keepers", 2, first=5, every=11, settings=("drift",), kinds=frozenset(("crash", "stop", "believe"))),
+        Plan("lives", 2, first=5, every=9, settings=("hand", "true"), kinds=frozenset(("crash", "sleep"))),
+        Plan(
+            "fence", 2, first=3, every=3, settings=("true",), kinds=frozenset(("sleep",)), firsts=frozenset(("late",))
+        ),
+        Plan(
+            "shifts",
+            2,
+            first=4,
+            every=1,
+            settings=("drift",),
+            span_ms=1100.0,
+            kinds=frozenset(("late",)),
+            firsts=frozenset(("long quiet",)),
+        ),
+        Plan(
+            "leases",
+            2,
+            first=3,
+            every=5,
+            settings=("true",),
+            kinds=frozenset(("part", "sleep")),
+            firsts=frozenset(("late",)),
+        ),
+        Plan(
+            "voters", 2, first=5, every=7, settings=("drift",), kinds=frozenset(("crash",)), firsts=frozenset(("shun",))
+        ),
+        Plan(
+            "changes",
+            2,
+            first=7,
+            every=9,
+            settings=("lowered", "raised"),
+            span_ms=1000.0,
+            kinds=frozenset(("crash", "part", "believe", "sleep")),
+            firsts=frozenset(("change",)),
+        ),
+        Plan(
+            "engine",
+            2,
+            first=7,
+            every=13,
+            settings=("engine", "engine hand"),
+            kinds=frozenset(("crash", "stop", "believe", "away")),
+        ),
+        Plan(
+            "budgets",
+            2,
+            first=17,
+            every=13,
+            settings=("budget",),
+            span_ms=900.0,
+            kinds=frozenset(("crash", "outage", "stop", "believe", "part")),
+        ),
+        Plan(
+            "newer",
+            1,
+            first=23,
+            settings=("budget", "engine", "engine hand"),
+            kinds=frozenset(("crash", "outage", "stop", "believe", "part", "away", "packets")),
+        ),
+        Plan(
+            "written",
+            2,
+            first=5,
+            every=3,
+            settings=("budget",),
+            span_ms=300.0,
+            kinds=frozenset(("crash",)),
+            firsts=frozenset(("cut",)),
+        ),
+        Plan("triples", 3, first=37, every=61, settings=("drift back",)),
+    )
+}
 
 
 @dataclass(slots=True)
@@ -189,8 +252,9 @@
     """Visit all runs of a plan, or stop at the first broken promise or after so long."""
     began, out = time.monotonic(), Found()
     shares = jobs * 4
-    work = [(name, setting, share, shares, began + seconds) for setting in PLANS[name].settings
-            for share in range(shares)]
+    work = [
+        (name, setting, share, shares, began + seconds) for setting in PLANS[name].settings for share in range(shares)
+    ]
     for found in _results(work, jobs):
         out.add(found)
         if out.fell:
--- a/myrtlespar/model_checker/quota/faults.py
+++ b/myrtlespar/model_checker/quota/faults.py
@@ -23,8 +23,11 @@
     if kind == "packet":
         if "late" in kinds:
             return [("hold", 260.0)]
-        return [("lose",), ("double", 30.0), ("double", 250.0), ("hold", 100.0), ("hold", 260.0)] \
-            if "packets" in kinds else []
+        return (
+            [("lose",), ("double", 30.0), ("double", 250.0), ("hold", 100.0), ("hold", 260.0)]
+            if "packets" in kinds
+            else []
+        )
     if kind != "tick":
         return []
     out: list[Fault] = []
@@ -50,8 +53,12 @@
     if "change" in kinds:
         out += [("change", names, ms) for names in permutations(NAMES) for ms in (10.0, 330.0)]
     if "believe" in kinds:
-        out += [("believe", name, tuple(sorted(here)), ms) for name in up for ms in (100.0, 800.0)
-                for here in (set(NAMES) - {other} for other in NAMES if other != name)]
+        out += [
+            ("believe", name, tuple(sorted(here)), ms)
+            for name in up
+            for ms in (100.0, 800.0)
+            for here in (set(NAMES) - {other} for other in NAMES if other != name)
+        ]
         out += [("believe", name, (name,), 800.0) for name in up]
     if "demand" in kinds:
         out += [("quiet", name, ms) for name in up for ms in (150.0, 600.0)]
--- a/myrtlespar/model_checker/quota/mutants.py
+++ b/myrtlespar/model_checker/quota/mutants.py
@@ -193,7 +193,9 @@
             "one.got += answer.total",
             "budgets",
         ),
-        _mutation("a vault is not written down", "limit_coordinator", "BudgetJournal(vault)", "BudgetJournal()", "newer"),
+        _mutation(
+            "a vault is not written down", "limit_coordinator", "BudgetJournal(vault)", "BudgetJournal()", "newer"
+        ),
         _mutation(
             "the window is short",
             "usage_windows",
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -185,8 +185,9 @@
             self.put(limit.run_most_ms - (self.count % 5) * 12.0, "end", name, life)
         self.most = max(self.most, in_use)
         if in_use > self.setting.most:
-            self.fell.append(f"never over: {in_use} of {self.setting.most} in use as {name} let one in at "
-                             f"{self.now:.0f} ms")
+            self.fell.append(
+                f"never over: {in_use} of {self.setting.most} in use as {name} let one in at " f"{self.now:.0f} ms"
+            )
 
     def do_end(self, row: Row) -> None:
         """A run ends, in the kernel; its member hears of it if it is still there."""
@@ -217,8 +218,11 @@
                 self.put(DISK_MS, "disk", name, self.lives[name], (dict(agent.vault.rows), effect))
             elif effect.what == "keeper":
                 self.began.append(self.now)
-        keepers = [one for one, agent in self.members.items() if agent is not None and one not in self.stopped
-                   and agent.ranges[0].candidacy.has(self.clock(one))]
+        keepers = [
+            one
+            for one, agent in self.members.items()
+            if agent is not None and one not in self.stopped and agent.ranges[0].candidacy.has(self.clock(one))
+        ]
         if len(keepers) > 1:
             self.fell.append(f"one keeper: {' '.join(keepers)} at {self.now:.0f} ms")
 
@@ -239,9 +243,16 @@
         name = row[3]
         life = self.lives[name] = self.lives.get(name, 0) + 1
         limit = self.setting.later if name in self.adopted and self.setting.later else self.setting.limit
-        agent = self.members[name] = LimitCoordinator((name, life), self.setting.terms, {"x": limit}, frozenset(NAMES),
-                                           self.clock(name), 1 + (name in self.adopted), self.setting.engine,
-                                           self.disks.get(name))
+        agent = self.members[name] = LimitCoordinator(
+            (name, life),
+            self.setting.terms,
+            {"x": limit},
+            frozenset(NAMES),
+            self.clock(name),
+            1 + (name in self.adopted),
+            self.setting.engine,
+            self.disks.get(name),
+        )
         self.asking.pop(name, None)
         agent.here = self.belief.get(name, frozenset(NAMES))
         self.put(0.0, "tick", name, life)
@@ -252,7 +263,7 @@
         name = row[3]
         self.stopped.discard(name)
         kept = self.kept.pop(name, [])
-        for one in (reversed(kept) if row[4] else kept):
+        for one in reversed(kept) if row[4] else kept:
             getattr(self, f"do_{one[2]}")(one)
 
     def do_heal(self, row: Row) -> None:
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -52,8 +52,9 @@
         name, *words = event
         kernel = self.kernel
         if name == "send":
-            self.clients[words[0]] = (FakeGateway(ports[1]) if self.s.tries[words[0]].front == "ajp"
-                                      else ThriftClient(ports[0]))
+            self.clients[words[0]] = (
+                FakeGateway(ports[1]) if self.s.tries[words[0]].front == "ajp" else ThriftClient(ports[0])
+            )
         elif name == "whole":
             self._whole(words[0])
         elif name in ("give up", "reset", "cut short"):
@@ -109,7 +110,9 @@
             out.append("one start a key")
         if self.kernel.wrong:
             out.append("true replies")
-        if any(count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()):
+        if any(
+            count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()
+        ):
             out.append("one answer")
         return out
 
