--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -65,31 +65,70 @@
 ORDER_T, ORDER_A = ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="k")
 READ = ScenarioAttempt(effectful=False)
 
-ALL = {one.name: one for one in (
-    Scenario("quick", (ORDER_A, ORDER_T), breaks=1, drain=True, give_ups=1, ticks=3),
-    Scenario("once", (ScenarioAttempt(),), breaks=1, give_ups=1, ticks=3),
-    Scenario("calls", (ScenarioAttempt(),), breaks=1, calls=2, bad_replies=1, give_ups=1, ticks=3, doubled=1, begun=True),
-    Scenario("reads", (READ,), breaks=1, kernels=1, give_ups=1, ticks=3, calls=1),
-    Scenario("mixed", (READ, ScenarioAttempt()), breaks=1, ticks=1),
-    Scenario("wires", (ScenarioAttempt(),), breaks=1, doubled=1, einvals=1, moves=2, ticks=2, resets=1),
-    Scenario("deaf", (ScenarioAttempt(),), breaks=1, deaf=1, ticks=2, begun=True),
-    Scenario("gaps", (READ, READ), gaps=1, asks=1, ticks=1, begun=True),
-    Scenario("kernels", (READ, READ), kernels=1, asks=1, ticks=1, begun=True),
-    Scenario("handover", (ORDER_T, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
-    Scenario("fronts", (ScenarioAttempt("ajp"), ScenarioAttempt()), drain=True, resets=1, ticks=2),
-    Scenario("spoilt", (ScenarioAttempt("ajp"),), drain=True, closes=1, spoils=1, ticks=3, bad_reloads=1, moves=1),
-    Scenario("framed", (ScenarioAttempt(),), drain=True, notices=2, resets=1, closes=1, spoils=1, give_ups=1, ticks=4),
-    Scenario("shared", (ScenarioAttempt(), ScenarioAttempt(link=0)), resets=1, spoils=1, ticks=1, give_ups=1),
-    Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), give_ups=2, ticks=2, followers=2, key_ms=1500.0),
-    Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, followers=1),
-    Scenario("full", (ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="l")), keys_most=1, give_ups=1, ticks=3, key_ms=500.0),
-    Scenario("workers", (ScenarioAttempt("ajp", key="k", target="w"), ScenarioAttempt(key="k", target="w")), give_ups=1, ticks=3, drain=True),
-    Scenario("store", (ScenarioAttempt(),), store=True, calls=2, store_faults=1, store_links=1, ticks=3, give_ups=1, moves=1,
-             begun=True),
-    Scenario("stores", (READ, READ), store=True, calls=1, store_faults=1, store_links=1, store_waiting=2, ticks=1,
-             begun=True),
-    Scenario("rude", (ScenarioAttempt(),), rude=2, calls=1, ticks=3, give_ups=1),
-    Scenario("forgets", (ORDER_A, ORDER_T), silent=True, ticks=4, give_ups=1, drain=True),
-    Scenario("large", (ORDER_T, ORDER_T, ORDER_T), lives=2, breaks=2, ticks=2),
-)}
+ALL = {
+    one.name: one
+    for one in (
+        Scenario("quick", (ORDER_A, ORDER_T), breaks=1, drain=True, give_ups=1, ticks=3),
+        Scenario("once", (ScenarioAttempt(),), breaks=1, give_ups=1, ticks=3),
+        Scenario(
+            "calls", (ScenarioAttempt(),), breaks=1, calls=2, bad_replies=1, give_ups=1, ticks=3, doubled=1, begun=True
+        ),
+        Scenario("reads", (READ,), breaks=1, kernels=1, give_ups=1, ticks=3, calls=1),
+        Scenario("mixed", (READ, ScenarioAttempt()), breaks=1, ticks=1),
+        Scenario("wires", (ScenarioAttempt(),), breaks=1, doubled=1, einvals=1, moves=2, ticks=2, resets=1),
+        Scenario("deaf", (ScenarioAttempt(),), breaks=1, deaf=1, ticks=2, begun=True),
+        Scenario("gaps", (READ, READ), gaps=1, asks=1, ticks=1, begun=True),
+        Scenario("kernels", (READ, READ), kernels=1, asks=1, ticks=1, begun=True),
+        Scenario("handover", (ORDER_T, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
+        Scenario("fronts", (ScenarioAttempt("ajp"), ScenarioAttempt()), drain=True, resets=1, ticks=2),
+        Scenario("spoilt", (ScenarioAttempt("ajp"),), drain=True, closes=1, spoils=1, ticks=3, bad_reloads=1, moves=1),
+        Scenario(
+            "framed", (ScenarioAttempt(),), drain=True, notices=2, resets=1, closes=1, spoils=1, give_ups=1, ticks=4
+        ),
+        Scenario("shared", (ScenarioAttempt(), ScenarioAttempt(link=0)), resets=1, spoils=1, ticks=1, give_ups=1),
+        Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), give_ups=2, ticks=2, followers=2, key_ms=1500.0),
+        Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, followers=1),
+        Scenario(
+            "full",
+            (ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="l")),
+            keys_most=1,
+            give_ups=1,
+            ticks=3,
+            key_ms=500.0,
+        ),
+        Scenario(
+            "workers",
+            (ScenarioAttempt("ajp", key="k", target="w"), ScenarioAttempt(key="k", target="w")),
+            give_ups=1,
+            ticks=3,
+            drain=True,
+        ),
+        Scenario(
+            "store",
+            (ScenarioAttempt(),),
+            store=True,
+            calls=2,
+            store_faults=1,
+            store_links=1,
+            ticks=3,
+            give_ups=1,
+            moves=1,
+            begun=True,
+        ),
+        Scenario(
+            "stores",
+            (READ, READ),
+            store=True,
+            calls=1,
+            store_faults=1,
+            store_links=1,
+            store_waiting=2,
+            ticks=1,
+            begun=True,
+        ),
+        Scenario("rude", (ScenarioAttempt(),), rude=2, calls=1, ticks=3, give_ups=1),
+        Scenario("forgets", (ORDER_A, ORDER_T), silent=True, ticks=4, give_ups=1, drain=True),
+        Scenario("large", (ORDER_T, ORDER_T, ORDER_T), lives=2, breaks=2, ticks=2),
+    )
+}
 QUICK = tuple(name for name in ALL if name != "large")
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -61,30 +61,69 @@
     names = {name: f"{name.partition('-')[0]}-{n}" for n, name in enumerate(c.marks, 1)}
     ranks = sorted(one.sent for one in c.open.values() if one.sent)
     return (
-        w.now, w.life, w.listening, w.stopped, w.known_kernel,
+        w.now,
+        w.life,
+        w.listening,
+        w.stopped,
+        w.known_kernel,
         tuple((one.stage, tuple(one.answers), one.gone, one.life, one.late) for one in w.callers),
-        tuple(sorted(w.spent.items())), tuple(sorted(w.concluded.items())),
+        tuple(sorted(w.spent.items())),
+        tuple(sorted(w.concluded.items())),
         (tuple(w.policy.held), tuple(w.policy.running), tuple(w.policy.at_call)),
-        tuple([int(conn.state) for conn in w.conns]), tuple(sorted(w.pending.items())), tuple(w.copies),
+        tuple([int(conn.state) for conn in w.conns]),
+        tuple(sorted(w.pending.items())),
+        tuple(w.copies),
         tuple(w.workers),
-        (k.life, k.linked, tuple([(rid, *run) for rid, run in sorted(k.runs.items())]),
-         tuple(sorted(k.starts.items())), tuple(sorted(k.passed)), k.wrong_reply, tuple(k.notices),
-         _renamed(k.up, names), _renamed(k.down, names)),
-        tuple([None if x is None else (x.id, x.front, x.cls, x.arrived, x.due, x.key, x.target, x.call_body,
-                                       int(x.state)) for x in w.tries]),
-        tuple(d.open), d.owed, (int(p.stage), p.notice_at, p.kill_at, p.closed_at),
-        tuple([(slot, int(e.state), e.owner.id if e.owner else "", tuple([x.id for x in e.followers]),
-                _answer(e.outcome)) for slot, e in keys.entries.items()]), tuple(keys.expiry),
+        (
+            k.life,
+            k.linked,
+            tuple([(rid, *run) for rid, run in sorted(k.runs.items())]),
+            tuple(sorted(k.starts.items())),
+            tuple(sorted(k.passed)),
+            k.wrong_reply,
+            tuple(k.notices),
+            _renamed(k.up, names),
+            _renamed(k.down, names),
+        ),
+        tuple(
+            [
+                None
+                if x is None
+                else (x.id, x.front, x.cls, x.arrived, x.due, x.key, x.target, x.call_body, int(x.state))
+                for x in w.tries
+            ]
+        ),
+        tuple(d.open),
+        d.owed,
+        (int(p.stage), p.notice_at, p.kill_at, p.closed_at),
+        tuple(
+            [
+                (
+                    slot,
+                    int(e.state),
+                    e.owner.id if e.owner else "",
+                    tuple([x.id for x in e.followers]),
+                    _answer(e.outcome),
+                )
+                for slot, e in keys.entries.items()
+            ]
+        ),
+        tuple(keys.expiry),
         (int(c.link), c.last, c.gap, c.fresh, sum(rank <= c.sent_before for rank in ranks)),
-        tuple([(rid, one.line, one.start, one.harmless, ranks.index(one.sent) + 1 if one.sent else 0,
-                int(one.state)) for rid, one in c.open.items()]),
+        tuple(
+            [
+                (rid, one.line, one.start, one.harmless, ranks.index(one.sent) + 1 if one.sent else 0, int(one.state))
+                for rid, one in c.open.items()
+            ]
+        ),
         tuple([(names[name], sum(rank <= newest for rank in ranks)) for name, newest in c.marks.items()]),
-        _pack_calls(w.calls, w.wires), w.deaf)
+        _pack_calls(w.calls, w.wires),
+        w.deaf,
+    )
 
 
 def _renamed(items: list[Any], names: dict[str, str]) -> Plain:
-    return tuple([(item[0], names.get(item[1], "lost-0")) if item[0] in ("MARK", "INFO") else item
-                  for item in items])
+    return tuple([(item[0], names.get(item[1], "lost-0")) if item[0] in ("MARK", "INFO") else item for item in items])
 
 
 def _answer(answer: Answer | None) -> Plain | None:
@@ -95,19 +134,64 @@
     if not wires and not c.calls and not c.waiting:
         return (c.wires, c.serial, c.epoch)
     every = {call: n for n, call in enumerate(dict.fromkeys((*c.calls.values(), *c.waiting)))}
-    return (c.wires, c.serial, c.epoch,
-            tuple([(call.id, call.body, call.made, call.limit_ms, int(call.state),
-                    call.wire.number if call.wire else 0) for call in every]),
-            tuple([every[call] for call in c.calls.values()]), tuple([every[call] for call in c.waiting]),
-            tuple([(wire.number, wire.epoch, tuple(wire.served), int(wire.state),
-                    every[wire.call] if wire.call else -1, wire.used) for wire in wires]),
-            tuple([wire.number for wire in c.idle]))
+    return (
+        c.wires,
+        c.serial,
+        c.epoch,
+        tuple(
+            [
+                (call.id, call.body, call.made, call.limit_ms, int(call.state), call.wire.number if call.wire else 0)
+                for call in every
+            ]
+        ),
+        tuple([every[call] for call in c.calls.values()]),
+        tuple([every[call] for call in c.waiting]),
+        tuple(
+            [
+                (
+                    wire.number,
+                    wire.epoch,
+                    tuple(wire.served),
+                    int(wire.state),
+                    every[wire.call] if wire.call else -1,
+                    wire.used,
+                )
+                for wire in wires
+            ]
+        ),
+        tuple([wire.number for wire in c.idle]),
+    )
 
 
 def unpack(s: Scenario, plain: Plain) -> World:
     """The world of a plain form. It shares nothing that may change."""
-    (now, life, listening, stopped, known, callers, spent, concluded, policy, conns, pending, copies, workers,
-     kernel, tries, opened, owed, process, entries, expiry, link, commands, marks, calls, deaf) = plain
+    (
+        now,
+        life,
+        listening,
+        stopped,
+        known,
+        callers,
+        spent,
+        concluded,
+        policy,
+        conns,
+        pending,
+        copies,
+        workers,
+        kernel,
+        tries,
+        opened,
+        owed,
+        process,
+        entries,
+        expiry,
+        link,
+        commands,
+        marks,
+        calls,
+        deaf,
+    ) = plain
     w = World.__new__(World)
     w.s, w.fell = s, []
     w.now, w.life, w.listening, w.stopped, w.known_kernel = now, life, listening, stopped, known
@@ -117,8 +201,17 @@
     w.conns = [_conn(n, state) for n, state in enumerate(conns)]
     w.pending, w.copies, w.workers = dict(pending), list(copies), list(workers)
     lives, linked, runs, starts, passed, wrong, notices, up, down = kernel
-    w.kernel = KernelModel(lives, linked, {rid: [waits, made] for rid, waits, made in runs}, dict(starts),
-                           set(passed), wrong, list(notices), list(up), list(down))
+    w.kernel = KernelModel(
+        lives,
+        linked,
+        {rid: [waits, made] for rid, waits, made in runs},
+        dict(starts),
+        set(passed),
+        wrong,
+        list(notices),
+        list(up),
+        list(down),
+    )
     w.tries = [None if row is None else _exchange(row) for row in tries]
     named = {x.id: x for x in w.tries if x is not None}
     p = ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0)
@@ -126,16 +219,20 @@
     keys = IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64)
     keys.expiry = deque(expiry)
     for slot, state, owner, followers, outcome in entries:
-        keys.entries[slot] = KeyEntry(state, named[owner] if owner else None, [named[id] for id in followers],
-                                   None if outcome is None else Answer(KINDS[outcome[0]], outcome[1], outcome[2],
-                                                                       late=outcome[3]))
+        keys.entries[slot] = KeyEntry(
+            state,
+            named[owner] if owner else None,
+            [named[id] for id in followers],
+            None if outcome is None else Answer(KINDS[outcome[0]], outcome[1], outcome[2], late=outcome[3]),
+        )
     w.tracker = RequestTracker(TERMS, keys, p)
     w.tracker.owed = owed
     w.tracker.open = {id: named[id] for id in opened}
     c = w.commands = CommandLog(w.tracker.wanted, 8)
     c.link, c.last, c.gap, c.fresh, c.sent_before = link
-    c.open = {rid: Command(rid, line, start, harmless, sent, state)
-              for rid, line, start, harmless, sent, state in commands}
+    c.open = {
+        rid: Command(rid, line, start, harmless, sent, state) for rid, line, start, harmless, sent, state in commands
+    }
     c.marks, c.serial, c.sent = dict(marks), len(marks), len(commands)
     w.calls, w.wires = _unpack_calls(s, calls)
     w.deaf = deaf
@@ -160,9 +257,13 @@
     if len(plain) == 3:
         return out, []
     rows, by_id, waiting, wires, idle = plain[3:]
-    links = {number: DependencyConnection(number, epoch, deque(served, s.served), state, None, used)
-             for number, epoch, served, state, _, used in wires}
-    every = [DependencyCall(id, body, made, limit, state, links.get(wire)) for id, body, made, limit, state, wire in rows]
+    links = {
+        number: DependencyConnection(number, epoch, deque(served, s.served), state, None, used)
+        for number, epoch, served, state, _, used in wires
+    }
+    every = [
+        DependencyCall(id, body, made, limit, state, links.get(wire)) for id, body, made, limit, state, wire in rows
+    ]
     for number, _, _, _, call, _ in wires:
         links[number].call = every[call] if call >= 0 else None
     out.calls = {every[n].id: every[n] for n in by_id}
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -10,8 +10,16 @@
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.transition_table import TransitionTable
 
-BEGINS = {"try": ("READ",), "key": ("FREE", "OWNED", "KNOWN"), "process": ("SERVING",), "link": ("DOWN",),
-          "command": ("KEPT",), "call": ("WAITING",), "wire": ("OPENING",), "connection": ("IDLE",)}
+BEGINS = {
+    "try": ("READ",),
+    "key": ("FREE", "OWNED", "KNOWN"),
+    "process": ("SERVING",),
+    "link": ("DOWN",),
+    "command": ("KEPT",),
+    "call": ("WAITING",),
+    "wire": ("OPENING",),
+    "connection": ("IDLE",),
+}
 SHARED = ("key",)  # told apart by text alone, which several classes may use: steps are checked, not their order
 ENDS = ("OVER", "DONE", "CLOSED", "STOPPED")
 NAMES = {table.name: table for table in TABLES}
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -84,8 +84,11 @@
         """A new life of the server."""
         s = self.s
         self.policy = PolicyModel()
-        self.tracker = RequestTracker(TERMS, IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64),
-                         ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0))
+        self.tracker = RequestTracker(
+            TERMS,
+            IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64),
+            ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0),
+        )
         self.commands = commands.CommandLog(self.tracker.wanted, 8)
         self.calls = calls.DependencyCalls(bounds(s), quiet)
         self.conns = [ConnectionLifecycle(IDS[n]) for n in range(len(s.tries))]
@@ -241,7 +244,9 @@
 
     def _may_look(self) -> bool:
         p = self.tracker.process
-        return p.stage == ProcessState.CROSSING or (p.stage == ProcessState.DRAINING and self.now > p.notice_at + GRACE_MS)
+        return p.stage == ProcessState.CROSSING or (
+            p.stage == ProcessState.DRAINING and self.now > p.notice_at + GRACE_MS
+        )
 
     # What follows from it, as `core.py`, `net/kernel.py`, `net/store.py` and the fronts carry it out.
 
@@ -283,10 +288,12 @@
         one.answers.append(answer.kind.value)
         if one.gone:
             self.fell.append("answer to nobody")
-        linked = [m for m, other in enumerate(self.s.tries)
-                  if m == n or (other.key and other.key == self.s.tries[n].key)]
+        linked = [
+            m for m, other in enumerate(self.s.tries) if m == n or (other.key and other.key == self.s.tries[n].key)
+        ]
         if answer.kind is AnswerKind.SERVED and not any(
-                IDS[m] in self.kernel.passed or answer.body == b"w" + IDS[m].encode() for m in linked):
+            IDS[m] in self.kernel.passed or answer.body == b"w" + IDS[m].encode() for m in linked
+        ):
             self.fell.append("true answers")
         if answer.kind is AnswerKind.REFUSED and self.s.tries[n].effectful and self.kernel.starts.get(x.id):
             self.fell.append("no refusal after a start")
@@ -299,8 +306,11 @@
 
     def sharing(self, n: int) -> list[int]:
         """All callers on its connection that wait."""
-        return [m for m, one in enumerate(self.callers) if self.line(m) == self.line(n) and one.stage == WAITS
-                and not one.answers and not one.gone]
+        return [
+            m
+            for m, one in enumerate(self.callers)
+            if self.line(m) == self.line(n) and one.stage == WAITS and not one.answers and not one.gone
+        ]
 
     def answered(self, n: int) -> ConnectionEvent:
         """What the end of this caller's wait is for its connection."""
@@ -327,8 +337,7 @@
                 if self.deaf:
                     self.commands.unsent(command)
                     continue
-                up.append(("SCHED", command.rid) if command.start
-                          else ("IODONE", command.rid, int(command.line)))
+                up.append(("SCHED", command.rid) if command.start else ("IODONE", command.rid, int(command.line)))
             elif self.deaf and not isinstance(one, commands.CloseLink):
                 continue
             elif isinstance(one, commands.RequestMark):
@@ -364,5 +373,7 @@
         tries = " ".join(f"{x.id}={State(x.state).name}" for x in self.tries if x is not None)
         answers = " ".join(f"{IDS[n]}:{','.join(one.answers)}" for n, one in enumerate(self.callers) if one.answers)
         runs = " ".join(f"{rid}x{count}" for rid, count in sorted(self.kernel.starts.items()))
-        return (f"{self.now / TICK_MS:.0f}s {ProcessState(p.stage).name} link={commands.LinkState(c.link).name} {tries}"
-                f"{' answers ' + answers if answers else ''}{' starts ' + runs if runs else ''}")
+        return (
+            f"{self.now / TICK_MS:.0f}s {ProcessState(p.stage).name} link={commands.LinkState(c.link).name} {tries}"
+            f"{' answers ' + answers if answers else ''}{' starts ' + runs if runs else ''}"
+        )
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -29,8 +29,16 @@
 class AdminServer:
     """Listens on `address` and answers each line within the time the event loop grants it."""
 
-    def __init__(self, address: Address, commands: AdminCommands, counters: Counters, ready: Callable[[], bool],
-                 figures: Callable[[], MetricsSnapshot], limits: ResourceLimits, give_up: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        address: Address,
+        commands: AdminCommands,
+        counters: Counters,
+        ready: Callable[[], bool],
+        figures: Callable[[], MetricsSnapshot],
+        limits: ResourceLimits,
+        give_up: Callable[[], bool],
+    ) -> None:
         self.commands, self.counters, self.ready, self.figures = commands, counters, ready, figures
         self._open: dict[socket.socket, float] = {}  # connection: when it came
         listener = bind_in_time("mgmt", address, 64, False, limits.mgmt_bind_ms, limits, give_up)
@@ -61,8 +69,9 @@
             raw = self._line(sock)
             if raw is None:
                 return
-            reply, overlong = self.commands.line(raw, unix_ms(), self.ready(),
-                                           self.figures() if raw.strip() == b"METRICS" else None)
+            reply, overlong = self.commands.line(
+                raw, unix_ms(), self.ready(), self.figures() if raw.strip() == b"METRICS" else None
+            )
             self.counters.add("mgmt.error" if reply.startswith(b"error") else "mgmt.done")
             sock.sendall(reply)
             if overlong:
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -106,9 +106,14 @@
     def _order(self, route: str) -> list[AjpBackend]:
         """The session's own server first, then the least loaded for its factor; resting ones last."""
         now = unix_ms()
-        return sorted(self.servers, key=lambda one: (
-            one.rests_until > now, not (route and one.worker.route == route),
-            (one.busy + 1) / one.worker.factor))
+        return sorted(
+            self.servers,
+            key=lambda one: (
+                one.rests_until > now,
+                not (route and one.worker.route == route),
+                (one.busy + 1) / one.worker.factor,
+            ),
+        )
 
     def _connection(self, server: AjpBackend) -> BackendConnection | None:
         """An idle connection that answers a ping, or a new one."""
@@ -154,7 +159,7 @@
                 if len(out) > self.limits.ajp_reply_bytes:  # guards memory against an answer without end
                     raise wire.MalformedPacket("answer too long")
             elif payload[0] == wire.GET_BODY:
-                connection.send(wire.write_chunk(body[sent:sent + room]))
+                connection.send(wire.write_chunk(body[sent : sent + room]))
                 sent += room
             elif payload[0] == wire.END:
                 if not status:
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -40,8 +40,15 @@
         self.rules = sorted(config.ajp.maps, key=lambda rule: -len(rule.path))
         self.serial = 0  # of the connections
         self.ids = random.Random(config.seed)
-        super().__init__("ajp", "ajp.listen", listen, core, self.limits.connections // 4,
-                         lambda sock: AjpConnection(self, sock), give_up)
+        super().__init__(
+            "ajp",
+            "ajp.listen",
+            listen,
+            core,
+            self.limits.connections // 4,
+            lambda sock: AjpConnection(self, sock),
+            give_up,
+        )
 
     def drain(self) -> None:
         """Close what carries nothing; the rest closes with its answer."""
@@ -62,8 +69,15 @@
 
     def __init__(self, front: AjpFront, sock: socket.socket) -> None:
         front.serial += 1
-        super().__init__(f"ajp-{front.serial}", sock, front.limits, front.limits.ajp_outbox, front.limits.ajp_packet,
-                         front.unsent, front.conclude)
+        super().__init__(
+            f"ajp-{front.serial}",
+            sock,
+            front.limits,
+            front.limits.ajp_outbox,
+            front.limits.ajp_packet,
+            front.unsent,
+            front.conclude,
+        )
         self.front, self.core = front, front.core
         self.exchange: Exchange | None = None
         self.request = wire.ForwardRequest()
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -15,8 +15,16 @@
 class ClientConnection:
     """One client's connection. A front reads its own messages from it and tells the state machine what happens."""
 
-    def __init__(self, name: str, sock: socket.socket, limits: ResourceLimits, outbox_bytes: int, message_bytes: int,
-                 unsent: OutboxBudget, conclude: Callable[[ClientConnection], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        sock: socket.socket,
+        limits: ResourceLimits,
+        outbox_bytes: int,
+        message_bytes: int,
+        unsent: OutboxBudget,
+        conclude: Callable[[ClientConnection], None],
+    ) -> None:
         """`conclude` ends a connection of which no more is read, once it has what it is owed."""
         self.limits = limits
         self.outbox = Outbox(sock, outbox_bytes, limits.send_ms, limits.crossing_ms, unsent)
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -8,17 +8,33 @@
 
 TO_SERVLET, TO_GATEWAY = b"\x12\x34", b"AB"
 FORWARD, BODY, HEADERS, END, GET_BODY, SHUTDOWN, PING, CPONG, CPING = 2, 3, 4, 5, 6, 7, 8, 9, 10
-METHODS = ("OPTIONS GET HEAD POST PUT DELETE TRACE PROPFIND PROPPATCH MKCOL COPY MOVE LOCK UNLOCK ACL REPORT "
-           "VERSION-CONTROL CHECKIN CHECKOUT UNCHECKOUT SEARCH MKWORKSPACE UPDATE LABEL MERGE "
-           "BASELINE-CONTROL MKACTIVITY").split()
+METHODS = (
+    "OPTIONS GET HEAD POST PUT DELETE TRACE PROPFIND PROPPATCH MKCOL COPY MOVE LOCK UNLOCK ACL REPORT "
+    "VERSION-CONTROL CHECKIN CHECKOUT UNCHECKOUT SEARCH MKWORKSPACE UPDATE LABEL MERGE "
+    "BASELINE-CONTROL MKACTIVITY"
+).split()
 STORED_METHOD = 0xFF
-REQUEST_HEADERS = ("accept accept-charset accept-encoding accept-language authorization connection "
-                   "content-type content-length cookie cookie2 host pragma referer user-agent").split()
-REPLY_HEADERS = ("content-type content-language content-length date last-modified location set-cookie "
-                 "set-cookie2 servlet-engine status www-authenticate").split()
-ATTRIBUTES = {1: "context", 2: "servlet_path", 3: "remote_user", 4: "auth_type", 5: "query_string",
-              6: "jvm_route", 7: "ssl_cert", 8: "ssl_cipher", 9: "ssl_session", 12: "secret",
-              13: "stored_method"}
+REQUEST_HEADERS = (
+    "accept accept-charset accept-encoding accept-language authorization connection "
+    "content-type content-length cookie cookie2 host pragma referer user-agent"
+).split()
+REPLY_HEADERS = (
+    "content-type content-language content-length date last-modified location set-cookie "
+    "set-cookie2 servlet-engine status www-authenticate"
+).split()
+ATTRIBUTES = {
+    1: "context",
+    2: "servlet_path",
+    3: "remote_user",
+    4: "auth_type",
+    5: "query_string",
+    6: "jvm_route",
+    7: "ssl_cert",
+    8: "ssl_cipher",
+    9: "ssl_session",
+    12: "secret",
+    13: "stored_method",
+}
 CODES = {name: code for code, name in ATTRIBUTES.items()}
 NAMED, KEY_SIZE, DONE = 10, 11, 0xFF
 Headers = tuple[tuple[str, str], ...]
@@ -59,7 +75,7 @@
         if self.at + size > len(self.data):
             raise MalformedPacket("cut short")
         self.at += size
-        return self.data[self.at - size:self.at]
+        return self.data[self.at - size : self.at]
 
     def byte(self) -> int:
         """One byte."""
@@ -183,7 +199,7 @@
     start_line = struct.pack(">BH", HEADERS, status) + text(REASONS.get(status, "Unknown"))
     yield packet(TO_GATEWAY, start_line + headers(rows, REPLY_HEADERS), most)
     for start in range(0, len(body), room):
-        part = body[start:start + room]
+        part = body[start : start + room]
         yield packet(TO_GATEWAY, bytes([BODY]) + struct.pack(">H", len(part)) + part + b"\0", most)
     yield end(reuse)
 
@@ -206,5 +222,13 @@
     return status, tuple(at.header(REPLY_HEADERS) for _ in range(at.number()))
 
 
-REASONS = {200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 413: "Content Too Large",
-           500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
--- a/myrtlespar/net/codec/etcd.py
+++ b/myrtlespar/net/codec/etcd.py
@@ -13,7 +13,7 @@
 # message: fields as "number name type", "*" before a type that repeats, "|" before one of a choice
 _KV = {
     "KeyValue": "1 key bytes, 2 create_revision int64, 3 mod_revision int64, 4 version int64, 5 value bytes, "
-                "6 lease int64",
+    "6 lease int64",
     "Event": "1 type int32, 2 kv KeyValue",  # 0 put, 1 delete
 }
 _RPC = {
@@ -25,12 +25,12 @@
     "DeleteRangeRequest": "1 key bytes, 2 range_end bytes",
     "DeleteRangeResponse": "1 header ResponseHeader, 2 deleted int64",
     "RequestOp": "1 request_range |RangeRequest, 2 request_put |PutRequest, "
-                 "3 request_delete_range |DeleteRangeRequest",
+    "3 request_delete_range |DeleteRangeRequest",
     "ResponseOp": "1 response_range |RangeResponse, 2 response_put |PutResponse, "
-                  "3 response_delete_range |DeleteRangeResponse",
+    "3 response_delete_range |DeleteRangeResponse",
     # result: 0 equal, 1 greater, 2 less, 3 not equal; target: 0 version, 1 create, 2 mod, 3 value, 4 lease
     "Compare": "1 result int32, 2 target int32, 3 key bytes, 4 version |int64, 5 create_revision |int64, "
-               "6 mod_revision |int64, 7 value |bytes, 8 lease |int64",
+    "6 mod_revision |int64, 7 value |bytes, 8 lease |int64",
     "TxnRequest": "1 compare *Compare, 2 success *RequestOp, 3 failure *RequestOp",
     "TxnResponse": "1 header ResponseHeader, 2 succeeded bool, 3 responses *ResponseOp",
     "LeaseGrantRequest": "1 TTL int64, 2 ID int64",
@@ -81,8 +81,11 @@
     pool.Add(_file("kv.proto", "mvccpb", _KV, []))  # type: ignore[no-untyped-call]
     pool.Add(_file("rpc.proto", "etcdserverpb", _RPC, ["kv.proto"]))  # type: ignore[no-untyped-call]
     find = pool.FindMessageTypeByName
-    return {name: message_factory.GetMessageClass(find(f"{package}.{name}"))  # type: ignore[no-untyped-call]
-            for package, rows in (("mvccpb", _KV), ("etcdserverpb", _RPC)) for name in rows}
+    return {
+        name: message_factory.GetMessageClass(find(f"{package}.{name}"))  # type: ignore[no-untyped-call]
+        for package, rows in (("mvccpb", _KV), ("etcdserverpb", _RPC))
+        for name in rows
+    }
 
 
 TYPES: dict[str, Any] = _load()  # message classes by their names
--- a/myrtlespar/net/codec/limits.py
+++ b/myrtlespar/net/codec/limits.py
@@ -88,7 +88,9 @@
         numbers.append(message.epoch)
     else:
         rows, numbers = [(message.key, 0)], [letter.boot, message.rng, message.period, message.epoch]
-        numbers += [message.got, message.back, message.want] if isinstance(message, BudgetDrawRequest) else [message.total]
+        numbers += (
+            [message.got, message.back, message.want] if isinstance(message, BudgetDrawRequest) else [message.total]
+        )
     if len(rows) > ROWS_MOST:
         raise MalformedPeerMessage("too many")
     if not all(0 <= number < NUMBER_MOST for number in numbers):
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -94,15 +94,23 @@
     if not is_valid_name(fleet):
         raise MalformedPeerMessage("name")
     for rumour in (me, *rumours):
-        if not (is_valid_name(rumour.name) and is_valid_name(rumour.site) and (not rumour.by or is_valid_name(rumour.by))):
+        if not (
+            is_valid_name(rumour.name) and is_valid_name(rumour.site) and (not rumour.by or is_valid_name(rumour.by))
+        ):
             raise MalformedPeerMessage("name")
         if not is_valid_address(rumour.address):
             raise MalformedPeerMessage("address")
-        if not (0 <= rumour.boot < NUMBER_MOST and 0 <= rumour.counter < NUMBER_MOST
-                and 0 <= rumour.age_ms <= 2**31 and 0 <= rumour.state <= MemberState.LEFT):
+        if not (
+            0 <= rumour.boot < NUMBER_MOST
+            and 0 <= rumour.counter < NUMBER_MOST
+            and 0 <= rumour.age_ms <= 2**31
+            and 0 <= rumour.state <= MemberState.LEFT
+        ):
             raise MalformedPeerMessage("number")
     for row in rows:
-        if len(row.cannot) > CANNOT_MOST or not all(is_valid_name(name) for name in (row.by, *(n for n, _ in row.cannot))):
+        if len(row.cannot) > CANNOT_MOST or not all(
+            is_valid_name(name) for name in (row.by, *(n for n, _ in row.cannot))
+        ):
             raise MalformedPeerMessage("row")
         if not (0 <= row.boot < NUMBER_MOST and 0 <= row.no < NUMBER_MOST):
             raise MalformedPeerMessage("number")
--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -17,12 +17,15 @@
 idl: Any = thriftpy2.load(str(Path(__file__).parent / "front.thrift"), module_name="front_thrift")
 METHODS = frozenset(idl.Front.thrift_services)
 ONE_WAY = frozenset({"abort"})  # nobody waits for an answer to these
-CALL, REPLY, EXCEPTION, ONEWAY = (int(kind) for kind in (
-    TMessageType.CALL, TMessageType.REPLY, TMessageType.EXCEPTION, TMessageType.ONEWAY))
+CALL, REPLY, EXCEPTION, ONEWAY = (
+    int(kind) for kind in (TMessageType.CALL, TMessageType.REPLY, TMessageType.EXCEPTION, TMessageType.ONEWAY)
+)
 UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7
 BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
-NUMBERS = {kind: struct.Struct(shape) for kind, shape in (
-    (BOOL, ">?"), (BYTE, ">b"), (DOUBLE, ">d"), (I16, ">h"), (I32, ">i"), (I64, ">q"))}
+NUMBERS = {
+    kind: struct.Struct(shape)
+    for kind, shape in ((BOOL, ">?"), (BYTE, ">b"), (DOUBLE, ">d"), (I16, ">h"), (I32, ">i"), (I64, ">q"))
+}
 HEAD, FIELD, PAIR = struct.Struct(">HxBi"), struct.Struct(">Bh"), struct.Struct(">BBi")
 SIZE = NUMBERS[I32].unpack_from
 DEPTH = 16  # of structs and containers in each other
@@ -87,7 +90,7 @@
         end = self.at + size
         if size < 0 or end > len(self.data):
             raise MalformedMessage(f"length {size} does not fit the message")
-        out = self.data[self.at:end]
+        out = self.data[self.at : end]
         self.at = end
         return out
 
--- a/myrtlespar/net/connections.py
+++ b/myrtlespar/net/connections.py
@@ -44,8 +44,9 @@
 class Outbox:
     """Messages for one socket, sent in order; `put` never blocks. A greenlet sends what does not fit."""
 
-    def __init__(self, sock: socket.socket, most: int, send_ms: float, linger_ms: float = 0.0,
-                 budget: OutboxBudget | None = None) -> None:
+    def __init__(
+        self, sock: socket.socket, most: int, send_ms: float, linger_ms: float = 0.0, budget: OutboxBudget | None = None
+    ) -> None:
         self._sock, self._most, self._send_s, self._linger_s = sock, most, send_ms / 1000.0, linger_ms / 1000.0
         self._budget = budget or OutboxBudget(most)
         self._queue: deque[bytes] = deque()
@@ -59,7 +60,7 @@
             return False
         if self._writer is None:  # most messages fit the socket: no switch, no wait
             try:
-                data = data[os.write(self._sock.fileno(), data):]
+                data = data[os.write(self._sock.fileno(), data) :]
             except OSError as error:
                 if error.errno not in TRANSIENT:
                     self.close()
@@ -129,13 +130,12 @@
         if self.ending and not self.closed:
             self._end()
 
-
     def _send(self, data: bytes) -> None:
         """Send all of it. Guards answers against a want of buffers that passes."""
         rest = memoryview(data)
         while rest:
             try:
-                rest = rest[self._sock.send(rest):]
+                rest = rest[self._sock.send(rest) :]
             except OSError as error:
                 if error.errno not in TRANSIENT:
                     raise
@@ -231,7 +231,7 @@
                 raise ConnectionEnded("line too long")
             self._more()
         out = bytes(self._data[:end])
-        del self._data[:end + 1]
+        del self._data[: end + 1]
         return out
 
     def _more(self) -> None:
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -22,8 +22,13 @@
 
 log = structlog.get_logger()
 # BUSY and VOID prove that the call never ran; ERR and LATE prove nothing.
-ENDS = {b"OK": RunOutcome.OK, b"BUSY": RunOutcome.REJECTED, b"ERR": RunOutcome.ERROR, b"LATE": RunOutcome.TIMED_OUT,
-        b"VOID": RunOutcome.MOOT}
+ENDS = {
+    b"OK": RunOutcome.OK,
+    b"BUSY": RunOutcome.REJECTED,
+    b"ERR": RunOutcome.ERROR,
+    b"LATE": RunOutcome.TIMED_OUT,
+    b"VOID": RunOutcome.MOOT,
+}
 
 
 class MalformedReply(Exception):
@@ -38,8 +43,16 @@
         self._address = config.store
         self._links: dict[DependencyConnection, tuple[Outbox, Reader]] = {}
         limits = config.limits
-        self.book = DependencyCalls(CallLimits(limits.store_links, limits.store_calls, limits.store_trust_ms,
-                                 limits.store_served, limits.store_grace_ms), self._quiet)
+        self.book = DependencyCalls(
+            CallLimits(
+                limits.store_links,
+                limits.store_calls,
+                limits.store_trust_ms,
+                limits.store_served,
+                limits.store_grace_ms,
+            ),
+            self._quiet,
+        )
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
         """Make a call. A second call for one request takes the place of the first."""
@@ -70,7 +83,8 @@
                 left = int(max(1.0, min(call.made + call.limit_ms - unix_ms(), self.limits.store_longest_ms)))
                 # If it can't be written the reader sees the connection's end, and so does the call.
                 self._links[order.wire][0].put(
-                    b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body))
+                    b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body)
+                )
             elif isinstance(order, CloseConnection):
                 outbox = self._links[order.wire][0]
                 if order.drop:
@@ -108,8 +122,7 @@
 
     def _broken(self, wire: DependencyConnection, how: str, error: str) -> None:
         if wire.call is not None and self.core.counters.rare(f"store.{how}"):
-            log.info("store broke a call", how=how, error=error, id=wire.call.id,
-                     rested_ms=round(wire.rested))
+            log.info("store broke a call", how=how, error=error, id=wire.call.id, rested_ms=round(wire.rested))
 
     def _reply(self, wire: DependencyConnection, reader: Reader) -> None:
         """Read one reply. Those to others, such as second copies, are passed over."""
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -72,14 +72,24 @@
         """Start a request."""
         # Written without the JSON library: ids are letters and digits, bodies base64.
         text = b'{"t":"SCHED","rid":"%s","route":%s,"b64":"%s"}\n' % (
-            exchange.id.encode(), self._routes[exchange.cls], base64.b64encode(exchange.body))
+            exchange.id.encode(),
+            self._routes[exchange.cls],
+            base64.b64encode(exchange.body),
+        )
         safe = self.config.settings.classes[exchange.cls].effect is Effect.SAFE
         self._carry(self.book.post(Command(exchange.id, text, True, safe)))
 
     def resume(self, exchange: Exchange, reply: bytes) -> None:
         """Hand a run its reply."""
-        self._carry(self.book.post(Command(exchange.id, b'{"t":"IODONE","rid":"%s","b64":"%s"}\n' % (
-            exchange.id.encode(), base64.b64encode(reply)), False)))
+        self._carry(
+            self.book.post(
+                Command(
+                    exchange.id,
+                    b'{"t":"IODONE","rid":"%s","b64":"%s"}\n' % (exchange.id.encode(), base64.b64encode(reply)),
+                    False,
+                )
+            )
+        )
 
     def ask(self) -> None:
         """Ask for the gauges; the answer also proves that all before it was read."""
@@ -227,9 +237,14 @@
     def _lost(self) -> list[str]:
         """All runs of the kernel that is gone. What was kept for a link is sent to the new one."""
         self.book.restarted()
-        return [id for id, exchange in self.core.tracker.open.items()
-                if exchange.state in STARTED and not exchange.target and id not in self.book.open
-                and id not in self._started_here]
+        return [
+            id
+            for id, exchange in self.core.tracker.open.items()
+            if exchange.state in STARTED
+            and not exchange.target
+            and id not in self.book.open
+            and id not in self._started_here
+        ]
 
     def _settle_doubts(self) -> None:
         """Ask for proofs of what a break may have lost, until none of it is in doubt."""
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -18,18 +18,36 @@
 class EtcdClient:
     """One channel. `prefix` names the fleet's keys; `freed` is called in the loop with a range whose key is gone."""
 
-    def __init__(self, address: str, prefix: str, name: str, ttl_s: int, timeout_s: float,
-                 freed: Callable[[int], None], failed: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        address: str,
+        prefix: str,
+        name: str,
+        ttl_s: int,
+        timeout_s: float,
+        freed: Callable[[int], None],
+        failed: Callable[[str], None],
+    ) -> None:
         self.prefix, self.name, self.ttl_s, self.timeout_s = prefix, name, ttl_s, timeout_s
         self.freed, self.failed = freed, failed
-        self.channel = grpc.insecure_channel(address, options=[
-            ("grpc.max_reconnect_backoff_ms", 500), ("grpc.initial_reconnect_backoff_ms", 100),
-            ("grpc.enable_retries", 0), ("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 2000)])
+        self.channel = grpc.insecure_channel(
+            address,
+            options=[
+                ("grpc.max_reconnect_backoff_ms", 500),
+                ("grpc.initial_reconnect_backoff_ms", 100),
+                ("grpc.enable_retries", 0),
+                ("grpc.keepalive_time_ms", 5000),
+                ("grpc.keepalive_timeout_ms", 2000),
+            ],
+        )
         self._calls: dict[str, Any] = {}
         for word, (path, request, response, streams) in METHODS.items():
             make = self.channel.stream_stream if streams else self.channel.unary_unary
-            self._calls[word] = make(path, request_serializer=TYPES[request].SerializeToString,
-                                     response_deserializer=TYPES[response].FromString)
+            self._calls[word] = make(
+                path,
+                request_serializer=TYPES[request].SerializeToString,
+                response_deserializer=TYPES[response].FromString,
+            )
         self._closing = False
         self._pool = gevent.get_hub().threadpool
         self._hub_call = gevent.get_hub().loop.run_callback_threadsafe
@@ -84,11 +102,13 @@
 
     def revoke(self, lease: int) -> None:
         """End the lease, if the engine can be reached: all that hangs on it is free at once."""
+
         def end() -> None:
             try:
                 self._calls["revoke"](TYPES["LeaseRevokeRequest"](ID=lease), timeout=self.timeout_s)
             except grpc.RpcError as error:
                 self.failed(error.code().name.lower())
+
         self._pool.apply(end)
 
     def watch(self) -> None:
@@ -110,7 +130,7 @@
             try:
                 for got in self._calls["watch"](asks()):
                     for event in got.events:
-                        word = event.kv.key[len(first):].decode("ascii", "replace")
+                        word = event.kv.key[len(first) :].decode("ascii", "replace")
                         if event.type == DELETE and word.isdigit():
                             self._hub_call(self.freed, int(word))
             except grpc.RpcError:
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -54,8 +54,16 @@
 class Listener(Generic[ConnectionType]):
     """Accepts connections for one front."""
 
-    def __init__(self, name: str, key: str, address: Address, core: RequestCoordinator, most: int,
-                 link: Callable[[socket.socket], ConnectionType], give_up: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        name: str,
+        key: str,
+        address: Address,
+        core: RequestCoordinator,
+        most: int,
+        link: Callable[[socket.socket], ConnectionType],
+        give_up: Callable[[], bool],
+    ) -> None:
         """`key` is the address's in the configuration; `give_up` tells whether waiting for it has become idle."""
         self.name, self.core, self.most, self.link = name, core, most, link
         self.links: set[ConnectionType] = set()
@@ -203,8 +211,15 @@
             self.links.discard(link)
 
 
-def bind_in_time(key: str, address: Address, backlog: int, shared: bool, for_ms: float, limits: ResourceLimits,
-                 give_up: Callable[[], bool]) -> socket.socket:
+def bind_in_time(
+    key: str,
+    address: Address,
+    backlog: int,
+    shared: bool,
+    for_ms: float,
+    limits: ResourceLimits,
+    give_up: Callable[[], bool],
+) -> socket.socket:
     """A bound socket. Guards a start against what an earlier life left at the address for a moment: a process that
     is still ending, or a connection that happens to have this port."""
     until = unix_ms() + for_ms
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -62,8 +62,16 @@
 class PeerTransport:
     """Sockets and greenlets for one machine, made by `make` once the address is ours."""
 
-    def __init__(self, bind: str, fleet: str, name: str, per_s: int, counters: Counters,
-                 make: Callable[[float], Member], changed: Callable[[MemberChanged | QuorumChanged | CountEvent], None]) -> None:
+    def __init__(
+        self,
+        bind: str,
+        fleet: str,
+        name: str,
+        per_s: int,
+        counters: Counters,
+        make: Callable[[float], Member],
+        changed: Callable[[MemberChanged | QuorumChanged | CountEvent], None],
+    ) -> None:
         self.address, self.fleet, self.name, self.counters = split(bind), fleet, name, counters
         self.make, self.changed = make, changed
         self.others: dict[bytes, Callable[[bytes, float], None]] = {}  # datagrams of other parts, by their magic
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -35,8 +35,10 @@
 def report(name: str, duty: str) -> bytes:
     """One call, whole."""
     body = json.dumps({"duty": duty}, separators=(",", ":"))
-    return (f"PUT /roster/{quote(name, safe='')} HTTP/1.1\r\nHost: roster\r\nContent-Type: application/json\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n{body}").encode()
+    return (
+        f"PUT /roster/{quote(name, safe='')} HTTP/1.1\r\nHost: roster\r\nContent-Type: application/json\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n{body}"
+    ).encode()
 
 
 class RegistryClient:
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -55,7 +55,9 @@
         self.serial = 0  # of the connections
         self.classes = {name: n for n, name in enumerate(config.class_names)}
         most = self.limits.connections * 3 // 4 if config.ajp.listen else self.limits.connections
-        super().__init__("thrift", "listen", config.listen, core, most, lambda sock: ThriftConnection(self, sock), give_up)
+        super().__init__(
+            "thrift", "listen", config.listen, core, most, lambda sock: ThriftConnection(self, sock), give_up
+        )
 
     def drain(self) -> None:
         """Ask every client to send nothing new on its open connections."""
@@ -69,8 +71,15 @@
 
     def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
         front.serial += 1
-        super().__init__(f"thrift-{front.serial}", sock, front.limits, front.limits.outbox_bytes,
-                         front.limits.frame_bytes, front.unsent, front.conclude)
+        super().__init__(
+            f"thrift-{front.serial}",
+            sock,
+            front.limits,
+            front.limits.outbox_bytes,
+            front.limits.frame_bytes,
+            front.unsent,
+            front.conclude,
+        )
         self.front, self.core, self.config = front, front.core, front.config
         self.open: dict[int, Exchange] = {}
         self.told = False  # that nothing new is to be sent here
@@ -202,12 +211,12 @@
     def _answer(self, seq: int, answer: Answer) -> None:
         self.used = unix_ms()
         if answer.kind is AnswerKind.SERVED and len(answer.body) <= self.front.limits.result_bytes:
-            result = idl.Front.invoke_result(
-                success=idl.Answer(body=answer.body, fields=self._fields(), good=True))
+            result = idl.Front.invoke_result(success=idl.Answer(body=answer.body, fields=self._fields(), good=True))
         elif answer.kind is AnswerKind.REFUSED:
             more = {"backoff": str(max(1, round(answer.retry_after_ms)))} if answer.retry_after_ms > 0 else {}
-            result = idl.Front.invoke_result(refused=idl.Backoff(
-                fields=self._fields(more | ({"final": "1"} if answer.last else {}))))
+            result = idl.Front.invoke_result(
+                refused=idl.Backoff(fields=self._fields(more | ({"final": "1"} if answer.last else {})))
+            )
         else:
             result = idl.Front.invoke_result(failed=idl.Lost(fields=self._fields()))
         self._reply(seq, result)
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -267,8 +267,20 @@
 
 
 Action = (
-    Run | Reject | Fail | Stop | Reuse | Keep | Forget | Call | SkipCall
-    | Advertise | SetHealth | CloseIdle | Wake | Log
+    Run
+    | Reject
+    | Fail
+    | Stop
+    | Reuse
+    | Keep
+    | Forget
+    | Call
+    | SkipCall
+    | Advertise
+    | SetHealth
+    | CloseIdle
+    | Wake
+    | Log
 )
 
 
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -131,9 +131,15 @@
         self.tokens = [self._depth(rate) for rate in even]
         self.pledged = [0] * len(settings.tenant_quotas)
         self.drain_at = self.kill_line = float("inf")
-        self.handlers = {api.Arrival: self._arrival, api.RunEnded: self._run_ended, api.Tick: self._tick,
-                         api.CallNeeded: self._call_needed, api.CallEnded: self._call_ended,
-                         api.CallerGone: self._caller_gone, api.Drain: self._drain}
+        self.handlers = {
+            api.Arrival: self._arrival,
+            api.RunEnded: self._run_ended,
+            api.Tick: self._tick,
+            api.CallNeeded: self._call_needed,
+            api.CallEnded: self._call_ended,
+            api.CallerGone: self._caller_gone,
+            api.Drain: self._drain,
+        }
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take what happened at `now`, return what to do about it."""
@@ -287,7 +293,9 @@
         self.open_by[job.sender] = self.open_by.get(job.sender, 0) + 1
         unread = self.now - max(job.arrived, self.resumed)  # a stillness of the process is no queue
         self.unread_ms += FAST_LEARN * (max(0.0, unread) - self.unread_ms)
-        fed = self.fleet is None or self.fleet.record_attempt(event.is_retry)  # guards against repeats that feed an overload
+        fed = self.fleet is None or self.fleet.record_attempt(
+            event.is_retry
+        )  # guards against repeats that feed an overload
         if job.prior:
             self._join(job)
         elif not fed:
@@ -686,7 +694,7 @@
             self._skip(job)
         elif event.outcome in NEVER_RAN or kind.effect is Effect.SAFE:
             job.tries += 1
-            job.retry_at = self.now + CALL_BACKOFF_MS * self.scale * 2 ** job.tries
+            job.retry_at = self.now + CALL_BACKOFF_MS * self.scale * 2**job.tries
             self.at_call.append(job)
         else:
             self._fail(job)
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -76,7 +76,9 @@
         effect=_effect(_require(row, "effect", path), f"{path}effect"),
         window_ms=_optional(row, "window_ms", 0.0, path),
         calls=bool(calls[index]) if index < len(calls) else False,
-        degraded_weight=_number(skips[index] or 0.0, f"family_info.degraded_worth[{index}]") if index < len(skips) else 0.0,
+        degraded_weight=_number(skips[index] or 0.0, f"family_info.degraded_worth[{index}]")
+        if index < len(skips)
+        else 0.0,
     )
 
 
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -157,7 +157,9 @@
         self.electors, self.need = electors, len(electors) // 2 + 1
         self.stores: dict[BudgetPeriod, BudgetEntry] = {}
 
-    def draw(self, by: Incarnation, ask: BudgetDrawRequest, limit: Limit, epoch: int) -> tuple[BudgetDrawResponse | None, BudgetReserveRequest | None]:
+    def draw(
+        self, by: Incarnation, ask: BudgetDrawRequest, limit: Limit, epoch: int
+    ) -> tuple[BudgetDrawResponse | None, BudgetReserveRequest | None]:
         """A member draws: the answer, and what all electors are to write down first."""
         store = self.stores.setdefault((ask.key, ask.period), BudgetEntry())
         if not store.known:
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -73,9 +73,12 @@
         found = self.shares.get(key)
         if found is None:
             span = self.terms.waited(limit.window_ms)
-            meter: UsageWindow | ConcurrencyCounter = UsageWindow(span) if limit.of is CountedUnit.RATE else ConcurrencyCounter()
-            found = self.shares[key] = KeyAllowance(limit, self._standing(limit), meter, UsageWindow(span),
-                                              rate=limit.of is CountedUnit.RATE)
+            meter: UsageWindow | ConcurrencyCounter = (
+                UsageWindow(span) if limit.of is CountedUnit.RATE else ConcurrencyCounter()
+            )
+            found = self.shares[key] = KeyAllowance(
+                limit, self._standing(limit), meter, UsageWindow(span), rate=limit.of is CountedUnit.RATE
+            )
         return found
 
     def _standing(self, limit: Limit) -> int:
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -56,8 +56,11 @@
     few starts a window, what is there for the average lies fallow half of the time. What is left over goes to the
     averages first, and then to what swings."""
     due = dict.fromkeys(asking, 0)
-    rounds = ([int(FIRM * one.want) for one in asking.values()], [one.want for one in asking.values()],
-              [one.peak for one in asking.values()])
+    rounds = (
+        [int(FIRM * one.want) for one in asking.values()],
+        [one.want for one in asking.values()],
+        [one.peak for one in asking.values()],
+    )
     for wants in rounds:
         left = pool - sum(due.values())
         if left <= 0:
@@ -81,8 +84,14 @@
         """When whatever an earlier keeper granted is over, told or not."""
         return self.since + self.terms.waited(self.terms.grant_ms + limit.linger_ms)
 
-    def told(self, now: float, by: Incarnation, whole: bool, holds: tuple[tuple[str, int], ...],
-             limit_of: Mapping[str, Limit]) -> None:
+    def told(
+        self,
+        now: float,
+        by: Incarnation,
+        whole: bool,
+        holds: tuple[tuple[str, int], ...],
+        limit_of: Mapping[str, Limit],
+    ) -> None:
         """An elector tells what it holds. Only what it told first counts: later ones know our own grants."""
         if by[0] not in self.unknown:
             return
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -62,9 +62,17 @@
 class LimitCoordinator:
     """All of it for one member."""
 
-    def __init__(self, me: Incarnation, terms: GrantSettings, limits: Mapping[str, Limit], electors: frozenset[str],
-                 now: float, version: int = 1, engine: bool = False,
-                 vault: Mapping[BudgetPeriod, int] | None = None) -> None:
+    def __init__(
+        self,
+        me: Incarnation,
+        terms: GrantSettings,
+        limits: Mapping[str, Limit],
+        electors: frozenset[str],
+        now: float,
+        version: int = 1,
+        engine: bool = False,
+        vault: Mapping[BudgetPeriod, int] | None = None,
+    ) -> None:
         self.me, self.terms, self.limits, self.electors = me, terms, dict(limits), electors
         members = terms.members_most or len(electors)
         self.holder, self.voter = GrantHolder(terms, members, now), LeaseVoter(terms, now, engine)
@@ -153,8 +161,9 @@
         if name not in self.electors:
             return
         if version > self.versions.get(self.me[0], 0) and version > self.versions.get(name, 0):
-            self._note("later version", f"{name} goes by version {version} of the limits, this member by "
-                                        f"{self.version}")
+            self._note(
+                "later version", f"{name} goes by version {version} of the limits, this member by " f"{self.version}"
+            )
         self.versions[name] = version
         if self.behind():
             self._all_at = None
@@ -164,8 +173,7 @@
     def _settled(self, now: float) -> bool:
         """All have our version, and whatever was granted by an earlier one has ended."""
         longest = max((limit.linger_ms for limit in self.limits.values()), default=0)
-        return self._all_at is not None \
-            and now >= self._all_at + self.terms.waited(self.terms.grant_ms + longest)
+        return self._all_at is not None and now >= self._all_at + self.terms.waited(self.terms.grant_ms + longest)
 
     def _pool(self, limit: Limit) -> int:
         members = self.terms.members_most or len(self.electors)
@@ -236,8 +244,7 @@
     def _seated(self, now: float) -> list[LimitEffect]:
         """The session has changed: begin as keeper of what came, end with what went."""
         for rng, one in enumerate(self.ranges):
-            if self.session is not None and one.candidacy.seated(now, self.session.epoch(now, rng),
-                                                                 self.session.until):
+            if self.session is not None and one.candidacy.seated(now, self.session.epoch(now, rng), self.session.until):
                 one.book = GrantLedger(self.terms, now, self.electors)
                 self._note("keeper")
                 self._stand(now, rng, one)
@@ -258,8 +265,11 @@
             self._tell(now, name, LeaseRequest(rng, ask.epoch, ask.no))
 
     def _periods(self, now: float) -> dict[str, int]:
-        return {name: period(limit, now + self.wall_ms) for name, limit in self.limits.items()
-                if limit.of is CountedUnit.BUDGET}
+        return {
+            name: period(limit, now + self.wall_ms)
+            for name, limit in self.limits.items()
+            if limit.of is CountedUnit.BUDGET
+        }
 
     def _draw(self, now: float, there: frozenset[str]) -> None:
         for draw in self.purse.draws(now):
@@ -278,7 +288,7 @@
             keeper = leader_of(rng, there)
             for at in range(0, len(wants), WANTS_MOST):
                 no = self.holder.asking(now, rng)
-                self._tell(now, keeper, GrantRequest(rng, no, tuple(wants[at:at + WANTS_MOST]), self.version))
+                self._tell(now, keeper, GrantRequest(rng, no, tuple(wants[at : at + WANTS_MOST]), self.version))
 
     def receive(self, now: float, sender: Incarnation, message: LimitMessage) -> list[LimitEffect]:
         """One message of another member."""
@@ -308,8 +318,15 @@
         holds = self.holder.holds(now, ours)
         longest = max((limit.linger_ms for limit in self.limits.values()), default=0)
         old = now < self.began + self.terms.waited(self.terms.grant_ms + longest)  # an earlier life may hold some
-        return LeaseVote(promise.rng, promise.no, True, promise.seen, len(holds) <= HOLDS_MOST and not old,
-                       tuple(holds[:HOLDS_MOST]), self.version)
+        return LeaseVote(
+            promise.rng,
+            promise.no,
+            True,
+            promise.seen,
+            len(holds) <= HOLDS_MOST and not old,
+            tuple(holds[:HOLDS_MOST]),
+            self.version,
+        )
 
     def _promised(self, now: float, sender: Incarnation, promise: LeaseVote) -> None:
         one = self.ranges[promise.rng]
@@ -338,10 +355,25 @@
             if amount is not None:
                 amounts.append((want.key, amount))
         if amounts:
-            self._tell(now, sender[0], GrantResponse(ask.rng, one.candidacy.epoch, ask.no, self.terms.grant_ms,
-                                              tuple(amounts), self.version if self._settled(now) else 0))
-
-    def _budget(self, now: float, sender: Incarnation, message: BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse) -> None:
+            self._tell(
+                now,
+                sender[0],
+                GrantResponse(
+                    ask.rng,
+                    one.candidacy.epoch,
+                    ask.no,
+                    self.terms.grant_ms,
+                    tuple(amounts),
+                    self.version if self._settled(now) else 0,
+                ),
+            )
+
+    def _budget(
+        self,
+        now: float,
+        sender: Incarnation,
+        message: BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse,
+    ) -> None:
         limit, one = self.limit_of(message.key), self.ranges[message.rng]
         if limit is None or limit.of is not CountedUnit.BUDGET:
             return self._note("unknown limit")
--- a/myrtlespar/quota/messages.py
+++ b/myrtlespar/quota/messages.py
@@ -107,7 +107,16 @@
     total: int
 
 
-LimitMessage = GrantRequest | GrantResponse | LeaseRequest | LeaseVote | BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse
+LimitMessage = (
+    GrantRequest
+    | GrantResponse
+    | LeaseRequest
+    | LeaseVote
+    | BudgetDrawRequest
+    | BudgetDrawResponse
+    | BudgetReserveRequest
+    | BudgetReserveResponse
+)
 
 
 class SendMessage(NamedTuple):
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -59,7 +59,13 @@
     @property
     def of(self) -> CountedUnit:
         """What is counted."""
-        return CountedUnit.BUDGET if self.per_day is not None else CountedUnit.RATE if self.at_once is None else CountedUnit.AT_ONCE
+        return (
+            CountedUnit.BUDGET
+            if self.per_day is not None
+            else CountedUnit.RATE
+            if self.at_once is None
+            else CountedUnit.AT_ONCE
+        )
 
     @property
     def amount(self) -> int:
@@ -80,7 +86,13 @@
     @property
     def linger_ms(self) -> int:
         """How long after its end a part of the limit may still be seen in use."""
-        return self.run_most_ms if self.of is CountedUnit.AT_ONCE else 0 if self.of is CountedUnit.BUDGET else self.window_ms
+        return (
+            self.run_most_ms
+            if self.of is CountedUnit.AT_ONCE
+            else 0
+            if self.of is CountedUnit.BUDGET
+            else self.window_ms
+        )
 
     def fault(self) -> str:
         """Key and why, where it makes no sense; empty otherwise."""
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -29,7 +29,12 @@
 log = structlog.get_logger()
 # Bound once: looking a member up in its class costs as much as a step of a table.
 ENDS = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2}
-DELIVER, START_RUN, MAKE_CALL, RESUME = AttemptAction.DELIVER, AttemptAction.START_RUN, AttemptAction.MAKE_CALL, AttemptAction.RESUME
+DELIVER, START_RUN, MAKE_CALL, RESUME = (
+    AttemptAction.DELIVER,
+    AttemptAction.START_RUN,
+    AttemptAction.MAKE_CALL,
+    AttemptAction.RESUME,
+)
 TELL_ARRIVAL, TELL_GONE, TELL_ENDED = AttemptAction.TELL_ARRIVAL, AttemptAction.TELL_GONE, AttemptAction.TELL_ENDED
 TELL_CALL_NEEDED, TELL_CALL_ENDED = AttemptAction.TELL_CALL_NEEDED, AttemptAction.TELL_CALL_ENDED
 HELD = AttemptState.HELD
@@ -83,13 +88,19 @@
         self.operator = AdminCommands()  # the pause that operators ask for on the management address
         self.ends = [[0, 0, 0] for _ in settings.classes]  # per class: served, refused, failed, since the start
         self.forwards = [0 for _ in settings.classes]  # per class: runs handed to the kernel
-        self.process = ProcessLifecycle(limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms,
-                               limits.crossing_ms)
+        self.process = ProcessLifecycle(
+            limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms, limits.crossing_ms
+        )
         self.tracker = RequestTracker(
-            RequestTerms([kind.client_timeout_ms for kind in settings.classes],
-                  [kind.effect is not api.Effect.SAFE for kind in settings.classes],
-                  limits.overdue_ms, settings.max_retry_after_ms or 1000.0),
-            IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes), self.process)
+            RequestTerms(
+                [kind.client_timeout_ms for kind in settings.classes],
+                [kind.effect is not api.Effect.SAFE for kind in settings.classes],
+                limits.overdue_ms,
+                settings.max_retry_after_ms or 1000.0,
+            ),
+            IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes),
+            self.process,
+        )
         self._lost_runs = LostRunDetector(limits.lost_run_ms)
         self._mail: list[api.Event | Exchange] = []
         self._ready = Event()
@@ -189,8 +200,11 @@
             if self.gauges:
                 self.gauges.ask()
         mail, self._mail = self._mail, []
-        events = [self._arrival(item, now) if isinstance(item, Exchange) else item
-                  for item in mail if not (isinstance(item, Exchange) and item.state != HELD)]
+        events = [
+            self._arrival(item, now) if isinstance(item, Exchange) else item
+            for item in mail
+            if not (isinstance(item, Exchange) and item.state != HELD)
+        ]
         ticks = [wake for wake in self._wakes if wake[0] <= now]
         if ticks:
             self._wakes = [wake for wake in self._wakes if wake[0] > now]
@@ -217,8 +231,15 @@
             return []
 
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
-        return api.Arrival(exchange.id, exchange.cls, exchange.kb, max(0.0, now - exchange.arrived),
-                           sender=exchange.sender, rank=exchange.rank, is_retry=exchange.is_retry)
+        return api.Arrival(
+            exchange.id,
+            exchange.cls,
+            exchange.kb,
+            max(0.0, now - exchange.arrived),
+            sender=exchange.sender,
+            rank=exchange.rank,
+            is_retry=exchange.is_retry,
+        )
 
     def _act(self, action: api.Action, now: float) -> None:
         match action:
@@ -303,7 +324,7 @@
         running, unwanted = self.tracker.on_cores()
         lost = [x for x in self.tracker.at_calls_unwanted() if now > 2 * x.due - x.arrived]  # nothing tells but time
         if unwanted and RUNNABLE in self.settings.gauges:
-            lost += unwanted[:self._lost_runs.look(now, running, self._runnable(now))]
+            lost += unwanted[: self._lost_runs.look(now, running, self._runnable(now))]
         elif unwanted:
             lost += [x for x in unwanted if now > 2 * x.due - x.arrived]
         for exchange in lost:
--- a/myrtlespar/runtime/supervision.py
+++ b/myrtlespar/runtime/supervision.py
@@ -23,8 +23,9 @@
     hub.exception_stream = None
     handle_system_error = hub.handle_error
 
-    def handle_error(context: Any, kind: type[BaseException], error: BaseException,
-                     traceback: TracebackType | None) -> None:
+    def handle_error(
+        context: Any, kind: type[BaseException], error: BaseException, traceback: TracebackType | None
+    ) -> None:
         if issubclass(kind, hub.NOT_ERROR):
             return
         if issubclass(kind, hub.SYSTEM_ERROR):
--- a/myrtlespar/runtime/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -11,8 +11,14 @@
 
 
 def _line(table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
-    log.info("step", machine=table.name, who=who, state=table.states(state).name,
-             on=table.events(event).name, to=table.states(row.next).name if row else "impossible")
+    log.info(
+        "step",
+        machine=table.name,
+        who=who,
+        state=table.states(state).name,
+        on=table.events(event).name,
+        to=table.states(row.next).name if row else "impossible",
+    )
 
 
 def trace_to_log() -> None:
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -130,8 +130,15 @@
         succession.begin()
     if config.mgmt is not None:
         try:
-            mgmt = AdminServer(config.mgmt, core.operator, counters, lambda: kernel.up and not core.draining, figures,
-                        limits, early_signals.told_to_leave)
+            mgmt = AdminServer(
+                config.mgmt,
+                core.operator,
+                counters,
+                lambda: kernel.up and not core.draining,
+                figures,
+                limits,
+                early_signals.told_to_leave,
+            )
             mgmt.start()
         except AddressInUse as error:
             if early_signals.told_to_leave():
@@ -139,8 +146,12 @@
             complain(error)
             return 2
     core.close_idle = close_idle
-    acts = {signal.SIGHUP: reload, signal.SIGTERM: drain if mgmt is None else hand_over, signal.SIGINT: drain,
-            signal.SIGUSR1: lambda: log.info("counters", **core.report())}
+    acts = {
+        signal.SIGHUP: reload,
+        signal.SIGTERM: drain if mgmt is None else hand_over,
+        signal.SIGINT: drain,
+        signal.SIGUSR1: lambda: log.info("counters", **core.report()),
+    }
     watchers = [gevent.signal_handler(number, act) for number, act in acts.items()]
     early_signals.deliver_to(lambda number: gevent.spawn(acts[signal.Signals(number)]))
     gevent.sleep(0)  # what came before is carried out
@@ -155,8 +166,14 @@
     turns = gevent.spawn(core.run)
     for name, part in (("kernel", kernel), ("store", store), ("roster", roster)):
         gevent.spawn(run_for_good, name, part.serve, counters)
-    log.info("serving", name=config.name, ports=[front.port for front in fronts], mgmt=mgmt.port if mgmt else None,
-             calls_share=config.settings.calls_share, shared=config.settings.shared_dependency)
+    log.info(
+        "serving",
+        name=config.name,
+        ports=[front.port for front in fronts],
+        mgmt=mgmt.port if mgmt else None,
+        calls_share=config.settings.calls_share,
+        shared=config.settings.shared_dependency,
+    )
     gc.freeze()
     stopped = False
     while not stopped:
--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -30,8 +30,17 @@
 class Heartbeat:
     """One member of the baseline."""
 
-    def __init__(self, name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-                 electorate: VoterSet) -> None:
+    def __init__(
+        self,
+        name: str,
+        site: str,
+        address: str,
+        boot: int,
+        dice: Random,
+        now: float,
+        seeds: Sequence[str],
+        electorate: VoterSet,
+    ) -> None:
         self.me, self.seeds, self.dice = MemberUpdate(name, site, address, boot, 0, ALIVE), list(seeds), dice
         self.known: dict[str, MemberUpdate] = {}
         self.heard: dict[str, float] = {}
@@ -93,8 +102,10 @@
     def _put(self, now: float, rumour: MemberUpdate) -> list[MembershipEffect]:
         old = self.known.get(rumour.name)
         self.known[rumour.name] = rumour
-        return [MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.boot, 0, ""),
-                *self.standings.tell(rumour.name, rumour.state in HERE, now)]
+        return [
+            MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.boot, 0, ""),
+            *self.standings.tell(rumour.name, rumour.state in HERE, now),
+        ]
 
     def _sync(self) -> ViewSync:
         return ViewSync("emulated", self.me, tuple(self.known.values()))
@@ -102,7 +113,10 @@
 
 def baseline() -> Make:
     """Makes members of the baseline."""
-    def make(name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-             roll: VoterSet) -> Heartbeat:
+
+    def make(
+        name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str], roll: VoterSet
+    ) -> Heartbeat:
         return Heartbeat(name, site, address, boot, dice, now, seeds, roll)
+
     return make
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -67,9 +67,12 @@
 
 def real(terms: MembershipSettings) -> Make:
     """The membership machine itself."""
-    def make(name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str],
-             roll: VoterSet) -> Machine:
+
+    def make(
+        name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str], roll: VoterSet
+    ) -> Machine:
         return Member(name, site, address, boot, "emulated", terms, roll, seeds, dice, now)
+
     return make
 
 
@@ -83,16 +86,26 @@
 
     `observers` limits whose beliefs are kept (all, if empty); `sizes` false leaves packets unencoded and uncounted."""
 
-    def __init__(self, sites: Mapping[str, Sequence[str]], make: Make, seed: int, observers: Sequence[str] = (),
-                 electorate: Mapping[str, Sequence[str]] | None = None, sizes: bool = True) -> None:
+    def __init__(
+        self,
+        sites: Mapping[str, Sequence[str]],
+        make: Make,
+        seed: int,
+        observers: Sequence[str] = (),
+        electorate: Mapping[str, Sequence[str]] | None = None,
+        sizes: bool = True,
+    ) -> None:
         self.sites, self.make, self.seed, self.sizes = sites, make, seed, sizes
         self.engine, self.faults, self.dice = EventLoop(), ActiveFaults(), Random(f"network {seed}")
         self.site_of = {name: site for site, row in sites.items() for name in row}
         self.names = list(self.site_of)
         self.address = {name: address_of(n + 1) for n, name in enumerate(self.names)}
         self.name_at = {address: name for name, address in self.address.items()}
-        roll = electorate if electorate is not None else \
-            {site: row[:ELECTORS] if len(self.names) > ALL_ELECTORS else row for site, row in sites.items()}
+        roll = (
+            electorate
+            if electorate is not None
+            else {site: row[:ELECTORS] if len(self.names) > ALL_ELECTORS else row for site, row in sites.items()}
+        )
         self.roll = VoterSet(1, {site: tuple(row) for site, row in roll.items()})
         self.observers = set(observers or self.names)
         self.nodes: dict[str, SimulatedNode] = {}
@@ -139,8 +152,16 @@
         self._starts += 1
         now, seeds = self.engine.now, [self.address[seed] for seed in self._seeds(name)]
         digest = hashlib.blake2b(f"{self.seed} {name} {self._starts}".encode(), digest_size=8).digest()
-        machine = self.make(name, self.site_of[name], self.address[name], 1_700_000_000_000 + int(now),
-                            Random(int.from_bytes(digest, "big")), now, seeds, self.roll)
+        machine = self.make(
+            name,
+            self.site_of[name],
+            self.address[name],
+            1_700_000_000_000 + int(now),
+            Random(int.from_bytes(digest, "big")),
+            now,
+            seeds,
+            self.roll,
+        )
         node = self.nodes[name] = SimulatedNode(name, machine)
         self.deeds.append(FaultAction(now, "up", name))
         if name in self.observers:
@@ -252,8 +273,14 @@
             return
         dice = self.dice
         for delay in link.fate(dice):
-            self.engine.at(self.engine.now + HOP_MS + HOP_JITTER_MS * dice.random() + delay, self._deliver, to,
-                           "packet", packet, node.name)
+            self.engine.at(
+                self.engine.now + HOP_MS + HOP_JITTER_MS * dice.random() + delay,
+                self._deliver,
+                to,
+                "packet",
+                packet,
+                node.name,
+            )
 
     def _ask(self, node: SimulatedNode, address: str, sync: ViewSync) -> None:
         """TCP: nothing while cut or refused; a lost segment is sent again after 200 ms."""
@@ -301,8 +328,9 @@
             if reply is not None and not self.faults.link(node.name, sender).cut:
                 if self.sizes:
                     node.sent_bytes += len(encode(reply)) + 200
-                self.engine.at(now + self._stream_ms(node.name, sender, 1), self._deliver, sender, "reply", reply,
-                               node.name)
+                self.engine.at(
+                    now + self._stream_ms(node.name, sender, 1), self._deliver, sender, "reply", reply, node.name
+                )
 
     def _tick(self, name: str, node: SimulatedNode) -> None:
         now = self.engine.now
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -30,14 +30,25 @@
 class SimulatedLimits:
     """Agents of one fleet with one limit, all here, under one demand function."""
 
-    def __init__(self, members: int, limit: Limit, terms: GrantSettings, seed: int, hop_ms: float = 1.0,
-                 keys: int = 0, sizes: bool = False, hold_ms: float = 0.0) -> None:
+    def __init__(
+        self,
+        members: int,
+        limit: Limit,
+        terms: GrantSettings,
+        seed: int,
+        hop_ms: float = 1.0,
+        keys: int = 0,
+        sizes: bool = False,
+        hold_ms: float = 0.0,
+    ) -> None:
         """With `keys`, each request is of one of so many callers, each with the limit by itself. A request waits up
         to `hold_ms` for its place."""
         self.keys, self.sizes, self.hold_ms = keys, sizes, hold_ms
         self.engine, self.dice, self.limit, self.hop_ms = EventLoop(), Random(seed), limit, hop_ms
         self.names = [f"m{n}" for n in range(members)]
-        self.agents = {name: LimitCoordinator((name, 1), terms, {"x": limit}, frozenset(self.names), 0.0) for name in self.names}
+        self.agents = {
+            name: LimitCoordinator((name, 1), terms, {"x": limit}, frozenset(self.names), 0.0) for name in self.names
+        }
         self.places = {name: AdmissionQueue(agent) for name, agent in self.agents.items()}
         self.rates = dict.fromkeys(self.names, 0.0)
         self._count = 0
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -42,16 +42,29 @@
     deeds = fleet.deeds if len(names) <= PAIRED_MOST else _few(fleet.deeds)
     truth = GroundTruth(names, deeds, settle + script.length_ms, terms.pause_ms())
     verdict = judge_members(truth, fleet.beliefs, terms, sites if len(names) <= PAIRED_MOST else {}, observers)
-    moved = [(node.sent_bytes - before.get(name, (0, 0))[0], node.datagrams - before.get(name, (0, 0))[1])
-             for name, node in fleet.nodes.items()]
-    return {**figures(verdict, terms, len(names)), "broken": verdict.broken, "judged": ["members"],
-            "members": len(names),
-            "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / seconds, 1),
-            "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / seconds, 2),
-            "hashes": len({view.hash for node in fleet.nodes.values()
-                           if node.up and (view := getattr(node.machine, "view", None)) is not None}),
-            "events": fleet.engine.events, "events_per_s": round(fleet.engine.events / max(took, 1e-9)),
-            "seconds": round(took, 2), "counts": dict(sorted(fleet.notes.items()))}
+    moved = [
+        (node.sent_bytes - before.get(name, (0, 0))[0], node.datagrams - before.get(name, (0, 0))[1])
+        for name, node in fleet.nodes.items()
+    ]
+    return {
+        **figures(verdict, terms, len(names)),
+        "broken": verdict.broken,
+        "judged": ["members"],
+        "members": len(names),
+        "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / seconds, 1),
+        "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / seconds, 2),
+        "hashes": len(
+            {
+                view.hash
+                for node in fleet.nodes.values()
+                if node.up and (view := getattr(node.machine, "view", None)) is not None
+            }
+        ),
+        "events": fleet.engine.events,
+        "events_per_s": round(fleet.engine.events / max(took, 1e-9)),
+        "seconds": round(took, 2),
+        "counts": dict(sorted(fleet.notes.items())),
+    }
 
 
 def watchers(script: Script, sites: Mapping[str, Sequence[str]]) -> list[str]:
--- a/myrtlespar/state_machines/__init__.py
+++ b/myrtlespar/state_machines/__init__.py
@@ -13,4 +13,13 @@
 from myrtlespar.state_machines.idempotency_keys import KEY_TABLE
 from myrtlespar.state_machines.process import PROCESS_TABLE
 
-TABLES = (ATTEMPT_TABLE, KEY_TABLE, PROCESS_TABLE, LINK_TABLE, COMMAND_TABLE, CALL_TABLE, DEPENDENCY_CONNECTION_TABLE, CONNECTION_TABLE)
+TABLES = (
+    ATTEMPT_TABLE,
+    KEY_TABLE,
+    PROCESS_TABLE,
+    LINK_TABLE,
+    COMMAND_TABLE,
+    CALL_TABLE,
+    DEPENDENCY_CONNECTION_TABLE,
+    CONNECTION_TABLE,
+)
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -38,34 +38,49 @@
     FINISH = auto()  # close once all is sent
 
 
-CONNECTION_TABLE = TransitionTable("connection", ConnectionState, ConnectionEvent, {
-    (ConnectionState.IDLE, ConnectionEvent.BEGIN): Transition(ConnectionState.READING),
-    (ConnectionState.IDLE, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
-    (ConnectionState.IDLE, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.IDLE, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.IDLE, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.IDLE, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
-    (ConnectionState.READING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
-    (ConnectionState.READING, ConnectionEvent.TURNED_AWAY): Transition(ConnectionState.IDLE),
-    (ConnectionState.READING, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(ConnectionState.READING),  # what is being read gets its answer first
-    (ConnectionState.READING, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.READING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
-    (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),  # fronts that carry several at a time
-    (ConnectionState.OWING, ConnectionEvent.ANSWERED): Transition(ConnectionState.OWING),
-    (ConnectionState.OWING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.IDLE),
-    (ConnectionState.OWING, ConnectionEvent.SPOILT): Transition(ConnectionState.ENDING),
-    (ConnectionState.OWING, ConnectionEvent.CLOSE): Transition(ConnectionState.OWING),
-    (ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
-    (ConnectionState.ENDING, ConnectionEvent.ANSWERED): Transition(ConnectionState.ENDING),
-    (ConnectionState.ENDING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
-    (ConnectionState.ENDING, ConnectionEvent.CLOSE): Transition(ConnectionState.ENDING),
-    (ConnectionState.ENDING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
-    (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED),  # the other side's end, or a part of something, behind our close
-    (ConnectionState.CLOSED, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED),
-    (ConnectionState.CLOSED, ConnectionEvent.END): Transition(ConnectionState.CLOSED),
-    (ConnectionState.CLOSED, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
-})
+CONNECTION_TABLE = TransitionTable(
+    "connection",
+    ConnectionState,
+    ConnectionEvent,
+    {
+        (ConnectionState.IDLE, ConnectionEvent.BEGIN): Transition(ConnectionState.READING),
+        (ConnectionState.IDLE, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
+        (ConnectionState.IDLE, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+        (ConnectionState.IDLE, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+        (ConnectionState.IDLE, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+        (ConnectionState.IDLE, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
+        (ConnectionState.READING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
+        (ConnectionState.READING, ConnectionEvent.TURNED_AWAY): Transition(ConnectionState.IDLE),
+        (ConnectionState.READING, ConnectionEvent.SPOILT): Transition(
+            ConnectionState.CLOSED, (ConnectionAction.FINISH,)
+        ),
+        (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(
+            ConnectionState.READING
+        ),  # what is being read gets its answer first
+        (ConnectionState.READING, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
+        (ConnectionState.READING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
+        (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(
+            ConnectionState.OWING
+        ),  # fronts that carry several at a time
+        (ConnectionState.OWING, ConnectionEvent.ANSWERED): Transition(ConnectionState.OWING),
+        (ConnectionState.OWING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.IDLE),
+        (ConnectionState.OWING, ConnectionEvent.SPOILT): Transition(ConnectionState.ENDING),
+        (ConnectionState.OWING, ConnectionEvent.CLOSE): Transition(ConnectionState.OWING),
+        (ConnectionState.OWING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
+        (ConnectionState.ENDING, ConnectionEvent.ANSWERED): Transition(ConnectionState.ENDING),
+        (ConnectionState.ENDING, ConnectionEvent.LAST_ANSWERED): Transition(
+            ConnectionState.CLOSED, (ConnectionAction.FINISH,)
+        ),
+        (ConnectionState.ENDING, ConnectionEvent.CLOSE): Transition(ConnectionState.ENDING),
+        (ConnectionState.ENDING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
+        (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(
+            ConnectionState.CLOSED
+        ),  # the other side's end, or a part of something, behind our close
+        (ConnectionState.CLOSED, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED),
+        (ConnectionState.CLOSED, ConnectionEvent.END): Transition(ConnectionState.CLOSED),
+        (ConnectionState.CLOSED, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
+    },
+)
 
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -33,17 +33,32 @@
     RETIRE = auto()  # idle for too long, or at an old address
 
 
-DEPENDENCY_CONNECTION_TABLE = TransitionTable("wire", DependencyConnectionState, DependencyConnectionEvent, {
-    (DependencyConnectionState.OPENING, DependencyConnectionEvent.OPENED): Transition(DependencyConnectionState.IDLE),
-    (DependencyConnectionState.OPENING, DependencyConnectionEvent.REFUSED): Transition(DependencyConnectionState.CLOSED),
-    (DependencyConnectionState.IDLE, DependencyConnectionEvent.TAKE): Transition(DependencyConnectionState.BUSY),
-    (DependencyConnectionState.IDLE, DependencyConnectionEvent.RETIRE): Transition(DependencyConnectionState.SPENT),
-    (DependencyConnectionState.IDLE, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
-    (DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY): Transition(DependencyConnectionState.IDLE),
-    (DependencyConnectionState.BUSY, DependencyConnectionEvent.DROP): Transition(DependencyConnectionState.SPENT),
-    (DependencyConnectionState.BUSY, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
-    (DependencyConnectionState.SPENT, DependencyConnectionEvent.BROKEN): Transition(DependencyConnectionState.CLOSED),
-})
+DEPENDENCY_CONNECTION_TABLE = TransitionTable(
+    "wire",
+    DependencyConnectionState,
+    DependencyConnectionEvent,
+    {
+        (DependencyConnectionState.OPENING, DependencyConnectionEvent.OPENED): Transition(
+            DependencyConnectionState.IDLE
+        ),
+        (DependencyConnectionState.OPENING, DependencyConnectionEvent.REFUSED): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.TAKE): Transition(DependencyConnectionState.BUSY),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.RETIRE): Transition(DependencyConnectionState.SPENT),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY): Transition(DependencyConnectionState.IDLE),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.DROP): Transition(DependencyConnectionState.SPENT),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.SPENT, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+    },
+)
 
 
 class CallState(IntEnum):
@@ -65,16 +80,23 @@
     GIVEN_UP = auto()
 
 
-CALL_TABLE = TransitionTable("call", CallState, CallEvent, {
-    (CallState.WAITING, CallEvent.PUT): Transition(CallState.MADE),
-    (CallState.WAITING, CallEvent.UNREACHED): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
-    (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
-    (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
-    (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
-    (CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,)),  # nothing but a reply proves that it never ran
-    (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
-    (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
-})
+CALL_TABLE = TransitionTable(
+    "call",
+    CallState,
+    CallEvent,
+    {
+        (CallState.WAITING, CallEvent.PUT): Transition(CallState.MADE),
+        (CallState.WAITING, CallEvent.UNREACHED): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+        (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+        (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
+        (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
+        (CallState.MADE, CallEvent.CUT): Transition(
+            CallState.OVER, (RunOutcome.CUT_OFF,)
+        ),  # nothing but a reply proves that it never ran
+        (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
+        (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
+    },
+)
 
 
 @dataclass(slots=True, eq=False)
@@ -150,7 +172,14 @@
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
 WIRE_BUSY, HEAR_REPLY, HEAR_TAKE, GET_ANSWERED, GET_PUT, STAND_OVER, STAND_WAITING = (
-    DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY, DependencyConnectionEvent.TAKE, CallEvent.ANSWERED, CallEvent.PUT, CallState.OVER, CallState.WAITING)
+    DependencyConnectionState.BUSY,
+    DependencyConnectionEvent.REPLY,
+    DependencyConnectionEvent.TAKE,
+    CallEvent.ANSWERED,
+    CallEvent.PUT,
+    CallState.OVER,
+    CallState.WAITING,
+)
 
 
 @dataclass(slots=True)
@@ -214,7 +243,9 @@
             out.append(self._open())
         return out
 
-    def reply(self, wire: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float) -> list[CallEffect] | None:
+    def reply(
+        self, wire: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
+    ) -> list[CallEffect] | None:
         """One reply came. None: it was for no call in hand here, such as a second copy."""
         call = wire.call
         if wire.state != WIRE_BUSY or call is None or call.id != id:
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -47,21 +47,26 @@
     CLOSE = auto()
 
 
-LINK_TABLE = TransitionTable("link", LinkState, LinkEvent, {
-    (LinkState.DOWN, LinkEvent.CONNECTED): Transition(LinkState.GREETING, (LinkAction.DOUBT, LinkAction.GREET)),
-    (LinkState.DOWN, LinkEvent.MOVE): Transition(LinkState.DOWN),
-    (LinkState.GREETING, LinkEvent.BOOTED): Transition(LinkState.REPLAYING, (LinkAction.MARK_SYNC,)),
-    (LinkState.GREETING, LinkEvent.MOVE): Transition(LinkState.GREETING, (LinkAction.CLOSE,)),
-    (LinkState.GREETING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
-    (LinkState.REPLAYING, LinkEvent.SYNCED): Transition(LinkState.READY, (LinkAction.RELEASE,)),
-    (LinkState.REPLAYING, LinkEvent.MOVE): Transition(LinkState.REPLAYING, (LinkAction.CLOSE,)),
-    (LinkState.REPLAYING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
-    (LinkState.READY, LinkEvent.MOVE): Transition(LinkState.MOVING, (LinkAction.MARK_MOVE,)),
-    (LinkState.READY, LinkEvent.BROKEN): Transition(LinkState.DOWN),
-    (LinkState.MOVING, LinkEvent.MOVE): Transition(LinkState.MOVING),
-    (LinkState.MOVING, LinkEvent.MOVED): Transition(LinkState.MOVING, (LinkAction.CLOSE,)),
-    (LinkState.MOVING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
-})
+LINK_TABLE = TransitionTable(
+    "link",
+    LinkState,
+    LinkEvent,
+    {
+        (LinkState.DOWN, LinkEvent.CONNECTED): Transition(LinkState.GREETING, (LinkAction.DOUBT, LinkAction.GREET)),
+        (LinkState.DOWN, LinkEvent.MOVE): Transition(LinkState.DOWN),
+        (LinkState.GREETING, LinkEvent.BOOTED): Transition(LinkState.REPLAYING, (LinkAction.MARK_SYNC,)),
+        (LinkState.GREETING, LinkEvent.MOVE): Transition(LinkState.GREETING, (LinkAction.CLOSE,)),
+        (LinkState.GREETING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+        (LinkState.REPLAYING, LinkEvent.SYNCED): Transition(LinkState.READY, (LinkAction.RELEASE,)),
+        (LinkState.REPLAYING, LinkEvent.MOVE): Transition(LinkState.REPLAYING, (LinkAction.CLOSE,)),
+        (LinkState.REPLAYING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+        (LinkState.READY, LinkEvent.MOVE): Transition(LinkState.MOVING, (LinkAction.MARK_MOVE,)),
+        (LinkState.READY, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+        (LinkState.MOVING, LinkEvent.MOVE): Transition(LinkState.MOVING),
+        (LinkState.MOVING, LinkEvent.MOVED): Transition(LinkState.MOVING, (LinkAction.CLOSE,)),
+        (LinkState.MOVING, LinkEvent.BROKEN): Transition(LinkState.DOWN),
+    },
+)
 
 
 class CommandState(IntEnum):
@@ -91,17 +96,24 @@
     END = auto()  # tell the desk that this run is over: lost, or never begun
 
 
-COMMAND_TABLE = TransitionTable("command", CommandState, CommandEvent, {
-    (CommandState.KEPT, CommandEvent.SEND): Transition(CommandState.SENT, (CommandAction.WRITE,)),
-    (CommandState.KEPT, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
-    (CommandState.KEPT, CommandEvent.READ): Transition(CommandState.DONE),  # its run ended at the call before the reply could be sent
-    (CommandState.SENT, CommandEvent.UNSENT): Transition(CommandState.KEPT),
-    (CommandState.SENT, CommandEvent.READ): Transition(CommandState.DONE),
-    (CommandState.SENT, CommandEvent.BREAK): Transition(CommandState.DOUBTFUL),
-    (CommandState.DOUBTFUL, CommandEvent.READ): Transition(CommandState.DONE),
-    (CommandState.DOUBTFUL, CommandEvent.REPEAT): Transition(CommandState.SENT, (CommandAction.WRITE,)),
-    (CommandState.DOUBTFUL, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
-})
+COMMAND_TABLE = TransitionTable(
+    "command",
+    CommandState,
+    CommandEvent,
+    {
+        (CommandState.KEPT, CommandEvent.SEND): Transition(CommandState.SENT, (CommandAction.WRITE,)),
+        (CommandState.KEPT, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
+        (CommandState.KEPT, CommandEvent.READ): Transition(
+            CommandState.DONE
+        ),  # its run ended at the call before the reply could be sent
+        (CommandState.SENT, CommandEvent.UNSENT): Transition(CommandState.KEPT),
+        (CommandState.SENT, CommandEvent.READ): Transition(CommandState.DONE),
+        (CommandState.SENT, CommandEvent.BREAK): Transition(CommandState.DOUBTFUL),
+        (CommandState.DOUBTFUL, CommandEvent.READ): Transition(CommandState.DONE),
+        (CommandState.DOUBTFUL, CommandEvent.REPEAT): Transition(CommandState.SENT, (CommandAction.WRITE,)),
+        (CommandState.DOUBTFUL, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
+    },
+)
 
 
 @dataclass(slots=True)
@@ -153,8 +165,18 @@
 IsWanted = Callable[[str], bool]
 OLD, NEXT, GAP, RENUMBERED = range(4)
 # Bound once: looking a member up in its class costs as much as a step of a table.
-SENT_KEPT, SENT_SENT, SENT_DOUBTFUL, SENT_DONE = CommandState.KEPT, CommandState.SENT, CommandState.DOUBTFUL, CommandState.DONE
-PROVE_SEND, PROVE_READ, DO_WRITE, LINK_READY = CommandEvent.SEND, CommandEvent.READ, CommandAction.WRITE, LinkState.READY
+SENT_KEPT, SENT_SENT, SENT_DOUBTFUL, SENT_DONE = (
+    CommandState.KEPT,
+    CommandState.SENT,
+    CommandState.DOUBTFUL,
+    CommandState.DONE,
+)
+PROVE_SEND, PROVE_READ, DO_WRITE, LINK_READY = (
+    CommandEvent.SEND,
+    CommandEvent.READ,
+    CommandAction.WRITE,
+    LinkState.READY,
+)
 
 
 class CommandLog:
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -44,18 +44,23 @@
     DROP = auto()
 
 
-KEY_TABLE = TransitionTable("key", KeyState, KeyEvent, {
-    (KeyState.FREE, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.OWN,)),
-    (KeyState.FREE, KeyEvent.FULL_TRY): Transition(KeyState.FREE, (KeyAction.TURN_AWAY,)),
-    (KeyState.OWNED, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.FOLLOW,)),
-    (KeyState.OWNED, KeyEvent.CROWDED_TRY): Transition(KeyState.OWNED, (KeyAction.FAIL,)),
-    (KeyState.OWNED, KeyEvent.OUTCOME): Transition(KeyState.KNOWN, (KeyAction.SHARE,)),
-    (KeyState.OWNED, KeyEvent.NEVER_RAN): Transition(KeyState.FREE, (KeyAction.SHARE, KeyAction.DROP)),
-    (KeyState.OWNED, KeyEvent.OWNER_LEFT): Transition(KeyState.OWNED, (KeyAction.PROMOTE,)),
-    (KeyState.OWNED, KeyEvent.LAST_LEFT): Transition(KeyState.FREE, (KeyAction.DROP,)),
-    (KeyState.KNOWN, KeyEvent.TRY): Transition(KeyState.KNOWN, (KeyAction.ANSWER,)),
-    (KeyState.KNOWN, KeyEvent.EXPIRE): Transition(KeyState.FREE, (KeyAction.DROP,)),
-})
+KEY_TABLE = TransitionTable(
+    "key",
+    KeyState,
+    KeyEvent,
+    {
+        (KeyState.FREE, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.OWN,)),
+        (KeyState.FREE, KeyEvent.FULL_TRY): Transition(KeyState.FREE, (KeyAction.TURN_AWAY,)),
+        (KeyState.OWNED, KeyEvent.TRY): Transition(KeyState.OWNED, (KeyAction.FOLLOW,)),
+        (KeyState.OWNED, KeyEvent.CROWDED_TRY): Transition(KeyState.OWNED, (KeyAction.FAIL,)),
+        (KeyState.OWNED, KeyEvent.OUTCOME): Transition(KeyState.KNOWN, (KeyAction.SHARE,)),
+        (KeyState.OWNED, KeyEvent.NEVER_RAN): Transition(KeyState.FREE, (KeyAction.SHARE, KeyAction.DROP)),
+        (KeyState.OWNED, KeyEvent.OWNER_LEFT): Transition(KeyState.OWNED, (KeyAction.PROMOTE,)),
+        (KeyState.OWNED, KeyEvent.LAST_LEFT): Transition(KeyState.FREE, (KeyAction.DROP,)),
+        (KeyState.KNOWN, KeyEvent.TRY): Transition(KeyState.KNOWN, (KeyAction.ANSWER,)),
+        (KeyState.KNOWN, KeyEvent.EXPIRE): Transition(KeyState.FREE, (KeyAction.DROP,)),
+    },
+)
 
 KeyId = tuple[int, str]  # class and key
 
@@ -138,8 +143,11 @@
 
     def known(self) -> list[tuple[KeyId, Answer, float]]:
         """Keys with their outcomes and when they lapse, oldest first: what a successor must not run again."""
-        return [(slot, entry.outcome, at) for at, slot in self.expiry
-                if (entry := self.entries.get(slot)) is not None and entry.outcome is not None]
+        return [
+            (slot, entry.outcome, at)
+            for at, slot in self.expiry
+            if (entry := self.entries.get(slot)) is not None and entry.outcome is not None
+        ]
 
     def take(self, slot: KeyId, outcome: Answer, lapses_at: float) -> None:
         """A key whose outcome an earlier process knew. Taken in the order they lapse, before any key of its own."""
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -47,35 +47,53 @@
 
 _CLOSE = (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
 
-PROCESS_TABLE = TransitionTable("process", ProcessState, ProcessEvent, {
-    (ProcessState.SERVING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING, (ProcessAction.TELL_POLICY, ProcessAction.ASK_CLIENTS)),
-    (ProcessState.SERVING, ProcessEvent.RELOAD): Transition(ProcessState.SERVING, (ProcessAction.MOVE_LINKS,)),
-    (ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
-    (ProcessState.DRAINING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
-    (ProcessState.CROSSING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING),
-    (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
-    (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
-    (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING),  # a second notice changes nothing
-    (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)),  # runs still end over those links
-    (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)),
-    (ProcessState.DRAINING, ProcessEvent.EMPTY): Transition(ProcessState.CROSSING, _CLOSE),
-    (ProcessState.DRAINING, ProcessEvent.KILL_NEAR): Transition(ProcessState.CROSSING, _CLOSE),
-    (ProcessState.CROSSING, ProcessEvent.NOTICE): Transition(ProcessState.CROSSING),
-    (ProcessState.CROSSING, ProcessEvent.RELOAD): Transition(ProcessState.CROSSING, (ProcessAction.MOVE_LINKS,)),  # what is owed still ends over them
-    (ProcessState.CROSSING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.CROSSING, (ProcessAction.NAME_FAULT,)),
-    (ProcessState.CROSSING, ProcessEvent.CROSSED): Transition(ProcessState.FLUSHING, (ProcessAction.FLUSH,)),
-    (ProcessState.FLUSHING, ProcessEvent.FLUSHED): Transition(ProcessState.STOPPED, (ProcessAction.STOP,)),
-    (ProcessState.FLUSHING, ProcessEvent.NOTICE): Transition(ProcessState.FLUSHING),
-    (ProcessState.FLUSHING, ProcessEvent.RELOAD): Transition(ProcessState.FLUSHING),
-    (ProcessState.FLUSHING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.FLUSHING, (ProcessAction.NAME_FAULT,)),
-})
+PROCESS_TABLE = TransitionTable(
+    "process",
+    ProcessState,
+    ProcessEvent,
+    {
+        (ProcessState.SERVING, ProcessEvent.NOTICE): Transition(
+            ProcessState.DRAINING, (ProcessAction.TELL_POLICY, ProcessAction.ASK_CLIENTS)
+        ),
+        (ProcessState.SERVING, ProcessEvent.RELOAD): Transition(ProcessState.SERVING, (ProcessAction.MOVE_LINKS,)),
+        (ProcessState.SERVING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
+        (ProcessState.DRAINING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING, _CLOSE),
+        (ProcessState.CROSSING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING),
+        (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
+        (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
+        (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(
+            ProcessState.DRAINING
+        ),  # a second notice changes nothing
+        (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(
+            ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)
+        ),  # runs still end over those links
+        (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(
+            ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)
+        ),
+        (ProcessState.DRAINING, ProcessEvent.EMPTY): Transition(ProcessState.CROSSING, _CLOSE),
+        (ProcessState.DRAINING, ProcessEvent.KILL_NEAR): Transition(ProcessState.CROSSING, _CLOSE),
+        (ProcessState.CROSSING, ProcessEvent.NOTICE): Transition(ProcessState.CROSSING),
+        (ProcessState.CROSSING, ProcessEvent.RELOAD): Transition(
+            ProcessState.CROSSING, (ProcessAction.MOVE_LINKS,)
+        ),  # what is owed still ends over them
+        (ProcessState.CROSSING, ProcessEvent.BAD_RELOAD): Transition(
+            ProcessState.CROSSING, (ProcessAction.NAME_FAULT,)
+        ),
+        (ProcessState.CROSSING, ProcessEvent.CROSSED): Transition(ProcessState.FLUSHING, (ProcessAction.FLUSH,)),
+        (ProcessState.FLUSHING, ProcessEvent.FLUSHED): Transition(ProcessState.STOPPED, (ProcessAction.STOP,)),
+        (ProcessState.FLUSHING, ProcessEvent.NOTICE): Transition(ProcessState.FLUSHING),
+        (ProcessState.FLUSHING, ProcessEvent.RELOAD): Transition(ProcessState.FLUSHING),
+        (ProcessState.FLUSHING, ProcessEvent.BAD_RELOAD): Transition(
+            ProcessState.FLUSHING, (ProcessAction.NAME_FAULT,)
+        ),
+    },
+)
 
 
 class ProcessLifecycle:
     """One process. Times are Unix milliseconds."""
 
-    def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float,
-                 crossing_ms: float) -> None:
+    def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float, crossing_ms: float) -> None:
         self.stop_ms, self.grace_ms, self.sweep_ms = stop_ms, grace_ms, sweep_ms
         self.flush_ms, self.crossing_ms = flush_ms, crossing_ms
         self.stage: int = ProcessState.SERVING
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -21,12 +21,37 @@
 from myrtlespar.state_machines.process import ProcessLifecycle
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
-DO_DELIVER, DO_DELIVER_FAILED, DO_FREE_KEY, DO_LEAVE = AttemptAction.DELIVER, AttemptAction.DELIVER_FAILED, AttemptAction.FREE_KEY, AttemptAction.LEAVE
-DO_PASS_ON, DO_REMEMBER, DO_UNFOLLOW, DO_WITHDRAW = AttemptAction.PASS_ON, AttemptAction.REMEMBER, AttemptAction.UNFOLLOW, AttemptAction.WITHDRAW
+DO_DELIVER, DO_DELIVER_FAILED, DO_FREE_KEY, DO_LEAVE = (
+    AttemptAction.DELIVER,
+    AttemptAction.DELIVER_FAILED,
+    AttemptAction.FREE_KEY,
+    AttemptAction.LEAVE,
+)
+DO_PASS_ON, DO_REMEMBER, DO_UNFOLLOW, DO_WITHDRAW = (
+    AttemptAction.PASS_ON,
+    AttemptAction.REMEMBER,
+    AttemptAction.UNFOLLOW,
+    AttemptAction.WITHDRAW,
+)
 ON_ADMIT, ON_BAR, ON_CALL, ON_CALL_BAD = AttemptEvent.ADMIT, AttemptEvent.BAR, AttemptEvent.CALL, AttemptEvent.CALL_BAD
-ON_CALL_NEEDED, ON_CALL_OK, ON_ENDED, ON_FAIL = AttemptEvent.CALL_NEEDED, AttemptEvent.CALL_OK, AttemptEvent.ENDED, AttemptEvent.FAIL
-ON_FOLLOW, ON_GONE, ON_KNOWN, ON_NEVER_RAN = AttemptEvent.FOLLOW, AttemptEvent.GONE, AttemptEvent.KNOWN, AttemptEvent.NEVER_RAN
-ON_OVERDUE, ON_PROMOTE, ON_REFUSE, ON_SHARE = AttemptEvent.OVERDUE, AttemptEvent.PROMOTE, AttemptEvent.REFUSE, AttemptEvent.SHARE
+ON_CALL_NEEDED, ON_CALL_OK, ON_ENDED, ON_FAIL = (
+    AttemptEvent.CALL_NEEDED,
+    AttemptEvent.CALL_OK,
+    AttemptEvent.ENDED,
+    AttemptEvent.FAIL,
+)
+ON_FOLLOW, ON_GONE, ON_KNOWN, ON_NEVER_RAN = (
+    AttemptEvent.FOLLOW,
+    AttemptEvent.GONE,
+    AttemptEvent.KNOWN,
+    AttemptEvent.NEVER_RAN,
+)
+ON_OVERDUE, ON_PROMOTE, ON_REFUSE, ON_SHARE = (
+    AttemptEvent.OVERDUE,
+    AttemptEvent.PROMOTE,
+    AttemptEvent.REFUSE,
+    AttemptEvent.SHARE,
+)
 ON_START = AttemptEvent.START
 THEN_FOLLOW, THEN_OWN, THEN_TURN_AWAY = KeyAction.FOLLOW, KeyAction.OWN, KeyAction.TURN_AWAY
 TRY_READ, TRY_FOLLOWING, TRY_RUNNING_UNWANTED = AttemptState.READ, AttemptState.FOLLOWING, AttemptState.RUNNING_UNWANTED
@@ -131,8 +156,9 @@
         event = ON_CALL_OK if outcome is RunOutcome.OK else ON_CALL_BAD
         return self._step(exchange, event, _tuple(EventDetails, (None, outcome, elapsed_ms, reply)))
 
-    def ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None,
-              now: float) -> list[RequestEffect]:
+    def ended(
+        self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
+    ) -> list[RequestEffect]:
         """A run is over; a refusal or NEVER_RAN as its answer proves that it never began."""
         exchange = self.open.get(id)
         if exchange is None or exchange.state not in STARTED:
@@ -160,7 +186,11 @@
 
     def at_calls_unwanted(self) -> list[Exchange]:
         """Runs at a call that nobody waits for. The kernel ends them by itself and says so."""
-        return [exchange for exchange in self.open.values() if exchange.state == TRY_AT_CALL_UNWANTED and not exchange.target]
+        return [
+            exchange
+            for exchange in self.open.values()
+            if exchange.state == TRY_AT_CALL_UNWANTED and not exchange.target
+        ]
 
     def end_all(self, now: float) -> list[RequestEffect]:
         """The process ends: fail every try that is owed its answer."""
@@ -173,8 +203,11 @@
     def left(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Keys for a process that takes over, with their outcomes and when they lapse. A run that nobody waits for
         goes on in the kernel without us: its key stands for a failure, as nothing can be promised of it."""
-        running = [((exchange.cls, exchange.key), FAILED, now + self.keys.key_ms) for exchange in self.open.values()
-                   if exchange.key and exchange.state in STARTED and self.keys.owns(exchange)]
+        running = [
+            ((exchange.cls, exchange.key), FAILED, now + self.keys.key_ms)
+            for exchange in self.open.values()
+            if exchange.key and exchange.state in STARTED and self.keys.owns(exchange)
+        ]
         return self.keys.known() + running
 
     # What the policy decided.
@@ -208,7 +241,9 @@
     def _refusal(self) -> Answer:
         return Answer(AnswerKind.REFUSED, retry_after_ms=self.terms.retry_after_ms)
 
-    def _step(self, exchange: Exchange, event: AttemptEvent, note: EventDetails = NOTHING, now: float = 0.0) -> list[RequestEffect]:
+    def _step(
+        self, exchange: Exchange, event: AttemptEvent, note: EventDetails = NOTHING, now: float = 0.0
+    ) -> list[RequestEffect]:
         row = ATTEMPT_TABLE.step(exchange.state, event, exchange.id)
         exchange.state = row.next
         out: list[RequestEffect] = []
@@ -222,7 +257,9 @@
                 self._inward(do, exchange, note, now, out)
         return out
 
-    def _inward(self, do: AttemptAction, exchange: Exchange, note: EventDetails, now: float, out: list[RequestEffect]) -> None:
+    def _inward(
+        self, do: AttemptAction, exchange: Exchange, note: EventDetails, now: float, out: list[RequestEffect]
+    ) -> None:
         if do is DO_LEAVE:
             del self.open[exchange.id]
         elif do is DO_WITHDRAW:
--- a/myrtlespar/state_machines/transition_table.py
+++ b/myrtlespar/state_machines/transition_table.py
@@ -26,8 +26,9 @@
 
     __slots__ = ("events", "impossible", "name", "rows", "states", "watch")
 
-    def __init__(self, name: str, states: type[IntEnum], events: type[IntEnum],
-                 rows: Mapping[tuple[int, int], Transition]) -> None:
+    def __init__(
+        self, name: str, states: type[IntEnum], events: type[IntEnum], rows: Mapping[tuple[int, int], Transition]
+    ) -> None:
         self.name, self.states, self.events = name, states, events
         self.rows: list[list[Transition | None]] = [[rows.get((state, event)) for event in events] for state in states]
         self.impossible: Counter[str] = Counter()
@@ -47,11 +48,13 @@
 
     def filled(self) -> list[tuple[int, int]]:
         """All states and events that have a row."""
-        return [(state, event) for state, rows in enumerate(self.rows)
-                for event, row in enumerate(rows) if row is not None]
+        return [
+            (state, event) for state, rows in enumerate(self.rows) for event, row in enumerate(rows) if row is not None
+        ]
 
 
 def report_invalid_transitions(tables: tuple[TransitionTable, ...]) -> dict[str, int]:
     """Counts of impossible events by `impossible.machine.STATE.EVENT`."""
-    return {f"impossible.{table.name}.{what}": count
-            for table in tables for what, count in sorted(table.impossible.items())}
+    return {
+        f"impossible.{table.name}.{what}": count for table in tables for what, count in sorted(table.impossible.items())
+    }
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -84,8 +84,9 @@
             with self.lock:
                 try:
                     command = json.loads(line)
-                    handle = {"OPEN": self.open, "SCHED": self.sched, "IODONE": self.iodone,
-                              "SYSINFO": self.sysinfo}[command["t"]]
+                    handle = {"OPEN": self.open, "SCHED": self.sched, "IODONE": self.iodone, "SYSINFO": self.sysinfo}[
+                        command["t"]
+                    ]
                 except (ValueError, KeyError, TypeError):
                     self.malformed.append(line[:200])
                     return
@@ -113,6 +114,7 @@
             with self.lock:
                 if self.born == life:
                     super_note(**notice)
+
         Run(self, note_in_this_life, command, row).go()
 
 
@@ -250,11 +252,16 @@
             slot = self.source.randrange(len(self.all_clients))
             client = self._usable(slot)
             body = b"%d-%d ms=%d calls=%d end=%s" % (
-                self.seed, n, self.source.choice([1, 5, 20, 150]), self.source.choice([0, 0, 1, 2]),
-                self.source.choice([b"PASS"] * 9 + [b"FAIL"]))
+                self.seed,
+                n,
+                self.source.choice([1, 5, 20, 150]),
+                self.source.choice([0, 0, 1, 2]),
+                self.source.choice([b"PASS"] * 9 + [b"FAIL"]),
+            )
             try:
-                client.request(self.source.choice(list(GIVE_UP_MS)), body,
-                               self.source if self.source.random() < 0.2 else None)
+                client.request(
+                    self.source.choice(list(GIVE_UP_MS)), body, self.source if self.source.random() < 0.2 else None
+                )
             except OSError:
                 client.doubtful[client.seq] = client.sent.pop(client.seq)  # written whole or not: nobody knows
 
@@ -268,9 +275,14 @@
 
     def _settle(self) -> None:
         """Wait until the last answer is due, and ask whether the program is ready again."""
+
         def quiet() -> bool:
-            return all(client.left or seq in client.answers or seq in client.gave_up or client.ended.is_set()
-                       for client in self.all_clients for seq in client.sent)
+            return all(
+                client.left or seq in client.answers or seq in client.gave_up or client.ended.is_set()
+                for client in self.all_clients
+                for seq in client.sent
+            )
+
         until(quiet, "all answers")
         last = TracedClient(self.port)
         self.all_clients.append(last)
@@ -288,15 +300,20 @@
     # What is wrong.
 
     def _compare(self, running: ServerProcess) -> None:
-        requests = {request.rid: request for client in self.all_clients
-                    for request in (*client.sent.values(), *client.doubtful.values())}
+        requests = {
+            request.rid: request
+            for client in self.all_clients
+            for request in (*client.sent.values(), *client.doubtful.values())
+        }
         starts: Counter[str] = Counter()
         for command in self.kernel.history:
             if command["t"] == "SCHED":
                 starts[command["rid"]] += 1
                 request = requests.get(command["rid"])
                 if request is None or (request.method, request.body) != (
-                        command["route"], base64.b64decode(command["b64"])):
+                    command["route"],
+                    base64.b64decode(command["b64"]),
+                ):
                     self.wrong.append(f"start that no client asked for: {command}")
             elif command["t"] == "IODONE":
                 reply = base64.b64decode(command["b64"])
@@ -304,16 +321,26 @@
                 if reply not in {b"reply\r\nto " + body for body in asked}:
                     self.wrong.append(f"reply that no call got: {command}")
         self.wrong += [f"line to the kernel: {line!r}" for line in self.kernel.malformed]
-        self.wrong += [f"order started {count} times: {requests[rid]}" for rid, count in starts.items()
-                       if count > 1 and rid in requests and requests[rid].method == EFFECTFUL]
-        self.wrong += [f"call that no run made: {id} {body!r}" for id, body in running.store.calls
-                       if body not in self.kernel.asked.get(id, set())]
+        self.wrong += [
+            f"order started {count} times: {requests[rid]}"
+            for rid, count in starts.items()
+            if count > 1 and rid in requests and requests[rid].method == EFFECTFUL
+        ]
+        self.wrong += [
+            f"call that no run made: {id} {body!r}"
+            for id, body in running.store.calls
+            if body not in self.kernel.asked.get(id, set())
+        ]
         self.wrong += [f"report of another: {path}" for path, _ in running.roster.reports if path != "/roster/n3"]
         self.started = set(starts)
         for client in self.all_clients:
             self._compare_answers(client)
-        log = [row for row in running.log if row["event"] in ("uncaught exception", "part failed and goes on",
-                                                              "effect failed", "connection failed", "cannot go on")]
+        log = [
+            row
+            for row in running.log
+            if row["event"]
+            in ("uncaught exception", "part failed and goes on", "effect failed", "connection failed", "cannot go on")
+        ]
         self.wrong += [f"fault in the log: {row}" for row in log if "injected" not in str(row)]
 
     def _compare_answers(self, client: TracedClient) -> None:
@@ -409,8 +436,15 @@
     for _ in range(3):
         sock = socket.create_connection(("127.0.0.1", trial.port))
         whole = encode("invoke", 1, 1, idl.Front.invoke_args(fields={"method": "order", "rid": "ee" * 8}, body=b"x"))
-        data = trial.source.choice([b"GET / HTTP/1.1\r\n\r\n", whole[:trial.source.randrange(len(whole))],
-                                    whole[:4] + b"\xff" * (len(whole) - 4), b"", b"\0\0\0\x08nonsense"])
+        data = trial.source.choice(
+            [
+                b"GET / HTTP/1.1\r\n\r\n",
+                whole[: trial.source.randrange(len(whole))],
+                whole[:4] + b"\xff" * (len(whole) - 4),
+                b"",
+                b"\0\0\0\x08nonsense",
+            ]
+        )
         sock.sendall(data)
         if trial.source.random() < 0.5:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -442,6 +476,20 @@
 
 
 KEPT: list[socket.socket] = []
-FAULTS = (kernel_link_cut, kernel_link_cut_inside_a_notice, kernel_starts_anew, kernel_sends_odd_lines, store_fails,
-          store_fails, store_links_cut, roster_fails, client_leaves, client_gives_up, strangers, reload, counters,
-          pause, burst)
+FAULTS = (
+    kernel_link_cut,
+    kernel_link_cut_inside_a_notice,
+    kernel_starts_anew,
+    kernel_sends_odd_lines,
+    store_fails,
+    store_fails,
+    store_links_cut,
+    roster_fails,
+    client_leaves,
+    client_gives_up,
+    strangers,
+    reload,
+    counters,
+    pause,
+    burst,
+)
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -44,9 +44,11 @@
 
     def open(self) -> None:
         """Let it go on."""
+
         def opened() -> bool:
             with contextlib.suppress(OSError):  # nobody reads yet
                 os.close(os.open(self.go, os.O_WRONLY | os.O_NONBLOCK))
                 return True
             return False
+
         until(opened)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,9 @@
 
 SAFE = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, calls=True, degraded_weight=0.5)
 COSTLY = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, priority_weight=0.2)
-KEYED = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, effect=api.Effect.KEYED, window_ms=30000, calls=True)
+KEYED = api.RequestClass(
+    latency_objective_ms=2000, client_timeout_ms=6000, effect=api.Effect.KEYED, window_ms=30000, calls=True
+)
 UNSAFE = api.RequestClass(latency_objective_ms=2000, client_timeout_ms=6000, effect=api.Effect.UNSAFE, calls=True)
 
 
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -9,8 +9,19 @@
 
 def classes(*rows: tuple[str, str, float]) -> dict[str, Any]:
     """Settings with these classes: name, effect, time to give up; a window of 3 s."""
-    return settings(classes=[{"name": name, "effect": effect, "aim_ms": client_timeout_ms / 2, "give_up_ms": client_timeout_ms,
-                              "worth": 1.0, "window_ms": 3000.0} for name, effect, client_timeout_ms in rows])
+    return settings(
+        classes=[
+            {
+                "name": name,
+                "effect": effect,
+                "aim_ms": client_timeout_ms / 2,
+                "give_up_ms": client_timeout_ms,
+                "worth": 1.0,
+                "window_ms": 3000.0,
+            }
+            for name, effect, client_timeout_ms in rows
+        ]
+    )
 
 
 GUARDED = {"settings": classes(("tide", "free", 4000.0), ("booking", "guarded", 4000.0))}
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -71,9 +71,7 @@
 def test_halt_and_begin_in_one_batch_start_a_clean_instance() -> None:
     host = PolicyHost()
     host.batch(batch(0, begin()))
-    host.batch(
-        batch(5, {"backend": "backend/0", "arrivals": [{"type": "accept", "xid": "rq_a", "mem_kb": 20.0}]})
-    )
+    host.batch(batch(5, {"backend": "backend/0", "arrivals": [{"type": "accept", "xid": "rq_a", "mem_kb": 20.0}]}))
     again = begin()
     again["arrivals"].insert(0, {"type": "halt"})
     host.batch(batch(10, again))
@@ -82,9 +80,7 @@
 
 def test_missing_setting_is_named_in_a_bug() -> None:
     reply = PolicyHost().batch(batch(0, begin(family_info={"cores": 2})))
-    assert reply["backends"][0]["out"] == [
-        {"type": "bug", "message": "missing setting family_info.memory_kb"}
-    ]
+    assert reply["backends"][0]["out"] == [{"type": "bug", "message": "missing setting family_info.memory_kb"}]
 
 
 def test_exception_in_the_policy_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -178,9 +174,7 @@
 
 def test_hints_and_marks_are_passed_on_only_where_their_bits_say_so() -> None:
     read = READERS["accept"]
-    assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival(
-        "a", 0, 10.0, is_retry=True, cost_hint_ms=40.0
-    )
+    assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival("a", 0, 10.0, is_retry=True, cost_hint_ms=40.0)
     assert read(arrive("b", bits=4, hint_ms=40.0)) == api.Arrival("b", 0, 10.0)
     assert read(arrive("c", bits=None, hint_ms=None)) == api.Arrival("c", 0, 10.0)
 
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -39,12 +39,17 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("size", [1, 700, 2048])
-def test_body_comes_in_parts_and_result_goes_back_on_one_connection(server: ServerProcess, size: int,
-                                                                    chunked: bool) -> None:
+def test_body_comes_in_parts_and_result_goes_back_on_one_connection(
+    server: ServerProcess, size: int, chunked: bool
+) -> None:
     gateway, body = FakeGateway(server.ports[1]), bytes(n % 251 for n in range(size))
     for _ in range(2):
         assert gateway.ask("/order/7", body, chunked=chunked) == (
-            200, {"0xa001": "application/octet-stream", "0xa003": str(size + 10)}, b"result of " + body, True)
+            200,
+            {"0xa001": "application/octet-stream", "0xa003": str(size + 10)},
+            b"result of " + body,
+            True,
+        )
     assert server.kernel.by_body[body] == 2
     assert {row["route"] for row in server.kernel.commands if row["t"] == "SCHED"} == {"order"}
 
@@ -66,16 +71,25 @@
     assert FakeGateway(server.ports[1]).ask("/fetch", b"calls=1 ms=5")[0] == 504
 
 
-@pytest.mark.parametrize(("uri", "secret", "status"), [
-    ("/moon", "s3", 404), ("/renderer", "s3", 404), ("/render", "s4", 403), ("/render", "", 403)])
+@pytest.mark.parametrize(
+    ("uri", "secret", "status"),
+    [("/moon", "s3", 404), ("/renderer", "s3", 404), ("/render", "s4", 403), ("/render", "", 403)],
+)
 def test_unknown_paths_and_wrong_secrets_are_told(server: ServerProcess, uri: str, secret: str, status: int) -> None:
     assert FakeGateway(server.ports[1], secret).ask(uri)[0] == status
     assert not server.kernel.starts
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET / HTTP/1.1\r\n\r\n", 0), (b"\x12\x34\xff\xff", 0), (b"\x12\x34\0\x03\x02\x04\0", 400),
-    (b"\x12\x34\0\x01\x09", 0), (b"\x12\x34\0\0", 0)])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET / HTTP/1.1\r\n\r\n", 0),
+        (b"\x12\x34\xff\xff", 0),
+        (b"\x12\x34\0\x03\x02\x04\0", 400),
+        (b"\x12\x34\0\x01\x09", 0),
+        (b"\x12\x34\0\0", 0),
+    ],
+)
 def test_bad_packets_end_only_their_connection(server: ServerProcess, data: bytes, status: int) -> None:
     gateway = FakeGateway(server.ports[1])
     gateway.sock.sendall(data)
@@ -216,23 +230,26 @@
 @pytest.fixture
 def farm(tmp_path: Path) -> Iterator[tuple[ServerProcess, FakeAjpServer, FakeAjpServer]]:
     one, two = FakeAjpServer("one"), FakeAjpServer("two")
-    rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n'
-                   for w in (one, two))
-    operator = OPERATOR.replace('class = "order"', 'class = "order"\nto = "pair"') + rows + (
-        '[[balancer]]\nname = "pair"\nmembers = ["one", "two"]\n')
+    rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n' for w in (one, two))
+    operator = (
+        OPERATOR.replace('class = "order"', 'class = "order"\nto = "pair"')
+        + rows
+        + ('[[balancer]]\nname = "pair"\nmembers = ["one", "two"]\n')
+    )
     with server_process(tmp_path, operator=operator) as running:
         yield running, one, two
     one.down()
     two.down()
 
 
-def test_requests_reach_ajp_servers_with_body_secret_and_route(farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer]) -> None:
+def test_requests_reach_ajp_servers_with_body_secret_and_route(
+    farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer],
+) -> None:
     server, one, two = farm
     gateway = FakeGateway(server.ports[1])
     for name in ("one", "two"):
         for _ in range(3):
-            status, headers, body, reuse = gateway.ask(
-                "/order/x?q=1", b"b" * 2000, Cookie=f"JSESSIONID=1.{name}")
+            status, headers, body, reuse = gateway.ask("/order/x?q=1", b"b" * 2000, Cookie=f"JSESSIONID=1.{name}")
             assert (status, headers["x-by"], body, reuse) == (200, name, b"%s got 2000" % name.encode(), True)
     for servlet in (one, two):
         assert len(servlet.seen) == 3 and len(servlet.links) == 1
@@ -244,7 +261,8 @@
 
 @pytest.mark.parametrize(("step", "status"), [("cut", 500), ("hang", 504), ("500", 500), ("404", 404)])
 def test_an_order_that_reached_an_ajp_server_is_never_sent_to_another(
-        farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer], step: str, status: int) -> None:
+    farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer], step: str, status: int
+) -> None:
     server, one, two = farm
     one.script = two.script = [step]
     assert FakeGateway(server.ports[1]).ask("/order", b"once", Idempotency_Key="o")[0] == status
@@ -252,7 +270,9 @@
     assert len(one.seen) + len(two.seen) == 1
 
 
-def test_an_unreachable_ajp_server_is_passed_over_none_is_503(farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer]) -> None:
+def test_an_unreachable_ajp_server_is_passed_over_none_is_503(
+    farm: tuple[ServerProcess, FakeAjpServer, FakeAjpServer],
+) -> None:
     server, one, two = farm
     one.down()
     assert {FakeGateway(server.ports[1]).ask("/order", b"x")[1]["x-by"] for _ in range(4)} == {"two"}
@@ -262,15 +282,21 @@
 
 
 def test_codec_matches_the_published_bytes() -> None:
-    payload = (b"\x02\x02\0\x08HTTP/1.1\0\0\x02/a\0\0\x09127.0.0.1\0\xff\xff\0\x01h\0\0\x50\0\0\x01"
-               b"\xa0\x0b\0\x01h\0\x0a\0\x01n\0\0\x01v\0\xff")
+    payload = (
+        b"\x02\x02\0\x08HTTP/1.1\0\0\x02/a\0\0\x09127.0.0.1\0\xff\xff\0\x01h\0\0\x50\0\0\x01"
+        b"\xa0\x0b\0\x01h\0\x0a\0\x01n\0\0\x01v\0\xff"
+    )
     request = wire.read_forward(payload)
     assert (request.method, request.uri, request.headers, request.attributes) == (
-        "GET", "/a", (("host", "h"),), {"@n": "v"})
+        "GET",
+        "/a",
+        (("host", "h"),),
+        {"@n": "v"},
+    )
     assert wire.write_forward(request) == b"\x12\x34" + len(payload).to_bytes(2, "big") + payload
     assert b"".join(wire.write_reply(200, (("Content-Type", "t"),), b"hi", True)) == (
-        b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0" + b"AB\0\x06\x03\0\x02hi\0"
-        + b"AB\0\x02\x05\x01")
+        b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0" + b"AB\0\x06\x03\0\x02hi\0" + b"AB\0\x02\x05\x01"
+    )
     for cut in range(len(payload)):
         with pytest.raises(wire.MalformedPacket):
             wire.read_forward(payload[:cut])
@@ -314,8 +340,7 @@
             server.process.terminate()
     for thread in threads:
         thread.join(30)
-    orders = {body: count for body, count in server.kernel.by_body.items()
-              if int(body.split(b"n=")[1]) % 3 == 0}
+    orders = {body: count for body, count in server.kernel.by_body.items() if int(body.split(b"n=")[1]) % 3 == 0}
     assert all(count == 1 for client in clients for count in client.count.values())
     assert len(kinds) == 160 and late == []
     assert orders and [body for body, count in orders.items() if count > 1] == []
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -33,8 +33,11 @@
 
 
 def tracker(**more: float) -> RequestTracker:
-    return RequestTracker(RequestTerms((6000.0, 4000.0), (False, True), 60.0, 500.0), IdempotencyKeyTable(4, 60000.0, 8, 4096),
-                ProcessLifecycle(3000.0, 1000.0, 50.0, 300.0, 50.0))
+    return RequestTracker(
+        RequestTerms((6000.0, 4000.0), (False, True), 60.0, 500.0),
+        IdempotencyKeyTable(4, 60000.0, 8, 4096),
+        ProcessLifecycle(3000.0, 1000.0, 50.0, 300.0, 50.0),
+    )
 
 
 def order(id: str = "a", key: str = "", at: float = 0.0) -> Exchange:
@@ -66,9 +69,17 @@
     assert "no verdict" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("name", ["answered twice", "grace ignored", "orders repeated after a break",
-                                  "hand-over leaves with answers owed",
-                                  "key forgotten at its outcome", "requests taken after the close"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "answered twice",
+        "grace ignored",
+        "orders repeated after a break",
+        "hand-over leaves with answers owed",
+        "key forgotten at its outcome",
+        "requests taken after the close",
+    ],
+)
 def test_a_planted_bug_is_found(name: str, tmp_path: Path) -> None:
     words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--save", str(tmp_path)]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -79,8 +90,9 @@
     assert command.replay(kept, False, "") in (command.HOLDS, command.FAULTY)  # without the bug no rule falls
 
 
-@pytest.mark.parametrize("name", ["key hand-over dropped", "starts behind the hand-over",
-                                  "given-up connection used again"])  # the last one's machine does not end
+@pytest.mark.parametrize(
+    "name", ["key hand-over dropped", "starts behind the hand-over", "given-up connection used again"]
+)  # the last one's machine does not end
 def test_a_planted_bug_of_two_processes_or_without_an_end_is_found(name: str) -> None:
     words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -166,8 +178,9 @@
     assert [one.do for one in d.gone(tries[0])] == [AttemptAction.TELL_ARRIVAL, AttemptAction.TELL_GONE]
     d.start("b", 1.0)
     effects = d.ended("b", RunOutcome.OK, 5.0, Answer(AnswerKind.SERVED, b"done"), 6.0)
-    assert [(one.exchange.id, one.answer.body) for one in effects if one.answer and one.do is AttemptAction.DELIVER] == [
-        ("b", b"done"), ("c", b"done")]
+    assert [
+        (one.exchange.id, one.answer.body) for one in effects if one.answer and one.do is AttemptAction.DELIVER
+    ] == [("b", b"done"), ("c", b"done")]
 
 
 def test_the_process_leaves_only_when_nothing_is_owed() -> None:
@@ -185,7 +198,10 @@
     assert few.whole and many.whole and not few.fell and not many.fell and few.states < many.states
     assert few.used == many.used
     rows = ATTEMPT_TABLE.rows[AttemptState.RUNNING]
-    kept, rows[AttemptEvent.ENDED] = rows[AttemptEvent.ENDED], Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED))
+    kept, rows[AttemptEvent.ENDED] = (
+        rows[AttemptEvent.ENDED],
+        Transition(AttemptState.OVER, (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)),
+    )
     try:
         few, many = explore(ordered, Bounds()), explore(free, Bounds())
     finally:
@@ -193,13 +209,20 @@
     assert few.fell and few.fell == many.fell and len(few.path) == len(many.path)
 
 
-@pytest.mark.parametrize(("text", "complaint"), [
-    (": [", "line 1: not YAML"), ("scenario: moon", "scenario: unknown"), ("scenario: once", "events: expected a list"),
-    ("scenario: once\nevents: [[fly, a]]", "event 1: no such event"),
-    ("scenario: once\nevents: [[run, a]]", "event 1: 'run a' can't come here"),
-    ("scenario: once\nevents: [[tick]]\nplant: moon", "plant: no planted bug")])
-def test_a_faulty_counter_example_is_named_in_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                                       text: str, complaint: str) -> None:
+@pytest.mark.parametrize(
+    ("text", "complaint"),
+    [
+        (": [", "line 1: not YAML"),
+        ("scenario: moon", "scenario: unknown"),
+        ("scenario: once", "events: expected a list"),
+        ("scenario: once\nevents: [[fly, a]]", "event 1: no such event"),
+        ("scenario: once\nevents: [[run, a]]", "event 1: 'run a' can't come here"),
+        ("scenario: once\nevents: [[tick]]\nplant: moon", "plant: no planted bug"),
+    ],
+)
+def test_a_faulty_counter_example_is_named_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, complaint: str
+) -> None:
     path = tmp_path / "found.yaml"
     path.write_text(text)
     assert command.replay(path, False, "") == command.FAULTY
@@ -207,47 +230,92 @@
     assert complaint in said and said.count("\n") == 1
 
 
-@pytest.mark.parametrize(("lines", "status", "said"), [
-    ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "HELD", "START", "RUNNING")], 0, "accepted: 2 steps"),
-    ([("try", "a", "READ", "ADMIT", "RUNNING")], 1, "line 1, step 1: try a: ADMIT leads from READ to HELD"),
-    ([("try", "a", "HELD", "START", "RUNNING")], 1, "begins in HELD"),
-    ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "RUNNING", "ENDED", "OVER")], 1, "stood in HELD"),
-    ([("try", "a", "HELD", "ENDED", "impossible")], 1, "impossible in HELD"),
-    ([("moon", "a", "X", "Y", "Z")], 1, "no machine named 'moon'"), ([], 2, "no step")])
-def test_a_trace_is_accepted_or_its_first_odd_step_named(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                                         lines: list[tuple[str, ...]], status: int, said: str) -> None:
+@pytest.mark.parametrize(
+    ("lines", "status", "said"),
+    [
+        ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "HELD", "START", "RUNNING")], 0, "accepted: 2 steps"),
+        ([("try", "a", "READ", "ADMIT", "RUNNING")], 1, "line 1, step 1: try a: ADMIT leads from READ to HELD"),
+        ([("try", "a", "HELD", "START", "RUNNING")], 1, "begins in HELD"),
+        ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "RUNNING", "ENDED", "OVER")], 1, "stood in HELD"),
+        ([("try", "a", "HELD", "ENDED", "impossible")], 1, "impossible in HELD"),
+        ([("moon", "a", "X", "Y", "Z")], 1, "no machine named 'moon'"),
+        ([], 2, "no step"),
+    ],
+)
+def test_a_trace_is_accepted_or_its_first_odd_step_named(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], lines: list[tuple[str, ...]], status: int, said: str
+) -> None:
     path = tmp_path / "log"
-    path.write_text("".join(json.dumps({"event": "step", **dict(zip(
-        ("machine", "who", "state", "on", "to"), row, strict=True))}) + "\n" for row in lines))
+    path.write_text(
+        "".join(
+            json.dumps({"event": "step", **dict(zip(("machine", "who", "state", "on", "to"), row, strict=True))}) + "\n"
+            for row in lines
+        )
+    )
     assert check_trace(path) == status
     out = capsys.readouterr()
     assert said in out.out + out.err
 
 
-LOST_ORDER = [("send", 0), ("whole", 0), ("run", "a"), ("read",), ("break",), ("connect",), ("read",), ("hear",),
-              ("end", "a", "PASS"), ("read",), ("hear",)]
-REPEATED_KEY = [("send", 0), ("whole", 0), ("run", "a"), ("read",), ("end", "a", "PASS"), ("hear",), ("send", 1),
-                ("whole", 1), ("run", "b"), ("read",)]
-
-
-@pytest.mark.parametrize(("plant", "scenario", "events", "rule"), [
-    ("orders repeated after a break", "once", LOST_ORDER, "one start a try"),
-    ("key forgotten at its outcome", "quick", REPEATED_KEY, "one start a key"),
-    ("every repeat starts", "quick", [*REPEATED_KEY[:4], *REPEATED_KEY[6:]], "one start a key")])
-def test_a_counter_example_shows_on_sockets_with_the_bug_and_only_then(plant: str, scenario: str, events: list[Event],
-                                                                      rule: str) -> None:
+LOST_ORDER = [
+    ("send", 0),
+    ("whole", 0),
+    ("run", "a"),
+    ("read",),
+    ("break",),
+    ("connect",),
+    ("read",),
+    ("hear",),
+    ("end", "a", "PASS"),
+    ("read",),
+    ("hear",),
+]
+REPEATED_KEY = [
+    ("send", 0),
+    ("whole", 0),
+    ("run", "a"),
+    ("read",),
+    ("end", "a", "PASS"),
+    ("hear",),
+    ("send", 1),
+    ("whole", 1),
+    ("run", "b"),
+    ("read",),
+]
+
+
+@pytest.mark.parametrize(
+    ("plant", "scenario", "events", "rule"),
+    [
+        ("orders repeated after a break", "once", LOST_ORDER, "one start a try"),
+        ("key forgotten at its outcome", "quick", REPEATED_KEY, "one start a key"),
+        ("every repeat starts", "quick", [*REPEATED_KEY[:4], *REPEATED_KEY[6:]], "one start a key"),
+    ],
+)
+def test_a_counter_example_shows_on_sockets_with_the_bug_and_only_then(
+    plant: str, scenario: str, events: list[Event], rule: str
+) -> None:
     assert play(ALL[scenario], events, plant).fell == [rule]
     assert play(ALL[scenario], events).fell == []
 
 
-@pytest.mark.parametrize(("words", "status", "said"), [
-    (["check", "--scenario", "moon"], 2, "no scenario named 'moon'"), (["check", "--jobs", "0"], 2, "--jobs"),
-    (["check"], 2, "say --quick"), (["check", "trace", "/nowhere"], 2, "can't be read"), (["moon"], 2, "moon"),
-    (["check", "tables", "--verify", "docs/state-machines.md"], 0, ""), (["version"], 0, "0.1"),
-    (["check", "--scenario", "once", "--states", "50", "--jobs", "1"], 3, "no verdict")])
+@pytest.mark.parametrize(
+    ("words", "status", "said"),
+    [
+        (["check", "--scenario", "moon"], 2, "no scenario named 'moon'"),
+        (["check", "--jobs", "0"], 2, "--jobs"),
+        (["check"], 2, "say --quick"),
+        (["check", "trace", "/nowhere"], 2, "can't be read"),
+        (["moon"], 2, "moon"),
+        (["check", "tables", "--verify", "docs/state-machines.md"], 0, ""),
+        (["version"], 0, "0.1"),
+        (["check", "--scenario", "once", "--states", "50", "--jobs", "1"], 3, "no verdict"),
+    ],
+)
 def test_the_command_line_says_what_is_wrong(words: list[str], status: int, said: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "myrtlespar", *words], cwd=ROOT, capture_output=True, text=True,
-                          check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar", *words], cwd=ROOT, capture_output=True, text=True, check=False
+    )
     assert done.returncode == status and said in done.stdout + done.stderr
     assert status != 2 or done.stderr.count("\n") == 1
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -24,7 +24,8 @@
 
 @pytest.mark.parametrize("why", ["room", "flush"])
 def test_a_request_that_comes_between_our_look_and_our_close_runs_once_where_it_is_sent_again(
-        tmp_path: Path, why: str) -> None:
+    tmp_path: Path, why: str
+) -> None:
     """Its client sends it once more on another connection; read behind the close and run, it would run twice."""
     gate = Gate(tmp_path, "myrtlespar.net.listener:Listener." + ("close_idle" if why == "room" else "end"), then=BUSY)
     with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
@@ -50,9 +51,13 @@
 
 
 def test_a_request_whose_end_just_came_is_taken_though_its_time_is_over(tmp_path: Path) -> None:
-    gate = Gate(tmp_path, "myrtlespar.net.connections:Reader.begun", "args[0]._data",
-                "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
-                "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)")
+    gate = Gate(
+        tmp_path,
+        "myrtlespar.net.connections:Reader.begun",
+        "args[0]._data",
+        "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
+        "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)",
+    )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))
@@ -70,9 +75,15 @@
     taken: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         front: Any = SimpleNamespace(
-            limits=ResourceLimits(), serial=0, unsent=None, silent=False, classes={"order": 0}, conclude=lambda link: None,
+            limits=ResourceLimits(),
+            serial=0,
+            unsent=None,
+            silent=False,
+            classes={"order": 0},
+            conclude=lambda link: None,
             config=SimpleNamespace(thrift_key="", settings=SimpleNamespace(classes=[SimpleNamespace(effect=None)])),
-            core=SimpleNamespace(counters=Counters(), value=1.0, submit=taken.append, gone=taken.append))
+            core=SimpleNamespace(counters=Counters(), value=1.0, submit=taken.append, gone=taken.append),
+        )
         with server.accept()[0] as sock:
             link = ThriftConnection(front, sock)
             args = idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"behind")
@@ -117,19 +128,21 @@
     """Each answer takes 5 ms to hand over, as with a small share of a core; the kill comes on time."""
     (tmp_path / "slow.py").write_text("""import os, runpy, sys, time
 sys.path.insert(0, os.getcwd())
-from myrtlespar.net.thrift_front import Link
-answer = Link._answer
+from myrtlespar.net.thrift_front import ThriftConnection
+answer = ThriftConnection._answer
 def slow(*args):
     end = time.perf_counter() + 0.005
     while time.perf_counter() < end:
         pass
     answer(*args)
-Link._answer = slow
+ThriftConnection._answer = slow
 sys.argv[:] = ["myrtlespar"]
 runpy.run_module("myrtlespar", run_name="__main__")
 """)
     many = settings(classes=[{"name": "slow", "effect": "free", "aim_ms": 4000.0, "give_up_ms": 9000.0, "worth": 1.0}])
-    with server_process(tmp_path, start=str(tmp_path / "slow.py"), given={"stop_ms": 2000, "settings": many}) as running:
+    with server_process(
+        tmp_path, start=str(tmp_path / "slow.py"), given={"stop_ms": 2000, "settings": many}
+    ) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(10)]
         assert all(clients[0].ask("slow", b"ms=1")[0] == "success" for _ in range(30))
         seqs = [(client, client.send("slow", b"ms=60000")) for client in clients for _ in range(30)]
@@ -145,16 +158,19 @@
 
 @pytest.mark.parametrize("why", ["exit", "spoilt"])
 def test_a_client_that_reads_slowly_gets_every_answer_though_its_bytes_cross_our_close(
-        tmp_path: Path, why: str) -> None:
+    tmp_path: Path, why: str
+) -> None:
     """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
     gate = Gate(tmp_path, "myrtlespar.net.connections:Outbox.finish")
     with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.connect(("127.0.0.1", running.ports[0]))
+
         def order(seq: int) -> bytes:
             fields = {"method": "fetch", "rid": f"{seq:016x}", "mem": "20.0"}
             return encode("invoke", 1, seq, idl.Front.invoke_args(fields=fields, body=b"%04d" % seq + b"x" * 2000))
+
         for seq in range(1, 31):
             slow.sendall(order(seq))
         until(lambda: len(running.kernel.by_body) == 30)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,29 +14,53 @@
 from tests.sites import GUARDED, classes
 
 
-@pytest.mark.parametrize(("key", "value", "text"), [
-    ("kernel", None, "kernel: missing"), ("listen", "nowhere", "listen: expected HOST:PORT"),
-    ("seed", "zz!", "seed:"), ("stop_ms", "soon", "stop_ms: expected a number"),
-    ("limits", {"sockets": 3}, "limits.sockets:"), ("settings", {}, "settings.family_info: missing")])
+@pytest.mark.parametrize(
+    ("key", "value", "text"),
+    [
+        ("kernel", None, "kernel: missing"),
+        ("listen", "nowhere", "listen: expected HOST:PORT"),
+        ("seed", "zz!", "seed:"),
+        ("stop_ms", "soon", "stop_ms: expected a number"),
+        ("limits", {"sockets": 3}, "limits.sockets:"),
+        ("settings", {}, "settings.family_info: missing"),
+    ],
+)
 def test_a_faulty_key_is_named_in_one_line(tmp_path: Path, key: str, value: object, text: str) -> None:
-    config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "store": "127.0.0.1:1",
-              "roster": "127.0.0.1:1", "settings": settings(), key: value}
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:1",
+        "store": "127.0.0.1:1",
+        "roster": "127.0.0.1:1",
+        "settings": settings(),
+        key: value,
+    }
     (tmp_path / "c.json").write_text(json.dumps(config))
-    done = subprocess.run([sys.executable, "-m", "myrtlespar"], cwd=ROOT, capture_output=True, text=True,
-                          env={**os.environ, "BALANCER_CONFIG": str(tmp_path / "c.json")}, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(tmp_path / "c.json")},
+        check=False,
+    )
     assert done.returncode == 2 and done.stderr.startswith(text) and done.stderr.count("\n") == 1
 
 
-@pytest.mark.parametrize(("text", "complaint"), [
-    ('[ajp]\nlisten = "x"', "ajp.listen: expected HOST:PORT"),
-    ('[ajp]\nlissten = "127.0.0.1:1"', "ajp.lissten: unknown key"),
-    ('[[ajp.map]]\npath = "/a"\nclass = "moon"', "ajp.map[0].class: no class named 'moon'"),
-    ('[[ajp.map]]\npath = "/a"\nclass = "order"\nto = "w"', "ajp.map[0].to: no worker or balancer"),
-    ('[[ajp.map]]\npath = "/a"\nclass = "order"\nworth = 1', "ajp.map[0].worth: expected a number"),
-    ('[[worker]]\nname = "w"', "worker[0].address: missing"),
-    ('[[balancer]]\nname = "b"\nmembers = ["w"]', "balancer b.members: no worker named 'w'"),
-    ("[idempotency]\nmost = 0", "idempotency.most: expected a number"),
-    ("[", "MYRTLESPAR_OPERATOR: not TOML")])
+@pytest.mark.parametrize(
+    ("text", "complaint"),
+    [
+        ('[ajp]\nlisten = "x"', "ajp.listen: expected HOST:PORT"),
+        ('[ajp]\nlissten = "127.0.0.1:1"', "ajp.lissten: unknown key"),
+        ('[[ajp.map]]\npath = "/a"\nclass = "moon"', "ajp.map[0].class: no class named 'moon'"),
+        ('[[ajp.map]]\npath = "/a"\nclass = "order"\nto = "w"', "ajp.map[0].to: no worker or balancer"),
+        ('[[ajp.map]]\npath = "/a"\nclass = "order"\nworth = 1', "ajp.map[0].worth: expected a number"),
+        ('[[worker]]\nname = "w"', "worker[0].address: missing"),
+        ('[[balancer]]\nname = "b"\nmembers = ["w"]', "balancer b.members: no worker named 'w'"),
+        ("[idempotency]\nmost = 0", "idempotency.most: expected a number"),
+        ("[", "MYRTLESPAR_OPERATOR: not TOML"),
+    ],
+)
 def test_a_faulty_key_of_the_operators_file_is_named(tmp_path: Path, text: str, complaint: str) -> None:
     with pytest.raises(ConfigError) as error:
         load(configured(tmp_path, text))
@@ -49,9 +73,14 @@
     assert [(rule.path, rule.to) for rule in config.ajp.maps][1] == ("/tiles/fetch", "viewers")
 
 
-@pytest.mark.parametrize(("limits", "places"), [
-    ({"sockets": 384, "memory_mb": 192}, 304), ({"sockets": 1024, "memory_mb": 32}, 426),
-    ({"sockets": 384, "memory_mb": 25}, 128)])
+@pytest.mark.parametrize(
+    ("limits", "places"),
+    [
+        ({"sockets": 384, "memory_mb": 192}, 304),
+        ({"sockets": 1024, "memory_mb": 32}, 426),
+        ({"sockets": 384, "memory_mb": 25}, 128),
+    ],
+)
 def test_places_follow_descriptors_and_memory(tmp_path: Path, limits: dict[str, int], places: int) -> None:
     env = configured(tmp_path, "")
     path = tmp_path / "c.json"
@@ -60,22 +89,41 @@
 
 
 def configured(tmp: Path, operator: str) -> dict[str, str]:
-    config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "store": "127.0.0.1:1",
-              "roster": "127.0.0.1:1", "settings": settings()}
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:1",
+        "store": "127.0.0.1:1",
+        "roster": "127.0.0.1:1",
+        "settings": settings(),
+    }
     (tmp / "c.json").write_text(json.dumps(config))
     (tmp / "o.toml").write_text(operator)
     return {"BALANCER_CONFIG": str(tmp / "c.json"), "MYRTLESPAR_OPERATOR": str(tmp / "o.toml")}
 
 
-@pytest.mark.parametrize(("change", "text"), [
-    ({"classes": []}, "settings.classes: expected at least one class"),
-    ({"classes": [{"name": "a", "effect": "odd", "aim_ms": 1, "give_up_ms": 2}]}, "settings.classes[0].effect: "),
-    ({"classes": [{"name": "a", "effect": "free", "aim_ms": "x", "give_up_ms": 2}]}, "settings.classes[0].aim_ms: "),
-    ({"classes": [{"name": "a", "effect": "free", "aim_ms": 1, "give_up_ms": 2}] * 2}, "settings.classes[1].name: "),
-    ({"classes": [7]}, "settings.classes[0]: "), ({"invariants": 7}, "settings.invariants: "),
-    ({"classes": [{"effect": "free", "aim_ms": 1, "give_up_ms": 2, "worth": "x"}]}, "settings.classes[0].worth: "),
-    ({"projects": [{"quota_rps": -1}]}, "settings.projects[0].quota_rps: "), ({"servers": []}, "settings.servers: "),
-    ({"projects": [7]}, "settings.projects[0]: "), ({"clients": 7}, "settings.clients: ")])
+@pytest.mark.parametrize(
+    ("change", "text"),
+    [
+        ({"classes": []}, "settings.classes: expected at least one class"),
+        ({"classes": [{"name": "a", "effect": "odd", "aim_ms": 1, "give_up_ms": 2}]}, "settings.classes[0].effect: "),
+        (
+            {"classes": [{"name": "a", "effect": "free", "aim_ms": "x", "give_up_ms": 2}]},
+            "settings.classes[0].aim_ms: ",
+        ),
+        (
+            {"classes": [{"name": "a", "effect": "free", "aim_ms": 1, "give_up_ms": 2}] * 2},
+            "settings.classes[1].name: ",
+        ),
+        ({"classes": [7]}, "settings.classes[0]: "),
+        ({"invariants": 7}, "settings.invariants: "),
+        ({"classes": [{"effect": "free", "aim_ms": 1, "give_up_ms": 2, "worth": "x"}]}, "settings.classes[0].worth: "),
+        ({"projects": [{"quota_rps": -1}]}, "settings.projects[0].quota_rps: "),
+        ({"servers": []}, "settings.servers: "),
+        ({"projects": [7]}, "settings.projects[0]: "),
+        ({"clients": 7}, "settings.clients: "),
+    ],
+)
 def test_faulty_settings_are_one_line_that_names_the_key(tmp_path: Path, change: dict[str, Any], text: str) -> None:
     path = write(tmp_path, settings=settings(**change))
     with pytest.raises(ConfigError) as fault:
@@ -83,13 +131,21 @@
     assert str(fault.value).startswith(text) and "\n" not in str(fault.value)
 
 
-@pytest.mark.parametrize(("given", "limits"), [
-    (GUARDED, {"memory_mb": 192, "sockets": 1024}), ({}, {"memory_mb": 8, "sockets": 24}),
-    ({"settings": settings(projects=None, clients=None, servers=None, permissions=None, new_key=[1])},
-     {"memory_mb": 64, "sockets": 512}),
-    ({"settings": classes(("één \"klasse\"", "guarded", 90.0))}, {"memory_mb": 30, "sockets": 64})])
-def test_valid_settings_of_others_never_lead_to_a_refusal(tmp_path: Path, given: dict[str, Any],
-                                                          limits: dict[str, int]) -> None:
+@pytest.mark.parametrize(
+    ("given", "limits"),
+    [
+        (GUARDED, {"memory_mb": 192, "sockets": 1024}),
+        ({}, {"memory_mb": 8, "sockets": 24}),
+        (
+            {"settings": settings(projects=None, clients=None, servers=None, permissions=None, new_key=[1])},
+            {"memory_mb": 64, "sockets": 512},
+        ),
+        ({"settings": classes(('één "klasse"', "guarded", 90.0))}, {"memory_mb": 30, "sockets": 64}),
+    ],
+)
+def test_valid_settings_of_others_never_lead_to_a_refusal(
+    tmp_path: Path, given: dict[str, Any], limits: dict[str, int]
+) -> None:
     config = load({"BALANCER_CONFIG": write(tmp_path, **given, limits=limits)})
     assert 4 <= config.limits.connections < limits["sockets"] and config.limits.store_links >= 1
     guarded = [n for n, kind in enumerate(config.settings.classes) if kind.window_ms]
@@ -102,7 +158,14 @@
 
 def write(tmp: Path, **given: Any) -> str:
     """A configuration file with these keys."""
-    config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "store": "127.0.0.1:1",
-              "roster": "127.0.0.1:1", "settings": settings(), **given}
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:1",
+        "store": "127.0.0.1:1",
+        "roster": "127.0.0.1:1",
+        "settings": settings(),
+        **given,
+    }
     (tmp / "c.json").write_text(json.dumps(config))
     return str(tmp / "c.json")
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,6 +1,5 @@
 """What the policy learns of costs, callers and further tries."""
 
-
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
 from tests.helpers import Server
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -10,8 +10,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_mixed_faults_leave_each_request_one_answer_and_nothing_that_nobody_asked_for(tmp_path: Path,
-                                                                                      seed: int) -> None:
+def test_mixed_faults_leave_each_request_one_answer_and_nothing_that_nobody_asked_for(
+    tmp_path: Path, seed: int
+) -> None:
     trial = Trial(seed, tmp_path).play()
     assert not trial.wrong, (trial.wrong[:5], trial.counts)
     assert trial.counts["requests"] > 150 and trial.counts["success"] > 20, trial.counts
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -107,8 +107,16 @@
     lie = MemberUpdate("a2", "a", f"127.8.0.2:{three.port}", 5, 0, ALIVE)  # an old life of a2
     packet = Packet("rehearsal", 1, lie, 0, 1, Ping(1))
     good = encode(packet)
-    spoilt = [b"", b"x", os.urandom(400), good[:-3], good[:20] + b"\xff" + good[21:], good[:3] + b"\x09" + good[4:],
-              good + b"\0" * 1500, encode(Packet("other", 1, lie, 0, 1, Ping(1)))]
+    spoilt = [
+        b"",
+        b"x",
+        os.urandom(400),
+        good[:-3],
+        good[:20] + b"\xff" + good[21:],
+        good[:3] + b"\x09" + good[4:],
+        good + b"\0" * 1500,
+        encode(Packet("other", 1, lie, 0, 1, Ping(1))),
+    ]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (*spoilt, good, good):
             sock.sendto(data, target)
@@ -149,19 +157,35 @@
         thread.start()
     for thread in threads:
         thread.join(30)
-    failed = [row for member in three.members.values() for row in member.log
-              if row["event"] == "fleet member" and row["new"] == "failed"]
+    failed = [
+        row
+        for member in three.members.values()
+        for row in member.log
+        if row["event"] == "fleet member" and row["new"] == "failed"
+    ]
     assert failed == [] and three.whole()
 
 
 def test_status_and_figures_tell_the_view(three: FleetRun) -> None:
     three.begin()
     host, port = three.mgmt("a1")
-    shown = subprocess.run([sys.executable, "-m", "myrtlespar", "fleet", "status", f"{host}:{port}"], cwd=ROOT,
-                           capture_output=True, text=True, timeout=60, check=False)
+    shown = subprocess.run(
+        [sys.executable, "-m", "myrtlespar", "fleet", "status", f"{host}:{port}"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert shown.returncode == 0 and "whole" in shown.stdout and "a3" in shown.stdout, shown.stdout + shown.stderr
-    watched = subprocess.run([sys.executable, "-m", "myrtlespar", "fleet", "watch", f"{host}:{port}", "--seconds",
-                              "0.5"], cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
+    watched = subprocess.run(
+        [sys.executable, "-m", "myrtlespar", "fleet", "watch", f"{host}:{port}", "--seconds", "0.5"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert watched.returncode == 0 and "a2" in watched.stdout
     text = three.ask("a1", b"METRICS")
     assert 'fleet_members{state="alive"} 3' in text and 'fleet_standing{scope="fleet"} 3' in text
@@ -194,10 +218,15 @@
     """The line with which a start is refused."""
     path = member.folder / "fleet.yaml"
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **changes}))
-    env = {**os.environ, "BALANCER_CONFIG": str(member.folder / "config.json"), "MYRTLESPAR_FLEET": str(path),
-           "TMPDIR": str(member.folder)}
-    done = subprocess.run([sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, capture_output=True, text=True,
-                          timeout=60, check=False)
+    env = {
+        **os.environ,
+        "BALANCER_CONFIG": str(member.folder / "config.json"),
+        "MYRTLESPAR_FLEET": str(path),
+        "TMPDIR": str(member.folder),
+    }
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60, check=False
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
     assert not any(json.loads(line)["event"] == "serving" for line in done.stdout.splitlines())
     return done.stderr
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -31,30 +31,46 @@
 
 def imported(tmp: Path, name: str, text: str) -> tuple[dict[str, Any], list[str], int]:
     (tmp / name).write_text(text)
-    done = subprocess.run([sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp / name)], cwd=ROOT,
-                          capture_output=True, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp / name)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     problems = [line.split(f"{name}: ", 1)[1] for line in done.stderr.splitlines()]
     return tomllib.loads(done.stdout), problems, done.returncode
 
 
 def test_workers_with_templates_and_balancers_are_taken(tmp_path: Path) -> None:
-    assert imported(tmp_path, "workers.properties", WORKERS) == ({
-        "worker": [{"name": "one", "address": "127.0.0.1:8101", "factor": 2, "secret": "w"},
-                   {"name": "two", "address": "127.0.0.2:8009", "factor": 1, "route": "r2", "secret": "w"}],
-        "balancer": [{"name": "router", "members": ["one", "two"]}]}, [], 0)
+    assert imported(tmp_path, "workers.properties", WORKERS) == (
+        {
+            "worker": [
+                {"name": "one", "address": "127.0.0.1:8101", "factor": 2, "secret": "w"},
+                {"name": "two", "address": "127.0.0.2:8009", "factor": 1, "route": "r2", "secret": "w"},
+            ],
+            "balancer": [{"name": "router", "members": ["one", "two"]}],
+        },
+        [],
+        0,
+    )
 
 
-@pytest.mark.parametrize(("line", "problem"), [
-    ("worker.one.socket_timeout=9", "line 17: worker.one.socket_timeout: not taken: 9"),
-    ("worker.one.port=http", "line 17: worker.one.port: no port: http"),
-    ("worker.two.lbfactor=many", "line 17: worker.two.lbfactor: not taken: many"),
-    ("worker.two.type=ajp14", "line 17: worker.two.type: ajp14 is not taken"),
-    ("worker.two.reference=worker.moon", "line 17: worker.two.reference: no template named worker.moon"),
-    ("worker.base.reference=worker.one", "line 17: worker.base.reference: no template named worker.one"),
-    ("worker.list=moon", "line 17: worker.list: no worker named moon"),
-    ("worker.router.balance_workers=moon", "line 17: worker.router.balance_workers: no worker named moon"),
-    ("worker.maintain=60", "line 17: worker.maintain: not taken"),
-    ("worker.one.host=$(moon)", "line 17: worker.one.host: unknown name in $(moon)")])
+@pytest.mark.parametrize(
+    ("line", "problem"),
+    [
+        ("worker.one.socket_timeout=9", "line 17: worker.one.socket_timeout: not taken: 9"),
+        ("worker.one.port=http", "line 17: worker.one.port: no port: http"),
+        ("worker.two.lbfactor=many", "line 17: worker.two.lbfactor: not taken: many"),
+        ("worker.two.type=ajp14", "line 17: worker.two.type: ajp14 is not taken"),
+        ("worker.two.reference=worker.moon", "line 17: worker.two.reference: no template named worker.moon"),
+        ("worker.base.reference=worker.one", "line 17: worker.base.reference: no template named worker.one"),
+        ("worker.list=moon", "line 17: worker.list: no worker named moon"),
+        ("worker.router.balance_workers=moon", "line 17: worker.router.balance_workers: no worker named moon"),
+        ("worker.maintain=60", "line 17: worker.maintain: not taken"),
+        ("worker.one.host=$(moon)", "line 17: worker.one.host: unknown name in $(moon)"),
+    ],
+)
 def test_what_is_not_taken_is_named_by_line_and_key(tmp_path: Path, line: str, problem: str) -> None:
     _, problems, status = imported(tmp_path, "workers.properties", WORKERS + line + "\n")
     assert problem in problems and status == 1
@@ -71,14 +87,19 @@
 ProxyPass /tiles balancer://tiles
 """
     rows, problems, status = imported(tmp_path, "httpd.conf", text)
-    assert rows == {"worker": [
-        {"name": "n1", "address": "127.0.0.1:8101", "factor": 3, "route": "n1", "secret": "w"},
-        {"name": "n2", "address": "127.0.0.2:8009", "route": "n2"},
-        {"name": "127.0.0.4-8104", "address": "127.0.0.4:8104"}],
-        "balancer": [{"name": "tiles", "members": ["n1", "n2"]},
-                     {"name": "other", "members": ["127.0.0.4-8104"]}]}
+    assert rows == {
+        "worker": [
+            {"name": "n1", "address": "127.0.0.1:8101", "factor": 3, "route": "n1", "secret": "w"},
+            {"name": "n2", "address": "127.0.0.2:8009", "route": "n2"},
+            {"name": "127.0.0.4-8104", "address": "127.0.0.4:8104"},
+        ],
+        "balancer": [{"name": "tiles", "members": ["n1", "n2"]}, {"name": "other", "members": ["127.0.0.4-8104"]}],
+    }
     assert [problem.split(":")[0:2] for problem in problems] == [
-        ["line 3", " BalancerMember timeout"], ["line 4", " BalancerMember"], ["line 7", " BalancerMember"]]
+        ["line 3", " BalancerMember timeout"],
+        ["line 4", " BalancerMember"],
+        ["line 7", " BalancerMember"],
+    ]
     assert status == 1
 
 
@@ -86,9 +107,15 @@
     servlet = FakeAjpServer("one")
     (tmp_path / "w.properties").write_text(
         f"worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=one\nworker.one.port={servlet.port}\n"
-        "worker.one.host=127.0.0.1\n")
-    done = subprocess.run([sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp_path / "w.properties")],
-                          cwd=ROOT, capture_output=True, text=True, check=True)
+        "worker.one.host=127.0.0.1\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp_path / "w.properties")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     front = '[ajp]\nlisten = "127.0.0.1:0"\n[[ajp.map]]\npath = "/"\nclass = "fetch"\nto = "lb"\n'
     with server_process(tmp_path, operator=front + done.stdout) as server:
         assert FakeGateway(server.ports[1]).ask("/a", b"xyz")[2] == b"one got 3"
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -28,11 +28,17 @@
         kernel.cut(kernel.link)
 
 
-@pytest.mark.parametrize("line", [
-    b"[" * 200_000, b'{"t":"INFO","mark":' + b"[" * 100_000, b'{"t":"INFO","mark":"gauges-1","v":[%s]}' % HUGE.encode(),
-    b'{"t":"REAP","no":1,"rid":"ab","status":"PASS","time_ms":%s}' % HUGE.encode(),
-    b'{"t":"REAP","no":1,"rid":"ab","status":["PASS"],"time_ms":NaN}'], ids=[
-    "deep", "deep inside", "huge gauge", "huge time", "unhashable"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"[" * 200_000,
+        b'{"t":"INFO","mark":' + b"[" * 100_000,
+        b'{"t":"INFO","mark":"gauges-1","v":[%s]}' % HUGE.encode(),
+        b'{"t":"REAP","no":1,"rid":"ab","status":"PASS","time_ms":%s}' % HUGE.encode(),
+        b'{"t":"REAP","no":1,"rid":"ab","status":["PASS"],"time_ms":NaN}',
+    ],
+    ids=["deep", "deep inside", "huge gauge", "huge time", "unhashable"],
+)
 def test_no_line_of_the_kernel_stops_the_link(tmp_path: Path, line: bytes) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
@@ -43,9 +49,11 @@
             assert client.ask("fetch", b"calls=1")[0] == "success"
 
 
-@pytest.mark.parametrize("gauges", [
-    "[NaN, NaN, NaN, NaN]", "[-Infinity, Infinity, 0, 0]", f"[{HUGE}]", "[[]]", "[null]"],
-                         ids=["no numbers", "endless", "huge", "lists", "null"])
+@pytest.mark.parametrize(
+    "gauges",
+    ["[NaN, NaN, NaN, NaN]", "[-Infinity, Infinity, 0, 0]", f"[{HUGE}]", "[[]]", "[null]"],
+    ids=["no numbers", "endless", "huge", "lists", "null"],
+)
 def test_gauges_that_are_no_numbers_change_no_decision(tmp_path: Path, gauges: str) -> None:
     class Odd(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
@@ -60,17 +68,26 @@
         assert [client.ask("order", b"calls=1")[0] for _ in range(5)] == ["success"] * 5
 
 
-@pytest.mark.parametrize("spoilt", [{"time_ms": "NaN"}, {"time_ms": HUGE}, {"time_ms": "null"}, {"status": '"ODD"'},
-                                    {"b64": '"%%%%"'}, {"b64": "7"}],
-                         ids=["time is none", "time is huge", "time is null", "status", "not base64", "no text"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [{"time_ms": "NaN"}, {"time_ms": HUGE}, {"time_ms": "null"}, {"status": '"ODD"'}, {"b64": '"%%%%"'}, {"b64": "7"}],
+    ids=["time is none", "time is huge", "time is null", "status", "not base64", "no text"],
+)
 def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, spoilt: dict[str, str]) -> None:
     with server_process(tmp_path) as running:
         client, kernel = ThriftClient(running.ports[0]), running.kernel
         seq = client.send("render", b"ms=60000")
         until(lambda: kernel.running)
         rid = next(iter(kernel.running))
-        row = {"t": '"REAP"', "no": str(len(kernel.notices) + 1), "rid": f'"{rid}"', "status": '"PASS"',
-               "time_ms": "5", "b64": f'"{base64.b64encode(b"x").decode()}"', **spoilt}
+        row = {
+            "t": '"REAP"',
+            "no": str(len(kernel.notices) + 1),
+            "rid": f'"{rid}"',
+            "status": '"PASS"',
+            "time_ms": "5",
+            "b64": f'"{base64.b64encode(b"x").decode()}"',
+            **spoilt,
+        }
         kernel.notices.append({})
         assert kernel.link
         kernel.link.sendall(b"{%s}\n" % ", ".join(f'"{key}": {value}' for key, value in row.items()).encode())
@@ -114,6 +131,7 @@
 
 def test_a_greeting_that_is_slow_on_its_way_is_no_new_kernel(tmp_path: Path) -> None:
     """A kernel that started just before its link broke: its age, taken at the end of the way, made it look newer."""
+
     class Slow(FakeEngine):
         delay_s = 0.0
 
@@ -136,6 +154,7 @@
 @pytest.mark.parametrize("gauges", [[], ["cpu_busy", "runnable", "mem_used", "sockets"]])
 def test_a_site_that_does_not_allow_gauges_is_served(tmp_path: Path, gauges: list[str]) -> None:
     """The marks that prove a link to be in step are requests for gauges: refused, nothing was ever sent on it."""
+
     class Closed(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             self.tell(link, {"t": "EINVAL", "status": "SYSINFO", "rid": ""})
@@ -155,6 +174,7 @@
 @pytest.mark.parametrize("spoilt", ["BOOTED", "INFO"])
 def test_a_greeting_or_mark_that_cannot_be_read_is_asked_for_again(tmp_path: Path, spoilt: str) -> None:
     """The link waited for it for good, with the kernel well and telling other things."""
+
     class Spoiling(FakeEngine):
         left = 2
 
@@ -221,4 +241,5 @@
                 with lock:  # whole lines, between those that belong there
                     sock.sendall(data)
                 time.sleep(0.0001)
+
     threading.Thread(target=send, daemon=True).start()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -80,8 +80,15 @@
     assert not found.fell and found.whole and found.runs > 200 and found.most >= RATE.amount
 
 
-@pytest.mark.parametrize("name", ["a lapsed grant is free at once", "a voter promises two", "others are not counted",
-                                  "a new life uses its share at once"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "a lapsed grant is free at once",
+        "a voter promises two",
+        "others are not counted",
+        "a new life uses its share at once",
+    ],
+)
 def test_a_planted_bug_of_limits_is_found(name: str) -> None:
     words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", "limits", name, "300"]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -110,9 +117,11 @@
 
 def test_every_message_about_limits_fits_a_datagram_and_comes_back_whole() -> None:
     key, dice = "k" * KEY_MOST, Random(1)
-    most = (GrantRequest(3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
-            GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
-            LeaseVote(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(HOLDS_MOST))))
+    most = (
+        GrantRequest(3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
+        GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
+        LeaseVote(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(HOLDS_MOST))),
+    )
     for message in most:
         letter = LimitDatagram("f" * 48, "n" * 48, 2**45, message)
         data = encode(letter)
@@ -129,16 +138,26 @@
 FILE = "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1, a2, a3]}}\n"
 
 
-@pytest.mark.parametrize(("more", "line"), [
-    ("limits: {x: {per_s: 1, at_once: 2}}", "limits.x.per_s"), ("limits: {x: {}}", "limits.x.per_s"),
-    ("limits: {x: {per_s: 0.5}}", "limits.x.per_s"), ("limits: {x: {per_s: 5, standing: 1.5}}", "limits.x.standing"),
-    ("limits: {x: {per_s: 5, kind: loose}}", "limits.x.kind"), ("limits: {x: {per_s: 5, speed: 1}}", "limits.x.speed"),
-    ("limits: {x: {per_s: 5, by: moon}}", "limits.x.by"), ("limits: {'a b': {per_s: 5}}", "limits.a b"),
-    ("grants: {drift: 0}", "grants.drift"), ("grants: {grant_ms: 300}", "grants.ask_ms"),
-    ("grants: {members_most: 2}", "grants.members_most"),
-    ("limits: {x: {per_s: 5, counts: calls}}", "limits.x.counts"), ("repeats: {share: -1}", "repeats.share"),
-    ("repeats: {share: 0.1, burst: 0}", "repeats.burst"), ("limits: {x: {at_once: 5, until: ''}}", "limits.x.until"),
-])
+@pytest.mark.parametrize(
+    ("more", "line"),
+    [
+        ("limits: {x: {per_s: 1, at_once: 2}}", "limits.x.per_s"),
+        ("limits: {x: {}}", "limits.x.per_s"),
+        ("limits: {x: {per_s: 0.5}}", "limits.x.per_s"),
+        ("limits: {x: {per_s: 5, standing: 1.5}}", "limits.x.standing"),
+        ("limits: {x: {per_s: 5, kind: loose}}", "limits.x.kind"),
+        ("limits: {x: {per_s: 5, speed: 1}}", "limits.x.speed"),
+        ("limits: {x: {per_s: 5, by: moon}}", "limits.x.by"),
+        ("limits: {'a b': {per_s: 5}}", "limits.a b"),
+        ("grants: {drift: 0}", "grants.drift"),
+        ("grants: {grant_ms: 300}", "grants.ask_ms"),
+        ("grants: {members_most: 2}", "grants.members_most"),
+        ("limits: {x: {per_s: 5, counts: calls}}", "limits.x.counts"),
+        ("repeats: {share: -1}", "repeats.share"),
+        ("repeats: {share: 0.1, burst: 0}", "repeats.burst"),
+        ("limits: {x: {at_once: 5, until: ''}}", "limits.x.until"),
+    ],
+)
 def test_a_fault_in_limits_is_one_line_naming_the_key(tmp_path, more: str, line: str) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "fleet.yaml"
     path.write_text(FILE + more)
@@ -149,8 +168,9 @@
 
 def test_a_strict_limit_without_an_electorate_is_refused(tmp_path) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "fleet.yaml"
-    path.write_text(FILE.replace("electorate: {version: 1, sites: {a: [a1, a2, a3]}}\n", "")
-                    + "limits: {x: {per_s: 5}}")
+    path.write_text(
+        FILE.replace("electorate: {version: 1, sites: {a: [a1, a2, a3]}}\n", "") + "limits: {x: {per_s: 5}}"
+    )
     with pytest.raises(ConfigError, match=r"^limits\.x\.kind: strict needs an electorate"):
         read_fleet(str(path), "a1")
     path.write_text(path.read_text().replace("per_s: 5", "per_s: 5, kind: advisory"))
@@ -162,8 +182,14 @@
     assert not found.fell and found.whole and found.runs > 300 and found.most > 100
 
 
-@pytest.mark.parametrize("name", ["the lesser share is set aside in a change", "a vault is not written down",
-                                  "what is given up is kept until the engine knows"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "the lesser share is set aside in a change",
+        "a vault is not written down",
+        "what is given up is kept until the engine knows",
+    ],
+)
 def test_a_planted_bug_of_later_parts_is_found(name: str) -> None:
     words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", "limits", name, "300"]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -177,7 +203,7 @@
     assert vaultfile.read(path) == rows
     whole = path.read_bytes()
     for n in range(len(whole)):
-        for spoilt in (whole[:n], whole[:n] + bytes([whole[n] ^ 4]) + whole[n + 1:]):
+        for spoilt in (whole[:n], whole[:n] + bytes([whole[n] ^ 4]) + whole[n + 1 :]):
             path.write_bytes(spoilt)
             with pytest.raises(vaultfile.CorruptBudgetFile):
                 vaultfile.read(path)
@@ -190,30 +216,48 @@
         return read_fleet(str(path), "a1")
 
     old = settings("limits: {x: {per_s: 20}, y: {at_once: 5}}")
-    faults = [limits_fault(old, settings(more)) for more in (
-        "limits_version: 2\nlimits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
-        "limits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
-        "limits_version: 2\nlimits: {x: {per_s: 10}, y: {at_once: 5}}",
-        "limits_version: 2\nlimits: {x: {per_s: 10, before: 30}, y: {at_once: 5}}",
-        "limits_version: 2\nlimits: {x: {per_s: 20}}",
-        "limits_version: 2\nlimits: {x: {per_s: 20}, y: {per_s: 5, before: 5}}",
-        "limits_version: 2\nlimits: {x: {per_s: 20, standing: 0.2}, y: {at_once: 5}}")]
+    faults = [
+        limits_fault(old, settings(more))
+        for more in (
+            "limits_version: 2\nlimits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
+            "limits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
+            "limits_version: 2\nlimits: {x: {per_s: 10}, y: {at_once: 5}}",
+            "limits_version: 2\nlimits: {x: {per_s: 10, before: 30}, y: {at_once: 5}}",
+            "limits_version: 2\nlimits: {x: {per_s: 20}}",
+            "limits_version: 2\nlimits: {x: {per_s: 20}, y: {per_s: 5, before: 5}}",
+            "limits_version: 2\nlimits: {x: {per_s: 20, standing: 0.2}, y: {at_once: 5}}",
+        )
+    ]
     assert [fault.partition(":")[0] for fault in faults] == [
-        "", "limits_version", "limits.x.before", "limits.x.before", "limits.y", "limits.y", "limits.x"]
+        "",
+        "limits_version",
+        "limits.x.before",
+        "limits.x.before",
+        "limits.y",
+        "limits.y",
+        "limits.x",
+    ]
     with pytest.raises(ConfigError, match=r"^limits\.x\.per_day: needs state"):
         settings("limits: {x: {per_day: 20}}")
 
 
 @given(st.integers(1, 400), st.integers(1, 400), st.floats(0, 1), st.integers(1, 40))
-def test_in_a_change_nobody_s_version_takes_the_sum_over_the_greater_number(now: int, was: int, standing: float,
-                                                                            members: int) -> None:
+def test_in_a_change_nobody_s_version_takes_the_sum_over_the_greater_number(
+    now: int, was: int, standing: float, members: int
+) -> None:
     terms = GrantSettings()
     limit = Limit(per_s=float(now), before=float(was), standing=standing)
     former = Limit(per_s=float(was), standing=standing)
-    joint, settled, old = (terms.shares(limit, members, False), terms.shares(limit, members),
-                           terms.shares(former, members))
-    for pool, each in ((old[0], max(old[1], joint[1])), (joint[0], max(old[1], joint[1], settled[1])),
-                       (settled[0], max(settled[1], joint[1]))):
+    joint, settled, old = (
+        terms.shares(limit, members, False),
+        terms.shares(limit, members),
+        terms.shares(former, members),
+    )
+    for pool, each in (
+        (old[0], max(old[1], joint[1])),
+        (joint[0], max(old[1], joint[1], settled[1])),
+        (settled[0], max(settled[1], joint[1])),
+    ):
         assert pool + each * members <= max(now, was)
 
 
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -25,6 +25,7 @@
 @pytest.mark.parametrize("gauges", [["cpu_busy", "runnable", "mem_used", "sockets"], ["cpu_busy"]])
 def test_runs_that_a_kernel_lost_hold_no_places_for_good(tmp_path: Path, gauges: list[str]) -> None:
     """As many of them as may run at a time. Nothing could start again, and all was turned away as in a hang."""
+
     class Forgetful(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             values = {"runnable": float(len(self.running))}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -120,7 +120,13 @@
 
 def test_standing_counts_an_electorate() -> None:
     assert [judge(9, n, n - 1) for n in (1, 2, 4, 5, 8, 9)] == [
-        QuorumStatus.ALONE, QuorumStatus.MINORITY, QuorumStatus.MINORITY, QuorumStatus.MAJORITY, QuorumStatus.MAJORITY, QuorumStatus.WHOLE]
+        QuorumStatus.ALONE,
+        QuorumStatus.MINORITY,
+        QuorumStatus.MINORITY,
+        QuorumStatus.MAJORITY,
+        QuorumStatus.MAJORITY,
+        QuorumStatus.WHOLE,
+    ]
     assert judge(8, 4, 3) == QuorumStatus.MINORITY  # an even split leaves no majority
     assert judge(0, 0, 0) == QuorumStatus.ALONE  # nor does an empty roll
     three = VoterSet(3, {"x": ("a", "b", "c")})
@@ -132,6 +138,7 @@
 def test_reach_rows_read_as_a_matrix() -> None:
     def row(by: str, *cannot: tuple[str, bool]) -> ReachabilityRow:
         return ReachabilityRow(by, 1, 1, cannot)
+
     assert broken({"a": row("a", ("b", True)), "b": row("b", ("a", False))}) == ["a -> b lost"]
     assert broken({"a": row("a", ("b", False)), "b": row("b", ("a", False))}) == ["a <-> b cut"]
     assert broken({"a": row("a", ("b", False))}) == ["a gets no answer from b"]
@@ -141,22 +148,50 @@
 def test_bounds_follow_the_settings() -> None:
     assert TERMS.fault() == "" and TERMS.detect_ms(24) < 4000 and 1000 < TERMS.pause_ms() < TERMS.detect_ms(2)
     assert MembershipSettings(suspect_min_ms=3000).fault().startswith("suspect_min_ms")
-    assert MembershipSettings(probe_ms=0).fault().startswith("probe_ms") and MembershipSettings(carry=9).fault().startswith("carry")
+    assert MembershipSettings(probe_ms=0).fault().startswith("probe_ms") and MembershipSettings(
+        carry=9
+    ).fault().startswith("carry")
 
 
 # The codec.
 
 NAMES = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=48)
-ADDRESSES = st.builds(lambda a, b, p: f"127.{a}.{b}.9:{p}", st.integers(0, 255), st.integers(0, 255),
-                      st.integers(1, 65535))
+ADDRESSES = st.builds(
+    lambda a, b, p: f"127.{a}.{b}.9:{p}", st.integers(0, 255), st.integers(0, 255), st.integers(1, 65535)
+)
 NUMBERS = st.integers(0, 2**53 - 1)
-RUMOURS = st.builds(MemberUpdate, NAMES, NAMES, ADDRESSES, NUMBERS, NUMBERS, st.integers(0, 3), st.integers(0, 2**31),
-                    st.one_of(st.just(""), NAMES))
-ROWS = st.builds(ReachabilityRow, NAMES, NUMBERS, NUMBERS, st.lists(st.tuples(NAMES, st.booleans()), max_size=8).map(tuple))
-BODIES = st.one_of(st.builds(Ping, NUMBERS), st.builds(Ack, NUMBERS, NAMES), st.builds(Nack, NUMBERS),
-                   st.builds(IndirectProbe, NUMBERS, NAMES, ADDRESSES), st.just(GossipPush()))
-PACKETS = st.builds(Packet, NAMES, st.integers(1, 2**53 - 1), RUMOURS, st.integers(0, 2**64 - 1), NUMBERS, BODIES,
-                    st.lists(RUMOURS, max_size=3).map(tuple), st.lists(ROWS, max_size=1).map(tuple))
+RUMOURS = st.builds(
+    MemberUpdate,
+    NAMES,
+    NAMES,
+    ADDRESSES,
+    NUMBERS,
+    NUMBERS,
+    st.integers(0, 3),
+    st.integers(0, 2**31),
+    st.one_of(st.just(""), NAMES),
+)
+ROWS = st.builds(
+    ReachabilityRow, NAMES, NUMBERS, NUMBERS, st.lists(st.tuples(NAMES, st.booleans()), max_size=8).map(tuple)
+)
+BODIES = st.one_of(
+    st.builds(Ping, NUMBERS),
+    st.builds(Ack, NUMBERS, NAMES),
+    st.builds(Nack, NUMBERS),
+    st.builds(IndirectProbe, NUMBERS, NAMES, ADDRESSES),
+    st.just(GossipPush()),
+)
+PACKETS = st.builds(
+    Packet,
+    NAMES,
+    st.integers(1, 2**53 - 1),
+    RUMOURS,
+    st.integers(0, 2**64 - 1),
+    NUMBERS,
+    BODIES,
+    st.lists(RUMOURS, max_size=3).map(tuple),
+    st.lists(ROWS, max_size=1).map(tuple),
+)
 
 
 @settings(max_examples=150, deadline=None)
@@ -172,18 +207,29 @@
 def test_spoilt_bytes_are_refused_whole(packet: Packet, data: st.DataObject) -> None:
     raw = peer.encode(packet)
     at, to = data.draw(st.integers(0, len(raw) - 1)), data.draw(st.integers(0, 255))
-    spoilt = raw[:at] + bytes([to]) + raw[at + 1:]
+    spoilt = raw[:at] + bytes([to]) + raw[at + 1 :]
     for one in (raw[:at], data.draw(st.binary(max_size=200)), *([spoilt] if spoilt != raw else [])):
         with pytest.raises(peer.MalformedPeerMessage):
             peer.decode(one)
 
 
-@pytest.mark.parametrize("change", [{"no": 0}, {"fleet": "a b"}, {"fleet": "x" * 49}, {"hash": -1}, {"roll": -1},
-                                    {"me": said("", 1, 0, ALIVE)}, {"me": said("a", 1, 0, 7)},
-                                    {"me": MemberUpdate("a", "x", "example.org:1", 1, 0, 0)},
-                                    {"body": IndirectProbe(1, "b", "127.0.0.1:0")}, {"body": Ping(-1)},
-                                    {"rumours": tuple(said("b", 1, 0, ALIVE) for _ in range(10))},
-                                    {"rows": (ReachabilityRow("a", 1, 1, tuple(("b", True) for _ in range(9))),)}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"no": 0},
+        {"fleet": "a b"},
+        {"fleet": "x" * 49},
+        {"hash": -1},
+        {"roll": -1},
+        {"me": said("", 1, 0, ALIVE)},
+        {"me": said("a", 1, 0, 7)},
+        {"me": MemberUpdate("a", "x", "example.org:1", 1, 0, 0)},
+        {"body": IndirectProbe(1, "b", "127.0.0.1:0")},
+        {"body": Ping(-1)},
+        {"rumours": tuple(said("b", 1, 0, ALIVE) for _ in range(10))},
+        {"rows": (ReachabilityRow("a", 1, 1, tuple(("b", True) for _ in range(9))),)},
+    ],
+)
 def test_values_out_of_range_are_refused(change: dict[str, object]) -> None:
     good = Packet("f", 1, said("a", 1, 0, ALIVE), 0, 1, Ping(1))
     assert peer.decode(peer.encode(good)) == good
@@ -194,7 +240,9 @@
 def test_the_fullest_packet_of_a_member_fits_a_datagram() -> None:
     one = Member("n" * 48, "s" * 48, "127.255.255.255:65535", 2**45, "f" * 48, TERMS, ROLL, [], Random(1), 0.0)
     for n in range(40):
-        one.voice.spread.put(MemberUpdate(f"{n:048d}", "s" * 48, "127.255.255.255:65535", 2**45, 9, SUSPECT, 9, "b" * 48), 0)
+        one.voice.spread.put(
+            MemberUpdate(f"{n:048d}", "s" * 48, "127.255.255.255:65535", 2**45, 9, SUSPECT, 9, "b" * 48), 0
+        )
     one.voice.send(1.0, "127.0.0.1:1", IndirectProbe(2**40, "n" * 48, "127.255.255.255:65535"))
     sizes = [len(peer.encode(effect.packet)) for effect in one.voice.done() if isinstance(effect, SendPacket)]
     assert len(sizes) == 1 and 800 < sizes[0] <= peer.DATAGRAM_MOST
@@ -213,20 +261,24 @@
 """
 
 
-@pytest.mark.parametrize(("text", "line"), [
-    (GOOD.replace("bind: 127.0.1.1:7000\n", ""), "bind: missing"),
-    (GOOD + "speed: 3\n", "speed: unknown key"),
-    (GOOD + "membership: {probe: 3}\n", "membership.probe: unknown key"),
-    (GOOD + "membership: {probe_ms: often}\n", "membership.probe_ms: expected `int`"),
-    (GOOD + "membership: {suspect_min_ms: 9000}\n", "membership.suspect_min_ms: 9000 is over"),
-    (GOOD.replace("127.0.1.2:7000", "localhost:7000"), "seeds[0]: expected A.B.C.D:PORT"),
-    (GOOD.replace("[a, b, c]", "[]"), "electorate.sites: empty"),
-    (GOOD.replace("[a, b, c]", "[a, b, b]"), "electorate.sites.x[2]: b stands twice"),
-    (GOOD.replace("{x: [a, b, c]}", "{y: [a, b, c]}"), "electorate.sites.y: a is of site x"),
-    (GOOD.replace("{x: [a, b, c]}", "{x: [a], x: [b]}"), "x: stands twice in one table"),
-    (GOOD.replace("version: 1", "version: 0"), "electorate.version: expected a number from 1"),
-    ("- 1\n", "MYRTLESPAR_FLEET: expected `object`"), ("a: [", "MYRTLESPAR_FLEET: not YAML"),
-])
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        (GOOD.replace("bind: 127.0.1.1:7000\n", ""), "bind: missing"),
+        (GOOD + "speed: 3\n", "speed: unknown key"),
+        (GOOD + "membership: {probe: 3}\n", "membership.probe: unknown key"),
+        (GOOD + "membership: {probe_ms: often}\n", "membership.probe_ms: expected `int`"),
+        (GOOD + "membership: {suspect_min_ms: 9000}\n", "membership.suspect_min_ms: 9000 is over"),
+        (GOOD.replace("127.0.1.2:7000", "localhost:7000"), "seeds[0]: expected A.B.C.D:PORT"),
+        (GOOD.replace("[a, b, c]", "[]"), "electorate.sites: empty"),
+        (GOOD.replace("[a, b, c]", "[a, b, b]"), "electorate.sites.x[2]: b stands twice"),
+        (GOOD.replace("{x: [a, b, c]}", "{y: [a, b, c]}"), "electorate.sites.y: a is of site x"),
+        (GOOD.replace("{x: [a, b, c]}", "{x: [a], x: [b]}"), "x: stands twice in one table"),
+        (GOOD.replace("version: 1", "version: 0"), "electorate.version: expected a number from 1"),
+        ("- 1\n", "MYRTLESPAR_FLEET: expected `object`"),
+        ("a: [", "MYRTLESPAR_FLEET: not YAML"),
+    ],
+)
 def test_a_fault_in_the_file_is_one_line_naming_the_key(tmp_path: Path, text: str, line: str) -> None:
     path = tmp_path / "fleet.yaml"
     path.write_text(text)
@@ -240,23 +292,30 @@
 SCRIPT = "fleet: {sites: {a: 2, b: 1}, engine: false}\nlength_s: 9\n"
 
 
-@pytest.mark.parametrize(("text", "line"), [
-    ("fleet: {sites: {a: 0}}\nlength_s: 9", "fleet.sites.a: expected a count"),
-    ("fleet: {sites: {a: 1}, engine: 3}\nlength_s: 9", "fleet.engine: "),
-    ("fleet: {sites: {a: 1}}", "length_s: missing"), (SCRIPT + "speed: 1", "speed: unknown key"),
-    (SCRIPT + "limits: {x: {per_s: 0}}", "limits.x.per_s"), (SCRIPT + "judge: [verdicts]", "judge[0]: this build"),
-    (SCRIPT + "judge: [joy]", "judge[0]: 'joy'"), (SCRIPT + "load: {rate: -1}", "load.rate: "),
-    (SCRIPT + "load: {rate: 1, mix: {sell: 1}}", "load.mix.sell: unknown key"),
-    (SCRIPT + "events: [{at_s: 1, kill: z9}]", "events[0].kill: no member"),
-    (SCRIPT + "events: [{at_s: 1, kill: a1, pause: a1}]", "events[0]: expected one of"),
-    (SCRIPT + "events: [{at_s: 10, kill: a1}]", "events[0].at_s: expected"),
-    (SCRIPT + "events: [{at_s: 1, kill: a1, for_s: 2}]", "events[0].for_s: unknown key"),
-    (SCRIPT + "events: [{at_s: 1, cut: [a1, site z]}]", "events[0].cut[1]: no member"),
-    (SCRIPT + "events: [{at_s: 1, cut: [a1, engine]}]", "events[0]: engine: this"),
-    (SCRIPT + "events: [{at_s: 1, link: [all, all], drop: 2}]", "events[0].drop: expected"),
-    (SCRIPT + "events: [{at_s: 1, kill: a1}, {at_s: 2, leave: a1}]", "events[1].leave: a1 does not run"),
-    ("a: [", "script: not YAML"), ("3", "script: expected a table"),
-])
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        ("fleet: {sites: {a: 0}}\nlength_s: 9", "fleet.sites.a: expected a count"),
+        ("fleet: {sites: {a: 1}, engine: 3}\nlength_s: 9", "fleet.engine: "),
+        ("fleet: {sites: {a: 1}}", "length_s: missing"),
+        (SCRIPT + "speed: 1", "speed: unknown key"),
+        (SCRIPT + "limits: {x: {per_s: 0}}", "limits.x.per_s"),
+        (SCRIPT + "judge: [verdicts]", "judge[0]: this build"),
+        (SCRIPT + "judge: [joy]", "judge[0]: 'joy'"),
+        (SCRIPT + "load: {rate: -1}", "load.rate: "),
+        (SCRIPT + "load: {rate: 1, mix: {sell: 1}}", "load.mix.sell: unknown key"),
+        (SCRIPT + "events: [{at_s: 1, kill: z9}]", "events[0].kill: no member"),
+        (SCRIPT + "events: [{at_s: 1, kill: a1, pause: a1}]", "events[0]: expected one of"),
+        (SCRIPT + "events: [{at_s: 10, kill: a1}]", "events[0].at_s: expected"),
+        (SCRIPT + "events: [{at_s: 1, kill: a1, for_s: 2}]", "events[0].for_s: unknown key"),
+        (SCRIPT + "events: [{at_s: 1, cut: [a1, site z]}]", "events[0].cut[1]: no member"),
+        (SCRIPT + "events: [{at_s: 1, cut: [a1, engine]}]", "events[0]: engine: this"),
+        (SCRIPT + "events: [{at_s: 1, link: [all, all], drop: 2}]", "events[0].drop: expected"),
+        (SCRIPT + "events: [{at_s: 1, kill: a1}, {at_s: 2, leave: a1}]", "events[1].leave: a1 does not run"),
+        ("a: [", "script: not YAML"),
+        ("3", "script: expected a table"),
+    ],
+)
 def test_a_fault_in_a_script_is_one_line_naming_the_key(text: str, line: str) -> None:
     with pytest.raises(ScriptError) as caught:
         parse(text)
@@ -275,6 +334,7 @@
 
 # The judge can say no, and the emulator says the same each time.
 
+
 def beliefs_of(script: str, seed: int = 1) -> tuple[SimulatedFleet, GroundTruth]:
     found = parse(script)
     fleet = SimulatedFleet(found.sites, real(TERMS), seed, sizes=False)
@@ -287,14 +347,17 @@
 KILL = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: 14\nevents: [{at_s: 1, kill: b2}]\n"
 
 
-@pytest.mark.parametrize(("lie", "rule"), [
-    (ObservedBelief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
-    (ObservedBelief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
-    (ObservedBelief(12_000, "a1", "member", "c1", None, 0), "presence known"),
-    (ObservedBelief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
-    (ObservedBelief(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
-    (ObservedBelief(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
-])
+@pytest.mark.parametrize(
+    ("lie", "rule"),
+    [
+        (ObservedBelief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
+        (ObservedBelief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
+        (ObservedBelief(12_000, "a1", "member", "c1", None, 0), "presence known"),
+        (ObservedBelief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
+        (ObservedBelief(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
+        (ObservedBelief(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
+    ],
+)
 def test_the_judge_finds_a_lie(lie: ObservedBelief, rule: str) -> None:
     fleet, truth = beliefs_of(KILL)
     assert judge_members(truth, fleet.beliefs, TERMS, fleet.sites).broken == []
@@ -309,8 +372,10 @@
 
 @pytest.mark.parametrize("members", [0, 120])
 def test_emulated_fleets_keep_their_promises(members: int) -> None:
-    script = KILL.replace("[{at_s: 1, kill: b2}]", "[{at_s: 1, kill: b2, restart_after_s: 4},"
-                          "{at_s: 1, link: [all, all], drop: 0.05, jitter_ms: 50}]")
+    script = KILL.replace(
+        "[{at_s: 1, kill: b2}]",
+        "[{at_s: 1, kill: b2, restart_after_s: 4}," "{at_s: 1, link: [all, all], drop: 0.05, jitter_ms: 50}]",
+    )
     done = play(parse(script, members), 1)
     assert done["broken"] == [] and done["false_failures"] == 0 and done["detect_ms"]["worst"] < 4000
     assert done["members"] >= (members or 9)
@@ -318,8 +383,10 @@
 
 def test_without_health_of_its_own_a_stopped_member_blames_others() -> None:
     """The same stop with and without lateness looked at: it is what keeps others from being failed."""
-    script = parse("fleet: {sites: {a: 3, b: 3}}\nlength_s: 20\nevents:\n"
-                   + "".join(f"  - {{at_s: {n}, pause: a1, for_s: 1.2}}\n" for n in range(1, 16, 2)))
+    script = parse(
+        "fleet: {sites: {a: 3, b: 3}}\nlength_s: 20\nevents:\n"
+        + "".join(f"  - {{at_s: {n}, pause: a1, for_s: 1.2}}\n" for n in range(1, 16, 2))
+    )
     with_it = play(script, 1)
     without = play(script, 1, MembershipSettings(health_most=0, late_ms=86_400_000))
     blamed = "refuted"
