--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -45,8 +45,10 @@
     assert 'app_succeeded{service="render"} 3\n' in text and 'app_aborted{service="order"} 2\n' in text
     assert 'app_declined{service="render"} 1\n' in text and 'app_forwards{service="order"} 2\n' in text
     assert "# TYPE app_outstanding gauge\napp_outstanding 5\n" in text
-    assert all(re.fullmatch(r'(# TYPE app_\w+ (counter|gauge))|(app_\w+(\{service="\w+"\})? \d+)', line)
-               for line in text.splitlines())
+    assert all(
+        re.fullmatch(r'(# TYPE app_\w+ (counter|gauge))|(app_\w+(\{service="\w+"\})? \d+)', line)
+        for line in text.splitlines()
+    )
 
 
 def test_a_hand_over_bars_nothing_closes_at_once_and_is_answered_before_the_kill() -> None:
@@ -116,18 +118,26 @@
 
 @pytest.mark.parametrize("value", ["nowhere", "taken"])
 def test_a_bad_management_address_is_one_line_and_exit_2(tmp_path: Path, value: str) -> None:
-
     from myrtlespar.fakes.server_process import settings
 
-    config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:9", "store": "127.0.0.1:9",
-              "roster": "127.0.0.1:9", "seed": "1", "settings": settings(), "mgmt": value}
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:9",
+        "store": "127.0.0.1:9",
+        "roster": "127.0.0.1:9",
+        "seed": "1",
+        "settings": settings(),
+        "mgmt": value,
+    }
     taken = socket.create_server(("127.0.0.1", 0))
     if value == "taken":
         config["mgmt"] = f"127.0.0.1:{taken.getsockname()[1]}"
     (tmp_path / "c.json").write_text(json.dumps(config))
     env = {**os.environ, "BALANCER_CONFIG": str(tmp_path / "c.json")}
-    done = subprocess.run([sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, capture_output=True, text=True,
-                          timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60, check=False
+    )
     assert done.returncode == 2 and done.stderr.startswith("mgmt") and done.stderr.count("\n") == 1, done.stderr
     taken.close()
 
@@ -137,8 +147,12 @@
     data = encode(known)
     assert decode(data, 1000.0, 3) == sorted(known, key=lambda one: one.lapses_at)
     assert decode(data, 6000.0, 3) == known[:1]  # what lapsed is left out
-    for spoilt, why in [(data[:-3], "torn"), (data.replace(b"keys 1", b"keys 2"), "version"),
-                        (data.replace(b"k1", b"k2"), "spoilt"), (b"", "header")]:
+    for spoilt, why in [
+        (data[:-3], "torn"),
+        (data.replace(b"keys 1", b"keys 2"), "version"),
+        (data.replace(b"k1", b"k2"), "spoilt"),
+        (b"", "header"),
+    ]:
         with pytest.raises(HandoverRejected, match=why):
             decode(spoilt, 1000.0, 3)
     with pytest.raises(HandoverRejected, match="class"):
@@ -148,7 +162,10 @@
 def test_a_successor_waits_past_a_refused_file_until_the_old_process_is_gone() -> None:
     waiting = HandoverReceiver(HandoverState.WAITING)
     assert waiting.look(True, None, 0.0, 3) == ([], "")
-    assert waiting.look(True, b"junk", 0.0, 3)[1].startswith("hand-over refused") and waiting.stand is HandoverState.WAITING
+    assert (
+        waiting.look(True, b"junk", 0.0, 3)[1].startswith("hand-over refused")
+        and waiting.stand is HandoverState.WAITING
+    )
     assert waiting.look(True, encode([]), 0.0, 3) == ([], "")  # refused once: only the old one's end opens
     assert waiting.look(False, None, 0.0, 3)[1].startswith("the old process is gone")
     assert waiting.stand is HandoverState.OPEN
@@ -222,8 +239,13 @@
         env = {**os.environ, "BALANCER_CONFIG": str(path)}
         check = encode_message("ping", 1, 1, idl.Front.ping_args(full=False))
         for _ in range(3):
-            new = subprocess.Popen([sys.executable, "-m", "myrtlespar"], cwd=ROOT, env=env, stdout=subprocess.DEVNULL,
-                                   stderr=subprocess.PIPE)
+            new = subprocess.Popen(
+                [sys.executable, "-m", "myrtlespar"],
+                cwd=ROOT,
+                env=env,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.PIPE,
+            )
             held = []
             while new.poll() is None and len(held) < 400:
                 held.append(socket.create_connection(("127.0.0.1", old.ports[0]), 10))
--- a/tests/test_outboxes.py
+++ b/tests/test_outboxes.py
@@ -36,9 +36,13 @@
 def test_a_kernel_whose_answers_came_while_the_process_stood_still_is_not_taken_for_silent(tmp_path: Path) -> None:
     """The watch may run before the reader: it found no answer for as long as the pause, and ended a link that was
     well, with the orders on it."""
-    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False",  # it holds nothing up: for `first` alone
-                "import dataclasses, myrtlespar.config as c; f = c._limits\n"
-                "c._limits = lambda *args: dataclasses.replace(f(*args), kernel_silence_ms=400.0)")
+    gate = Gate(
+        tmp_path,
+        "myrtlespar.net.engine_client:EngineClient.move",
+        "False",  # it holds nothing up: for `first` alone
+        "import dataclasses, myrtlespar.config as c; f = c._limits\n"
+        "c._limits = lambda *args: dataclasses.replace(f(*args), kernel_silence_ms=400.0)",
+    )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
         for _ in range(6):
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -32,8 +32,13 @@
 
 def places(amount: int) -> AdmissionQueue:
     """The only member of a fleet, with all of a rate as its standing share."""
-    agent = LimitCoordinator(("a", 1), GrantSettings(), {"x": Limit(per_s=amount, standing=1.0), "y": Limit(per_s=2.0, standing=1.0)},
-                  frozenset(("a",)), 0.0)
+    agent = LimitCoordinator(
+        ("a", 1),
+        GrantSettings(),
+        {"x": Limit(per_s=amount, standing=1.0), "y": Limit(per_s=2.0, standing=1.0)},
+        frozenset(("a",)),
+        0.0,
+    )
     return AdmissionQueue(agent)
 
 
@@ -113,7 +118,7 @@
         self.held[id] = order
 
     def take_ready(self) -> list[str]:
-        out = sorted(self.held, key=lambda id: self.held[id])[:max(0, self.left)]
+        out = sorted(self.held, key=lambda id: self.held[id])[: max(0, self.left)]
         for id in out:
             del self.held[id]
         return out
@@ -144,8 +149,17 @@
 
 
 def policy(port: Port, **more: object) -> Policy:
-    out = Policy(Settings([RequestClass(latency_objective_ms=1000, client_timeout_ms=3000, calls=True)], cores=8, memory_kb=4000,
-                          max_retry_after_ms=10_000, linger_ms=300, **more), seed=1)  # type: ignore[arg-type]
+    out = Policy(
+        Settings(
+            [RequestClass(latency_objective_ms=1000, client_timeout_ms=3000, calls=True)],
+            cores=8,
+            memory_kb=4000,
+            max_retry_after_ms=10_000,
+            linger_ms=300,
+            **more,
+        ),
+        seed=1,
+    )  # type: ignore[arg-type]
     out.fleet = port
     return out
 
@@ -226,8 +240,10 @@
 
 def test_one_caller_s_line_is_bounded_and_leaves_the_others_room_to_wait(tmp_path) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "fleet.yaml"
-    path.write_text("fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1]}}\n"
-                    "limits: {x: {per_s: 1, standing: 1.0}}\nrepeats: {share: 0.5, burst: 2}")
+    path.write_text(
+        "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1]}}\n"
+        "limits: {x: {per_s: 1, standing: 1.0}}\nrepeats: {share: 0.5, burst: 2}"
+    )
     counters = Counters()
     limits = LimitsDriver(read_fleet(str(path), "a1"), ["order"], Nobody(), counters, 1)  # type: ignore[arg-type]
     limits.begin(1)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -36,8 +36,9 @@
     assert server.kernel.replies == [b"reply\r\nto call %d of " % n + body for n in range(2)]
 
 
-@pytest.mark.parametrize(("body", "kind"), [(b"end=FAIL", "failed"), (b"end=NOOP", "failed"),
-                                            (b"end=KILLED", "failed")])
+@pytest.mark.parametrize(
+    ("body", "kind"), [(b"end=FAIL", "failed"), (b"end=NOOP", "failed"), (b"end=KILLED", "failed")]
+)
 def test_ends_of_runs_become_answers(server: ServerProcess, body: bytes, kind: str) -> None:
     assert ThriftClient(server.ports[0]).ask("order", body)[0] == kind
 
@@ -50,11 +51,20 @@
     assert client.answer(slow)[0] == "success"
 
 
-@pytest.mark.parametrize(("method", "fields"), [
-    ("moon", {}), ("render", {"rid": ""}), ("render", {"rid": "a b"}), ("render", {"t0": "soon"}),
-    ("render", {"mem": "-1"}), ("render", {"t0": "nan"})])
-def test_bad_requests_get_an_exception_and_the_link_goes_on(server: ServerProcess, method: str,
-                                                            fields: dict[str, str]) -> None:
+@pytest.mark.parametrize(
+    ("method", "fields"),
+    [
+        ("moon", {}),
+        ("render", {"rid": ""}),
+        ("render", {"rid": "a b"}),
+        ("render", {"t0": "soon"}),
+        ("render", {"mem": "-1"}),
+        ("render", {"t0": "nan"}),
+    ],
+)
+def test_bad_requests_get_an_exception_and_the_link_goes_on(
+    server: ServerProcess, method: str, fields: dict[str, str]
+) -> None:
     client = ThriftClient(server.ports[0])
     assert client.ask(method, **fields)[0] == "exception"
     assert client.ask("fetch")[0] == "success"
@@ -66,17 +76,33 @@
     return struct.pack(">I", len(frame)) + frame
 
 
-@pytest.mark.parametrize("data", [
-    struct.pack(">I", 1 << 31) + b"x" * 9, struct.pack(">I", 0) + b"x" * 9,
-    struct.pack(">I", 8) + b"nonsense",
-    struct.pack(">I", 20) + b"\x80\x01\x00\x01" + struct.pack(">I", 1 << 30) + b"x" * 12,
-    struct.pack(">I", 9) + b"\x80\x01",  # begun and never finished
-    invoke(b"\x0b\x00\x02\xff\xff\xff\x00"),  # a text of negative length
-    invoke(b"\x0f\x00\x07\x01\x7f\xff\xff\xff"),  # a long list of elements that take no bytes
-    invoke(b"\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff"),  # a map of negative size
-    invoke(b"\x0c\x00\x07" * 5000), invoke(b"\x0f\x00\x07" + b"\x0f\x00\x00\x00\x01" * 5000)], ids=[
-    "long frame", "empty frame", "nonsense", "long name", "unfinished", "negative text", "long list", "negative map",
-    "deep structures", "deep lists in a long frame"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        struct.pack(">I", 1 << 31) + b"x" * 9,
+        struct.pack(">I", 0) + b"x" * 9,
+        struct.pack(">I", 8) + b"nonsense",
+        struct.pack(">I", 20) + b"\x80\x01\x00\x01" + struct.pack(">I", 1 << 30) + b"x" * 12,
+        struct.pack(">I", 9) + b"\x80\x01",  # begun and never finished
+        invoke(b"\x0b\x00\x02\xff\xff\xff\x00"),  # a text of negative length
+        invoke(b"\x0f\x00\x07\x01\x7f\xff\xff\xff"),  # a long list of elements that take no bytes
+        invoke(b"\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff"),  # a map of negative size
+        invoke(b"\x0c\x00\x07" * 5000),
+        invoke(b"\x0f\x00\x07" + b"\x0f\x00\x00\x00\x01" * 5000),
+    ],
+    ids=[
+        "long frame",
+        "empty frame",
+        "nonsense",
+        "long name",
+        "unfinished",
+        "negative text",
+        "long list",
+        "negative map",
+        "deep structures",
+        "deep lists in a long frame",
+    ],
+)
 def test_bytes_that_are_no_message_close_only_their_link(server: ServerProcess, data: bytes) -> None:
     client = ThriftClient(server.ports[0])
     open_one = client.send("render", b"ms=3000" if len(data) < 10 else b"ms=400")
@@ -142,11 +168,19 @@
     assert client.count[running[0]] == 1
 
 
-@pytest.mark.parametrize(("script", "kind", "calls"), [
-    (["BUSY"], "success", 2), (["VOID"], "success", 2), (["ERR"], "failed", 1), (["LATE"], "failed", 1),
-    (["cut"], "failed", 1)])
-def test_an_orders_call_is_repeated_only_on_proof(server: ServerProcess, script: list[str], kind: str,
-                                                  calls: int) -> None:
+@pytest.mark.parametrize(
+    ("script", "kind", "calls"),
+    [
+        (["BUSY"], "success", 2),
+        (["VOID"], "success", 2),
+        (["ERR"], "failed", 1),
+        (["LATE"], "failed", 1),
+        (["cut"], "failed", 1),
+    ],
+)
+def test_an_orders_call_is_repeated_only_on_proof(
+    server: ServerProcess, script: list[str], kind: str, calls: int
+) -> None:
     server.store.script = script
     assert ThriftClient(server.ports[0]).ask("order", b"calls=1")[0] == kind
     assert len(server.store.calls) == calls
@@ -215,7 +249,8 @@
 
 @pytest.mark.parametrize(("method", "kind", "runs"), [("render", "success", 1), ("order", "failed", 0)])
 def test_what_was_lost_with_the_link_is_sent_again_only_where_a_second_run_is_harmless(
-        server: ServerProcess, method: str, kind: str, runs: int) -> None:
+    server: ServerProcess, method: str, kind: str, runs: int
+) -> None:
     client = ThriftClient(server.ports[0])
     server.kernel.deaf = True
     time.sleep(0.1)
@@ -240,8 +275,7 @@
     assert server.kernel.by_body[body] == 1
 
 
-@pytest.mark.parametrize("odd", [
-    b"remark\n", b"[1]\n", b'{"t":"DMESG","status":"x"}\n', b'{"t":"INFO","v":7}\n'])
+@pytest.mark.parametrize("odd", [b"remark\n", b"[1]\n", b'{"t":"DMESG","status":"x"}\n', b'{"t":"INFO","v":7}\n'])
 def test_an_odd_line_of_the_kernel_changes_nothing(server: ServerProcess, odd: bytes) -> None:
     assert server.kernel.link
     server.kernel.link.sendall(odd)
@@ -279,9 +313,10 @@
     until(lambda: len(server.roster.reports) > reports)
 
 
-@pytest.mark.parametrize(("text", "fault"), [
-    ("{", "BALANCER_CONFIG: not JSON"), ("{}", "settings.family_info: "),
-    (None, "kernel: expected HOST:PORT")])
+@pytest.mark.parametrize(
+    ("text", "fault"),
+    [("{", "BALANCER_CONFIG: not JSON"), ("{}", "settings.family_info: "), (None, "kernel: expected HOST:PORT")],
+)
 def test_a_faulty_file_at_a_reload_keeps_the_old_one(server: ServerProcess, text: str | None, fault: str) -> None:
     path = server.path
     path.write_text(json.dumps({**server.config, "kernel": 7}) if text is None else text)
@@ -360,8 +395,10 @@
         assert client.ask("order")[0] == "success"
 
 
-@pytest.mark.parametrize(("asked", "wake", "turn"), [(False, 1040.0, 1000.0), (False, 1003.0, 999.0),
-                                                     (True, 1003.0, 1000.0), (True, 990.0, 990.0)])
+@pytest.mark.parametrize(
+    ("asked", "wake", "turn"),
+    [(False, 1040.0, 1000.0), (False, 1003.0, 999.0), (True, 1003.0, 1000.0), (True, 990.0, 990.0)],
+)
 def test_the_core_turns_no_earlier_than_something_is_due(asked: bool, wake: float, turn: float) -> None:
     core = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
     core._sweep_at, core._wakes, core._asked = 1000.0, [(wake, 0)], asked
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -36,7 +36,8 @@
 
 @pytest.mark.parametrize("when", ["running", "at a call", "ended", "gone", "failed"])
 def test_a_guarded_try_that_returns_never_runs_again(
-        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], when: str) -> None:
+    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], when: str
+) -> None:
     server, kernel, client = scripted
     first = client.send("booking", b"seat 1", token="aa")
     until(kernel.read)  # its start
@@ -67,7 +68,8 @@
 
 
 def test_a_guarded_try_that_never_began_may_run_and_one_without_its_token_may_not(
-        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient]) -> None:
+    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient],
+) -> None:
     server, kernel, client = scripted
     first = client.send("booking", b"seat 2", token="bb")
     until(kernel.read)
@@ -93,19 +95,23 @@
 @pytest.mark.parametrize("moment", ["early", "import", "config", "listen"])
 def test_a_signal_at_any_moment_of_the_start_neither_kills_nor_is_lost(tmp_path: Path, sent: str, moment: str) -> None:
     """The signal is raised by the process itself, at a line of its start."""
-    hooks = {"early": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
-                      "def at(s): old(s); raise_()\ne.StartupSignals.__init__ = at",
-             "import": "sys.meta_path.insert(0, type('F', (), {'find_spec': staticmethod(\n"
-                       "    lambda name, *a: raise_() if name == 'myrtlespar.server.main' else None)}))",
-             "config": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
-                       "def at(s):\n    old(s)\n    import myrtlespar.server.main as v; load = v.load\n"
-                       "    def late(): c = load(); raise_(); v.load = load; return c\n    v.load = late\n"
-                       "e.StartupSignals.__init__ = at",
-             "listen": "import myrtlespar.net.listener as n; old = n.Listener.start\n"
-                       "def at(s): raise_(); old(s)\nn.Listener.start = at"}
-    start = ("import os, runpy, signal, sys\nsys.path.insert(0, os.getcwd())\n"
-             f"def raise_(): os.kill(os.getpid(), signal.{sent})\n{hooks[moment]}\n"
-             "sys.argv[:] = ['myrtlespar']\nrunpy.run_module('myrtlespar', run_name='__main__')\n")
+    hooks = {
+        "early": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
+        "def at(s): old(s); raise_()\ne.StartupSignals.__init__ = at",
+        "import": "sys.meta_path.insert(0, type('F', (), {'find_spec': staticmethod(\n"
+        "    lambda name, *a: raise_() if name == 'myrtlespar.server.main' else None)}))",
+        "config": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
+        "def at(s):\n    old(s)\n    import myrtlespar.server.main as v; load = v.load\n"
+        "    def late(): c = load(); raise_(); v.load = load; return c\n    v.load = late\n"
+        "e.StartupSignals.__init__ = at",
+        "listen": "import myrtlespar.net.listener as n; old = n.Listener.start\n"
+        "def at(s): raise_(); old(s)\nn.Listener.start = at",
+    }
+    start = (
+        "import os, runpy, signal, sys\nsys.path.insert(0, os.getcwd())\n"
+        f"def raise_(): os.kill(os.getpid(), signal.{sent})\n{hooks[moment]}\n"
+        "sys.argv[:] = ['myrtlespar']\nrunpy.run_module('myrtlespar', run_name='__main__')\n"
+    )
     (tmp_path / "started.py").write_text(start)
     with server_process(tmp_path, start=str(tmp_path / "started.py"), wait=False) as running:
         if sent in ("SIGTERM", "SIGINT"):
@@ -146,7 +152,8 @@
 
 
 def test_a_client_that_closes_one_direction_gets_all_that_it_asked_for(
-        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient]) -> None:
+    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient],
+) -> None:
     server, kernel, client = scripted
     seqs = [client.send("tide", b"one"), client.send("booking", b"two", token="dd")]
     until(kernel.read)
@@ -224,7 +231,8 @@
 
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_signals_through_the_whole_drain_leave_status_0_beside_a_client_that_does_not_read(
-        tmp_path: Path, again: signal.Signals) -> None:
+    tmp_path: Path, again: signal.Signals
+) -> None:
     with server_process(tmp_path, given={"stop_ms": 700, "settings": classes(("slow", "free", 9000.0))}) as running:
         client = ThriftClient(running.ports[0])
         seq = client.send("slow", b"ms=60000")
@@ -285,7 +293,8 @@
 @pytest.mark.parametrize("other", ["abort", "reset", "half close", "link cut", "SIGTERM", "SIGHUP", "repeat"])
 @pytest.mark.parametrize("what", ["result", "call", "request"])
 def test_two_things_in_one_moment_leave_one_answer_and_one_run(
-        scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], what: str, other: str) -> None:
+    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], what: str, other: str
+) -> None:
     server, kernel, client = scripted
     first = ThriftClient(server.ports[0])
     seq = 0
@@ -337,10 +346,12 @@
 
 def finish(kernel: ScriptedEngine, ready: Callable[[], bool]) -> None:
     """End all that runs until this is so."""
+
     def look() -> bool:
         for rid in list(kernel.running):
             kernel.end(kernel.bodies[rid], "PASS")
         return ready()
+
     until(look)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -151,9 +151,7 @@
 
 
 def test_mean_of_calls_in_hand_leaves_room_below_the_share() -> None:
-    server = Server(
-        classes=[api.RequestClass(20000, 60000, calls=True)], shared_dependency=True, calls_share=2.0
-    )
+    server = Server(classes=[api.RequestClass(20000, 60000, calls=True)], shared_dependency=True, calls_share=2.0)
     server.policy.calls_mean = 1.3
     server.arrive(10, "a")
     server.at(20, api.CallNeeded("a"))
@@ -183,8 +181,19 @@
 
 
 def test_nothing_told_and_a_leaping_clock_get_ordinary_decisions() -> None:
-    server = Server(cores=0, servers=0, senders=0, tenant_quotas=[0.0], calls_share=0.0, calls_over_ms=0.0,
-                    shared_dependency=True, caller_idle_ms=0.0, cold=True, warm_up_ms=0.0, discovery_follows_health=True)
+    server = Server(
+        cores=0,
+        servers=0,
+        senders=0,
+        tenant_quotas=[0.0],
+        calls_share=0.0,
+        calls_over_ms=0.0,
+        shared_dependency=True,
+        caller_idle_ms=0.0,
+        cold=True,
+        warm_up_ms=0.0,
+        discovery_follows_health=True,
+    )
     for n in range(60):
         server.arrive(10, f"still{n}", 0, tenant=7, sender=90 + n)
     server.at(10, api.RunEnded("unknown", RunOutcome.OK, 5), api.CallerGone("unknown"), api.Tick(0, []))
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -31,11 +31,22 @@
     rows = []
     for name in draw(st.lists(names, min_size=1, max_size=draw(st.sampled_from([1, 3, 40])), unique=True)):
         client_timeout_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
-        rows.append({"name": name, "effect": draw(st.sampled_from(["free", "guarded", "single_shot"])),
-                     "aim_ms": draw(st.sampled_from([0.0, 0.1, client_timeout_ms / 2, client_timeout_ms])),
-                     "give_up_ms": client_timeout_ms, **draw(optional(
-                         priority_weight=numbers, late_weight=st.floats(0, 1), window_ms=st.sampled_from([0, 80.5, 3000]),
-                         aim_stretch=numbers))})
+        rows.append(
+            {
+                "name": name,
+                "effect": draw(st.sampled_from(["free", "guarded", "single_shot"])),
+                "aim_ms": draw(st.sampled_from([0.0, 0.1, client_timeout_ms / 2, client_timeout_ms])),
+                "give_up_ms": client_timeout_ms,
+                **draw(
+                    optional(
+                        priority_weight=numbers,
+                        late_weight=st.floats(0, 1),
+                        window_ms=st.sampled_from([0, 80.5, 3000]),
+                        aim_stretch=numbers,
+                    )
+                ),
+            }
+        )
     return rows
 
 
@@ -50,36 +61,80 @@
         "family_info": {
             "cores": draw(st.sampled_from([1, 2, 0.5, 64])),
             "memory_kb": draw(st.sampled_from([0.0, 500.0, 1e5, 1e9])),
-            **draw(optional(
-                below=st.sampled_from(["one_for_all", "silent", "tier"]), blowup=st.sampled_from([1, 16.0]),
-                calls_by_class=st.lists(st.booleans(), max_size=size), calls_out=st.sampled_from([0, 0.2, 6.0]),
-                calls_over_ms=numbers, cold=st.booleans(), deep_checks=st.booleans(),
-                degraded_worth=st.lists(st.floats(0, 1), max_size=size), fresh_ms=numbers,
-                gauges=st.lists(st.sampled_from(["cpu_busy", "runnable", "mem_used", "sockets"]), unique=True),
-                halt=st.sampled_from(["silent", "discard", "freeze"]), heeded_ms=numbers, caller_idle_ms=numbers,
-                key_kb=numbers, linger_ms=numbers, discovery_follows_health=st.booleans(), passes_deadline=st.booleans(),
-                senders=st.integers(0, 300), signal=st.sampled_from(["floor", "allowance", "weight", "silent", "odd"]),
-                reports_cancellation=st.booleans()))},
+            **draw(
+                optional(
+                    below=st.sampled_from(["one_for_all", "silent", "tier"]),
+                    blowup=st.sampled_from([1, 16.0]),
+                    calls_by_class=st.lists(st.booleans(), max_size=size),
+                    calls_out=st.sampled_from([0, 0.2, 6.0]),
+                    calls_over_ms=numbers,
+                    cold=st.booleans(),
+                    deep_checks=st.booleans(),
+                    degraded_worth=st.lists(st.floats(0, 1), max_size=size),
+                    fresh_ms=numbers,
+                    gauges=st.lists(st.sampled_from(["cpu_busy", "runnable", "mem_used", "sockets"]), unique=True),
+                    halt=st.sampled_from(["silent", "discard", "freeze"]),
+                    heeded_ms=numbers,
+                    caller_idle_ms=numbers,
+                    key_kb=numbers,
+                    linger_ms=numbers,
+                    discovery_follows_health=st.booleans(),
+                    passes_deadline=st.booleans(),
+                    senders=st.integers(0, 300),
+                    signal=st.sampled_from(["floor", "allowance", "weight", "silent", "odd"]),
+                    reports_cancellation=st.booleans(),
+                )
+            ),
+        },
         "invariants": {
-            "fall_multiple": draw(st.sampled_from([1, 8.0])), "fall_ms": draw(st.sampled_from([100, 1500.0])),
-            **draw(optional(answer_slack_ms=st.sampled_from([0, 2.5, 100]), cold_from=st.floats(0, 1),
-                            drain_grace_ms=st.sampled_from([0, 100, 5000.0]),
-                            warm_up_ms=st.sampled_from([0, 500, 15000])))},
-        **draw(optional(
-            areas=st.lists(names), clients=optional(marks_retry=st.booleans()), over_quota_weight=st.floats(0, 1),
-            permissions=optional(max_retry_after_ms=numbers, retry_after=st.booleans()), projects=shares,
-            round_ms=numbers, self_index=st.integers(0, 300), servers=st.integers(0, 300), tier=st.integers(0, 2),
-            tiers=st.lists(names), worth_by=st.sampled_from(["request", "work"]), zone=st.integers(0, 3),
-            goal=st.just({}), unknown_key=st.just([1])))}
+            "fall_multiple": draw(st.sampled_from([1, 8.0])),
+            "fall_ms": draw(st.sampled_from([100, 1500.0])),
+            **draw(
+                optional(
+                    answer_slack_ms=st.sampled_from([0, 2.5, 100]),
+                    cold_from=st.floats(0, 1),
+                    drain_grace_ms=st.sampled_from([0, 100, 5000.0]),
+                    warm_up_ms=st.sampled_from([0, 500, 15000]),
+                )
+            ),
+        },
+        **draw(
+            optional(
+                areas=st.lists(names),
+                clients=optional(marks_retry=st.booleans()),
+                over_quota_weight=st.floats(0, 1),
+                permissions=optional(max_retry_after_ms=numbers, retry_after=st.booleans()),
+                projects=shares,
+                round_ms=numbers,
+                self_index=st.integers(0, 300),
+                servers=st.integers(0, 300),
+                tier=st.integers(0, 2),
+                tiers=st.lists(names),
+                worth_by=st.sampled_from(["request", "work"]),
+                zone=st.integers(0, 3),
+                goal=st.just({}),
+                unknown_key=st.just([1]),
+            )
+        ),
+    }
 
 
 @seed(20261202)
-@settings(max_examples=EXAMPLES, deadline=None, database=None, derandomize=False,
-          suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large])
-@given(given_settings=all_settings(), stop_ms=st.sampled_from([0, 150, 700, 2500]),
-       limits=st.sampled_from([{}, {"memory_mb": 30, "sockets": 40}, {"memory_mb": 192, "sockets": 1024}]))
-def test_valid_settings_are_served_reloaded_and_drained(given_settings: dict[str, Any], stop_ms: int,
-                                                        limits: dict[str, int]) -> None:
+@settings(
+    max_examples=EXAMPLES,
+    deadline=None,
+    database=None,
+    derandomize=False,
+    suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
+)
+@given(
+    given_settings=all_settings(),
+    stop_ms=st.sampled_from([0, 150, 700, 2500]),
+    limits=st.sampled_from([{}, {"memory_mb": 30, "sockets": 40}, {"memory_mb": 192, "sockets": 1024}]),
+)
+def test_valid_settings_are_served_reloaded_and_drained(
+    given_settings: dict[str, Any], stop_ms: int, limits: dict[str, int]
+) -> None:
     more = {"settings": given_settings, "stop_ms": stop_ms, "limits": limits}
     with tempfile.TemporaryDirectory() as folder, server_process(Path(folder), given=more) as running:
         client, sent = ThriftClient(running.ports[0]), dict[int, tuple[dict[str, Any], float]]()
@@ -116,5 +171,8 @@
         fields = [value.fields for kind, value in client.answers.values() if kind != "exception"]
         assert all(("hint" in table) == shown for table in fields)
         counts = running.event("counters") or {}
-        assert not [name for name in counts if name.startswith(("impossible", "core.fault", "uncaught", "fault."))
-                    or "fault" in name], counts
+        assert not [
+            name
+            for name in counts
+            if name.startswith(("impossible", "core.fault", "uncaught", "fault.")) or "fault" in name
+        ], counts
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -26,6 +26,7 @@
 
 def reach(port: int) -> ThriftClient:
     """A client, once the program listens."""
+
     def connected() -> ThriftClient | None:
         with contextlib.suppress(OSError):
             return ThriftClient(port)
@@ -73,7 +74,10 @@
 @pytest.mark.parametrize("kind", ["blocked", "no reader", "full disk"])
 def test_a_log_that_cannot_be_written_stops_nothing(tmp_path: Path, kind: str) -> None:
     port = free_port()
-    with stream(kind) as output, server_process(tmp_path, listen=f"127.0.0.1:{port}", output=output, wait=False) as running:
+    with (
+        stream(kind) as output,
+        server_process(tmp_path, listen=f"127.0.0.1:{port}", output=output, wait=False) as running,
+    ):
         serves_and_leaves(running, port)
 
 
@@ -89,7 +93,10 @@
 
 @pytest.mark.parametrize("kind", ["blocked", "no reader"])
 def test_a_faulty_start_ends_though_nobody_reads_why(tmp_path: Path, kind: str) -> None:
-    with stream(kind) as output, server_process(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running:
+    with (
+        stream(kind) as output,
+        server_process(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running,
+    ):
         assert running.process.wait(20) == 2
 
 
@@ -109,6 +116,7 @@
             with contextlib.suppress(BlockingIOError):
                 seen += os.read(reader, 65536)
             return b"log lines lost" in seen
+
         until(told, "the number of lost lines")
         assert running.stop() == 0
     os.close(writer)
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -67,12 +67,22 @@
 
 def keys_are_nested(folder: Path) -> None:
     rows = b"[" * 100_000 + b"\n"
-    (folder / "myrtlespar-n3.keys").write_bytes(
-        b"myrtlespar-keys 1 %08x %d\n" % (zlib.crc32(rows), len(rows)) + rows)
-
-
-@pytest.mark.parametrize("left", [missing, a_file, lock_is_a_folder, keys_are_a_folder, keys_are_a_pipe,
-                                  keys_are_endless, keys_have_odd_numbers, keys_are_nested])
+    (folder / "myrtlespar-n3.keys").write_bytes(b"myrtlespar-keys 1 %08x %d\n" % (zlib.crc32(rows), len(rows)) + rows)
+
+
+@pytest.mark.parametrize(
+    "left",
+    [
+        missing,
+        a_file,
+        lock_is_a_folder,
+        keys_are_a_folder,
+        keys_are_a_pipe,
+        keys_are_endless,
+        keys_have_odd_numbers,
+        keys_are_nested,
+    ],
+)
 def test_a_folder_that_fails_is_named_counted_and_no_obstacle(tmp_path: Path, left: Callable[[Path], None]) -> None:
     shared = tmp_path / "shared"
     shared.mkdir()
@@ -83,6 +93,7 @@
 
         def booked() -> bool:
             return client.ask("booking", b"seat", token="t")[0] == "success"
+
         until(booked, "a keyed request that is taken")
         counts = running.counters()
         assert counts.get("handover.unusable", 0) + counts.get("handover.refused", 0) >= 1, counts
@@ -90,8 +101,15 @@
         assert running.process.wait(20) == 0
 
 
-@pytest.mark.parametrize("entry", [[0, "k", "served", "", float("nan"), 1e15], [0, "k", "served", "", 0, float("inf")],
-                                   [0, "k", "served", "", 10**400, 1e15], [0, "k", "served", "", -1, 1e15]])
+@pytest.mark.parametrize(
+    "entry",
+    [
+        [0, "k", "served", "", float("nan"), 1e15],
+        [0, "k", "served", "", 0, float("inf")],
+        [0, "k", "served", "", 10**400, 1e15],
+        [0, "k", "served", "", -1, 1e15],
+    ],
+)
 def test_an_entry_whose_times_are_none_is_refused_whole(entry: list[Any]) -> None:
     with pytest.raises(HandoverRejected):
         decode(keys_file(entry), 0.0, 1)
@@ -108,22 +126,32 @@
 
 def test_keys_that_are_left_between_two_looks_are_not_missed(tmp_path: Path) -> None:
     """The successor read the folder, then the old process left its keys and ended, then the successor saw it gone."""
-    gate = Gate(tmp_path, "myrtlespar.handover.folder:HandoverFolder.claim",
-                "calls.append(1) or len(calls) == 2", "calls = []")
+    gate = Gate(
+        tmp_path, "myrtlespar.handover.folder:HandoverFolder.claim", "calls.append(1) or len(calls) == 2", "calls = []"
+    )
     port = free_port()
     (tmp_path / "old").mkdir()
     (tmp_path / "new").mkdir()
     with server_process(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
         assert ThriftClient(port).ask("booking", b"seat 1", token="t")[0] == "success"
-        with server_process(tmp_path / "new", mgmt=True, shared=tmp_path, given={**GUARDED, "kernel": old.kernel.address},
-                  listen=f"127.0.0.1:{port}", start=gate.start, wait=False) as new:
+        with server_process(
+            tmp_path / "new",
+            mgmt=True,
+            shared=tmp_path,
+            given={**GUARDED, "kernel": old.kernel.address},
+            listen=f"127.0.0.1:{port}",
+            start=gate.start,
+            wait=False,
+        ) as new:
             gate.reached(new)  # in its second look, with the old process alive in the first
             old.process.terminate()
             assert old.process.wait(20) == 0
             gate.open()
             until(lambda: new.event("serving"))
-            until(lambda: new.event("hand-over taken: 1 keys") or new.event(
-                "the old process is gone; keys open without its hand-over"))
+            until(
+                lambda: new.event("hand-over taken: 1 keys")
+                or new.event("the old process is gone; keys open without its hand-over")
+            )
             assert new.event("hand-over taken: 1 keys") is not None
             client = reach(port)
             assert client.ask("booking", b"seat 1", token="t", again="1")[0] == "success"
@@ -197,14 +225,31 @@
         assert soft == 64 and not running.counters().get("uncaught")
 
 
-@pytest.mark.parametrize("given", [
-    {"mgmt": None}, {"limits": None}, {"limits": {"cores": None, "memory_mb": None, "sockets": None}},
-    {"stop_ms": None}, {"stop_ms": 0}, {"stop_ms": 0.5}, {"seed": None}, {"seed": "f" * 64}, {"unknown": [1]},
-    {"limits": {"memory_mb": 40.5, "sockets": 100.9}},
-    {"name": "tile server/3 é"}, {"settings": settings(classes=[
-        {"name": None, "effect": "free", "aim_ms": 100, "give_up_ms": 1000},
-        {"effect": "single_shot", "aim_ms": 100, "give_up_ms": 1e300}])}],
-    ids=lambda given: next(iter(given)))
+@pytest.mark.parametrize(
+    "given",
+    [
+        {"mgmt": None},
+        {"limits": None},
+        {"limits": {"cores": None, "memory_mb": None, "sockets": None}},
+        {"stop_ms": None},
+        {"stop_ms": 0},
+        {"stop_ms": 0.5},
+        {"seed": None},
+        {"seed": "f" * 64},
+        {"unknown": [1]},
+        {"limits": {"memory_mb": 40.5, "sockets": 100.9}},
+        {"name": "tile server/3 é"},
+        {
+            "settings": settings(
+                classes=[
+                    {"name": None, "effect": "free", "aim_ms": 100, "give_up_ms": 1000},
+                    {"effect": "single_shot", "aim_ms": 100, "give_up_ms": 1e300},
+                ]
+            )
+        },
+    ],
+    ids=lambda given: next(iter(given)),
+)
 def test_what_may_be_absent_null_fractional_or_unknown_is_no_obstacle(tmp_path: Path, given: dict[str, Any]) -> None:
     classes = given.get("settings", settings())["classes"]
     with server_process(tmp_path, given=given) as running:
@@ -229,15 +274,30 @@
         assert running.stop() == 0
 
 
-@pytest.mark.parametrize(("change", "text"), [
-    ({"settings": settings(servers=10**400)}, "settings.servers:"),
-    ({"settings": settings(classes=[{"effect": "free", "aim_ms": 10**400, "give_up_ms": 1}])},
-     "settings.classes[0].aim_ms:"),
-    ({"stop_ms": 10**400}, "stop_ms:"), ({"seed": [[]]}, "seed:")])
-def test_numbers_that_are_none_are_one_line_that_names_the_key(tmp_path: Path, change: dict[str, Any],
-                                                               text: str) -> None:
-    config = {"name": "n", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "store": "127.0.0.1:1",
-              "roster": "127.0.0.1:1", "settings": settings(), **change}
+@pytest.mark.parametrize(
+    ("change", "text"),
+    [
+        ({"settings": settings(servers=10**400)}, "settings.servers:"),
+        (
+            {"settings": settings(classes=[{"effect": "free", "aim_ms": 10**400, "give_up_ms": 1}])},
+            "settings.classes[0].aim_ms:",
+        ),
+        ({"stop_ms": 10**400}, "stop_ms:"),
+        ({"seed": [[]]}, "seed:"),
+    ],
+)
+def test_numbers_that_are_none_are_one_line_that_names_the_key(
+    tmp_path: Path, change: dict[str, Any], text: str
+) -> None:
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:1",
+        "store": "127.0.0.1:1",
+        "roster": "127.0.0.1:1",
+        "settings": settings(),
+        **change,
+    }
     assert refusal(tmp_path, json.dumps(config)).startswith(text)
 
 
@@ -248,7 +308,14 @@
 def refusal(tmp: Path, text: str) -> str:
     """The one line with which the program refuses this file."""
     (tmp / "c.json").write_text(text)
-    done = subprocess.run([sys.executable, "-m", "myrtlespar"], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                          env={**os.environ, "BALANCER_CONFIG": str(tmp / "c.json")}, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "myrtlespar"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, "BALANCER_CONFIG": str(tmp / "c.json")},
+        check=False,
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr[-300:]
     return done.stderr
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -50,8 +50,9 @@
 
 
 def test_a_fault_with_one_answer_costs_no_other_one(tmp_path: Path) -> None:
-    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_answer",
-                    "not planted and args[2].kind.value == 'served'")
+    start = planted(
+        tmp_path, "net.thrift_front", "ThriftConnection", "_answer", "not planted and args[2].kind.value == 'served'"
+    )
     with server_process(tmp_path, start=start) as running:
         client = ThriftClient(running.ports[0])
         client.send("fetch", b"ms=1")
@@ -60,10 +61,15 @@
         told_once(running, "effect failed", "core.effect_fault")
 
 
-@pytest.mark.parametrize(("module", "owner", "name", "part"), [
-    ("net.engine_client", "EngineClient", "_connect", "kernel"),
-    ("net.dependency_client", "DependencyCalls", "look", "store"),
-    ("net.registry_client", "RegistryClient", "_report", "roster"), ("net.listener", "Listener", "_close_silent", "thrift.look")])
+@pytest.mark.parametrize(
+    ("module", "owner", "name", "part"),
+    [
+        ("net.engine_client", "EngineClient", "_connect", "kernel"),
+        ("net.dependency_client", "DependencyCalls", "look", "store"),
+        ("net.registry_client", "RegistryClient", "_report", "roster"),
+        ("net.listener", "Listener", "_close_silent", "thrift.look"),
+    ],
+)
 def test_a_part_that_has_to_go_on_goes_on(tmp_path: Path, module: str, owner: str, name: str, part: str) -> None:
     with server_process(tmp_path, start=planted(tmp_path, module, owner, name, "len(planted) < 2")) as running:
         silent = ThriftClient(running.ports[0])
@@ -75,7 +81,7 @@
 
 
 def test_without_its_core_the_process_ends_at_once_and_says_why(tmp_path: Path) -> None:
-    start = planted(tmp_path, "core", "Core", "_turn", "args[0].counters._counts['in.request.thrift'] > 1")
+    start = planted(tmp_path, "request_coordinator", "RequestCoordinator", "_turn", "args[0].counters._counts['in.request.thrift'] > 1")
     with server_process(tmp_path, start=start) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"ms=1")[0] == "success"
