--- /dev/null
+++ b/tests/stored_formats.py
@@ -0,0 +1,304 @@
+"""The stored and transmitted formats by name: how the project decodes and encodes each.
+
+This is the only place where the golden-bytes test names modules, classes or functions of the project. When one of
+them is renamed, change it here; the test and its data stay as they are."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import re
+import socket
+import tempfile
+import typing
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from enum import Enum
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+import structlog
+import yaml
+
+from myrtlespar.attempt import TABLES
+from myrtlespar.check import command as checker
+from myrtlespar.check.events import EVENTS
+from myrtlespar.check.explore import Result
+from myrtlespar.check.plants import PLANTS
+from myrtlespar.check.rules import RULES
+from myrtlespar.check.scenarios import ALL as SCENARIOS
+from myrtlespar.check.trace import Recorded, check_trace
+from myrtlespar.exchange import Kind
+from myrtlespar.log_output import log_to_standard_output
+from myrtlespar.membership import messages as membership
+from myrtlespar.net import vaultfile
+from myrtlespar.net.codec import peer, quota
+from myrtlespar.net.peers import Peers
+from myrtlespar.ops import handover
+from myrtlespar.quota import messages as limits
+from myrtlespar.quota.budget import Vault
+from myrtlespar.tracing import trace_to_log
+
+HANDOVER_NOW_MS = 1_000.0  # entries of a hand-over file that lapse by then are dropped
+HANDOVER_CLASSES = 4  # class numbers 0 to 3 are known
+TIMESTAMP = re.compile(rb'"timestamp": "([^"]*)"')
+
+
+class NotAccepted(Exception):
+    """The project's reader refused the bytes and reported it by a status instead of an exception."""
+
+# The fields of each type in the order of the wire, whatever order the class has them in: this finds two exchanged
+# fields of one type, which a round trip does not.
+WIRE_FIELDS: dict[type, str] = {
+    membership.Rumour: "name site address boot counter state age_ms by",
+    membership.Row: "by boot no cannot",
+    membership.Ping: "seq",
+    membership.Ack: "seq of",
+    membership.Relay: "seq name address",
+    membership.Nack: "seq",
+    membership.Push: "",
+    membership.Packet: "fleet no me hash roll body rumours rows",
+    membership.Sync: "fleet me entries rows",
+    quota.Letter: "fleet name boot message",
+    limits.Want: "key want took busy peak",
+    limits.Ask: "rng no wants version",
+    limits.Grants: "rng epoch no for_ms amounts settled",
+    limits.AskLease: "rng epoch no",
+    limits.Promise: "rng no ok seen whole holds version",
+    limits.Draw: "rng key period got epoch back want",
+    limits.Drawn: "rng epoch key period total left",
+    limits.Reserve: "rng epoch key period total",
+    limits.Reserved: "rng epoch key period total",
+    handover.Known: "cls key kind body retry_after_ms lapses_at",
+}
+
+
+@dataclass(frozen=True)
+class StoredFormat:
+    """How one format is decoded and encoded. `value` turns a decoded object into its neutral form; `refusals` are the
+    exceptions by which the decoder refuses bytes."""
+
+    decode: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+    value: Callable[[Any], Any]
+    refusals: tuple[type[Exception], ...]
+
+
+def positional(item: Any) -> Any:
+    """A value without Python names: fields by position behind the wire tag, enum members by value, bytes as hex."""
+    if isinstance(item, Enum):
+        return item.value
+    if isinstance(item, bytes):
+        return item.hex()
+    if type(item) in WIRE_FIELDS:
+        members = [positional(getattr(item, name)) for name in WIRE_FIELDS[type(item)].split()]
+        return [item.__struct_config__.tag, *members] if is_tagged(item) else members
+    if isinstance(item, dict):
+        return [[positional(key), positional(member)] for key, member in item.items()]
+    if isinstance(item, list | tuple):
+        return [positional(member) for member in item]
+    if item is None or isinstance(item, bool | int | float | str):
+        return item
+    raise TypeError(f"no order of the wire for {type(item).__name__}")
+
+
+def is_tagged(item: Any) -> bool:
+    """Whether the wire holds a tag in front of this item's fields."""
+    return isinstance(item, msgspec.Struct) and item.__struct_config__.tag is not None
+
+
+def wire_tags(union: Any) -> frozenset[int]:
+    """The tags of all message types in a union."""
+    return frozenset(member.__struct_config__.tag for member in typing.get_args(union))
+
+
+@contextlib.contextmanager
+def temporary_path(name: str) -> Iterator[Path]:
+    """The path of a file that does not exist yet, in a directory that is removed afterwards."""
+    with tempfile.TemporaryDirectory() as folder:
+        yield Path(folder) / name
+
+
+# Messages between peers.
+
+
+def decode_probe(data: bytes) -> tuple[str, str]:
+    """Fleet and name in the question of a second process of one name; the project itself compares whole datagrams."""
+    if not data.startswith(peer.BESIDE):
+        raise NotAccepted("no probe")
+    fleet, _, name = data.removeprefix(peer.BESIDE).decode().partition(" ")
+    return fleet, name
+
+
+def decode_exchange(data: bytes) -> Any:
+    """A whole view with the length in front, as it is read from a TCP connection."""
+    reader, writer = socket.socketpair()
+    with reader:
+        with writer:
+            writer.sendall(data)
+        return Peers._whole(typing.cast(Peers, SimpleNamespace(read_bytes=0)), reader)
+
+
+def encode_exchange(sync: Any) -> bytes:
+    """The bytes that are written to a TCP connection for a whole view."""
+    reader, writer = socket.socketpair()
+    with reader:
+        with writer:
+            Peers._write(typing.cast(Peers, SimpleNamespace(sent_bytes=0)), writer, sync)
+        return b"".join(iter(lambda: reader.recv(65536), b""))
+
+
+# The hand-over file and the state file of budgets.
+
+
+def decode_handover(data: bytes) -> Any:
+    """The entries of a hand-over file that have not lapsed."""
+    return handover.decode(data, HANDOVER_NOW_MS, HANDOVER_CLASSES)
+
+
+def encode_handover(entries: Any) -> bytes:
+    """The hand-over file for entries, by way of the answers that they stand for in a process."""
+    rows = [((entry.cls, entry.key), handover.answer_of(entry), entry.lapses_at) for entry in entries]
+    return handover.encode(handover.known_of(rows))
+
+
+def decode_budget_state(data: bytes) -> Vault:
+    """What an elector reads at its start."""
+    with temporary_path("budgets") as path:
+        path.write_bytes(data)
+        return Vault(vaultfile.read(path))
+
+
+def encode_budget_state(vault: Vault) -> bytes:
+    """What an elector writes."""
+    with temporary_path("budgets") as path:
+        vaultfile.write(path, vault.rows)
+        return path.read_bytes()
+
+
+# Recorded traces.
+
+
+@dataclass(frozen=True)
+class Trace:
+    """A trace: its steps as read, and what the checker holds of the machines behind the last one."""
+
+    steps: list[dict[str, str]]
+    checked: Recorded
+
+
+def decode_trace(data: bytes) -> Trace:
+    """A trace that the checker accepts."""
+    with temporary_path("trace") as path:
+        path.write_bytes(data)
+        if check_trace(path) != 0:
+            raise NotAccepted("trace")
+    trace = Trace([], Recorded())
+    for line in data.splitlines():
+        if b'"event": "step"' in line:
+            trace.steps.append(json.loads(line))
+            trace.checked.take(trace.steps[-1])
+    return trace
+
+
+def trace_value(trace: Trace) -> Any:
+    """Steps as machine, who, state, event, state behind it, time; their count; where each machine stands at the end."""
+    names = ("machine", "who", "state", "on", "to", "timestamp")
+    steps = [[step[name] for name in names] for step in trace.steps]
+    return [steps, trace.checked.steps, sorted([*machine, state] for machine, state in trace.checked.at.items())]
+
+
+def encode_trace(trace: Trace) -> bytes:
+    """The log of the same steps, made by the tables themselves, with the recorded times in place of the present one."""
+    lines = log_of_steps(trace.steps).splitlines(keepends=True)
+    assert len(lines) == len(trace.steps)
+    return b"".join(with_timestamp(line, step["timestamp"]) for line, step in zip(lines, trace.steps, strict=True))
+
+
+def log_of_steps(steps: list[dict[str, str]]) -> bytes:
+    """What the tables log while they make these steps."""
+    tables = {table.name: table for table in TABLES}
+    watchers = [table.watch for table in TABLES]
+    configuration = structlog.get_config()
+    with temporary_path("log") as path:
+        try:
+            with path.open("w") as log, contextlib.redirect_stdout(log):
+                log_to_standard_output()
+                trace_to_log()
+                for step in steps:
+                    table = tables[step["machine"]]
+                    table.step(table.states[step["state"]], table.events[step["on"]], step["who"])
+        finally:
+            structlog.configure(**configuration)
+            for table, watcher in zip(TABLES, watchers, strict=True):
+                table.watch = watcher
+        return path.read_bytes()
+
+
+def with_timestamp(line: bytes, timestamp: str) -> bytes:
+    """A line of the log with another time in it."""
+    return TIMESTAMP.sub(b'"timestamp": "' + timestamp.encode() + b'"', line, count=1)
+
+
+# Replays: counter-examples that the checker keeps and plays again.
+
+
+def decode_replay(data: bytes) -> Any:
+    """Scenario, events and planted bug as the checker reads them, and the rules that fell, which only people read."""
+    with temporary_path("replay.yaml") as path:
+        path.write_bytes(data)
+        scenario, events, planted_bug = checker.read(path)
+    return scenario, yaml.safe_load(data).get("fell", []), events, planted_bug
+
+
+def encode_replay(replay: Any) -> bytes:
+    """The file that the checker keeps."""
+    scenario, fell, events, planted_bug = replay
+    with temporary_path("replay.yaml") as path:
+        checker.save(Result(scenario, fell=fell, path=events), path, planted_bug)
+        return path.read_bytes()
+
+
+def replay_status(data: bytes) -> int:
+    """The exit status of playing a replay without its planted bug: 0 no rule fell, 1 one did, 2 it can't be played."""
+    watchers = [table.watch for table in TABLES]
+    try:
+        with temporary_path("replay.yaml") as path:
+            path.write_bytes(data)
+            return checker.replay(path, False, "")
+    finally:
+        for table, watcher in zip(TABLES, watchers, strict=True):
+            table.watch = watcher
+
+
+FORMATS = {
+    "peer datagram": StoredFormat(peer.decode, peer.encode, positional, (peer.Spoilt,)),
+    "peer sync": StoredFormat(peer.decode_sync, peer.encode, positional, (peer.Spoilt,)),
+    "peer exchange": StoredFormat(decode_exchange, encode_exchange, positional, (peer.Spoilt,)),
+    "peer probe": StoredFormat(decode_probe, lambda names: peer.beside(*names), positional, (NotAccepted,)),
+    "limits message": StoredFormat(quota.decode, quota.encode, positional, (peer.Spoilt,)),
+    "hand-over file": StoredFormat(decode_handover, encode_handover, positional, (handover.Refused,)),
+    "budget state file": StoredFormat(decode_budget_state, encode_budget_state, lambda vault: positional(vault.rows),
+                                      (vaultfile.Torn,)),
+    "trace": StoredFormat(decode_trace, encode_trace, trace_value, (NotAccepted,)),
+    "replay": StoredFormat(decode_replay, encode_replay, positional, (checker.Faulty,)),
+}
+
+# Every tag, state and name that stored or transmitted data may hold.
+NAMES: dict[str, frozenset[Any]] = {
+    "peer message tag": wire_tags(membership.Body),
+    "limits message tag": wire_tags(limits.Message),
+    "member state": frozenset(state.value for state in membership.State),
+    "kind of answer": frozenset(kind.value for kind in Kind),
+    "transition": frozenset(
+        (table.name, table.states(state).name, table.events(event).name)
+        for table in TABLES
+        for state, event in table.filled()
+    ),
+    "scenario": frozenset(SCENARIOS),
+    "kind of event": frozenset(EVENTS),
+    "rule": frozenset(RULES),
+    "planted bug": frozenset(PLANTS),
+}
