--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -22,24 +22,25 @@
 import structlog
 import yaml
 
-from myrtlespar.attempt import TABLES
-from myrtlespar.check import command as checker
-from myrtlespar.check.events import EVENTS
-from myrtlespar.check.explore import Result
-from myrtlespar.check.plants import PLANTS
-from myrtlespar.check.rules import RULES
-from myrtlespar.check.scenarios import ALL as SCENARIOS
-from myrtlespar.check.trace import Recorded, check_trace
-from myrtlespar.exchange import Kind
-from myrtlespar.log_output import log_to_standard_output
+from myrtlespar.exchange import AnswerKind
+from myrtlespar.handover import keys_file
 from myrtlespar.membership import messages as membership
-from myrtlespar.net import vaultfile
-from myrtlespar.net.codec import peer, quota
-from myrtlespar.net.peers import Peers
-from myrtlespar.ops import handover
+from myrtlespar.model_checker import command as checker
+from myrtlespar.model_checker.events import EVENTS
+from myrtlespar.model_checker.explore import Result
+from myrtlespar.model_checker.invariants import RULES
+from myrtlespar.model_checker.mutants import MUTATIONS
+from myrtlespar.model_checker.scenarios import ALL as SCENARIOS
+from myrtlespar.model_checker.trace_checker import TraceState, check_trace
+from myrtlespar.net import budget_file
+from myrtlespar.net.codec import limits as limits_codec
+from myrtlespar.net.codec import peer
+from myrtlespar.net.peer_transport import PeerTransport
 from myrtlespar.quota import messages as limits
-from myrtlespar.quota.budget import Vault
-from myrtlespar.tracing import trace_to_log
+from myrtlespar.quota.budget import BudgetJournal
+from myrtlespar.runtime.log_output import log_to_standard_output
+from myrtlespar.runtime.tracing import trace_to_log
+from myrtlespar.state_machines import TABLES
 
 HANDOVER_NOW_MS = 1_000.0  # entries of a hand-over file that lapse by then are dropped
 HANDOVER_CLASSES = 4  # class numbers 0 to 3 are known
@@ -49,29 +50,30 @@
 class NotAccepted(Exception):
     """The project's reader refused the bytes and reported it by a status instead of an exception."""
 
+
 # The fields of each type in the order of the wire, whatever order the class has them in: this finds two exchanged
 # fields of one type, which a round trip does not.
 WIRE_FIELDS: dict[type, str] = {
-    membership.Rumour: "name site address boot counter state age_ms by",
-    membership.Row: "by boot no cannot",
+    membership.MemberUpdate: "name site address boot counter state age_ms by",
+    membership.ReachabilityRow: "by boot no cannot",
     membership.Ping: "seq",
     membership.Ack: "seq of",
-    membership.Relay: "seq name address",
+    membership.IndirectProbe: "seq name address",
     membership.Nack: "seq",
-    membership.Push: "",
+    membership.GossipPush: "",
     membership.Packet: "fleet no me hash roll body rumours rows",
-    membership.Sync: "fleet me entries rows",
-    quota.Letter: "fleet name boot message",
-    limits.Want: "key want took busy peak",
-    limits.Ask: "rng no wants version",
-    limits.Grants: "rng epoch no for_ms amounts settled",
-    limits.AskLease: "rng epoch no",
-    limits.Promise: "rng no ok seen whole holds version",
-    limits.Draw: "rng key period got epoch back want",
-    limits.Drawn: "rng epoch key period total left",
-    limits.Reserve: "rng epoch key period total",
-    limits.Reserved: "rng epoch key period total",
-    handover.Known: "cls key kind body retry_after_ms lapses_at",
+    membership.ViewSync: "fleet me entries rows",
+    limits_codec.LimitDatagram: "fleet name boot message",
+    limits.KeyDemand: "key want took busy peak",
+    limits.GrantRequest: "rng no wants version",
+    limits.GrantResponse: "rng epoch no for_ms amounts settled",
+    limits.LeaseRequest: "rng epoch no",
+    limits.LeaseVote: "rng no ok seen whole holds version",
+    limits.BudgetDrawRequest: "rng key period got epoch back want",
+    limits.BudgetDrawResponse: "rng epoch key period total left",
+    limits.BudgetReserveRequest: "rng epoch key period total",
+    limits.BudgetReserveResponse: "rng epoch key period total",
+    keys_file.KnownKey: "cls key kind body retry_after_ms lapses_at",
 }
 
 
@@ -138,7 +140,7 @@
     with reader:
         with writer:
             writer.sendall(data)
-        return Peers._whole(typing.cast(Peers, SimpleNamespace(read_bytes=0)), reader)
+        return PeerTransport._whole(typing.cast(PeerTransport, SimpleNamespace(read_bytes=0)), reader)
 
 
 def encode_exchange(sync: Any) -> bytes:
@@ -146,7 +148,7 @@
     reader, writer = socket.socketpair()
     with reader:
         with writer:
-            Peers._write(typing.cast(Peers, SimpleNamespace(sent_bytes=0)), writer, sync)
+            PeerTransport._write(typing.cast(PeerTransport, SimpleNamespace(sent_bytes=0)), writer, sync)
         return b"".join(iter(lambda: reader.recv(65536), b""))
 
 
@@ -155,26 +157,26 @@
 
 def decode_handover(data: bytes) -> Any:
     """The entries of a hand-over file that have not lapsed."""
-    return handover.decode(data, HANDOVER_NOW_MS, HANDOVER_CLASSES)
+    return keys_file.decode(data, HANDOVER_NOW_MS, HANDOVER_CLASSES)
 
 
 def encode_handover(entries: Any) -> bytes:
     """The hand-over file for entries, by way of the answers that they stand for in a process."""
-    rows = [((entry.cls, entry.key), handover.answer_of(entry), entry.lapses_at) for entry in entries]
-    return handover.encode(handover.known_of(rows))
+    rows = [((entry.cls, entry.key), keys_file.answer_of(entry), entry.lapses_at) for entry in entries]
+    return keys_file.encode(keys_file.known_keys(rows))
 
 
-def decode_budget_state(data: bytes) -> Vault:
+def decode_budget_state(data: bytes) -> BudgetJournal:
     """What an elector reads at its start."""
     with temporary_path("budgets") as path:
         path.write_bytes(data)
-        return Vault(vaultfile.read(path))
+        return BudgetJournal(budget_file.read(path))
 
 
-def encode_budget_state(vault: Vault) -> bytes:
+def encode_budget_state(vault: BudgetJournal) -> bytes:
     """What an elector writes."""
     with temporary_path("budgets") as path:
-        vaultfile.write(path, vault.rows)
+        budget_file.write(path, vault.rows)
         return path.read_bytes()
 
 
@@ -186,7 +188,7 @@
     """A trace: its steps as read, and what the checker holds of the machines behind the last one."""
 
     steps: list[dict[str, str]]
-    checked: Recorded
+    checked: TraceState
 
 
 def decode_trace(data: bytes) -> Trace:
@@ -195,7 +197,7 @@
         path.write_bytes(data)
         if check_trace(path) != 0:
             raise NotAccepted("trace")
-    trace = Trace([], Recorded())
+    trace = Trace([], TraceState())
     for line in data.splitlines():
         if b'"event": "step"' in line:
             trace.steps.append(json.loads(line))
@@ -274,24 +276,25 @@
 
 
 FORMATS = {
-    "peer datagram": StoredFormat(peer.decode, peer.encode, positional, (peer.Spoilt,)),
-    "peer sync": StoredFormat(peer.decode_sync, peer.encode, positional, (peer.Spoilt,)),
-    "peer exchange": StoredFormat(decode_exchange, encode_exchange, positional, (peer.Spoilt,)),
+    "peer datagram": StoredFormat(peer.decode, peer.encode, positional, (peer.MalformedPeerMessage,)),
+    "peer sync": StoredFormat(peer.decode_sync, peer.encode, positional, (peer.MalformedPeerMessage,)),
+    "peer exchange": StoredFormat(decode_exchange, encode_exchange, positional, (peer.MalformedPeerMessage,)),
     "peer probe": StoredFormat(decode_probe, lambda names: peer.beside(*names), positional, (NotAccepted,)),
-    "limits message": StoredFormat(quota.decode, quota.encode, positional, (peer.Spoilt,)),
-    "hand-over file": StoredFormat(decode_handover, encode_handover, positional, (handover.Refused,)),
-    "budget state file": StoredFormat(decode_budget_state, encode_budget_state, lambda vault: positional(vault.rows),
-                                      (vaultfile.Torn,)),
+    "limits message": StoredFormat(limits_codec.decode, limits_codec.encode, positional, (peer.MalformedPeerMessage,)),
+    "hand-over file": StoredFormat(decode_handover, encode_handover, positional, (keys_file.HandoverRejected,)),
+    "budget state file": StoredFormat(
+        decode_budget_state, encode_budget_state, lambda vault: positional(vault.rows), (budget_file.CorruptBudgetFile,)
+    ),
     "trace": StoredFormat(decode_trace, encode_trace, trace_value, (NotAccepted,)),
-    "replay": StoredFormat(decode_replay, encode_replay, positional, (checker.Faulty,)),
+    "replay": StoredFormat(decode_replay, encode_replay, positional, (checker.FaultyReplay,)),
 }
 
 # Every tag, state and name that stored or transmitted data may hold.
 NAMES: dict[str, frozenset[Any]] = {
     "peer message tag": wire_tags(membership.Body),
-    "limits message tag": wire_tags(limits.Message),
-    "member state": frozenset(state.value for state in membership.State),
-    "kind of answer": frozenset(kind.value for kind in Kind),
+    "limits message tag": wire_tags(limits.LimitMessage),
+    "member state": frozenset(state.value for state in membership.MemberState),
+    "kind of answer": frozenset(kind.value for kind in AnswerKind),
     "transition": frozenset(
         (table.name, table.states(state).name, table.events(event).name)
         for table in TABLES
@@ -300,5 +303,5 @@
     "scenario": frozenset(SCENARIOS),
     "kind of event": frozenset(EVENTS),
     "rule": frozenset(RULES),
-    "planted bug": frozenset(PLANTS),
+    "planted bug": frozenset(MUTATIONS),
 }
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -81,7 +81,13 @@
 
 
 def test_without_its_core_the_process_ends_at_once_and_says_why(tmp_path: Path) -> None:
-    start = planted(tmp_path, "request_coordinator", "RequestCoordinator", "_turn", "args[0].counters._counts['in.request.thrift'] > 1")
+    start = planted(
+        tmp_path,
+        "request_coordinator",
+        "RequestCoordinator",
+        "_turn",
+        "args[0].counters._counts['in.request.thrift'] > 1",
+    )
     with server_process(tmp_path, start=start) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"ms=1")[0] == "success"
