--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -4,7 +4,8 @@
 
 At 4 s site c is cut off, at 5 s all members but c1 take 12 a second in place of 30, at 12 s the cut heals, at 14 s c1
 is told. Judged by the kernels' starts: never over 30 in a window, never over 12 from a stated time on; and who was told
-to the operators as behind."""
+to the operators as behind.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/config.py
+++ b/myrtlespar/config.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 from typing import Any
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.settings import InvalidSetting, MissingSetting, read_settings
+from myrtlespar.policy.settings import InvalidSettingError, MissingSettingError, read_settings
 from myrtlespar.resource_limits import ResourceLimits
 
 Address = tuple[str, int]
@@ -25,7 +26,7 @@
 CONNECTION_KB = 24.0  # what one connection may add: its greenlet, and part of a message
 
 
-class ConfigError(Exception):
+class ConfigError(MyrtlesparError):
     """One line that names the faulty key."""
 
 
@@ -34,9 +35,9 @@
     """What requests below one path are: their class, rank by worth, memory, and who runs them."""
 
     path: str
-    cls: int
+    class_index: int
     priority_weight: float = 0.5
-    kb: float = 20.0
+    memory_kb: float = 20.0
     to: str = ""  # a worker or balancer; empty is the kernel
 
 
@@ -173,9 +174,9 @@
     rows = Table(_json(path), "")
     try:
         settings = read_settings(rows.table("settings").rows)
-    except MissingSetting as error:
+    except MissingSettingError as error:
         raise ConfigError(str(error).replace("missing setting ", "settings.") + ": missing") from None
-    except InvalidSetting as error:
+    except InvalidSettingError as error:
         raise ConfigError(f"settings.{error}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"settings: {type(error).__name__}: {error}") from None
@@ -246,7 +247,8 @@
 
 def _on_sockets(settings: api.Settings) -> api.Settings:
     """The settings as far as the sockets carry them: the platform's page has no message that stops a run, nor one
-    that goes on without a call. Guards against decisions that nothing carries out: such a run would hang."""
+    that goes on without a call. Guards against decisions that nothing carries out: such a run would hang.
+    """
     return replace(settings, can_stop=False, classes=[replace(kind, degraded_weight=0.0) for kind in settings.classes])
 
 
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -31,21 +31,22 @@
 class Exchange:
     """One request: what it asks for, when it arrived, and where it stands (`attempt.tries.Try`).
 
-    Only the desk moves `state`; it sees to it that `deliver` is called once at the most."""
+    Only the desk moves `state`; it sees to it that `deliver` is called once at the most.
+    """
 
     __slots__ = (
-        "arrived",
+        "arrived_at",
         "body",
         "call_body",
-        "cls",
+        "class_index",
         "deliver",
-        "due",
+        "due_at",
         "front",
         "headers",
         "id",
         "is_retry",
-        "kb",
         "key",
+        "memory_kb",
         "method",
         "query",
         "rank",
@@ -59,10 +60,10 @@
     def __init__(
         self, id: str, front: str, cls: int, body: bytes, arrived: float, deliver: Callable[[Exchange, Answer], None]
     ) -> None:
-        self.id, self.front, self.cls, self.body, self.arrived = id, front, cls, body, arrived
+        self.id, self.front, self.class_index, self.body, self.arrived_at = id, front, cls, body, arrived
         self.deliver = deliver
-        self.kb, self.rank, self.sender, self.is_retry = 1.0, 0.0, 0, False
-        self.due = 0.0  # set by the desk from the class
+        self.memory_kb, self.rank, self.sender, self.is_retry = 1.0, 0.0, 0, False
+        self.due_at = 0.0  # set by the desk from the class
         self.key = ""  # idempotency key, where the front supplies one
         self.target = ""  # the back end that runs it; empty is the kernel
         self.method, self.uri, self.query, self.route = "POST", "", "", ""
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -51,7 +51,7 @@
     def open(self, link: socket.socket, command: dict[str, Any]) -> None:
         if not self.up.is_set():  # the link is accepted, the kernel starts later
             threading.Thread(target=self._open_later, args=(link, command), daemon=True).start()
-            return
+            return None
         if self.leaves:
             self.leaves -= 1
             return self.cut(link)
@@ -62,6 +62,7 @@
         self.tell(link, {"t": "BOOTED", "status": "LOADED", "time_ms": age})
         for row in self.notices[command["no"] :]:
             self.tell(link, row)
+        return None
 
     def _open_later(self, link: socket.socket, command: dict[str, Any]) -> None:
         if self.up.wait(WAIT_S):
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -53,7 +53,8 @@
 
     def fate(self, dice: Random) -> list[float]:
         """The delay of each copy that arrives; none if it is lost. One that is reordered comes after what was sent
-        within 20 ms and all jitter of it."""
+        within 20 ms and all jitter of it.
+        """
         if self.cut or (self.drop and dice.random() < self.drop):
             return []
         out = []
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -5,7 +5,8 @@
 Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine).
 
 Control: JSON lines on standard input, each answered by one on standard output. The first names the members and the
-seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends it."""
+seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends it.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -17,7 +17,7 @@
 
 
 class LeaseSource:
-    """One greenlet. `now` is the clock that limits go by, `carry` what the agent's effects are handed to."""
+    """One greenlet. `now` is the clock that limits go by, `apply_effects` what the agent's effects are handed to."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         counters: Counters,
     ) -> None:
         assert agent.session is not None
-        self.settings, self.agent, self.session = settings, agent, agent.session
-        self.now, self.carry, self.counters = now, carry, counters
+        self.settings, self.coordinator, self.session = settings, agent, agent.session
+        self.now, self.apply_effects, self.counters = now, carry, counters
         self.etcd = EtcdClient(
             settings.address,
             f"/myrtlespar/{fleet}/ranges/",
-            agent.me[0],
+            agent.self_id[0],
             settings.ttl_s,
             settings.timeout_ms / 1000.0,
             self._freed,
@@ -46,18 +46,18 @@
     def run(self) -> None:
         """Until the agent retires; then what is held is given back."""
         self.etcd.watch()
-        while not self.agent.holder.retired:
-            request, effects = self.agent.to_engine(self.now())
-            self.carry(effects)
+        while not self.coordinator.grant_holder.retired:
+            request, effects = self.coordinator.next_engine_request(self.now())
+            self.apply_effects(effects)
             if request is None:
-                self._due.wait(self.agent.terms.ask_ms / 2000.0)
+                self._due.wait(self.coordinator.settings.ask_ms / 2000.0)
                 self._due.clear()
             else:
                 reply = self.etcd.carry(request)
                 self.counters.add(f"engine.{request.do.value}" if reply else "engine.unanswered")
-                self.carry(self.agent.from_engine(self.now(), request, reply))
+                self.apply_effects(self.coordinator.engine_replied(self.now(), request, reply))
                 if reply is None:
-                    gevent.sleep(self.agent.terms.ask_ms / 2000.0)
+                    gevent.sleep(self.coordinator.settings.ask_ms / 2000.0)
                 else:
                     self.answered_at = self.now()
         if self.session.lease:
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -17,7 +17,7 @@
 from myrtlespar.membership.messages import CountEvent, MemberChanged, MemberState, QuorumChanged
 from myrtlespar.membership.quorum import FLEET, QuorumStatus, step_fault
 from myrtlespar.membership.reachability import broken
-from myrtlespar.net.peer_transport import PeerAddressInUse, PeerTransport, monotonic_ms
+from myrtlespar.net.peer_transport import PeerAddressInUseError, PeerTransport, monotonic_ms
 from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
         key_of: Callable[[str], str] = lambda id: "",
     ) -> None:
         self.settings, self.path, self.counters, self.seed = settings, path, counters, seed
-        self.roll = settings.roll
+        self.voter_set_version = settings.roll
         self.peers = PeerTransport(
             settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters, self._make, self._changed
         )
@@ -50,14 +50,19 @@
             from myrtlespar.fleet.limits_driver import LimitsDriver
 
             self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of)
-        for scope in self.roll.even():
+        for scope in self.voter_set_version.even():
             log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
 
     def _make(self, now: float) -> Member:
         own = self.settings
         boot = int(time.time() * 1000) + own.wall_shift_ms
         log.info(
-            "fleet: joining", name=own.name, site=own.site, boot=boot, roll=self.roll.version, at=time.time() * 1000
+            "fleet: joining",
+            name=own.name,
+            site=own.site,
+            boot=boot,
+            roll=self.voter_set_version.version,
+            at=time.time() * 1000,
         )
         member = Member(
             own.name,
@@ -66,15 +71,15 @@
             boot,
             own.fleet,
             own.membership,
-            self.roll,
+            self.voter_set_version,
             own.seeds,
             Random(self.seed),
             now,
         )
-        for scope, tally in member.standings.scopes.items():
+        for scope, tally in member.quorum.scopes.items():
             self._changed(QuorumChanged(scope, tally.now, tally.now))
         if self.limits is not None:
-            self.limits.begin(boot)
+            self.limits.start(boot)
         return member
 
     def _changed(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
@@ -83,10 +88,10 @@
             log.info(
                 "fleet member",
                 member=effect.name,
-                old=_state(effect.old),
-                new=_state(effect.new),
-                life=[effect.boot, effect.counter],
-                by=effect.by,
+                old=_state(effect.old_state),
+                new=_state(effect.new_state),
+                life=[effect.incarnation, effect.refutation],
+                by=effect.accuser,
                 at=time.time() * 1000,
             )
             if self.limits is not None and self.peers.member is not None:
@@ -95,12 +100,12 @@
             log.info(
                 "fleet standing",
                 scope=effect.scope,
-                old=QuorumStatus(effect.old).name.lower(),
-                new=QuorumStatus(effect.new).name.lower(),
+                old=QuorumStatus(effect.old_status).name.lower(),
+                new=QuorumStatus(effect.new_status).name.lower(),
                 at=time.time() * 1000,
             )
-        elif effect.text and self.counters.rare(f"fleet.log.{effect.what}"):
-            log.warning("fleet: " + effect.text)
+        elif effect.log_message and self.counters.rare(f"fleet.log.{effect.counter}"):
+            log.warning("fleet: " + effect.log_message)
 
     def leave(self) -> None:
         """The process was told to end."""
@@ -114,7 +119,8 @@
 
     def reload(self) -> None:
         """Take a new roll over, if it is one step from the old one, and new numbers of limits; all else needs a
-        restart. A fault changes nothing."""
+        restart. A fault changes nothing.
+        """
         try:
             read = read_fleet(self.path, self.settings.name)
         except ConfigError as error:
@@ -126,16 +132,16 @@
                 log.error("fleet reload refused", error=fault)
                 return
         fresh = read.roll
-        if fresh == self.roll:
+        if fresh == self.voter_set_version:
             return
-        fault = step_fault(self.roll, fresh)
+        fault = step_fault(self.voter_set_version, fresh)
         if fault:
             self.counters.add("fleet.roll_refused")
             log.error("fleet reload refused", error=f"electorate.{fault}")
             return
-        self.roll = fresh
+        self.voter_set_version = fresh
         if self.peers.member is not None:
-            for effect in self.peers.member.adopt(fresh, monotonic_ms()):
+            for effect in self.peers.member.adopt_voter_set(fresh, monotonic_ms()):
                 self._changed(effect)  # type: ignore[arg-type]
         log.info("fleet: roll taken over", roll=fresh.version)
 
@@ -150,10 +156,10 @@
         rows: list[dict[str, Any]] = [
             {
                 "name": name,
-                "site": entry.rumour.site,
-                "address": entry.rumour.address,
-                "state": MemberState(entry.rumour.state).name.lower(),
-                "life": [entry.rumour.boot, entry.rumour.counter],
+                "site": entry.update.site,
+                "address": entry.update.address,
+                "state": MemberState(entry.update.state).name.lower(),
+                "life": [entry.update.incarnation, entry.update.refutation],
                 "for_ms": round(now - entry.since),
                 "evidence_ms": round(now - entry.evidence),
                 "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
@@ -168,10 +174,10 @@
                     "site": own.site,
                     "fleet": own.fleet,
                     "address": own.advertise,
-                    "life": [member.me.boot, member.me.counter],
+                    "life": [member.self_update.incarnation, member.self_update.refutation],
                     "hash": f"{member.view.hash:016x}",
-                    "roll": member.standings.electorate.version,
-                    "health": member.rounds.prober.health,
+                    "roll": member.quorum.electorate.version,
+                    "health": member.probe_rounds.prober.health,
                     "late_ms": round(self.peers.latest_late, 1),
                     "standing": {
                         scope or "fleet": {
@@ -180,14 +186,14 @@
                             "here": len(tally.here) + tally.mine,
                             "of": len(tally.electors),
                         }
-                        for scope, tally in member.standings.scopes.items()
+                        for scope, tally in member.quorum.scopes.items()
                     },
                     "members": rows,
-                    "links": broken(member.reach.rows),
-                    "unheard": member.reach.one_way(member.view, now),
-                    "differ": sorted(member.differ.since),
-                    "disagree": sorted(member.differ.lasting),
-                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.rounds.prober.rtt.items()},
+                    "links": broken(member.reachability.rows),
+                    "unheard": member.reachability.one_way(member.view, now),
+                    "differ": sorted(member.divergence.since),
+                    "disagree": sorted(member.divergence.lasting),
+                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.probe_rounds.prober.rtt.items()},
                     "bytes": {"sent": self.peers.sent_bytes, "read": self.peers.read_bytes},
                     "counts": {
                         name: count
@@ -199,14 +205,14 @@
             + b"\n"
         )
 
-    def figures(self) -> list[str]:
+    def metrics(self) -> list[str]:
         """Lines of Prometheus text for METRICS."""
         member, now = self.peers.member, monotonic_ms()
         if member is None:
             return []
         counts = {state: 0 for state in MemberState}
         for entry in member.view.entries.values():
-            counts[MemberState(entry.rumour.state)] += 1
+            counts[MemberState(entry.update.state)] += 1
         counts[MemberState.ALIVE] += 1
         oldest = max((now - entry.evidence for entry in member.view.entries.values() if entry.here), default=0.0)
         report = self.counters.report()
@@ -215,22 +221,22 @@
         out.append("# TYPE fleet_standing gauge")
         out += [
             f'fleet_standing{{scope="{scope or "fleet"}"}} {int(tally.now)}'
-            for scope, tally in member.standings.scopes.items()
+            for scope, tally in member.quorum.scopes.items()
         ]
         gauges = {
             "oldest_evidence_seconds": oldest / 1000,
-            "local_health": member.rounds.prober.health,
-            "broken_links": len(broken(member.reach.rows)),
-            "disagreements": len(member.differ.lasting),
-            "roll_version": member.standings.electorate.version,
-            "majority": int(member.standings.scopes[FLEET].now >= QuorumStatus.MAJORITY),
+            "local_health": member.probe_rounds.prober.health,
+            "broken_links": len(broken(member.reachability.rows)),
+            "disagreements": len(member.divergence.lasting),
+            "roll_version": member.quorum.electorate.version,
+            "majority": int(member.quorum.scopes[FLEET].now >= QuorumStatus.MAJORITY),
         }
         for name, value in gauges.items():
             out += [f"# TYPE fleet_{name} gauge", f"fleet_{name} {value:g}"]
         out.append("# TYPE fleet_probe_round_trip_seconds gauge")
         out += [
             f'fleet_probe_round_trip_seconds{{site="{site}"}} {mean / 1000:.6f}'
-            for site, (mean, _) in sorted(member.rounds.prober.rtt.items())
+            for site, (mean, _) in sorted(member.probe_rounds.prober.rtt.items())
         ]
         totals = {
             "suspicions_refuted": report.get("fleet.refuted", 0),
@@ -242,7 +248,7 @@
         }
         for name, total in totals.items():
             out += [f"# TYPE fleet_{name}_total counter", f"fleet_{name}_total {total}"]
-        return out + (self.limits.figures() if self.limits is not None else [])
+        return out + (self.limits.metrics() if self.limits is not None else [])
 
 
 def _state(state: int | None) -> str | None:
@@ -255,7 +261,7 @@
     fleet = FleetNode(settings, config.fleet, counters, config.seed, config.class_names, key_of)
     try:
         fleet.peers.open()
-    except PeerAddressInUse:
+    except PeerAddressInUseError:
         raise ConfigError(f"bind: {settings.bind} is in use by another program") from None
     except OSError as error:
         raise ConfigError(f"bind: cannot listen on {settings.bind}: {error.strerror}") from None
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -1,5 +1,6 @@
 """What was true when: who ran, which links held. Built from what the starter (or the emulator) did, not from what
-members say. Times are milliseconds from the start of a run."""
+members say. Times are milliseconds from the start of a run.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,8 @@
 @dataclass(slots=True)
 class TruthInterval:
     """What held from `at` until the next moment. Members that the same rules name are one kind: links are those of
-    kinds, so that a moment of thousands of members is small."""
+    kinds, so that a moment of thousands of members is small.
+    """
 
     at: float
     well: frozenset[str]  # members that ran and were not stopped
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -1,7 +1,8 @@
 """The judge: each promise of membership is one check here, with its bound as a formula of the settings.
 
 It reads what was true (`truth`) and what each member believed when. The same checks judge real processes and the
-emulator. Times are milliseconds from the start of a run."""
+emulator. Times are milliseconds from the start of a run.
+"""
 
 from __future__ import annotations
 
@@ -132,7 +133,8 @@
 ) -> None:
     """Promise: who stopped or is cut off is not believed here later than its bound: detect_ms(n) where it does not
     run and the observer is linked to a majority, else standing_ms(n). Who runs unheard over bad links comes back to
-    an observer by each refutation of what others say of it; there the standing alone is promised."""
+    an observer by each refutation of what others say of it; there the standing alone is promised.
+    """
     for start, end in truth.spans(lambda m: m.apart(a, b) and (m.good or b not in m.well)):
         moment = truth.between(start, start)[-1]
         many = sum(moment.linked(a, other) for other in truth.members) * 2 >= n
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -1,5 +1,6 @@
 """Client proxies: they find members on the roster's list, a second late, send requests at their times, try refused
-ones again elsewhere, heed back-offs, and record what became of each request."""
+ones again elsewhere, heed back-offs, and record what became of each request.
+"""
 
 from __future__ import annotations
 
@@ -95,11 +96,12 @@
                     request.cls, request.body, t0=str(int(request.born)), peer=str(self.number + 1), **more
                 )
                 request.client, request.member = client, name
-                return
+                return None
             except OSError:  # it may have read it
                 self.clients.pop(name, None)
                 return self._end(request, "lost")
         self._again(request, self.load.after_ms, "refused")
+        return None
 
     def _client(self, name: str) -> ThriftClient | None:
         client = self.clients.get(name)
@@ -120,7 +122,7 @@
         if client is None:
             if now >= request.retry_at:
                 self._try(request)
-            return
+            return None
         found = client.answers.get(request.seq)
         late = time.time() * 1000 > request.born + DUE_MS[request.cls] + SLACK_MS
         if found is None:
@@ -131,7 +133,7 @@
                     self._end(request, "lost")
             elif late:
                 self._end(request, "none")
-            return
+            return None
         self.twice += client.count[request.seq] > 1
         kind, answer = found
         if kind != "refused":
@@ -144,12 +146,14 @@
         if fields.get("final") == "1":
             return self._end(request, "refused")
         self._again(request, max(self.load.after_ms, 0.0), "refused")
+        return None
 
     def _again(self, request: LoadRequest, after_ms: float, outcome: str) -> None:
         over = time.time() * 1000 + after_ms > request.born + DUE_MS[request.cls]
         if self.stop.is_set() or over or request.tries > self.load.most:
             return self._end(request, outcome)
         request.client, request.retry_at = None, time.monotonic() + after_ms / 1000
+        return None
 
     def _end(self, request: LoadRequest, outcome: str) -> None:
         request.outcome, request.ended = outcome, time.time() * 1000
@@ -182,7 +186,8 @@
 def judge_orders(run: FleetRun, crowd: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
     """Promises over what kernels and proxies saw: no request is answered twice; an order is started at most once,
     as its callers repeat only what was refused or never sent (bound: 0); what a member's kernel started, that member
-    did not refuse (bound: 0); a member that serves all along answers by the due time."""
+    did not refuse (bound: 0); a member that serves all along answers by the due time.
+    """
     starts: Counter[bytes] = Counter()
     first: dict[tuple[str, bytes], float] = {}  # member and body: when it was started there
     for member in run.members.values():
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -48,6 +48,7 @@
             run.send(member, signal.SIGTERM, "left")
         else:
             run.replace(member)
+    return None
 
 
 def percentile(values: list[float], share: float) -> float | None:
@@ -95,7 +96,8 @@
     script: Script, seed: int, keep: Path | None = None, say: Any = print, slack_ms: float = SLACK_MS, **more: Any
 ) -> dict[str, Any]:
     """Run it and judge it, each bound longer by `slack_ms`: the figures, with `broken` the lines of broken promises.
-    `more` goes to the fleet."""
+    `more` goes to the fleet.
+    """
     terms = MembershipSettings(**more.get("membership") or {})
     with tempfile.TemporaryDirectory() as tmp:
         folder = keep or Path(tmp)
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -10,6 +10,7 @@
 import msgspec
 import yaml
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.fault_proxy.faults import SERVICES, FaultRule, resolve
 from myrtlespar.net.codec.peer import is_valid_name
 from myrtlespar.quota.settings import Limit
@@ -29,7 +30,7 @@
 MOST_MEMBERS, MOST_S, MOST_EVENTS = 60, 7200.0, 500  # of real processes; the emulator scales sites up by itself
 
 
-class ScriptError(Exception):
+class ScriptError(MyrtlesparError):
     """One line that names the faulty key and why."""
 
 
@@ -108,7 +109,8 @@
 
 def read(path: Path, members: int = 0) -> Script:
     """The script in a file, its sites grown in proportion to so many members, if any number is given. ScriptError:
-    it can't be read, or has a fault."""
+    it can't be read, or has a fault.
+    """
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -189,7 +191,8 @@
 
 def _limits(raw: Any) -> Mapping[str, Limit]:
     """The fleet's limits, as in its file. One that names no class counts the class that its own name begins with
-    (`order-farms` counts orders), or else all."""
+    (`order-farms` counts orders), or else all.
+    """
     if raw is None:
         return {}
     if not isinstance(raw, dict):
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -18,63 +18,67 @@
     """Takes over the keys that the process before this one left, and leaves this one's at its end.
 
     Guards orders against a second run where the folder can't be used: an old process may live unseen, so keys wait
-    for as long as one is remembered."""
+    for as long as one is remembered.
+    """
 
-    def __init__(self, core: RequestCoordinator, folder: HandoverFolder) -> None:
-        self._core, self._folder = core, folder
+    def __init__(self, coordinator: RequestCoordinator, folder: HandoverFolder) -> None:
+        self._core, self._folder = coordinator, folder
         self._successor = HandoverReceiver(HandoverState.WAITING)
         self._began = unix_ms()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Take the keys that are there, or wait for them while an old process lives."""
         if self._look():
             return
-        self._core.tracker.keys.waiting = True
+        self._core.tracker.keys.awaiting_handover = True
         log.info("an old process lives: keys wait for its hand-over")
         gevent.spawn(self._await)
 
-    def leave(self) -> None:
+    def publish_keys(self) -> None:
         """At the end of a hand-over: the outcomes of keys, for the process that takes over."""
-        rows = self._core.tracker.left(unix_ms())
+        rows = self._core.tracker.keys_to_hand_over(unix_ms())
         known = known_keys((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
         try:
-            self._folder.write(encode(known))
+            self._folder.write_keys(encode(known))
             log.info("keys left for the next process", keys=len(known))
         except OSError as error:
             log.error("keys could not be left", error=str(error))
 
     def _await(self) -> None:
-        while self._successor.stand is HandoverState.WAITING:
+        while self._successor.state is HandoverState.WAITING:
             gevent.sleep(LOOK_S)
             self._look()
 
     def _look(self) -> bool:
         """One look into the folder; whether keys are open now."""
         data, old_lives = self._read()
-        refused_before = self._successor.refused
+        refused_before = self._successor.rejection
         now, classes = wall_ms(), len(self._core.settings.classes)
-        known, line = self._successor.look(old_lives, data, now, classes)
+        known, line = self._successor.poll(old_lives, data, now, classes)
         if line:
             log.info(line)
-        if self._successor.refused != refused_before:
+        if self._successor.rejection != refused_before:
             self._core.counters.add("handover.refused")
-            self._successor.look(old_lives, None, now, classes)  # as if there were none
+            self._successor.poll(old_lives, None, now, classes)  # as if there were none
         for one in known:
-            self._core.tracker.keys.take((one.cls, one.key), answer_of(one), from_wall(one.lapses_at))
-        if self._successor.stand is HandoverState.WAITING:
+            self._core.tracker.keys.import_outcome(
+                (one.class_index, one.key), answer_of(one), from_wall(one.expires_at)
+            )
+        if self._successor.state is HandoverState.WAITING:
             return False
-        self._core.tracker.keys.waiting = False
-        if data is not None and not self._successor.refused:
-            self._folder.taken()
+        self._core.tracker.keys.awaiting_handover = False
+        if data is not None and not self._successor.rejection:
+            self._folder.remove_keys()
         return True
 
     def _read(self) -> tuple[bytes | None, bool]:
         """What an old process left, and whether it may still live. A folder that fails is named, counted and passed
-        over."""
+        over.
+        """
         try:
             # The lock before the file: what a process that is gone left is whole by then.
-            old_lives = not self._folder.claim()
-            return self._folder.read(), old_lives
+            old_lives = not self._folder.acquire_lock()
+            return self._folder.read_keys(), old_lives
         except OSError as error:
             if self._core.counters.rare("handover.unusable"):
                 log.error("hand-over folder unusable", error=str(error))
--- a/myrtlespar/handover/folder.py
+++ b/myrtlespar/handover/folder.py
@@ -1,7 +1,8 @@
 """The shared `$TMPDIR` of two processes of one server: a lock that the living one holds, and the file of keys
 that an old process leaves for its replacement. The decisions are in `ops.handover`; this is the storage.
 
-Every method may raise OSError: the folder can be missing, full, or hold something foreign under these names."""
+Every method may raise OSError: the folder can be missing, full, or hold something foreign under these names.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +27,15 @@
 
 class HandoverFolder:
     """`$TMPDIR/myrtlespar-NAME.lock` and `.keys`. The lock is an flock held for the life of the process, so the
-    kernel lets go of it however the process ends."""
+    kernel lets go of it however the process ends.
+    """
 
     def __init__(self, tmpdir: str, name: str) -> None:
         base = f"myrtlespar-{_file_part(name)}"
         self.lock_path, self.keys_path = Path(tmpdir) / f"{base}.lock", Path(tmpdir) / f"{base}.keys"
         self._fd = -1
 
-    def claim(self) -> bool:
+    def acquire_lock(self) -> bool:
         """Whether this process holds the lock now; False while an older process lives."""
         if self._fd >= 0:
             return True
@@ -49,9 +51,10 @@
         self._fd = fd
         return True
 
-    def read(self) -> bytes | None:
+    def read_keys(self) -> bytes | None:
         """The keys file, None if there is none. Guards the start against a pipe or device under that name, whose
-        reading would not end, and memory against a file of any length."""
+        reading would not end, and memory against a file of any length.
+        """
         try:
             fd = os.open(self.keys_path, os.O_RDONLY | os.O_CLOEXEC | os.O_NONBLOCK)
         except FileNotFoundError:
@@ -64,12 +67,12 @@
                 raise OSError(errno.EFBIG, "too long for a hand-over file", str(self.keys_path))
             return file.read(FILE_BYTES)
 
-    def taken(self) -> None:
+    def remove_keys(self) -> None:
         """The file was read whole: remove it, so that no later start takes it again. One that stays lapses."""
         with contextlib.suppress(OSError):
             self.keys_path.unlink()
 
-    def write(self, data: bytes) -> None:
+    def write_keys(self, data: bytes) -> None:
         """Leave the keys for a successor: written beside and renamed, so that it is whole or absent."""
         part = self.keys_path.with_name(f"{self.keys_path.name}.part{os.getpid()}")
         try:
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -2,7 +2,8 @@
 
 Pure: bytes and times come in, entries and verdicts go out. The file is one header line
 `myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, one known outcome each. A file that is torn,
-of another version or spoilt is refused whole. Times are Unix milliseconds."""
+of another version or spoilt is refused whole. Times are Unix milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +15,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.exchange import Answer, AnswerKind
 
 VERSION = 1
 MAGIC = b"myrtlespar-keys"
 
 
-class HandoverRejected(Exception):
+class HandoverRejectedError(MyrtlesparError):
     """A hand-over file that can't be taken whole; the text says why, in one line."""
 
 
@@ -28,12 +30,12 @@
 class KnownKey:
     """One key with its outcome: class number, key, kind of answer, body, retry-after, and when it lapses."""
 
-    cls: int
+    class_index: int
     key: str
     kind: str  # "served", "refused" or "failed"
     body: bytes
     retry_after_ms: float
-    lapses_at: float
+    expires_at: float
 
 
 def known_keys(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KnownKey]:
@@ -51,7 +53,9 @@
 def encode(known: Iterable[KnownKey]) -> bytes:
     """The file's bytes."""
     rows = b"".join(
-        json.dumps([k.cls, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms, k.lapses_at]).encode()
+        json.dumps(
+            [k.class_index, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms, k.expires_at]
+        ).encode()
         + b"\n"
         for k in known
     )
@@ -63,13 +67,13 @@
     head, _, rows = data.partition(b"\n")
     words = head.split(b" ")
     if len(words) != 4 or words[0] != MAGIC:
-        raise HandoverRejected("no hand-over header")
+        raise HandoverRejectedError("no hand-over header")
     if words[1] != b"%d" % VERSION:
-        raise HandoverRejected(f"version {words[1][:8].decode('ascii', 'replace')}, not {VERSION}")
+        raise HandoverRejectedError(f"version {words[1][:8].decode('ascii', 'replace')}, not {VERSION}")
     if not words[3].isdigit() or int(words[3]) != len(rows):
-        raise HandoverRejected(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
+        raise HandoverRejectedError(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
     if words[2] != b"%08x" % zlib.crc32(rows):
-        raise HandoverRejected("spoilt: the checksum differs")
+        raise HandoverRejectedError("spoilt: the checksum differs")
     out: list[KnownKey] = []
     try:
         for line in rows.splitlines():
@@ -80,14 +84,14 @@
                 and isinstance(key, str)
                 and kind in ("served", "refused", "failed")
             ):
-                raise HandoverRejected(f"an entry that names no known class or kind: {line[:60]!r}")
+                raise HandoverRejectedError(f"an entry that names no known class or kind: {line[:60]!r}")
             if not (0 <= float(retry) < math.inf and 0 <= float(lapses) < math.inf):
-                raise HandoverRejected(f"an entry with a time that is none: {line[-60:]!r}")
+                raise HandoverRejectedError(f"an entry with a time that is none: {line[-60:]!r}")
             if float(lapses) > now:
                 out.append(KnownKey(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses)))
     except (ValueError, TypeError, OverflowError, RecursionError) as error:
-        raise HandoverRejected(f"spoilt entry: {error}") from None
-    return sorted(out, key=lambda known: known.lapses_at)
+        raise HandoverRejectedError(f"spoilt entry: {error}") from None
+    return sorted(out, key=lambda known: known.expires_at)
 
 
 class HandoverState(Enum):
@@ -103,25 +107,26 @@
 
     `look` is told whether the old process still holds its lock and what the hand-over file holds (None: none
     yet). Keys open once a whole file was read, or once the old process is gone; a refused file is told once and
-    then waited past."""
+    then waited past.
+    """
 
-    stand: HandoverState = HandoverState.OPEN
-    refused: str = ""
-    taken: int = 0
+    state: HandoverState = HandoverState.OPEN
+    rejection: str = ""
+    received_count: int = 0
 
-    def look(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KnownKey], str]:
+    def poll(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KnownKey], str]:
         """The keys to take now, and a line for the log (empty: nothing new to tell)."""
-        if self.stand is HandoverState.OPEN:
+        if self.state is HandoverState.OPEN:
             return [], ""
-        if data is not None and not self.refused:
+        if data is not None and not self.rejection:
             try:
                 known = decode(data, now, classes)
-            except HandoverRejected as why:
-                self.refused = str(why)
+            except HandoverRejectedError as why:
+                self.rejection = str(why)
                 return [], f"hand-over refused: {why}"
-            self.stand, self.taken = HandoverState.OPEN, len(known)
+            self.state, self.received_count = HandoverState.OPEN, len(known)
             return known, f"hand-over taken: {len(known)} keys"
         if not old_lives:
-            self.stand = HandoverState.OPEN
+            self.state = HandoverState.OPEN
             return [], "the old process is gone; keys open without its hand-over"
         return [], ""
--- a/myrtlespar/membership/__init__.py
+++ b/myrtlespar/membership/__init__.py
@@ -6,4 +6,5 @@
 what is known of a member only grows (a later life, a higher counter, a graver state), so an old life's rumours never
 beat a new one's; a standing is right `standing_ms` after the last change of the links.
 
-Not promised: agreement. Two sides of a cut each keep their own view; without a majority nothing here decides."""
+Not promised: agreement. Two sides of a cut each keep their own view; without a majority nothing here decides.
+"""
--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -50,7 +50,7 @@
     def put(self, rumour: MemberUpdate, now: float) -> None:
         """Tell this from now on, in place of what was told of the same member (an accuser's word stands by itself)."""
         accused = rumour.state == MemberState.SUSPECT
-        label = f"{rumour.name}\0{rumour.by}" if accused else rumour.name
+        label = f"{rumour.name}\0{rumour.accuser}" if accused else rumour.name
         if not accused:
             for other in [key for key in self._told if key.startswith(rumour.name + "\0")]:
                 del self._told[other]
@@ -62,7 +62,7 @@
 
     def put_row(self, row: ReachabilityRow) -> None:
         """Tell a reach row."""
-        self._rows[row.by] = (0, row)
+        self._rows[row.reporter] = (0, row)
 
     def clear(self) -> None:
         """Tell nothing of what waits."""
@@ -80,7 +80,8 @@
         self, now: float, n: int, room: int, first: Iterable[MemberUpdate] = ()
     ) -> tuple[tuple[MemberUpdate, ...], tuple[ReachabilityRow, ...]]:
         """What rides on the next packet, `room` bytes of it at the most: `first`, then the least told, `carry` in
-        all, each told at most `times`."""
+        all, each told at most `times`.
+        """
         out = list(first)
         room -= sum(weight(rumour) for rumour in out)
         told = self._told
@@ -110,12 +111,12 @@
 
 def weight(rumour: MemberUpdate) -> int:
     """Its bytes in a packet at the most: its texts, each with a length, and numbers of nine bytes."""
-    return 38 + len(rumour.name) + len(rumour.site) + len(rumour.address) + len(rumour.by)
+    return 38 + len(rumour.name) + len(rumour.site) + len(rumour.address) + len(rumour.accuser)
 
 
 def row_weight(row: ReachabilityRow) -> int:
     """The same of a reach row."""
-    return 24 + len(row.by) + sum(len(name) + 4 for name, _ in row.cannot)
+    return 24 + len(row.reporter) + sum(len(name) + 4 for name, _ in row.unreachable)
 
 
 def aged(rumour: MemberUpdate, by_ms: float) -> MemberUpdate:
@@ -126,9 +127,9 @@
         rumour.name,
         rumour.site,
         rumour.address,
-        rumour.boot,
-        rumour.counter,
+        rumour.incarnation,
+        rumour.refutation,
         rumour.state,
         min(rumour.age_ms + int(by_ms), 2**31),
-        rumour.by,
+        rumour.accuser,
     )
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -1,7 +1,8 @@
 """What members say to one another, and what the machine asks its driver to do. Shapes only.
 
 The structs are msgspec's, so that the codec in `net/codec` needs no second set of types; names are at most 48
-characters, addresses at most 64 (the codec checks). Ages are whole milliseconds."""
+characters, addresses at most 64 (the codec checks). Ages are whole milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -27,30 +28,34 @@
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A statement about one member. `boot` (Unix ms of its start) and `counter` (raised by itself only, to refute)
-    are its life; `by` is who accuses it, with SUSPECT only; `age_ms` is how old the evidence is."""
+    are its life; `by` is who accuses it, with SUSPECT only; `age_ms` is how old the evidence is.
+    """
 
     name: str
     site: str
     address: str
-    boot: int
-    counter: int
+    incarnation: int
+    refutation: int
     state: int
     age_ms: int = 0
-    by: str = ""
+    accuser: str = ""
 
     @property
-    def key(self) -> UpdatePrecedence:
+    def precedence(self) -> UpdatePrecedence:
         """What it weighs against another statement about the same member."""
-        return self.boot, self.counter, self.state
+        return self.incarnation, self.refutation, self.state
 
 
 class ReachabilityRow(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What `by` can't reach directly though others can: (name, whether `by` still hears it). `no` grows."""
+    """Members that `reporter` cannot reach directly although others can: (name, whether it still hears from them).
 
-    by: str
-    boot: int
-    no: int
-    cannot: tuple[tuple[str, bool], ...] = ()
+    `version` grows with each change.
+    """
+
+    reporter: str
+    incarnation: int
+    version: int
+    unreachable: tuple[tuple[str, bool], ...] = ()
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
@@ -60,10 +65,10 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """`of` answered: the sender itself, or the member it was asked to ping."""
+    """`target` answered: the sender itself, or the member it was asked to ping."""
 
     seq: int
-    of: str
+    target: str
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
@@ -89,25 +94,26 @@
 
 class Packet(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One datagram. `no` numbers the sender's packets within its boot; `hash` is that of the sender's view, `roll`
-    the version of its electorate."""
+    the version of its electorate.
+    """
 
     fleet: str
-    no: int
-    me: MemberUpdate
-    hash: int
-    roll: int
+    sequence_number: int
+    sender: MemberUpdate
+    view_hash: int
+    voter_set_version: int
     body: Body
-    rumours: tuple[MemberUpdate, ...] = ()
-    rows: tuple[ReachabilityRow, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
+    reachability: tuple[ReachabilityRow, ...] = ()
 
 
 class ViewSync(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A whole view, over TCP; asked with one and answered with one."""
 
     fleet: str
-    me: MemberUpdate
-    entries: tuple[MemberUpdate, ...]
-    rows: tuple[ReachabilityRow, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...]
+    reachability: tuple[ReachabilityRow, ...] = ()
 
 
 class SendPacket(NamedTuple):
@@ -125,29 +131,32 @@
 
 
 class MemberChanged(NamedTuple):
-    """Effect: what is believed of `name` changed. `old` is None for a newcomer, `new` None for one forgotten."""
+    """Effect: the believed state of `name` changed.
+
+    `old_state` is None for a member that is new, `new_state` is None for one that was forgotten.
+    """
 
     name: str
-    old: int | None
-    new: int | None
-    boot: int
-    counter: int
-    by: str
+    old_state: int | None
+    new_state: int | None
+    incarnation: int
+    refutation: int
+    accuser: str
 
 
 class QuorumChanged(NamedTuple):
     """Effect: one's own standing in `scope` ('' is the fleet, else a site) changed."""
 
     scope: str
-    old: int
-    new: int
+    old_status: int
+    new_status: int
 
 
 class CountEvent(NamedTuple):
-    """Effect: count this under `what`; `text` is for the log, if not empty."""
+    """Effect: count this under `counter`; `log_message` is for the log, if not empty."""
 
-    what: str
-    text: str = ""
+    counter: str
+    log_message: str = ""
 
 
 MembershipEffect = SendPacket | RequestSync | MemberChanged | QuorumChanged | CountEvent
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -31,9 +31,9 @@
         """One packet; what is believed of its receiver goes first if it is bad (or `tell`), so that it can refute."""
         first: tuple[MemberUpdate, ...] = ()
         entry = self.view.entries.get(to) if to else None
-        if entry is not None and (tell or entry.rumour.state != ALIVE):
-            first = (entry.rumour,)
-        named = len(getattr(body, "name", "")) + len(getattr(body, "address", "")) + len(getattr(body, "of", ""))
+        if entry is not None and (tell or entry.update.state != ALIVE):
+            first = (entry.update,)
+        named = len(getattr(body, "name", "")) + len(getattr(body, "address", "")) + len(getattr(body, "target", ""))
         room = DATAGRAM - FRAME - len(self.fleet) - weight(self.me) - named
         rumours, rows = self.spread.pick(now, self.size, room, first)
         self._no += 1
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -157,7 +157,8 @@
 
     def helpers(self, view: View, target: str, site: str, own_site: str) -> list[str]:
         """Who may reach it if we can't: one of our site, one of its site, the others by chance, of other sites
-        where there are any, so that one broken pair of sites leaves one that sees both."""
+        where there are any, so that one broken pair of sites leaves one that sees both.
+        """
         without = {target}
         out: list[str] = []
         others = [pool for key, pool in view.sites.items() if key not in (site, own_site) and len(pool)]
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -51,7 +51,8 @@
 
 def step_fault(old: VoterSet, new: VoterSet) -> str:
     """Why a roll can't follow another: only a later version that differs by one member can, as then any majority of
-    the one and any of the other share a member. Empty if it can."""
+    the one and any of the other share a member. Empty if it can.
+    """
     if new.version <= old.version:
         return f"version {new.version} does not follow {old.version}"
     apart = sorted(old.names ^ new.names)
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -14,8 +14,9 @@
     """The links that members' rows name as broken, one line each, in order of names.
 
     A row holds only what fails: `a` gets no direct answer from `b`, though helpers do. If `a` still hears `b`, what
-    `a` sends gets lost; if neither hears the other, the pair is cut both ways."""
-    said = {(row.by, name): hears for row in rows.values() for name, hears in row.cannot}
+    `a` sends gets lost; if neither hears the other, the pair is cut both ways.
+    """
+    said = {(row.reporter, name): hears for row in rows.values() for name, hears in row.unreachable}
     out: dict[tuple[str, str], str] = {}
     for (a, b), hears in said.items():
         pair = (min(a, b), max(a, b))
@@ -51,7 +52,7 @@
         if (
             entry.missed >= self.terms.link_tries
             and self._heard(entry)
-            and (entry.rumour.name, True) not in self.rows[self.me].cannot
+            and (entry.update.name, True) not in self.rows[self.me].unreachable
         ):
             self.tell(view)
 
@@ -85,18 +86,18 @@
         self._put(view, ReachabilityRow(self.me, self.boot, self._no, tuple(cannot[: self.terms.cannot])))
 
     def _put(self, view: View, row: ReachabilityRow) -> None:
-        view.hash ^= row_stamp(self.rows.get(row.by)) ^ row_stamp(row)
-        self.rows[row.by] = row
+        view.hash ^= row_stamp(self.rows.get(row.reporter)) ^ row_stamp(row)
+        self.rows[row.reporter] = row
         self.spread.put_row(row)
 
     def heard(self, view: View, row: ReachabilityRow) -> None:
         """Another's row; the newest of each counts."""
-        known, entry = self.rows.get(row.by), view.entries.get(row.by)
+        known, entry = self.rows.get(row.reporter), view.entries.get(row.reporter)
         if (
             entry is not None
             and entry.here
-            and row.boot >= entry.rumour.boot
-            and (known is None or (row.boot, row.no) > (known.boot, known.no))
+            and row.incarnation >= entry.update.incarnation
+            and (known is None or (row.incarnation, row.version) > (known.incarnation, known.version))
         ):
             self._put(view, row)
 
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -56,22 +56,26 @@
 
     def spread_ms(self, n: int) -> float:
         """News reach all connected members within this, at a loss of up to 5%: rounds of telling, each after
-        `push_ms` and a hop of at most `direct_max_ms`, twice over for losses."""
+        `push_ms` and a hop of at most `direct_max_ms`, twice over for losses.
+        """
         return 2 * math.log(n + 1, 1 + self.fanout) * (self.push_ms + self.direct_max_ms / 4)
 
     def pause_ms(self) -> float:
         """A member that is silent for no longer than this is never failed by a healthy one (no loss): the least time
-        from the start of a probe to a failure, less the way of its refutation."""
+        from the start of a probe to a failure, less the way of its refutation.
+        """
         return self.reply_ms + self.suspect_min_ms - self.direct_max_ms
 
     def detect_ms(self, n: int) -> float:
         """All members still connected to one another know a stopped one as failed within this (n of them, none of
-        them slow itself): somebody probes it, one probe fails, the longest suspicion, and the spreading."""
+        them slow itself): somebody probes it, one probe fails, the longest suspicion, and the spreading.
+        """
         return self._found_ms(n) + self.reply_ms + self.suspect_max_ms + self.spread_ms(n)
 
     def standing_ms(self, n: int) -> float:
         """A standing is right this long after the last change of links, n members in all: the first lost one is
-        found, the rest in bursts, each with a probe at our worst local health and the longest suspicion."""
+        found, the rest in bursts, each with a probe at our worst local health and the longest suspicion.
+        """
         bursts = math.ceil(n / (1 + self.burst)) * self.probe_ms
         return (
             self._found_ms(n)
@@ -83,12 +87,14 @@
 
     def isolated_ms(self) -> float:
         """Who has had no answer from anybody for so long claims nothing for others, whatever it hears: one that hears
-        all and is heard by none must not count them, though their refutations keep them alive to it."""
+        all and is heard by none must not count them, though their refutations keep them alive to it.
+        """
         return self.reply_ms * (1 + self.health_most) + self.suspect_min_ms
 
     def heal_ms(self, n: int) -> float:
         """Views are equal this long after all links work again: each side looks for a lost one every `knock_ms`, the
-        refutations spread, and whole views are exchanged once."""
+        refutations spread, and whole views are exchanged once.
+        """
         return 2 * self.knock_ms + self.differ_ms + self.sync_every_ms(n) + 2 * self.spread_ms(n)
 
     def sync_every_ms(self, n: int) -> float:
@@ -97,5 +103,6 @@
 
     def _found_ms(self, n: int) -> float:
         """Until some member probes a given one: n - 1 probers each pick about one of n - 1 a period, so the chance of
-        none in k periods is e^-k, and e^-4 / n (0.0008 for 24 members) in these."""
+        none in k periods is e^-k, and e^-4 / n (0.0008 for 24 members) in these.
+        """
         return self.probe_ms * (4 + math.log(max(n, 2)))
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -17,7 +17,7 @@
 class MemberEntry:
     """One other member. Times are the driver's monotonic milliseconds."""
 
-    rumour: MemberUpdate
+    update: MemberUpdate
     since: float  # when it came to this state here
     evidence: float  # when the freshest evidence of this state was made
     heard: float = float("-inf")  # last packet from itself
@@ -32,7 +32,7 @@
     @property
     def here(self) -> bool:
         """Alive or suspect."""
-        return self.rumour.state in HERE
+        return self.update.state in HERE
 
     def fresh(self, boot: int, no: int) -> bool:
         """Whether a packet is new: not replayed, not of an earlier boot. It is marked as seen."""
@@ -61,9 +61,9 @@
 
 def row_stamp(row: ReachabilityRow | None) -> int:
     """A reach row's share of a view's hash; one that names nothing counts as none."""
-    if row is None or not row.cannot:
+    if row is None or not row.unreachable:
         return 0
-    data = f"{row.by}\0{row.boot}\0{row.no}".encode()
+    data = f"{row.reporter}\0{row.incarnation}\0{row.version}".encode()
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
 
 
@@ -137,22 +137,23 @@
         if entry is None:
             entry = self.entries[rumour.name] = MemberEntry(rumour, now, now - rumour.age_ms)
         else:
-            self.hash ^= stamp(rumour.name, entry.rumour.key)
-            if entry.rumour.state != rumour.state:
+            self.hash ^= stamp(rumour.name, entry.update.precedence)
+            if entry.update.state != rumour.state:
                 entry.since = now
-            if entry.rumour.site != rumour.site:
-                self.sites[entry.rumour.site].discard(rumour.name)
-            if entry.rumour.address != rumour.address and self.addresses.get(entry.rumour.address) == rumour.name:
-                del self.addresses[entry.rumour.address]
-            entry.rumour, entry.evidence = rumour, now - rumour.age_ms
-        self.hash ^= stamp(rumour.name, rumour.key)
+            if entry.update.site != rumour.site:
+                self.sites[entry.update.site].discard(rumour.name)
+            if entry.update.address != rumour.address and self.addresses.get(entry.update.address) == rumour.name:
+                del self.addresses[entry.update.address]
+            entry.update, entry.evidence = rumour, now - rumour.age_ms
+        self.hash ^= stamp(rumour.name, rumour.precedence)
         self.addresses[rumour.address] = rumour.name
         self._file(rumour)
         return entry
 
     def fill(self, rumours: Sequence[MemberUpdate], now: float, hash: int) -> None:
         """Begin with all of these alive, oneself left out; `hash` is that of all of them, oneself included. For models
-        of large fleets that have been together for long."""
+        of large fleets that have been together for long.
+        """
         for rumour in rumours:
             if rumour.name != self.me:
                 self.entries[rumour.name] = MemberEntry(rumour, now, now)
@@ -174,9 +175,9 @@
     def drop(self, name: str) -> MemberEntry:
         """Forget one."""
         entry = self.entries.pop(name)
-        self.hash ^= stamp(name, entry.rumour.key)
-        if self.addresses.get(entry.rumour.address) == name:
-            del self.addresses[entry.rumour.address]
+        self.hash ^= stamp(name, entry.update.precedence)
+        if self.addresses.get(entry.update.address) == name:
+            del self.addresses[entry.update.address]
         for pool in (self.all, self.gone, *self.sites.values()):
             pool.discard(name)
         return entry
@@ -188,7 +189,8 @@
 
     def stalest(self, dice: Random, busy: Container[str]) -> str | None:
         """Of three picked by chance that are not being probed, the one least recently probed. Chance keeps the
-        members' turns apart: in one common order all would probe one member at once, and then none for long."""
+        members' turns apart: in one common order all would probe one member at once, and then none for long.
+        """
         some = [name for name in self.all.some(dice, 3) if name not in busy] or [
             name for name in self.all if name not in busy
         ][:3]
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.model_checker.events import apply, begin
 from myrtlespar.model_checker.invariants import TransitionCoverage, fallen
 from myrtlespar.model_checker.scenarios import Scenario
@@ -23,7 +24,7 @@
 Used = set[tuple[str, int, int]]
 
 
-class NonTerminating(Exception):
+class NonTerminatingError(MyrtlesparError):
     """A machine that does not come to an end over one event."""
 
 
@@ -33,7 +34,7 @@
 
 
 def _endless(*_: Any) -> None:
-    raise NonTerminating
+    raise NonTerminatingError
 
 
 @dataclass(slots=True)
@@ -67,7 +68,7 @@
     signal.setitimer(signal.ITIMER_VIRTUAL, STEP_S)
     try:
         apply(world, event)
-    except NonTerminating:
+    except NonTerminatingError:
         return world, ["every step ends"]
     except (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError):
         return world, ["no machine fails"]
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -1,7 +1,8 @@
 """The management address: one line a connection, answered by the pure `ops.management`.
 
 Its own listener and greenlets, bounded apart from the clients' fronts, so that a crowd of clients can't take
-its places, and a crowd of operators' connections can't take the clients'."""
+its places, and a crowd of operators' connections can't take the clients'.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +70,7 @@
             raw = self._line(sock)
             if raw is None:
                 return
-            reply, overlong = self.commands.line(
+            reply, overlong = self.commands.handle_line(
                 raw, unix_ms(), self.ready(), self.figures() if raw.strip() == b"METRICS" else None
             )
             self.counters.add("mgmt.error" if reply.startswith(b"error") else "mgmt.done")
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -9,9 +9,10 @@
 from gevent import socket
 
 from myrtlespar.config import Config, Worker
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.codec import ajp as wire
-from myrtlespar.net.connections import ConnectionEnded, Reader, connect
+from myrtlespar.net.connections import ConnectionEndedError, Reader, connect
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
@@ -19,7 +20,7 @@
 log = structlog.get_logger()
 
 
-class BackendUnreachable(Exception):
+class BackendUnreachableError(MyrtlesparError):
     """No server took the request: it never ran."""
 
 
@@ -39,7 +40,7 @@
         start = self.reader.exactly(4)
         size = int.from_bytes(start[2:], "big")
         if start[:2] != wire.TO_GATEWAY or not 0 < size <= most - 4:
-            raise wire.MalformedPacket(f"packet starts with {start.hex()}")
+            raise wire.MalformedPacketError(f"packet starts with {start.hex()}")
         return self.reader.exactly(size)
 
 
@@ -56,8 +57,8 @@
 class AjpBackendPool:
     """The engine of one target: a worker, or a balancer over several."""
 
-    def __init__(self, config: Config, core: RequestCoordinator, servers: list[AjpBackend]) -> None:
-        self.config, self.core, self.limits, self.servers = config, core, config.limits, servers
+    def __init__(self, config: Config, coordinator: RequestCoordinator, servers: list[AjpBackend]) -> None:
+        self.config, self.coordinator, self.limits, self.servers = config, coordinator, config.limits, servers
 
     def run(self, exchange: Exchange) -> None:
         """Start a request on one of the servers."""
@@ -71,26 +72,26 @@
         outcome, answer = RunOutcome.ERROR, None
         try:
             # Guards against a server that never answers: the due time ends the wait for it.
-            with gevent.Timeout(max(0.001, (exchange.due - began) / 1000.0)):
+            with gevent.Timeout(max(0.001, (exchange.due_at - began) / 1000.0)):
                 answer = self._try(exchange)
                 outcome = RunOutcome.OK if answer.kind is AnswerKind.SERVED else RunOutcome.ERROR
         except gevent.Timeout:
             answer = Answer(AnswerKind.FAILED, late=True)
-        except BackendUnreachable:  # it never ran: a later try may
+        except BackendUnreachableError:  # it never ran: a later try may
             answer = Answer(AnswerKind.REFUSED, retry_after_ms=self.limits.worker_rest_ms)
-        except (OSError, ConnectionEnded, wire.MalformedPacket) as error:
+        except (OSError, ConnectionEndedError, wire.MalformedPacketError) as error:
             log.warning("worker", error=str(error), id=exchange.id)
-        self.core.ended(exchange.id, outcome, unix_ms() - began, answer)
+        self.coordinator.run_ended(exchange.id, outcome, unix_ms() - began, answer)
 
     def _try(self, exchange: Exchange) -> Answer:
         for server in self._order(exchange.route):
             connection = self._connection(server)
             if connection is None:  # it never ran there, so another server may have it
-                self.core.counters.add("worker.unreachable")
+                self.coordinator.counters.add("worker.unreachable")
                 server.rests_until = unix_ms() + self.limits.worker_rest_ms
                 continue
             server.busy += 1
-            self.core.counters.add("worker.sent")
+            self.coordinator.counters.add("worker.sent")
             keep = False
             try:
                 answer, keep = self._talk(connection, server.worker, exchange)
@@ -101,7 +102,7 @@
                     server.idle.append(connection)
                 else:
                     connection.sock.close()
-        raise BackendUnreachable("no AJP server can be reached")
+        raise BackendUnreachableError("no AJP server can be reached")
 
     def _order(self, route: str) -> list[AjpBackend]:
         """The session's own server first, then the least loaded for its factor; resting ones last."""
@@ -124,7 +125,7 @@
                     kept.send(wire.packet(wire.TO_SERVLET, bytes([wire.CPING])))
                     if kept.next(self.limits.ajp_packet)[0] == wire.CPONG:
                         return kept
-            except (OSError, ConnectionEnded, wire.MalformedPacket):
+            except (OSError, ConnectionEndedError, wire.MalformedPacketError):
                 pass
             kept.sock.close()
         try:
@@ -157,23 +158,23 @@
                 at = wire.PayloadReader(payload[1:])
                 out += at.take(at.number())
                 if len(out) > self.limits.ajp_reply_bytes:  # guards memory against an answer without end
-                    raise wire.MalformedPacket("answer too long")
+                    raise wire.MalformedPacketError("answer too long")
             elif payload[0] == wire.GET_BODY:
                 connection.send(wire.write_chunk(body[sent : sent + room]))
                 sent += room
             elif payload[0] == wire.END:
                 if not status:
-                    raise wire.MalformedPacket("answer without headers")
+                    raise wire.MalformedPacketError("answer without headers")
                 kind = AnswerKind.SERVED if status < 500 else AnswerKind.FAILED
                 return Answer(kind, bytes(out), status=status, headers=headers), payload[1:2] == b"\x01"
             elif payload[0] != wire.CPONG:
-                raise wire.MalformedPacket(f"packet of kind {payload[0]}")
+                raise wire.MalformedPacketError(f"packet of kind {payload[0]}")
 
 
-def engines(config: Config, core: RequestCoordinator) -> dict[str, AjpBackendPool]:
+def engines(config: Config, coordinator: RequestCoordinator) -> dict[str, AjpBackendPool]:
     """One engine for each worker and each balancer; they share what is known of a server."""
     servers = {worker.name: AjpBackend(worker) for worker in config.ajp.workers}
-    out = {name: AjpBackendPool(config, core, [server]) for name, server in servers.items()}
+    out = {name: AjpBackendPool(config, coordinator, [server]) for name, server in servers.items()}
     for name, members in config.ajp.balancers.items():
-        out[name] = AjpBackendPool(config, core, [servers[member] for member in members])
+        out[name] = AjpBackendPool(config, coordinator, [servers[member] for member in members])
     return out
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -16,7 +16,7 @@
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.client_connection import ClientConnection
 from myrtlespar.net.codec import ajp as wire
-from myrtlespar.net.connections import ConnectionEnded, ReadingStopped
+from myrtlespar.net.connections import ConnectionEndedError, ReadingStoppedError
 from myrtlespar.net.listener import Listener
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
@@ -35,7 +35,9 @@
 class AjpFront(Listener["AjpConnection"]):
     """Listens for gateways."""
 
-    def __init__(self, config: Config, core: RequestCoordinator, listen: Address, give_up: Callable[[], bool]) -> None:
+    def __init__(
+        self, config: Config, coordinator: RequestCoordinator, listen: Address, give_up: Callable[[], bool]
+    ) -> None:
         self.config, self.limits, self.ajp = config, config.limits, config.ajp
         self.rules = sorted(config.ajp.maps, key=lambda rule: -len(rule.path))
         self.serial = 0  # of the connections
@@ -44,7 +46,7 @@
             "ajp",
             "ajp.listen",
             listen,
-            core,
+            coordinator,
             self.limits.connections // 4,
             lambda sock: AjpConnection(self, sock),
             give_up,
@@ -78,7 +80,7 @@
             front.unsent,
             front.conclude,
         )
-        self.front, self.core = front, front.core
+        self.front, self.coordinator = front, front.coordinator
         self.exchange: Exchange | None = None
         self.request = wire.ForwardRequest()
 
@@ -88,7 +90,7 @@
 
     def _abandon(self) -> None:
         if self.exchange is not None:
-            self.core.gone(self.exchange)
+            self.coordinator.caller_gone(self.exchange)
 
     def read(self) -> None:
         """Take packets until the connection ends; whoever still waits then is gone."""
@@ -96,31 +98,31 @@
             while self._takes():
                 packet, before = self._next(), self.bad
                 if not self._takes():  # it came while we closed, and could still be read
-                    self.core.counters.add("in.behind_close.ajp")
+                    self.coordinator.counters.add("in.behind_close.ajp")
                     break
                 self._packet(packet)
                 if self.bad == before:
                     self.bad = 0
                 elif self.bad >= self.limits.bad_most:  # guards the core's time against a flood
-                    raise wire.MalformedPacket("too many requests that could not be taken")
+                    raise wire.MalformedPacketError("too many requests that could not be taken")
                 self.reader.breathe()
-        except ConnectionEnded:
+        except ConnectionEndedError:
             pass
-        except (wire.MalformedPacket, ReadingStopped):
-            self.core.counters.add("in.bad_message.ajp")
+        except (wire.MalformedPacketError, ReadingStoppedError):
+            self.coordinator.counters.add("in.bad_message.ajp")
             if self.conn.state == ConnectionState.READING:
                 self._reply(400)
             self._be(ConnectionEvent.SPOILT)
             self._conclude(self)
         except gevent.Timeout:  # guards against a gateway that begins a request and never ends it
-            self.core.counters.add("in.slow_request.ajp")
+            self.coordinator.counters.add("in.slow_request.ajp")
         self._leave()
 
     def _next(self) -> bytes:
         magic = self.reader.exactly(4)
         size = int.from_bytes(magic[2:], "big")
         if magic[:2] != wire.TO_SERVLET or size + 4 > self.limits.ajp_packet:
-            raise wire.MalformedPacket(f"packet starts with {magic.hex()}")
+            raise wire.MalformedPacketError(f"packet starts with {magic.hex()}")
         return self.reader.exactly(size)
 
     def _packet(self, payload: bytes) -> None:
@@ -129,24 +131,26 @@
         if kind == wire.CPING and len(payload) == 1:
             return self._ping()
         if kind in (wire.SHUTDOWN, wire.PING) and len(payload) == 1:
-            self.core.counters.add("in.ignored.ajp")  # guards against anyone who could stop us from afar
-            return
+            self.coordinator.counters.add("in.ignored.ajp")  # guards against anyone who could stop us from afar
+            return None
         if kind != wire.FORWARD or self.conn.state != ConnectionState.IDLE:
-            raise wire.MalformedPacket(f"packet of kind {kind} out of place")
+            raise wire.MalformedPacketError(f"packet of kind {kind} out of place")
         self._be(ConnectionEvent.BEGIN)
         self.request = wire.ForwardRequest()
         with gevent.Timeout(self.limits.ajp_header_ms / 1000.0):
             self.request = wire.read_forward(payload)
             if not self._allowed():
-                return
+                return None
             body = self._body()
         if body is not None and self._takes():
             self._submit(body)
+            return None
+        return None
 
     def _ping(self) -> None:
         """Apache's ping, asked before a request: silence and an end send it to another server."""
-        self.core.counters.add("in.check.ajp")
-        if self.core.healthy and not self.core.draining:
+        self.coordinator.counters.add("in.check.ajp")
+        if self.coordinator.healthy and not self.coordinator.draining:
             self.outbox.put(wire.packet(wire.TO_GATEWAY, bytes([wire.CPONG])))
         else:
             self._be(ConnectionEvent.CLOSE)
@@ -154,7 +158,7 @@
     def _allowed(self) -> bool:
         secret = self.front.ajp.secret
         if secret and not compare_digest(self.request.attributes.get("secret", "").encode(), secret.encode()):
-            self.core.counters.add("in.wrong_secret.ajp")
+            self.coordinator.counters.add("in.wrong_secret.ajp")
             self.bad += 1
             self._reply(403)
             return False
@@ -169,7 +173,7 @@
         told, most = self.request.header("content-length"), self.limits.body_bytes
         chunked = "chunked" in self.request.header("transfer-encoding").lower()
         if told and not (told.isascii() and told.isdigit()):
-            raise wire.MalformedPacket("content-length is no number")
+            raise wire.MalformedPacketError("content-length is no number")
         want = int(told or 0)
         if want > most:
             self._reply(413)
@@ -186,7 +190,7 @@
                 self._reply(413)
                 return None
         if len(body) != want and not chunked:
-            raise wire.MalformedPacket(f"body of {len(body)} bytes, {want} were told")
+            raise wire.MalformedPacketError(f"body of {len(body)} bytes, {want} were told")
         return body
 
     def _submit(self, body: bytes) -> None:
@@ -199,8 +203,8 @@
             if len(body) > self.limits.body_bytes:
                 return self._reply(413)
         id = f"{front.ids.getrandbits(64):016x}"
-        exchange = Exchange(id, "ajp", rule.cls, body, unix_ms(), self._answer)
-        exchange.kb, exchange.rank, exchange.target = rule.kb, rule.priority_weight, rule.to
+        exchange = Exchange(id, "ajp", rule.class_index, body, unix_ms(), self._answer)
+        exchange.memory_kb, exchange.rank, exchange.target = rule.memory_kb, rule.priority_weight, rule.to
         exchange.sender = zlib.crc32(request.remote_addr.encode())
         exchange.method, exchange.uri, exchange.query = request.method, request.uri, query
         exchange.headers = tuple(row for row in request.headers if row[0] not in HOP_HEADERS)
@@ -209,7 +213,8 @@
             exchange.key = request.header(front.ajp.key_header)[:200]
         self.exchange = exchange
         self._be(ConnectionEvent.REQUEST)
-        front.core.submit(exchange)
+        front.coordinator.submit(exchange)
+        return None
 
     def _answer(self, exchange: Exchange, answer: Answer) -> None:
         self.exchange = None
@@ -229,14 +234,14 @@
         self.used = unix_ms()
         unread = self.request.header("content-length") or self.request.header("transfer-encoding")
         whole = self.conn.state != ConnectionState.READING
-        reuse = not self.core.draining and (whole or not unread)
+        reuse = not self.coordinator.draining and (whole or not unread)
         rows = (*rows, ("Content-Length", str(len(body))))
         body, most = b"" if self.request.method == "HEAD" else body, self.limits.ajp_packet
         try:
             data = b"".join(wire.write_reply(status, rows, body, reuse, most))
-        except wire.MalformedPacket:  # guards the core against headers of a worker that fill more than a packet
+        except wire.MalformedPacketError:  # guards the core against headers of a worker that fill more than a packet
             status, data = 500, b"".join(wire.write_reply(500, (), b"", reuse, most))
-        self.core.counters.add(f"sent.{status}.ajp")
+        self.coordinator.counters.add(f"sent.{status}.ajp")
         self.outbox.put(data)
         self._be(ConnectionEvent.LAST_ANSWERED if whole else ConnectionEvent.TURNED_AWAY)
         if not reuse:
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -1,6 +1,7 @@
 """What an elector wrote down of budgets, in a file that outlives the process: `MPV1`, a CRC-32, then msgpack.
 
-Written whole beside the old one, synced, then renamed over it, so that a crash leaves one of the two."""
+Written whole beside the old one, synced, then renamed over it, so that a crash leaves one of the two.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +12,14 @@
 
 import msgspec
 
+from myrtlespar.errors import MyrtlesparError
+
 MAGIC = b"MPV1"
 MOST = 64 << 20  # bytes
 Rows = Mapping[tuple[str, int], int]
 
 
-class CorruptBudgetFile(Exception):
+class CorruptBudgetFileError(MyrtlesparError):
     """The file is not whole: what was promised can't be known."""
 
 
@@ -27,11 +30,11 @@
     except FileNotFoundError:
         return {}
     if len(data) > MOST or data[:4] != MAGIC or zlib.crc32(data[8:]).to_bytes(4, "big") != data[4:8]:
-        raise CorruptBudgetFile(str(path))
+        raise CorruptBudgetFileError(str(path))
     try:
         rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(data[8:], type=list[tuple[str, int, int]])
     except msgspec.MsgspecError:
-        raise CorruptBudgetFile(str(path)) from None
+        raise CorruptBudgetFileError(str(path)) from None
     return {(key, number): total for key, number, total in rows}
 
 
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -58,7 +58,7 @@
         self._leave()
 
     def _be(self, event: ConnectionEvent) -> None:
-        for do in self.conn.be(event):
+        for do in self.conn.handle(event):
             if do is ConnectionAction.FINISH:
                 self.outbox.finish()
             else:
@@ -70,8 +70,9 @@
 
     def _takes(self) -> bool:
         """Guards against running what crosses our close: its answer could not be sent, and its client sends it once
-        more elsewhere."""
-        return self.conn.reads and not self.outbox.ending and not self.outbox.closed
+        more elsewhere.
+        """
+        return self.conn.accepts_requests and not self.outbox.ending and not self.outbox.closed
 
     def _leave(self) -> None:
         """No more is read: send the last answers, if we end it, and close."""
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -6,6 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from myrtlespar.errors import MyrtlesparError
+
 TO_SERVLET, TO_GATEWAY = b"\x12\x34", b"AB"
 FORWARD, BODY, HEADERS, END, GET_BODY, SHUTDOWN, PING, CPONG, CPING = 2, 3, 4, 5, 6, 7, 8, 9, 10
 METHODS = (
@@ -40,7 +42,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class MalformedPacket(Exception):
+class MalformedPacketError(MyrtlesparError):
     """Bytes that are no AJP13 message."""
 
 
@@ -73,7 +75,7 @@
     def take(self, size: int) -> bytes:
         """So many bytes."""
         if self.at + size > len(self.data):
-            raise MalformedPacket("cut short")
+            raise MalformedPacketError("cut short")
         self.at += size
         return self.data[self.at - size : self.at]
 
@@ -92,7 +94,7 @@
             return ""
         value = self.take(size).decode("latin-1")
         if self.byte() != 0:
-            raise MalformedPacket("text without its end")
+            raise MalformedPacketError("text without its end")
         return value
 
     def header(self, names: list[str]) -> tuple[str, str]:
@@ -100,7 +102,7 @@
         start = self.number()
         if start >> 8 == 0xA0:
             if not 0 < (start & 0xFF) <= len(names):
-                raise MalformedPacket(f"header code {start:#x}")
+                raise MalformedPacketError(f"header code {start:#x}")
             return names[(start & 0xFF) - 1], self.text()
         self.at -= 2
         return self.text().lower(), self.text()
@@ -127,7 +129,7 @@
 def packet(magic: bytes, payload: bytes, most: int = 8192) -> bytes:
     """A whole packet."""
     if len(payload) + 4 > most:
-        raise MalformedPacket(f"packet of {len(payload) + 4} bytes")
+        raise MalformedPacketError(f"packet of {len(payload) + 4} bytes")
     return magic + struct.pack(">H", len(payload)) + payload
 
 
@@ -135,10 +137,10 @@
     """A Forward Request, from its code on."""
     at = PayloadReader(payload)
     if at.byte() != FORWARD:
-        raise MalformedPacket("no Forward Request")
+        raise MalformedPacketError("no Forward Request")
     code = at.byte()
     if not (1 <= code <= len(METHODS) or code == STORED_METHOD):
-        raise MalformedPacket(f"method code {code}")
+        raise MalformedPacketError(f"method code {code}")
     out = ForwardRequest("" if code == STORED_METHOD else METHODS[code - 1])
     out.protocol, out.uri = at.text(), at.text()
     out.remote_addr, out.remote_host, out.server_name = at.text(), at.text(), at.text()
@@ -153,7 +155,7 @@
         elif kind in ATTRIBUTES:
             out.attributes[ATTRIBUTES[kind]] = at.text()
         else:
-            raise MalformedPacket(f"attribute code {kind}")
+            raise MalformedPacketError(f"attribute code {kind}")
     if code == STORED_METHOD:
         out.method = out.attributes.get("stored_method", "")
     return out
--- a/myrtlespar/net/codec/etcd.py
+++ b/myrtlespar/net/codec/etcd.py
@@ -1,6 +1,7 @@
 """The messages of etcd's published v3 API that this project uses, as protobuf types: KV Range, DeleteRange and Txn,
 Lease grant, keep-alive and revoke, Watch. Names and numbers are those of the API's documentation (rpc.proto,
-kv.proto); fields that are not used are left out, as protobuf passes over what it does not know."""
+kv.proto); fields that are not used are left out, as protobuf passes over what it does not know.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/net/codec/limits.py
+++ b/myrtlespar/net/codec/limits.py
@@ -10,12 +10,13 @@
     DATAGRAM_MOST,
     HEAD,
     NUMBER_MOST,
-    MalformedPeerMessage,
-    UnsupportedPeerVersion,
+    MalformedPeerMessageError,
+    UnsupportedPeerVersionError,
     is_valid_name,
 )
 from myrtlespar.quota.messages import (
     BudgetDrawRequest,
+    BudgetDrawResponse,
     GrantRequest,
     GrantResponse,
     LeaseRequest,
@@ -35,7 +36,7 @@
 
     fleet: str
     name: str
-    boot: int
+    incarnation: int
     message: LimitMessage
 
 
@@ -52,50 +53,53 @@
 def decode(data: bytes) -> LimitDatagram:
     """One datagram. Spoilt: it is none, or a value in it is out of range."""
     if len(data) > DATAGRAM_MOST or len(data) < HEAD:
-        raise MalformedPeerMessage("length")
+        raise MalformedPeerMessageError("length")
     if data[:3] != MAGIC[:3]:
-        raise MalformedPeerMessage("no magic")
+        raise MalformedPeerMessageError("no magic")
     if data[3] != VERSION:
-        raise UnsupportedPeerVersion("version")
+        raise UnsupportedPeerVersionError("version")
     body = data[HEAD:]
     if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
-        raise MalformedPeerMessage("checksum")
+        raise MalformedPeerMessageError("checksum")
     try:
         letter = _decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise MalformedPeerMessage("shape") from None
+        raise MalformedPeerMessageError("shape") from None
     _check(letter)
     return letter
 
 
 def _check(letter: LimitDatagram) -> None:
     message = letter.message
-    numbers = [letter.boot, message.rng]
+    numbers = [letter.incarnation, message.shard_id]
     if isinstance(message, GrantRequest | GrantResponse | LeaseRequest | LeaseVote):
-        numbers.append(message.no)
+        numbers.append(message.sequence_number)
     rows: list[tuple[str, int]] = []
     if isinstance(message, GrantRequest):
-        rows = [(want.key, want.want) for want in message.wants]
+        rows = [(want.key, want.want) for want in message.demands]
         numbers.append(message.version)
-        numbers += [number for want in message.wants for number in (want.took, want.busy, want.peak)]
+        numbers += [number for want in message.demands for number in (want.acknowledged, want.in_flight, want.peak)]
     elif isinstance(message, GrantResponse):
-        numbers += [message.epoch, message.for_ms, message.settled]
+        numbers += [message.epoch, message.duration_ms, message.settled_version]
         rows = list(message.amounts)
     elif isinstance(message, LeaseVote):
-        numbers += [message.seen, message.version]
-        rows = list(message.holds)
+        numbers += [message.highest_epoch, message.version]
+        rows = list(message.allowances)
     elif isinstance(message, LeaseRequest):
         numbers.append(message.epoch)
     else:
-        rows, numbers = [(message.key, 0)], [letter.boot, message.rng, message.period, message.epoch]
-        numbers += (
-            [message.got, message.back, message.want] if isinstance(message, BudgetDrawRequest) else [message.total]
-        )
+        rows, numbers = [(message.key, 0)], [letter.incarnation, message.shard_id, message.period, message.epoch]
+        if isinstance(message, BudgetDrawRequest):
+            numbers += [message.drawn_total, message.returned_total, message.wanted]
+        elif isinstance(message, BudgetDrawResponse):
+            numbers.append(message.drawn_total)
+        else:
+            numbers.append(message.reserved_total)
     if len(rows) > ROWS_MOST:
-        raise MalformedPeerMessage("too many")
+        raise MalformedPeerMessageError("too many")
     if not all(0 <= number < NUMBER_MOST for number in numbers):
-        raise MalformedPeerMessage("number")
+        raise MalformedPeerMessageError("number")
     if not all(0 < len(key) <= KEY_MOST and key.isprintable() and 0 <= amount <= AMOUNT_MOST for key, amount in rows):
-        raise MalformedPeerMessage("row")
+        raise MalformedPeerMessageError("row")
     if not is_valid_name(letter.name) or not is_valid_name(letter.fleet):
-        raise MalformedPeerMessage("name")
+        raise MalformedPeerMessageError("name")
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -1,6 +1,7 @@
 """The peer link's bytes: `MPF`, a version, a CRC-32, then msgpack. Every length and range is checked.
 
-A datagram is at most 1,200 bytes; what goes over TCP has a length of four bytes in front and is at most 2 MiB."""
+A datagram is at most 1,200 bytes; what goes over TCP has a length of four bytes in front and is at most 2 MiB.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +12,7 @@
 
 import msgspec
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.membership.messages import MemberState, MemberUpdate, Packet, ReachabilityRow, ViewSync
 
 VERSION = 1
@@ -32,11 +34,11 @@
 BESIDE = b"MPB" + bytes([VERSION])  # a second process of one name asks the first at its address; the same is the answer
 
 
-class MalformedPeerMessage(Exception):
+class MalformedPeerMessageError(MyrtlesparError):
     """Bytes that hold no message; the text says why in a word."""
 
 
-class UnsupportedPeerVersion(MalformedPeerMessage):
+class UnsupportedPeerVersionError(MalformedPeerMessageError):
     """Whole, but of another version of the link."""
 
 
@@ -49,71 +51,77 @@
 def decode(data: bytes) -> Packet:
     """One datagram. Spoilt: it is none, or a value in it is out of range."""
     packet: Packet = _read(data, DATAGRAM_MOST, _packet)
-    if len(packet.rumours) > RUMOURS_MOST or len(packet.rows) > ROWS_MOST:
-        raise MalformedPeerMessage("too many")
-    if not (0 < packet.no < NUMBER_MOST and 0 <= packet.hash < 2**64 and 0 <= packet.roll < NUMBER_MOST):
-        raise MalformedPeerMessage("number")
+    if len(packet.updates) > RUMOURS_MOST or len(packet.reachability) > ROWS_MOST:
+        raise MalformedPeerMessageError("too many")
+    if not (
+        0 < packet.sequence_number < NUMBER_MOST
+        and 0 <= packet.view_hash < 2**64
+        and 0 <= packet.voter_set_version < NUMBER_MOST
+    ):
+        raise MalformedPeerMessageError("number")
     body = packet.body
     if not 0 <= getattr(body, "seq", 0) < NUMBER_MOST:
-        raise MalformedPeerMessage("number")
-    for name in (getattr(body, "name", "x"), getattr(body, "of", "x")):
+        raise MalformedPeerMessageError("number")
+    for name in (getattr(body, "name", "x"), getattr(body, "target", "x")):
         if not is_valid_name(name):
-            raise MalformedPeerMessage("name")
-    if not is_valid_address(getattr(body, "address", packet.me.address)):
-        raise MalformedPeerMessage("address")
-    _check(packet.fleet, packet.me, packet.rumours, packet.rows)
+            raise MalformedPeerMessageError("name")
+    if not is_valid_address(getattr(body, "address", packet.sender.address)):
+        raise MalformedPeerMessageError("address")
+    _check(packet.fleet, packet.sender, packet.updates, packet.reachability)
     return packet
 
 
 def decode_sync(data: bytes) -> ViewSync:
     """A whole view. Spoilt as above."""
     sync: ViewSync = _read(data, STREAM_MOST, _sync)
-    if len(sync.entries) > ENTRIES_MOST or len(sync.rows) > ENTRIES_MOST:
-        raise MalformedPeerMessage("too many")
-    _check(sync.fleet, sync.me, sync.entries, sync.rows)
+    if len(sync.updates) > ENTRIES_MOST or len(sync.reachability) > ENTRIES_MOST:
+        raise MalformedPeerMessageError("too many")
+    _check(sync.fleet, sync.sender, sync.updates, sync.reachability)
     return sync
 
 
 def _read(data: bytes, most: int, decoder: msgspec.msgpack.Decoder[Any]) -> Any:
     if len(data) > most:
-        raise MalformedPeerMessage("oversized")
+        raise MalformedPeerMessageError("oversized")
     if data[:3] != MAGIC[:3] or len(data) < HEAD:
-        raise MalformedPeerMessage("no magic")
+        raise MalformedPeerMessageError("no magic")
     if data[3] != VERSION:
-        raise UnsupportedPeerVersion("version")
+        raise UnsupportedPeerVersionError("version")
     body = data[HEAD:]
     if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
-        raise MalformedPeerMessage("checksum")
+        raise MalformedPeerMessageError("checksum")
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise MalformedPeerMessage("shape") from None
+        raise MalformedPeerMessageError("shape") from None
 
 
 def _check(fleet: str, me: MemberUpdate, rumours: tuple[MemberUpdate, ...], rows: tuple[ReachabilityRow, ...]) -> None:
     if not is_valid_name(fleet):
-        raise MalformedPeerMessage("name")
+        raise MalformedPeerMessageError("name")
     for rumour in (me, *rumours):
         if not (
-            is_valid_name(rumour.name) and is_valid_name(rumour.site) and (not rumour.by or is_valid_name(rumour.by))
+            is_valid_name(rumour.name)
+            and is_valid_name(rumour.site)
+            and (not rumour.accuser or is_valid_name(rumour.accuser))
         ):
-            raise MalformedPeerMessage("name")
+            raise MalformedPeerMessageError("name")
         if not is_valid_address(rumour.address):
-            raise MalformedPeerMessage("address")
+            raise MalformedPeerMessageError("address")
         if not (
-            0 <= rumour.boot < NUMBER_MOST
-            and 0 <= rumour.counter < NUMBER_MOST
+            0 <= rumour.incarnation < NUMBER_MOST
+            and 0 <= rumour.refutation < NUMBER_MOST
             and 0 <= rumour.age_ms <= 2**31
             and 0 <= rumour.state <= MemberState.LEFT
         ):
-            raise MalformedPeerMessage("number")
+            raise MalformedPeerMessageError("number")
     for row in rows:
-        if len(row.cannot) > CANNOT_MOST or not all(
-            is_valid_name(name) for name in (row.by, *(n for n, _ in row.cannot))
+        if len(row.unreachable) > CANNOT_MOST or not all(
+            is_valid_name(name) for name in (row.reporter, *(n for n, _ in row.unreachable))
         ):
-            raise MalformedPeerMessage("row")
-        if not (0 <= row.boot < NUMBER_MOST and 0 <= row.no < NUMBER_MOST):
-            raise MalformedPeerMessage("number")
+            raise MalformedPeerMessageError("row")
+        if not (0 <= row.incarnation < NUMBER_MOST and 0 <= row.version < NUMBER_MOST):
+            raise MalformedPeerMessageError("number")
 
 
 @lru_cache(maxsize=8192)
