--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -1,7 +1,8 @@
 """Thrift's strict binary protocol: clients' messages, read with every length checked, and our answers.
 
 The library's writer is used, its reader is not: a negative length made it crash the process, and a list of
-two thousand million elements without a size of their own kept it busy for minutes."""
+two thousand million elements without a size of their own kept it busy for minutes.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +15,8 @@
 from thriftpy2.thrift import TApplicationException, TMessageType
 from thriftpy2.transport import TCyMemoryBuffer
 
+from myrtlespar.errors import MyrtlesparError
+
 idl: Any = thriftpy2.load(str(Path(__file__).parent / "front.thrift"), module_name="front_thrift")
 METHODS = frozenset(idl.Front.thrift_services)
 ONE_WAY = frozenset({"abort"})  # nobody waits for an answer to these
@@ -31,11 +34,11 @@
 DEPTH = 16  # of structs and containers in each other
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(MyrtlesparError):
     """A message that can't be read, or that asks for nothing we know."""
 
 
-class MalformedCall(MalformedMessage):
+class MalformedCallError(MalformedMessageError):
     """A call whose head could be read, so that it can be answered, and whose arguments could not."""
 
     def __init__(self, name: str, seq: int, text: str) -> None:
@@ -62,19 +65,23 @@
     at = _Cursor(frame)
     version, kind, size = HEAD.unpack(at.take(8))
     if version != 0x8001:
-        raise MalformedMessage("not strict binary Thrift")
+        raise MalformedMessageError("not strict binary Thrift")
     name = at.take(size).decode("ascii", "replace")
     seq: int = NUMBERS[I32].unpack(at.take(4))[0]
     try:
         return ThriftMessage(name, kind, seq, at.struct(DEPTH) if name in METHODS else None)
     except KeyError as error:
         raise _unreadable(name, kind, seq, f"type {error} is unknown") from None
-    except MalformedMessage as error:
+    except MalformedMessageError as error:
         raise _unreadable(name, kind, seq, str(error)) from None
 
 
-def _unreadable(name: str, kind: int, seq: int, text: str) -> MalformedMessage:
-    return MalformedCall(name, seq, text) if kind == CALL and name in METHODS - ONE_WAY else MalformedMessage(text)
+def _unreadable(name: str, kind: int, seq: int, text: str) -> MalformedMessageError:
+    return (
+        MalformedCallError(name, seq, text)
+        if kind == CALL and name in METHODS - ONE_WAY
+        else MalformedMessageError(text)
+    )
 
 
 class _Cursor:
@@ -89,7 +96,7 @@
         """So many bytes. Guards against lengths that are negative or reach past the frame."""
         end = self.at + size
         if size < 0 or end > len(self.data):
-            raise MalformedMessage(f"length {size} does not fit the message")
+            raise MalformedMessageError(f"length {size} does not fit the message")
         out = self.data[self.at : end]
         self.at = end
         return out
@@ -110,7 +117,7 @@
             shape = NUMBERS[kind]
             return shape.unpack(self.take(shape.size))[0]
         if depth <= 0:
-            raise MalformedMessage("nested too deep")
+            raise MalformedMessageError("nested too deep")
         if kind == STRUCT:
             return self.struct(depth)
         if kind == MAP:
@@ -134,7 +141,7 @@
             length = SIZE(data, at)[0] if start <= end else -1
             at = start + length
             if length < 0 or at > end:
-                raise MalformedMessage(f"length {length} does not fit the message")
+                raise MalformedMessageError(f"length {length} does not fit the message")
             words.append(data[start:at])
         self.at = at
         return dict(zip(words[::2], words[1::2], strict=True))
@@ -142,7 +149,7 @@
     def _fits(self, size: int) -> None:
         """Guards the core's time: every element takes a byte at least."""
         if not 0 <= size <= len(self.data) - self.at:
-            raise MalformedMessage(f"{size} elements do not fit the message")
+            raise MalformedMessageError(f"{size} elements do not fit the message")
 
 
 def encode(name: str, kind: int, seq: int, body: Any) -> bytes:
--- a/myrtlespar/net/connections.py
+++ b/myrtlespar/net/connections.py
@@ -12,6 +12,7 @@
 from gevent import Greenlet, socket
 
 from myrtlespar.config import Address
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.resource_limits import ResourceLimits
 
 READ_BYTES = 16384  # at a time
@@ -21,15 +22,15 @@
 LINES_AT_ONCE = 64  # read from what is here already, before others run
 
 
-class ConnectionEnded(Exception):
+class ConnectionEndedError(MyrtlesparError):
     """The other side closed, or sent what can't be read."""
 
 
-class PeerFinishedSending(ConnectionEnded):
+class PeerFinishedSendingError(ConnectionEndedError):
     """The other side sends nothing more. It may still read."""
 
 
-class ReadingStopped(Exception):
+class ReadingStoppedError(MyrtlesparError):
     """We stopped reading from a client that did not finish what it began."""
 
 
@@ -90,12 +91,14 @@
     def _end(self) -> None:
         """All is sent. Guards what the other side has not read yet against our close: over unread bytes, or before
         bytes that cross it, a close is a reset that throws it away. So only our direction ends for now, and the
-        reader of the socket drops what comes until the other side ends, or for `linger_ms`."""
+        reader of the socket drops what comes until the other side ends, or for `linger_ms`.
+        """
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
             return self.close()
         gevent.spawn_later(self._linger_s, self.close)
+        return None
 
     def close(self) -> None:
         """Close at once; the reader of the socket sees its end."""
@@ -103,10 +106,8 @@
             self.closed = True
             self._queue.clear()
             self._hold(-self._waiting)
-            try:
+            with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
             if self._writer is not None:
                 self._writer.kill(block=False)
 
@@ -188,10 +189,8 @@
     def stop(self) -> None:
         """Read no more."""
         self._stopped = True
-        try:
+        with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RD)
-        except OSError:
-            pass
 
     def discard(self) -> None:
         """Drop what comes, until the other side ends or the socket is shut."""
@@ -228,7 +227,7 @@
         while (end := self._data.find(b"\n", start)) < 0:
             start = len(self._data)
             if start > self._most:  # guards against a line without end
-                raise ConnectionEnded("line too long")
+                raise ConnectionEndedError("line too long")
             self._more()
         out = bytes(self._data[:end])
         del self._data[: end + 1]
@@ -239,17 +238,18 @@
             data = self._receive()
         except OSError as error:  # also a wait that was ended by `stop`
             if not self._stopped:
-                raise ConnectionEnded(str(error)) from None
+                raise ConnectionEndedError(str(error)) from None
         if self._stopped:
-            raise ReadingStopped("nothing, or part of a message, in all the time for one")
+            raise ReadingStoppedError("nothing, or part of a message, in all the time for one")
         if not data:
-            raise PeerFinishedSending("end of stream")
+            raise PeerFinishedSendingError("end of stream")
         self._data += data
 
     def _receive(self) -> bytes:
         """What is here, once something is; empty at the end. Guards all else against a peer that sends faster than
         we read, as a read that finds something lets nothing else run, and the link against a want of buffers that
-        passes."""
+        passes.
+        """
         self._reads += 1
         if self._reads >= READS_AT_ONCE:
             self._reads = 0
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -6,7 +6,8 @@
 import structlog
 
 from myrtlespar.config import Address, Config
-from myrtlespar.net.connections import ConnectionEnded, Outbox, Reader, connect
+from myrtlespar.errors import MyrtlesparError
+from myrtlespar.net.connections import ConnectionEndedError, Outbox, Reader, connect
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
@@ -31,15 +32,15 @@
 }
 
 
-class MalformedReply(Exception):
+class MalformedReplyError(MyrtlesparError):
     """The store sent what can't be read: nothing more on this connection means anything."""
 
 
 class DependencyClient:
     """The dependency that runs call."""
 
-    def __init__(self, config: Config, core: RequestCoordinator) -> None:
-        self.core, self.limits = core, config.limits
+    def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
+        self.coordinator, self.limits = coordinator, config.limits
         self._address = config.store
         self._links: dict[DependencyConnection, tuple[Outbox, Reader]] = {}
         limits = config.limits
@@ -56,19 +57,19 @@
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
         """Make a call. A second call for one request takes the place of the first."""
-        self._carry(self.book.make(id, limit_ms, body, unix_ms()))
+        self._carry(self.book.start_call(id, limit_ms, body, unix_ms()))
 
     def drop(self, id: str) -> None:
         """Give up a call that nobody needs."""
         if id in self.book.calls:
-            self.core.counters.add("store.drop")
-            self._carry(self.book.drop(id))
+            self.coordinator.counters.add("store.drop")
+            self._carry(self.book.cancel(id))
 
     def move(self, address: Address | None) -> None:
         """New calls go to another address; calls in hand end where they are."""
         if address != self._address:
             self._address = address
-            self._carry(self.book.move())
+            self._carry(self.book.change_address())
 
     def _quiet(self, wire: DependencyConnection) -> bool:
         return not self._links[wire][1].pending()
@@ -77,32 +78,34 @@
         """Carry out what the book says."""
         for order in orders:
             if isinstance(order, OpenConnection):
-                gevent.spawn(self._open, order.wire, self._address)
+                gevent.spawn(self._open, order.connection, self._address)
             elif isinstance(order, SendCall):
                 call = order.call
-                left = int(max(1.0, min(call.made + call.limit_ms - unix_ms(), self.limits.store_longest_ms)))
+                left = int(max(1.0, min(call.started_at + call.limit_ms - unix_ms(), self.limits.store_longest_ms)))
                 # If it can't be written the reader sees the connection's end, and so does the call.
-                self._links[order.wire][0].put(
+                self._links[order.connection][0].put(
                     b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body)
                 )
             elif isinstance(order, CloseConnection):
-                outbox = self._links[order.wire][0]
-                if order.drop:
-                    outbox.put(b"DROP %s\r\n" % order.drop.encode())
+                outbox = self._links[order.connection][0]
+                if order.cancelled_request:
+                    outbox.put(b"DROP %s\r\n" % order.cancelled_request.encode())
                 outbox.close()
             else:
-                self.core.called(order.call.id, order.outcome, unix_ms() - order.call.made, order.reply)
+                self.coordinator.call_ended(
+                    order.call.id, order.outcome, unix_ms() - order.call.started_at, order.reply
+                )
 
     # One greenlet a connection.
 
     def _open(self, wire: DependencyConnection, address: Address | None) -> None:
         if address is None:  # a site without a store: no call ever runs
-            return self._carry(self.book.refused(wire))
+            return self._carry(self.book.open_failed(wire))
         try:
             sock = connect(address, self.limits.connect_ms)
         except OSError:  # no connection, no call: it never ran
-            return self._carry(self.book.refused(wire))
-        self.core.counters.add("store.link")
+            return self._carry(self.book.open_failed(wire))
+        self.coordinator.counters.add("store.link")
         outbox = Outbox(sock, self.limits.store_outbox, self.limits.send_ms)
         reader = Reader(sock, self.limits.store_line)
         self._links[wire] = outbox, reader
@@ -110,19 +113,21 @@
             self._carry(self.book.opened(wire, unix_ms()))
             while True:
                 self._reply(wire, reader)
-        except ConnectionEnded as error:
+        except ConnectionEndedError as error:
             self._broken(wire, "reset", str(error))
-        except MalformedReply as error:
+        except MalformedReplyError as error:
             self._broken(wire, "spoilt", str(error)[:200])
         finally:
             outbox.close()
             sock.close()
             del self._links[wire]
-            self._carry(self.book.broken(wire))
+            self._carry(self.book.connection_lost(wire))
 
     def _broken(self, wire: DependencyConnection, how: str, error: str) -> None:
-        if wire.call is not None and self.core.counters.rare(f"store.{how}"):
-            log.info("store broke a call", how=how, error=error, id=wire.call.id, rested_ms=round(wire.rested))
+        if wire.call is not None and self.coordinator.counters.rare(f"store.{how}"):
+            log.info(
+                "store broke a call", how=how, error=error, id=wire.call.id, rested_ms=round(wire.idle_ms_before_call)
+            )
 
     def _reply(self, wire: DependencyConnection, reader: Reader) -> None:
         """Read one reply. Those to others, such as second copies, are passed over."""
@@ -130,25 +135,25 @@
         words = text.removesuffix(b"\r").split(b" ")
         end = ENDS.get(words[1]) if len(words) == (3 if words[1:2] == [b"OK"] else 2) else None
         if end is None or not text.endswith(b"\r"):
-            raise MalformedReply(f"line {text[:80]!r}")
+            raise MalformedReplyError(f"line {text[:80]!r}")
         body = self._body(reader, words[2]) if end is RunOutcome.OK else b""
-        orders = self.book.reply(wire, words[0].decode("latin-1"), end, body, unix_ms())
+        orders = self.book.reply_received(wire, words[0].decode("latin-1"), end, body, unix_ms())
         if orders is None:
-            self.core.counters.add("store.stray")
+            self.coordinator.counters.add("store.stray")
         else:
             self._carry(orders)
 
     def _body(self, reader: Reader, size: bytes) -> bytes:
         # Guards memory against lengths that fill it, and runs against a reply of another length than told.
         if not size.isdigit() or len(size) > 9 or int(size) > self.limits.store_reply:
-            raise MalformedReply(f"reply of {size[:20]!r} bytes")
+            raise MalformedReplyError(f"reply of {size[:20]!r} bytes")
         data = reader.exactly(int(size) + 2)
         if not data.endswith(b"\r\n"):
-            raise MalformedReply("reply of another length than told")
+            raise MalformedReplyError("reply of another length than told")
         return data[:-2]
 
     def serve(self) -> None:
         """Time calls out, and close connections that have been idle for too long to be trusted."""
         while True:
             gevent.sleep(self.limits.store_look_ms / 1000.0)
-            self._carry(self.book.look(unix_ms()))
+            self._carry(self.book.expire(unix_ms()))
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -12,7 +12,7 @@
 
 from myrtlespar.config import Address, Config
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.net.connections import ConnectionEnded, Outbox, Reader, connect
+from myrtlespar.net.connections import ConnectionEndedError, Outbox, Reader, connect
 from myrtlespar.policy.messages import Effect, RunOutcome
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
@@ -42,7 +42,8 @@
 
 def _finite(value: Any) -> float:
     """A number from a notice. Guards all later decisions against one that is none: it would spread through every
-    mean it enters."""
+    mean it enters.
+    """
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{number} is no time or gauge")
@@ -52,12 +53,12 @@
 class EngineClient:
     """Engine and gauges for the core."""
 
-    def __init__(self, config: Config, core: RequestCoordinator) -> None:
-        self.config, self.core, self.limits = config, core, config.limits
+    def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
+        self.config, self.coordinator, self.limits = config, coordinator, config.limits
         self.up = False
         self._address = config.kernel
         self._routes = [json.dumps(name).encode() for name in config.class_names]
-        self.book = CommandLog(core.tracker.wanted, config.limits.kernel_marks)
+        self.book = CommandLog(coordinator.tracker.is_wanted, config.limits.kernel_marks)
         self._booted: float | None = None
         self._link: Outbox | None = None
         self._heard = 0.0
@@ -73,16 +74,16 @@
         # Written without the JSON library: ids are letters and digits, bodies base64.
         text = b'{"t":"SCHED","rid":"%s","route":%s,"b64":"%s"}\n' % (
             exchange.id.encode(),
-            self._routes[exchange.cls],
+            self._routes[exchange.class_index],
             base64.b64encode(exchange.body),
         )
-        safe = self.config.settings.classes[exchange.cls].effect is Effect.SAFE
-        self._carry(self.book.post(Command(exchange.id, text, True, safe)))
+        safe = self.config.settings.classes[exchange.class_index].effect is Effect.SAFE
+        self._carry(self.book.send(Command(exchange.id, text, True, safe)))
 
     def resume(self, exchange: Exchange, reply: bytes) -> None:
         """Hand a run its reply."""
         self._carry(
-            self.book.post(
+            self.book.send(
                 Command(
                     exchange.id,
                     b'{"t":"IODONE","rid":"%s","b64":"%s"}\n' % (exchange.id.encode(), base64.b64encode(reply)),
@@ -93,7 +94,7 @@
 
     def ask(self) -> None:
         """Ask for the gauges; the answer also proves that all before it was read."""
-        self._carry(self.book.ask())
+        self._carry(self.book.request_gauges())
 
     def latest(self, now: float) -> list[float]:
         """The freshest gauges, if fresh enough to mean anything."""
@@ -114,19 +115,19 @@
         """Carry out what the book says."""
         for order in orders:
             if isinstance(order, EndRun):
-                self.core.counters.add("kernel.given_up")
-                self.core.ended(order.rid, RunOutcome.MOOT, 0.0)
+                self.coordinator.counters.add("kernel.given_up")
+                self.coordinator.run_ended(order.request_id, RunOutcome.MOOT, 0.0)
             elif self._link is None:
                 continue
             elif isinstance(order, WriteCommand):
                 if not self._link.put(order.command.line):  # none of it left: nothing can be lost
-                    self.book.unsent(order.command)
-                elif order.command.start:
-                    self._started_here.add(order.command.rid)
+                    self.book.send_failed(order.command)
+                elif order.command.is_start:
+                    self._started_here.add(order.command.request_id)
             elif isinstance(order, RequestMark):
                 self._link.put(line(t="SYSINFO", mark=order.name))
             elif isinstance(order, SendOpen):
-                self._link.put(line(t="OPEN", no=order.last))
+                self._link.put(line(t="OPEN", no=order.last_notice))
             else:
                 self._link.close()
 
@@ -138,12 +139,14 @@
             began = unix_ms()
             try:
                 self._connect()
-            except (OSError, ConnectionEnded) as error:
-                if self.core.counters.rare("kernel.link_ended"):  # a kernel that is down is tried again very often
+            except (OSError, ConnectionEndedError) as error:
+                if self.coordinator.counters.rare(
+                    "kernel.link_ended"
+                ):  # a kernel that is down is tried again very often
                     log.info("kernel link", error=str(error))
             except (ValueError, TypeError, OverflowError) as error:  # guards against numbers that are none
                 log.error("kernel sent what can't be read", error=str(error)[:200])
-                self.core.counters.add("kernel.bad_notice")
+                self.coordinator.counters.add("kernel.bad_notice")
             finally:  # whatever ended it: with the book still at this link, the next one would never be greeted
                 if self._link is not None:
                     self._link = None
@@ -155,10 +158,10 @@
         address = self._address
         sock = connect(address, self.limits.connect_ms)
         if address != self._address:  # guards against staying at an address that a reload gave up meanwhile
-            self.core.counters.add("kernel.moved_meanwhile")
+            self.coordinator.counters.add("kernel.moved_meanwhile")
             sock.close()
-            raise ConnectionEnded("moved while it was reached")
-        self.core.counters.add("kernel.link")
+            raise ConnectionEndedError("moved while it was reached")
+        self.coordinator.counters.add("kernel.link")
         self._opened_at = unix_ms()
         self._started_here.clear()
         self._link = link = Outbox(sock, self.limits.kernel_outbox, self.limits.send_ms)
@@ -169,9 +172,9 @@
             booted = False
             while True:
                 notice = self._parse(reader.line())
-                if not notice and not self.book.in_step:
+                if not notice and not self.book.is_synchronized:
                     # Guards against waiting for good for a greeting or mark that was lost in that line.
-                    raise ConnectionEnded("unreadable line before the link was in step")
+                    raise ConnectionEndedError("unreadable line before the link was in step")
                 if notice.get("t") == "BOOTED" and not booted:
                     booted = True
                     self._boot(notice)
@@ -181,14 +184,14 @@
                 if not isinstance(number, int):
                     self._unnumbered(notice)
                     continue
-                kind = self.book.numbered(number)
+                kind = self.book.classify_notice(number)
                 if kind == RENUMBERED:
-                    self.core.counters.add("kernel.renumbered")
+                    self.coordinator.counters.add("kernel.renumbered")
                     self._forget_old_runs()
-                    kind = self.book.numbered(number)
+                    kind = self.book.classify_notice(number)
                 if kind == GAP:  # guards against notices lost on the way
-                    self.core.counters.add("kernel.gap")
-                    raise ConnectionEnded(f"notice {number} after {self.book.last}")
+                    self.coordinator.counters.add("kernel.gap")
+                    raise ConnectionEndedError(f"notice {number} after {self.book.last_notice}")
                 if kind == NEXT:  # guards against handling a notice twice
                     self._numbered(notice)
         finally:
@@ -204,17 +207,18 @@
                 return notice
         except (ValueError, RecursionError):
             pass
-        self.core.counters.add("kernel.bad_notice")
+        self.coordinator.counters.add("kernel.bad_notice")
         return {}
 
     def _watch(self, link: Outbox, reader: Reader) -> None:
         """Guards against a link that is dead without having ended. One whose answers came while this process stood
-        still, and are not read yet, is not."""
+        still, and are not read yet, is not.
+        """
         while True:
             gevent.sleep(self.limits.kernel_silence_ms / 3000.0)
-            silent = self.book.marks and unix_ms() - self._heard > self.limits.kernel_silence_ms
+            silent = self.book.pending_marks and unix_ms() - self._heard > self.limits.kernel_silence_ms
             if silent and not reader.waits():
-                self.core.counters.add("kernel.silent")
+                self.coordinator.counters.add("kernel.silent")
                 link.close()
 
     def _boot(self, notice: dict[str, Any]) -> None:
@@ -232,17 +236,17 @@
         """Another kernel. Guards against waiting for runs that died with the one they ran in."""
         log.warning("the kernel started anew")
         for id in self._lost():
-            self.core.ended(id, RunOutcome.ERROR, 0.0)
+            self.coordinator.run_ended(id, RunOutcome.ERROR, 0.0)
 
     def _lost(self) -> list[str]:
         """All runs of the kernel that is gone. What was kept for a link is sent to the new one."""
         self.book.restarted()
         return [
             id
-            for id, exchange in self.core.tracker.open.items()
+            for id, exchange in self.coordinator.tracker.requests.items()
             if exchange.state in STARTED
             and not exchange.target
-            and id not in self.book.open
+            and id not in self.book.unconfirmed
             and id not in self._started_here
         ]
 
@@ -250,48 +254,48 @@
         """Ask for proofs of what a break may have lost, until none of it is in doubt."""
         while True:
             gevent.sleep(self.limits.doubt_ms / 1000.0)
-            self._carry(self.book.settle())
+            self._carry(self.book.request_doubt_mark())
 
     def _unnumbered(self, notice: dict[str, Any]) -> None:
         kind = notice.get("t")
         if kind == "INFO":
             self._info(notice)
         elif kind == "EINVAL":
-            if self.core.counters.rare("kernel.einval"):
+            if self.coordinator.counters.rare("kernel.einval"):
                 log.error("command not carried out", command=notice.get("status"), rid=notice.get("rid"))
             if notice.get("status") == "SYSINFO":
-                self._carry(self.book.declined())
+                self._carry(self.book.mark_rejected())
             elif notice.get("status") == "SCHED":
-                self.book.settled(str(notice.get("rid")))
+                self.book.run_reported(str(notice.get("rid")))
                 self._started_here.discard(str(notice.get("rid")))
                 # Nothing was started. Guards against clients whose made-up ids would look like failing runs.
-                self.core.ended(str(notice.get("rid")), RunOutcome.MOOT, 0.0)
+                self.coordinator.run_ended(str(notice.get("rid")), RunOutcome.MOOT, 0.0)
 
     def _numbered(self, notice: dict[str, Any]) -> None:
         kind, rid = notice.get("t"), str(notice.get("rid"))
         try:
             if kind == "REAP":
-                self.book.settled(rid)
+                self.book.run_reported(rid)
                 self._started_here.discard(rid)
                 outcome = ENDS[notice["status"]]
                 elapsed = max(0.0, _finite(notice.get("time_ms", 0.0)))
                 body = base64.b64decode(notice.get("b64", ""), validate=True)
-                self.core.counters.add(f"kernel.{notice['status'].lower()}")
+                self.coordinator.counters.add(f"kernel.{notice['status'].lower()}")
                 result = Answer(AnswerKind.SERVED, body) if outcome is RunOutcome.OK else None
                 if outcome is RunOutcome.MOOT:  # it never ran: a repeat of its key may, so the key is free again
                     result = NEVER_RAN
-                self.core.ended(rid, outcome, elapsed, result)
+                self.coordinator.run_ended(rid, outcome, elapsed, result)
             elif kind == "IOREQ":
-                self.book.settled(rid)
-                self.core.call_needed(rid, base64.b64decode(notice.get("b64", ""), validate=True))
+                self.book.run_reported(rid)
+                self.coordinator.call_needed(rid, base64.b64decode(notice.get("b64", ""), validate=True))
         except (KeyError, TypeError, ValueError, OverflowError) as error:  # guards the link against one odd notice
-            if self.core.counters.rare("kernel.bad_notice"):
+            if self.coordinator.counters.rare("kernel.bad_notice"):
                 log.error("notice can't be read", error=f"{type(error).__name__}: {error}"[:200])
             if kind == "REAP":  # it is over all the same, and nobody knows how
-                self.core.ended(rid, RunOutcome.ERROR, 0.0)
+                self.coordinator.run_ended(rid, RunOutcome.ERROR, 0.0)
 
     def _info(self, notice: dict[str, Any]) -> None:
-        orders, values = self.book.informed(str(notice.get("mark", ""))), notice.get("v")
+        orders, values = self.book.mark_received(str(notice.get("mark", ""))), notice.get("v")
         if orders is None:
             return
         self._carry(orders)
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -1,6 +1,7 @@
 """A client of etcd's v3 API over grpcio, for leases of ranges. Calls block a thread of gevent's pool, never the loop.
 
-Each call has a deadline; whatever goes wrong is `None`, which says that nobody knows what became of it."""
+Each call has a deadline; whatever goes wrong is `None`, which says that nobody knows what became of it.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -12,6 +12,7 @@
 from gevent.server import StreamServer
 
 from myrtlespar.config import Address
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.net.client_connection import ClientConnection
 from myrtlespar.net.connections import OutboxBudget, accepted
 from myrtlespar.request_coordinator import RequestCoordinator
@@ -29,7 +30,7 @@
 ConnectionType = TypeVar("ConnectionType", bound=ClientConnection)
 
 
-class AddressInUse(Exception):
+class AddressInUseError(MyrtlesparError):
     """An address could not be listened on; one line that names its key."""
 
 
@@ -59,28 +60,28 @@
         name: str,
         key: str,
         address: Address,
-        core: RequestCoordinator,
+        coordinator: RequestCoordinator,
         most: int,
         link: Callable[[socket.socket], ConnectionType],
         give_up: Callable[[], bool],
     ) -> None:
         """`key` is the address's in the configuration; `give_up` tells whether waiting for it has become idle."""
-        self.name, self.core, self.most, self.link = name, core, most, link
+        self.name, self.coordinator, self.most, self.link = name, coordinator, most, link
         self.links: set[ConnectionType] = set()
-        self.unsent = OutboxBudget(core.limits.outboxes_bytes)
+        self.unsent = OutboxBudget(coordinator.limits.outboxes_bytes)
         self.idle_ms = 0.0  # the module's wish; 0 leaves it to the clients
         self._unfinished: dict[ConnectionType, tuple[int, float]] = {}  # messages read, time without more
-        self._socket = bind_in_time(key, address, 0, True, core.limits.bind_ms, core.limits, give_up)
+        self._socket = bind_in_time(key, address, 0, True, coordinator.limits.bind_ms, coordinator.limits, give_up)
         self._server = Acceptor(self._socket, self._serve)
         self._server.make_room = self._close_idlest
         # Guards descriptors against a crowd that is accepted before room was made for it.
-        self._server.max_accept = core.limits.accept_at_once
+        self._server.max_accept = coordinator.limits.accept_at_once
 
     def start(self) -> None:
         """Listen. Not before: a second process that is refused its start would take connections and drop them."""
-        self._socket.listen(self.core.limits.backlog)
+        self._socket.listen(self.coordinator.limits.backlog)
         self._server.start()
-        gevent.spawn(run_for_good, f"{self.name}.look", self._look, self.core.counters)
+        gevent.spawn(run_for_good, f"{self.name}.look", self._look, self.coordinator.counters)
 
     @property
     def port(self) -> int:
@@ -95,14 +96,14 @@
         self._server.stop_accepting()
         sock.setblocking(False)
         for conn, peer in self._queued(sock):  # guards connections that the kernel queued beside a second process
-            self.core.counters.add(f"in.taken_at_close.{self.name}")
+            self.coordinator.counters.add(f"in.taken_at_close.{self.name}")
             gevent.spawn(self._serve_then_close, conn, peer)
         gevent.spawn(self.drain)  # once those taken last are served: they too are told that nothing new is wanted
         self._server.close()
 
     def _queued(self, sock: socket.socket) -> Iterator[tuple[socket.socket, Any]]:
         """All that waits to be accepted. One that fails, or a want of descriptors, leaves no other unheard."""
-        for _ in range(2 * self.core.limits.backlog):
+        for _ in range(2 * self.coordinator.limits.backlog):
             try:
                 yield sock.accept()
             except BlockingIOError:
@@ -113,7 +114,7 @@
                 if error.errno not in NO_ROOM or not self._close_idlest():
                     return
                 # The descriptor is free once the one that was closed has lingered.
-                gevent.sleep(self.core.limits.crossing_ms / 1000.0 + NO_ROOM_PAUSE_S)
+                gevent.sleep(self.coordinator.limits.crossing_ms / 1000.0 + NO_ROOM_PAUSE_S)
 
     def drain(self) -> None:
         """Ask every client to send nothing new."""
@@ -136,9 +137,10 @@
     def _look(self) -> None:
         """Close what is idle for longer than the module wants, and what is silent or stops within a message.
 
-        Counted in looks, so that a pause of the machine ends nobody's time."""
+        Counted in looks, so that a pause of the machine ends nobody's time.
+        """
         while True:
-            gevent.sleep(self.core.limits.idle_look_ms / 1000.0)
+            gevent.sleep(self.coordinator.limits.idle_look_ms / 1000.0)
             now, before, self._unfinished = unix_ms(), self._unfinished, {}
             for link in list(self.links):
                 if self.idle_ms > 0 and now - link.used > self.idle_ms and self._free(link):
@@ -148,18 +150,19 @@
 
     def _close_silent(self, link: ConnectionType, messages: int, waited_ms: float) -> None:
         """Close a connection that has finished no message for too long. Guards places against such clients; what has
-        just come is read first."""
-        limits = self.core.limits
+        just come is read first.
+        """
+        limits = self.coordinator.limits
         waited_ms = waited_ms + limits.idle_look_ms if messages == link.messages else 0.0
         if waited_ms >= limits.message_ms and not link.reader.waits():
-            self.core.counters.add(f"in.unfinished.{self.name}")
+            self.coordinator.counters.add(f"in.unfinished.{self.name}")
             link.reader.stop()
         else:
             self._unfinished[link] = (link.messages, waited_ms)
 
     def close_idle(self, link: ConnectionType) -> None:
         """Close a connection that carries nothing."""
-        self.core.counters.add(f"in.idle_closed.{self.name}")
+        self.coordinator.counters.add(f"in.idle_closed.{self.name}")
         self.links.discard(link)
         link.close()
 
@@ -168,7 +171,7 @@
         while link.owes() and not link.outbox.closed:
             gevent.sleep(0.02)
         link.outbox.finish()
-        link.outbox.drained(self.core.limits.send_ms / 1000.0)
+        link.outbox.drained(self.coordinator.limits.send_ms / 1000.0)
 
     @staticmethod
     def _free(link: ConnectionType) -> bool:
@@ -194,16 +197,16 @@
 
     def _serve(self, sock: socket.socket, _: Any) -> None:
         if not self._make_room():  # guards against running out of descriptors
-            self.core.counters.add(f"in.connection_refused.{self.name}")
+            self.coordinator.counters.add(f"in.connection_refused.{self.name}")
             return
-        accepted(sock, self.core.limits)
+        accepted(sock, self.coordinator.limits)
         link = self.link(sock)
         self.links.add(link)
-        self.core.counters.add(f"in.connection.{self.name}")
+        self.coordinator.counters.add(f"in.connection.{self.name}")
         try:
             link.read()
         except Exception:  # guards all other connections, and what this one is owed, against a fault with one message
-            if self.core.counters.rare(f"in.fault.{self.name}"):
+            if self.coordinator.counters.rare(f"in.fault.{self.name}"):
                 log.exception("connection failed", front=self.name)
             link.spoil()
         finally:
@@ -221,20 +224,24 @@
     give_up: Callable[[], bool],
 ) -> socket.socket:
     """A bound socket. Guards a start against what an earlier life left at the address for a moment: a process that
-    is still ending, or a connection that happens to have this port."""
+    is still ending, or a connection that happens to have this port.
+    """
     until = unix_ms() + for_ms
     while True:
         try:
             return bound(address, backlog, shared)
         except OSError as error:
             if unix_ms() > until or give_up():
-                raise AddressInUse(f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}") from None
+                raise AddressInUseError(
+                    f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}"
+                ) from None
         gevent.sleep(limits.bind_again_ms / 1000.0)
 
 
 def bound(address: Address, backlog: int, shared: bool) -> socket.socket:
     """A socket that listens, or with a backlog of 0 only holds its address; `shared` lets a second process of the
-    same server listen beside it (SO_REUSEPORT)."""
+    same server listen beside it (SO_REUSEPORT).
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -2,7 +2,8 @@
 
 One reader of datagrams, one clock, and a bounded number of short TCP exchanges, all greenlets of one family. What is
 spoilt, foreign, replayed or too much is counted and changes nothing. The machine measures how late its clock turns
-come; that is how a saturated process comes to doubt itself before others."""
+come; that is how a saturated process comes to doubt itself before others.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +19,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.membership.dissemination import TokenBucket
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
@@ -33,8 +35,8 @@
     BESIDE,
     HEAD,
     STREAM_MOST,
-    MalformedPeerMessage,
-    UnsupportedPeerVersion,
+    MalformedPeerMessageError,
+    UnsupportedPeerVersionError,
     beside,
     decode,
     decode_sync,
@@ -55,7 +57,7 @@
     return time.monotonic() * 1000.0
 
 
-class PeerAddressInUse(Exception):
+class PeerAddressInUseError(MyrtlesparError):
     """The address to listen on is in use by another program."""
 
 
@@ -97,7 +99,7 @@
             self._begin()
             return
         if not self._old_answers(wait_s):
-            raise PeerAddressInUse
+            raise PeerAddressInUseError
         if self.member is None:
             log.info("fleet: an old process has the address, waiting for it")
             self._tasks.append(gevent.spawn(self._take_over))
@@ -112,6 +114,7 @@
             return self.close()
         self._carry(self.member.leave(monotonic_ms()))
         self._tasks.append(gevent.spawn_later(0.5, self.close))
+        return None
 
     def close(self) -> None:
         """Close the sockets at once; greenlets end by it."""
@@ -242,12 +245,13 @@
             return other(data, now)
         try:
             packet = decode(data)
-        except UnsupportedPeerVersion:
+        except UnsupportedPeerVersionError:
             return self.counters.add("peers.other_version")
-        except MalformedPeerMessage as why:
+        except MalformedPeerMessageError as why:
             return self.counters.add(f"peers.spoilt.{str(why).replace(' ', '_')}")
         assert self.member is not None
         self._carry(self.member.receive(now, packet))
+        return None
 
     def _second(self, data: bytes, source: tuple[str, int], now: float) -> None:
         """A second process of our name, at our own address only."""
@@ -273,7 +277,7 @@
                 gevent.spawn(self._ask, effect)
             else:
                 if isinstance(effect, CountEvent):
-                    self.counters.add(f"fleet.{effect.what}")
+                    self.counters.add(f"fleet.{effect.counter}")
                 self.changed(effect)
         self._moved.set()
 
@@ -281,7 +285,7 @@
         """A datagram of another part to a member that is in the view; lost if it is not, or cannot be sent."""
         entry = self.member.view.entries.get(name) if self.member is not None else None
         if entry is not None:
-            self._put(data, entry.rumour.address)
+            self._put(data, entry.update.address)
 
     def _send(self, effect: SendPacket) -> None:
         self._put(encode(effect.packet), effect.address)
@@ -303,9 +307,11 @@
                 self._write(sock, effect.sync)
                 reply = self._whole(sock)
             if self.member is not None and self._sock is not None:
-                self._carry(self.member.synced(monotonic_ms(), reply))
-        except (OSError, MalformedPeerMessage) as error:
-            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessage) else 'failed'}")
+                self._carry(self.member.sync_received(monotonic_ms(), reply))
+        except (OSError, MalformedPeerMessageError) as error:
+            self.counters.add(
+                f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessageError) else 'failed'}"
+            )
         finally:
             self._asking -= 1
 
@@ -320,12 +326,14 @@
                 asked = self._whole(sock)
                 if self.member is None or self._sock is None:
                     return
-                reply, effects = self.member.asked(monotonic_ms(), asked)
+                reply, effects = self.member.sync_requested(monotonic_ms(), asked)
                 self._carry(effects)
                 if reply is not None:
                     self._write(sock, reply)
-        except (OSError, MalformedPeerMessage) as error:
-            self.counters.add(f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessage) else 'failed'}")
+        except (OSError, MalformedPeerMessageError) as error:
+            self.counters.add(
+                f"peers.exchange_{'spoilt' if isinstance(error, MalformedPeerMessageError) else 'failed'}"
+            )
         finally:
             self._answering -= 1
 
@@ -337,7 +345,7 @@
     def _whole(self, sock: socket.socket) -> ViewSync:
         size = int.from_bytes(_exactly(sock, 4), "big")
         if not HEAD < size <= STREAM_MOST:
-            raise MalformedPeerMessage("length")
+            raise MalformedPeerMessageError("length")
         self.read_bytes += size + 4
         return decode_sync(_exactly(sock, size))
 
@@ -347,6 +355,6 @@
     while len(out) < size:
         data = sock.recv(min(65536, size - len(out)))
         if not data:
-            raise MalformedPeerMessage("torn")
+            raise MalformedPeerMessageError("torn")
         out += data
     return bytes(out)
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -44,8 +44,8 @@
 class RegistryClient:
     """One greenlet that reports well inside the time after which the roster forgets."""
 
-    def __init__(self, config: Config, core: RequestCoordinator, kernel: EngineClient) -> None:
-        self.config, self.core, self.kernel, self.limits = config, core, kernel, config.limits
+    def __init__(self, config: Config, coordinator: RequestCoordinator, kernel: EngineClient) -> None:
+        self.config, self.coordinator, self.kernel, self.limits = config, coordinator, kernel, config.limits
         self._sock: socket.socket | None = None
         self._address = config.roster
         self._moved = Event()
@@ -66,16 +66,16 @@
             if not self.kernel.up:
                 at = began + self.limits.reconnect_ms
             elif self._report():
-                self.core.counters.add("roster.report")
+                self.coordinator.counters.add("roster.report")
                 at = began + self.limits.report_every_ms
             else:
-                self.core.counters.add("roster.failed")
+                self.coordinator.counters.add("roster.failed")
                 at = unix_ms() + self.limits.report_again_ms
             self._moved.wait(max(0.01, (at - unix_ms()) / 1000.0))
 
     def _report(self) -> bool:
         """One report. Guards against a kept connection that was closed or hangs: a new one has its try at once."""
-        duty = "off" if self.core.draining else "on"
+        duty = "off" if self.coordinator.draining else "on"
         if self._sock is not None and self._try(duty, self.limits.report_kept_ms):
             return True
         return self._try(duty, self.limits.report_ms)
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -100,8 +100,8 @@
     """A request was read and is held from now on; an answer is owed."""
 
     id: str
-    cls: int
-    kb: float
+    class_index: int
+    memory_kb: float
     waited_ms: float = 0.0
     deadline: float = 0.0
     tenant: int = 0
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -62,7 +62,7 @@
     """One request that was read here, until its memory is free again."""
 
     def __init__(self, event: api.Arrival, now: float) -> None:
-        self.id, self.cls, self.kb = event.id, event.cls, event.kb
+        self.id, self.cls, self.kb = event.id, event.class_index, event.memory_kb
         self.sender, self.tenant, self.prior = event.sender, event.tenant, event.prior
         self.arrived = now - event.waited_ms
         self.lane, self.state, self.tries = 0, NEW, 0
@@ -187,7 +187,8 @@
     def _share_rate(self, quota: float) -> float:
         """Requests a second within a tenant's share here: its part of the quota, or of what can be run here.
 
-        Guards against callers that spread traffic unevenly: a busy server would see everybody overrun."""
+        Guards against callers that spread traffic unevenly: a busy server would see everybody overrun.
+        """
         total = max(0.001, sum(self.s.tenant_quotas))
         return max(quota / max(1, self.s.servers), quota / total * self._able())
 
@@ -199,7 +200,8 @@
         """Others likely have room: this server cannot run its even part of the quotas, nor is asked for more.
 
         Guards against slow or cold servers that hold what faster ones would serve. Asked for far more, all
-        are taken for overloaded; and a try that was turned away before is not sent on again."""
+        are taken for overloaded; and a try that was turned away before is not sent on again.
+        """
         return not job.walked and 0 < self._able() < self.even and self._asked_evenly()
 
     def _able(self) -> float:
@@ -208,12 +210,13 @@
 
     def _asked_evenly(self) -> bool:
         """Asked for little more than its even part of the quotas: no flood, no overload of the fleet."""
-        return 1000.0 < ASKED_MOST * self.even * self.gap_ms
+        return ASKED_MOST * self.even * self.gap_ms > 1000.0
 
     def _size(self, job: HeldRequest) -> float:
         """Cost as a multiple of the class's mean, as far as hints have told costs of own runs apart.
 
-        In sixteenths, so that sums of them are exact. Without hints or runs it is 1: the ordinary path."""
+        In sixteenths, so that sums of them are exact. Without hints or runs it is 1: the ordinary path.
+        """
         mean = self.hint_mean[job.cls]
         if math.isnan(job.log_hint) or math.isnan(mean):
             return 1.0
@@ -272,9 +275,9 @@
     # Arrivals.
 
     def _arrival(self, event: api.Arrival) -> None:
-        if event.id in self.jobs or not 0 <= event.cls < len(self.s.classes):
+        if event.id in self.jobs or not 0 <= event.class_index < len(self.s.classes):
             return
-        job, kind = HeldRequest(event, self.now), self.s.classes[event.cls]
+        job, kind = HeldRequest(event, self.now), self.s.classes[event.class_index]
         self.jobs[job.id] = job
         self._watch_callers(job.arrived)
         job.due = max(event.deadline if event.deadline > 0 else job.arrived + kind.client_timeout_ms, self.now)
@@ -306,7 +309,8 @@
     def _watch_callers(self, arrived: float) -> None:
         """Close idle connections early where a caller seldom comes back before it would close them.
 
-        Guards against a table filled by many callers that come rarely: it takes work and keeps others out."""
+        Guards against a table filled by many callers that come rarely: it takes work and keeps others out.
+        """
         if self.last_arrival >= 0:
             self.gap_ms += FAST_LEARN / 3 * (max(0.0, arrived - self.last_arrival) - self.gap_ms)
         self.last_arrival = max(arrived, self.last_arrival)
@@ -320,7 +324,8 @@
         """How old a further try is, from a wait that no first try of its class has: what its caller has left.
 
         Guards against running repeats whose aim, counted from the first try, has passed. Learned from all
-        callers, as a server may never see one of many twice; each habit has a wait of its own."""
+        callers, as a server may never see one of many twice; each habit has a wait of its own.
+        """
         if deadline <= 0 or self.s.tier > 0:
             return 0.0
         wait, waits = deadline - job.arrived, self.first_waits[job.cls]
@@ -351,12 +356,14 @@
         if self.memory > self.s.memory_kb * MEMORY_PART:
             return self._fail(job)
         self.out.append(api.Reuse(job.id))
+        return None
 
     def _may_hold(self, job: HeldRequest) -> bool:
         """Turn away at once what must not or cannot be held: drain, hang, memory, no room for its key.
 
         So is all but a trial now and then while most own runs fail: never run, it may go elsewhere.
-        So is what a slow server would start too late while others may have room: see `_others_may`."""
+        So is what a slow server would start too late while others may have room: see `_others_may`.
+        """
         keyed = self.s.classes[job.cls].effect is Effect.KEYED
         need = self.memory + (self.s.key_kb if keyed else 0.0)
         sick = self.failing > RUNS_BAD and self.now - self.last_try < PROBE_MS * self.scale
@@ -448,7 +455,8 @@
 
     def _refuse(self, job: HeldRequest, last: bool, after: float = 0.0) -> None:
         """Only for what never ran here; `last` in overload, where another server would just read it. `after` is when
-        a limit of the fleet may have room."""
+        a limit of the fleet may have room.
+        """
         wait = after or max(self._wait(), self._overload_mark())  # as long as the waiting work needs
         last = last or (self.fleet is not None and not self.fleet.may_retry())
         self.out.append(api.Reject(job.id, min(self.s.max_retry_after_ms, wait), last))
@@ -466,11 +474,14 @@
         self._answered(job)
         if self.s.can_stop and job.state == RUNNING:  # over then: never started again, nor refused
             self.out.append(api.Stop(job.id))
+            return None
+        return None
 
     def _end_useless(self) -> None:
         """Fail what is of no use past its aim at once, where it waits for a call or can be stopped.
 
-        Guards against runs that nobody can use keeping cores, memory and crowd, whatever made them late."""
+        Guards against runs that nobody can use keeping cores, memory and crowd, whatever made them late.
+        """
         while self.useless and self.useless[0][0] <= self.now:
             job = heapq.heappop(self.useless)[2]
             if (self.s.can_stop or job.state in (AT_CALL, CALLING)) and not job.answered:
@@ -550,14 +561,15 @@
     def _start_work(self) -> None:
         """Start what the limit allows, less while arrivals wait unread past O.
 
-        Guards against runs that slow reading, the one thing that all arrivals need, till all are late."""
+        Guards against runs that slow reading, the one thing that all arrivals need, till all are late.
+        """
         self._expire()
         crowd = self._survivable() * CROWD_PART
         limit = self.limit if self.unread_ms <= self._overload_mark() else UNREAD_PART * self.cores
         while self.on_core < limit and self.on_core + self.waiters + 1 <= crowd:
             job = self._next()
             if job is None:
-                return
+                return None
             if self.memory + job.kb * (self.s.run_memory_factor - 1) > self.s.memory_kb * MEMORY_PART:
                 return self._log_bound("memory")
             after = self.fleet.admit(job.id, job.cls, job.sender) if self.fleet else 0.0
@@ -567,11 +579,14 @@
                 self._run(job)
         if self.on_core + self.waiters + 1 > crowd and sum(self.held) > 0:
             self._log_bound("crowd")
+            return None
+        return None
 
     def _await_room(self, job: HeldRequest, after: float) -> None:
         """Hold what the fleet will have room for in time, refuse the rest at once.
 
-        Guards against room that lies free until the next request comes."""
+        Guards against room that lies free until the next request comes.
+        """
         assert self.fleet is not None
         if job.state == LATE or self.now + after > self._give_up_at(job):
             return self._refuse(job, False, self.fleet.reject(job.id, after))
@@ -579,6 +594,7 @@
         self.held_kb += job.kb
         job.state = ROOMLESS
         self.fleet.enqueue(job.id, self._latest_start(job))
+        return None
 
     def _take_room(self) -> None:
         """What the fleet has room for again stands in front of its lane, as it came before what is there."""
@@ -630,12 +646,12 @@
     def _run_ended(self, event: api.RunEnded) -> None:
         job = self.jobs.get(event.id)
         if job is None:
-            return
+            return None
         if job.state == JOINED:
             self.held_kb -= job.kb
             return self._end(job)
         if job.state not in STARTED:
-            return
+            return None
         if self.fleet:
             self.fleet.release(job.id)
         self._leave_core(job)
@@ -645,6 +661,7 @@
         if event.outcome is RunOutcome.OK or useless:
             self._learn(job, event.elapsed_ms)
         self._end(job)
+        return None
 
     def _learn(self, job: HeldRequest, elapsed_ms: float) -> None:
         """Core time and elapsed time of a class, and how the present pace compares with the usual one."""
@@ -665,18 +682,19 @@
     def _call_needed(self, event: api.CallNeeded) -> None:
         job = self.jobs.get(event.id)
         if job is None or job.state != RUNNING:
-            return
+            return None
         self._leave_core(job)
         job.state, job.retry_at, job.tries = AT_CALL, self.now, 0
         self.waiters += 1
         if job.aim_at <= self.now and not self.s.classes[job.cls].late_weight and not job.answered:
             return self._fail(job)  # guards against calls and core time for what is of no use
         self.at_call.append(job)
+        return None
 
     def _call_ended(self, event: api.CallEnded) -> None:
         job = self.jobs.get(event.id)
         if job is None or job.state != CALLING:
-            return
+            return None
         self.calls_out -= 1
         good = event.outcome is RunOutcome.OK
         self._watch_dependency(job.cls, good, event.elapsed_ms)
@@ -689,15 +707,17 @@
             return self._return_to_core(job)
         kind = self.s.classes[job.cls]
         if job.answered:
-            return
+            return None
         if kind.degraded_weight > 0:
             self._skip(job)
-        elif event.outcome in NEVER_RAN or kind.effect is Effect.SAFE:
+            return None
+        if event.outcome in NEVER_RAN or kind.effect is Effect.SAFE:
             job.tries += 1
             job.retry_at = self.now + CALL_BACKOFF_MS * self.scale * 2**job.tries
             self.at_call.append(job)
-        else:
-            self._fail(job)
+            return None
+        self._fail(job)
+        return None
 
     def _watch_dependency(self, cls: int, good: bool, elapsed_ms: float) -> None:
         self.calls_failed += FAST_LEARN * ((0.0 if good else 1.0) - self.calls_failed)
@@ -726,7 +746,8 @@
         """Keep calls in hand well within the share in the mean, and at a moment within it or `at_once`.
 
         Guards against all servers filling their shares at once, given-up calls that linger included: the
-        dependency counts an abandoned call for as long as it may keep it."""
+        dependency counts an abandoned call for as long as it may keep it.
+        """
         share = self.s.calls_share if self.s.shared_dependency and self.s.calls_share > 0 else math.inf
         held = self.calls_out + len(self.lingering)
         return held < max(at_once, share) and self.calls_mean < CALLS_PART * share
@@ -777,7 +798,8 @@
         """How long a caller waits for a class, where its departures agree: a low quantile of their ages.
 
         Guards against callers that give up before the aim; scattered departures (copies answered elsewhere)
-        never agree and change nothing."""
+        never agree and change nothing.
+        """
         age = max(1.0, self.now - job.arrived)
         known = self.patience.setdefault((job.sender, job.cls), [age, 0.0])
         if len(self.patience) > KNOWN_CALLERS:
@@ -804,7 +826,8 @@
     def _leave_list(self) -> None:
         """Report bad while arrivals wait unread past the whole slack, until they wait under O.
 
-        Guards against callers that go on sending to a slowed or cold server; a flood would only move on."""
+        Guards against callers that go on sending to a slowed or cold server; a flood would only move on.
+        """
         slack = 1.0 / OVERLOAD_AT if self._asked_evenly() else math.inf
         off = self.unread_ms > self._overload_mark() * (1.0 if self.off else slack)
         if self.s.discovery_follows_health and off != self.off and self.drain_at > self.now:
@@ -865,7 +888,8 @@
         """Advise callers to stay away; all answers are due a little before the kill.
 
         Guards against a process that stood still: the notice is taken for as old as the last moment seen
-        awake, and answers are due before a stillness as long as the longest so far could cover the kill."""
+        awake, and answers are due before a stillness as long as the longest so far could cover the kill.
+        """
         self.drain_at = min(self.drain_at, self.awake)
         margin = 3 * self.tick_ms + min(self.still_ms, max(0.0, event.kill_at - self.now) / 2)
         self.kill_line = min(self.kill_line, event.kill_at - margin)
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -5,6 +5,7 @@
 import sys
 from typing import Any
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.policy import messages as api
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
@@ -14,27 +15,27 @@
 Json = dict[str, Any]
 
 
-class MissingSetting(Exception):
+class MissingSettingError(MyrtlesparError):
     """A setting that the module cannot do without was not given."""
 
 
-class InvalidSetting(Exception):
+class InvalidSettingError(MyrtlesparError):
     """A setting is there and means nothing; the text begins with its key."""
 
 
 def _require(table: Json, key: str, path: str) -> Any:
     if not isinstance(table, dict):  # guards against a fault that would name no key
-        raise InvalidSetting(f"{path.rstrip('.') or 'settings'}: expected a table, got {table!r}"[:200])
+        raise InvalidSettingError(f"{path.rstrip('.') or 'settings'}: expected a table, got {table!r}"[:200])
     value = table.get(key)
     if value is None:
-        raise MissingSetting(f"missing setting {path}{key}")
+        raise MissingSettingError(f"missing setting {path}{key}")
     return value
 
 
 def _number(value: Any, name: str, low: float = 0.0) -> float:
     """A finite number from `low` on."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= sys.float_info.max:
-        raise InvalidSetting(f"{name}: expected a number from {low:g}, got {value!r}"[:200])
+        raise InvalidSettingError(f"{name}: expected a number from {low:g}, got {value!r}"[:200])
     return float(value)
 
 
@@ -48,7 +49,7 @@
     """A list that may be absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, list):
-        raise InvalidSetting(f"{path}{key}: expected a list, got {value!r}"[:200])
+        raise InvalidSettingError(f"{path}{key}: expected a list, got {value!r}"[:200])
     return value or []
 
 
@@ -56,13 +57,13 @@
     """A table that may be absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, dict):
-        raise InvalidSetting(f"{key}: expected a table, got {value!r}"[:200])
+        raise InvalidSettingError(f"{key}: expected a table, got {value!r}"[:200])
     return value or {}
 
 
 def _effect(value: Any, name: str) -> api.Effect:
     if not isinstance(value, str) or value not in EFFECTS:
-        raise InvalidSetting(f"{name}: expected one of {', '.join(EFFECTS)}, got {value!r}"[:200])
+        raise InvalidSettingError(f"{name}: expected one of {', '.join(EFFECTS)}, got {value!r}"[:200])
     return EFFECTS[value]
 
 
@@ -96,11 +97,11 @@
     shares = _list(params, "projects", "")
     for n, share in enumerate(shares):
         if not isinstance(share, dict):
-            raise InvalidSetting(f"projects[{n}]: expected a table, got {share!r}"[:200])
+            raise InvalidSettingError(f"projects[{n}]: expected a table, got {share!r}"[:200])
     fields = "family_info."
     rows = _require(params, "classes", "")
     if not isinstance(rows, list) or not rows:
-        raise InvalidSetting(f"classes: expected at least one class, got {rows!r}"[:200])
+        raise InvalidSettingError(f"classes: expected at least one class, got {rows!r}"[:200])
     return api.Settings(
         classes=[_class(row, i, calls, skips) for i, row in enumerate(rows)],
         cores=int(_number(_require(info, "cores", "family_info."), "family_info.cores")),
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -6,7 +6,8 @@
 reserved. Each member's **vault** writes the reserved total down before it agrees, and a reservation counts once a
 majority agreed. A new keeper starts from the greatest total that a majority tells, so nothing is handed out twice.
 
-    spent in a period, by the clocks of those who spend, over all members and lives <= reserved <= the budget"""
+    spent in a period, by the clocks of those who spend, over all members and lives <= reserved <= the budget
+"""
 
 from __future__ import annotations
 
@@ -100,15 +101,16 @@
         one = self.pockets.get((answer.key, answer.period))
         if one is None:
             return
-        one.got = max(one.got, answer.total)
-        one.left = answer.left
+        one.got = max(one.got, answer.drawn_total)
+        one.left = answer.remaining
         if (answer.epoch, by) > (one.epoch, one.keeper):  # what was given back to another is lost
             one.keeper, one.epoch, one.back_there = by, answer.epoch, 0
 
 
 class BudgetJournal:
     """What an elector wrote down: the greatest total that was reserved of each entry. It is on the disk before any
-    answer that tells it."""
+    answer that tells it.
+    """
 
     def __init__(self, rows: Mapping[BudgetPeriod, int] | None = None) -> None:
         self.rows: dict[BudgetPeriod, int] = dict(rows or {})
@@ -116,10 +118,10 @@
     def reserve(self, ask: BudgetReserveRequest) -> BudgetReserveResponse:
         """Write it down. The answer tells what is written, once it is on the disk."""
         entry = ask.key, ask.period
-        total = max(ask.total, self.rows.get(entry, 0))
+        total = max(ask.reserved_total, self.rows.get(entry, 0))
         if total:
             self.rows[entry] = total
-        return BudgetReserveResponse(ask.rng, ask.epoch, ask.key, ask.period, total)
+        return BudgetReserveResponse(ask.shard_id, ask.epoch, ask.key, ask.period, total)
 
     def forget(self, limits: Mapping[str, Limit], wall_ms: float) -> None:
         """Drop entries that are over for all clocks."""
@@ -163,13 +165,13 @@
         """A member draws: the answer, and what all electors are to write down first."""
         store = self.stores.setdefault((ask.key, ask.period), BudgetEntry())
         if not store.known:
-            return None, BudgetReserveRequest(ask.rng, epoch, ask.key, ask.period, 0)
-        one = store.lives.setdefault(by, DrawnTotals(ask.got))
-        one.given = max(one.given, ask.got)  # a late answer of an earlier keeper: that is counted as handed out
-        if ask.epoch == epoch and ask.back > one.back:  # it is free for others
-            store.handed -= ask.back - one.back
-            one.back = ask.back
-        want = ask.want if ask.got == one.given else 0  # else it has not heard yet what it was given last
+            return None, BudgetReserveRequest(ask.shard_id, epoch, ask.key, ask.period, 0)
+        one = store.lives.setdefault(by, DrawnTotals(ask.drawn_total))
+        one.given = max(one.given, ask.drawn_total)  # a late answer of an earlier keeper: that is counted as handed out
+        if ask.epoch == epoch and ask.returned_total > one.back:  # it is free for others
+            store.handed -= ask.returned_total - one.back
+            one.back = ask.returned_total
+        want = ask.wanted if ask.drawn_total == one.given else 0  # else it has not heard yet what it was given last
         more = max(0, min(want, store.reserved - store.handed))
         one.given += more
         store.handed += more
@@ -178,9 +180,9 @@
             ahead = max(AHEAD * (want - more), limit.amount // 100)
             store.asking = min(limit.amount, max(store.asking, store.reserved + ahead))
             store.agreed = set()
-            reserve = BudgetReserveRequest(ask.rng, epoch, ask.key, ask.period, store.asking)
+            reserve = BudgetReserveRequest(ask.shard_id, epoch, ask.key, ask.period, store.asking)
         left = max(0, limit.amount - store.handed)
-        return BudgetDrawResponse(ask.rng, epoch, ask.key, ask.period, one.given, left), reserve
+        return BudgetDrawResponse(ask.shard_id, epoch, ask.key, ask.period, one.given, left), reserve
 
     def written(self, by: str, answer: BudgetReserveResponse) -> None:
         """What an elector has written down of an entry, which is true whoever asked for it."""
@@ -189,9 +191,9 @@
             return
         if not store.known:
             store.told.add(by)
-            store.reserved = store.handed = max(store.reserved, answer.total)
+            store.reserved = store.handed = max(store.reserved, answer.reserved_total)
             store.known = len(store.told) >= self.need
-        elif answer.total >= store.asking > store.reserved:
+        elif answer.reserved_total >= store.asking > store.reserved:
             store.agreed.add(by)
             if len(store.agreed) >= self.need:
                 store.reserved = store.asking
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -1,7 +1,8 @@
 """What one member may use: its standing shares and its grants, and how much of them is in use.
 
 A grant counts from the sending of the ask that it answers, and is counted short. Nothing here waits: `look` says at
-once whether there is room, and if not, when there may be."""
+once whether there is room, and if not, when there may be.
+"""
 
 from __future__ import annotations
 
@@ -98,7 +99,8 @@
 
     def look(self, now: float, key: str, limit: Limit, ahead: int = 0, again: bool = False) -> AdmissionCheck:
         """Whether there is room for one more behind so many that wait; unless it asks `again`, it counts as demand
-        either way."""
+        either way.
+        """
         share = self.share(key, limit)
         share.wanted_at = now
         if not again and share.rate:
@@ -165,7 +167,8 @@
 
     def _mean(self, now: float, share: KeyAllowance, need: int) -> int:
         """Demand in whole parts, slow to change: what swings in it would be set aside at its height for a whole
-        linger. A move of demand is no swing, and is followed at once."""
+        linger. A move of demand is no swing, and is followed at once.
+        """
         share.looks = share.looks + 1 if need or share.mean > 0.5 else 0
         swing = SWING * math.sqrt(share.mean)
         silent = not need and now - share.wanted_at > SILENT * share.limit.window_ms
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -1,7 +1,8 @@
 """A keeper's book for one range: what each holder may have in use of each key, and how the rest is divided.
 
 Over all holders the greatest amounts that may be in use never add up to more than the pool. An entry ends a linger
-after its grant lapsed, or after its holder said that it took a later one."""
+after its grant lapsed, or after its holder said that it took a later one.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +55,8 @@
 def _due(pool: int, asking: Mapping[Incarnation, HolderGrant]) -> dict[Incarnation, int]:
     """Everybody's part. While not all can have what they use on average, whoever uses little has a little less: of a
     few starts a window, what is there for the average lies fallow half of the time. What is left over goes to the
-    averages first, and then to what swings."""
+    averages first, and then to what swings.
+    """
     due = dict.fromkeys(asking, 0)
     rounds = (
         [int(FIRM * one.want) for one in asking.values()],
@@ -129,13 +131,14 @@
 
     def _took(self, part: HolderGrant, want: KeyDemand) -> None:
         """It took the answer to that ask, so no earlier one may be used any more. What it has in use is told: starts
-        in the last window, or runs in hand, that an earlier grant let in; they never grow beyond what it took."""
-        if not any(row[0] == want.took for row in part.rows):
+        in the last window, or runs in hand, that an earlier grant let in; they never grow beyond what it took.
+        """
+        if not any(row[0] == want.acknowledged for row in part.rows):
             return
-        part.rows = [row for row in part.rows if row[0] >= want.took]
+        part.rows = [row for row in part.rows if row[0] >= want.acknowledged]
         for row in part.rows:
-            if row[0] == want.took:
-                row[1] = max(row[1], want.busy)
+            if row[0] == want.acknowledged:
+                row[1] = max(row[1], want.in_flight)
 
     def outstanding(self, now: float, key: str) -> int:
         """What may be in use of a key."""
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -2,7 +2,8 @@
 
 A voter promises a range to one life of one member until a span on its own clock is over, counted long; the candidate
 counts its lease short, and from the sending of what the voter answered. So two leases of one range never overlap in
-true time. A voter that has just started promises nothing for one longest lease."""
+true time. A voter that has just started promises nothing for one longest lease.
+"""
 
 from __future__ import annotations
 
@@ -34,12 +35,12 @@
 
     def asked(self, now: float, by: Incarnation, ask: LeaseRequest) -> LeaseVote:
         """Promise, or say what stands against it. What is held is filled in by the caller."""
-        given = self.given[ask.rng]
+        given = self.given[ask.shard_id]
         same = (given.to == by or self.engine) and ask.epoch >= given.epoch
         if now < self.silent_until or not (same or (now >= given.until and ask.epoch > given.epoch)):
-            return LeaseVote(ask.rng, ask.no, False, given.epoch)
+            return LeaseVote(ask.shard_id, ask.sequence_number, False, given.epoch)
         given.to, given.epoch, given.until = by, ask.epoch, now + self.terms.waited(self.terms.lease_ms)
-        return LeaseVote(ask.rng, ask.no, True, ask.epoch)
+        return LeaseVote(ask.shard_id, ask.sequence_number, True, ask.epoch)
 
 
 @dataclass(slots=True)
@@ -73,18 +74,18 @@
         """Take a voter's answer in. True: with it a lease began."""
         if voter not in self.voters:
             return False
-        if not promise.ok:
-            if promise.seen > self.epoch and self.has(now):
+        if not promise.granted:
+            if promise.highest_epoch > self.epoch and self.has(now):
                 # it promised one that got no majority, and takes no grants of our epoch any more: the lease goes on
                 # under a later one
-                self.epoch = promise.seen + 1
-            elif promise.seen >= self.epoch and not self.has(now):
-                self.epoch, self.until = promise.seen + 1, 0.0
+                self.epoch = promise.highest_epoch + 1
+            elif promise.highest_epoch >= self.epoch and not self.has(now):
+                self.epoch, self.until = promise.highest_epoch + 1, 0.0
                 self.promised.clear()
                 self.asked.clear()
             return False
-        at = self.asked.get(promise.no)
-        if at is None or promise.seen != self.epoch:
+        at = self.asked.get(promise.sequence_number)
+        if at is None or promise.highest_epoch != self.epoch:
             return False
         if self.until and not self.has(now):  # it lapsed meanwhile: another may have been keeper since
             return False
@@ -107,7 +108,8 @@
 
     def seated(self, now: float, epoch: int, until: float) -> bool:
         """What the engine says: our epoch and until when, 0 if we do not keep the range. True: with it a lease
-        began."""
+        began.
+        """
         began = bool(epoch) and epoch != self.epoch
         if began:
             self.since = now
--- a/myrtlespar/quota/lease_session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -3,7 +3,8 @@
 
 All seats hang on one lease of the engine. It counts from the sending of what renewed it, and is counted short twice,
 for our clock and for the engine's. A seat's epoch is the revision at which its key was made, so that it grows with
-each keeper. What is given up is given up here first, then at the engine."""
+each keeper. What is given up is given up here first, then at the engine.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,8 @@
 @dataclass(frozen=True, slots=True)
 class EngineReply:
     """The engine's answer. `ttl_ms` of GRANT and KEEP, 0 where the lease is gone; `epoch` of TAKE, 0 where the key is
-    another's."""
+    another's.
+    """
 
     lease: int = 0
     ttl_ms: float = 0.0
--- a/myrtlespar/quota/retry_budget.py
+++ b/myrtlespar/quota/retry_budget.py
@@ -4,7 +4,8 @@
 try again pledges one; a repeat that arrives spends one, here or at whichever member it reaches. Callers go to members
 by chance, so what one pledges another spends; no message is needed, and the bound holds under any cut:
 
-    repeats that are taken, over all members <= share x first tries + burst x members"""
+    repeats that are taken, over all members <= share x first tries + burst x members
+"""
 
 from __future__ import annotations
 
@@ -38,26 +39,26 @@
     """One member's part. Starts with a whole burst."""
 
     def __init__(self, terms: RetryBudgetSettings) -> None:
-        self.terms, self.left = terms, float(terms.burst)
+        self.settings, self.remaining = terms, float(terms.burst)
         self._pledged: deque[float] = deque()  # when each lapses
 
-    def tried(self, again: bool) -> bool:
+    def record_attempt(self, again: bool) -> bool:
         """A try was read. False: it is a repeat that there is no budget for."""
         if not again:
-            self.left = min(float(self.terms.burst), self.left + self.terms.share)
+            self.remaining = min(float(self.settings.burst), self.remaining + self.settings.share)
             return True
-        if self.left < 1.0:
+        if self.remaining < 1.0:
             return False
-        self.left -= 1.0
+        self.remaining -= 1.0
         if self._pledged:
             self._pledged.popleft()
         return True
 
-    def may_repeat(self, now: float) -> bool:
+    def may_retry(self, now: float) -> bool:
         """Whether a refused caller may be left free to try again; if so, that is pledged."""
         while self._pledged and self._pledged[0] <= now:
             self._pledged.popleft()
-        if self.left - len(self._pledged) < 1.0:
+        if self.remaining - len(self._pledged) < 1.0:
             return False
         self._pledged.append(now + PLEDGE_MS)
         return True
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -2,7 +2,8 @@
 
 `drift` is how much any member's monotonic clock may run fast or slow against true time. A span that must not be
 exceeded is counted shorter by whoever uses it and longer by whoever waits for its end, so that true time is on the
-safe side on both."""
+safe side on both.
+"""
 
 from __future__ import annotations
 
@@ -124,7 +125,8 @@
 
 def prefix(key: str, until: str) -> str:
     """The part of an idempotency key that names its caller: up to the first of `until`, as a short word that is safe
-    in a key. A key without it, or none, counts under '-', all together; a long or odd one under its checksum."""
+    in a key. A key without it, or none, counts under '-', all together; a long or odd one under its checksum.
+    """
     found, mark, _ = key.partition(until)
     if not mark or not found:
         return "-"
@@ -176,7 +178,8 @@
     def over(self, limit: Limit) -> int:
         """Starts over the limit in any window (runs over it at once). Strict: none, under any cut, crash, restart,
         pause, loss, delay and doubling, with clocks within `drift`. Bounded: a keeper that starts anew does not wait
-        for what it can't know, so that grants may be outstanding twice."""
+        for what it can't know, so that grants may be outstanding twice.
+        """
         return 0 if limit.kind is LimitKind.STRICT else limit.amount
 
     def over_ms(self, limit: Limit) -> float:
@@ -185,12 +188,14 @@
 
     def moved_ms(self, limit: Limit) -> float:
         """From a move of demand until its new place has what is due to it, without losses: one ask that wants less,
-        one that says so, the last use's time to fade, one ask that gets it; a round trip each."""
+        one that says so, the last use's time to fade, one ask that gets it; a round trip each.
+        """
         return 3 * self.ask_ms + self.waited(limit.linger_ms) + self.ask_ms
 
     def rebuilt_ms(self, limit: Limit) -> float:
         """From the death of a keeper that all believe failed until its range is granted anew to the full: its lease
-        in the voters' eyes, then what it may have granted, as its own holdings died with it."""
+        in the voters' eyes, then what it may have granted, as its own holdings died with it.
+        """
         return self.waited(self.lease_ms) + self.waited(self.grant_ms + limit.linger_ms) + 2 * self.ask_ms
 
     def silent_ms(self, limit: Limit) -> float:
@@ -199,7 +204,8 @@
 
     def lowered_ms(self, limit: Limit) -> float:
         """From the moment that a keeper takes a lower number until no more than that is in use, the standing shares
-        of members that have not taken it counted in: what is granted, and its use, have to end."""
+        of members that have not taken it counted in: what is granted, and its use, have to end.
+        """
         return self.waited(self.grant_ms + limit.linger_ms) + self.ask_ms
 
     def settled_ms(self, linger_ms: float) -> float:
@@ -211,7 +217,8 @@
 
         Until all are known to have taken a version (`settled`), a member's share is the lesser one of this version
         and the one before, and the keeper sets the greater one aside for each: so nobody's version matters, and the
-        sum is never over the greater number, and soon not over the new one."""
+        sum is never over the greater number, and soon not over the new one.
+        """
         if not members:
             return limit.amount, 0
         each = math.floor(limit.amount * limit.standing / members)
--- a/myrtlespar/quota/usage_windows.py
+++ b/myrtlespar/quota/usage_windows.py
@@ -9,7 +9,8 @@
 
 class UsageWindow:
     """Starts within the last `span_ms`. Starts that come within one step count as of the latest of them, so that
-    none is forgotten early."""
+    none is forgotten early.
+    """
 
     __slots__ = ("_step", "count", "rows", "span_ms")
 
@@ -37,7 +38,8 @@
 
     def room_at(self, now: float, allowance: int, ahead: int = 0) -> float:
         """When there is room for one more behind so many that wait, if all of them start as soon as they can;
-        infinity with no allowance."""
+        infinity with no allowance.
+        """
         if allowance <= 0:
             return float("inf")
         need = self.look(now) + ahead - allowance + 1  # that have to fade first
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -83,11 +83,13 @@
         self.dependency: Dependency | None = None
         self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
-        self.value = 1.0  # what is advertised with every answer
+        self.advertised_value = 1.0  # what is advertised with every answer
         self.policy_healthy = True
-        self.operator = AdminCommands()  # the pause that operators ask for on the management address
-        self.ends = [[0, 0, 0] for _ in settings.classes]  # per class: served, refused, failed, since the start
-        self.forwards = [0 for _ in settings.classes]  # per class: runs handed to the kernel
+        self.admin = AdminCommands()  # the pause that operators ask for on the management address
+        self.answer_counts = [
+            [0, 0, 0] for _ in settings.classes
+        ]  # per class: served, refused, failed, since the start
+        self.engine_run_counts = [0 for _ in settings.classes]  # per class: runs handed to the kernel
         self.process = ProcessLifecycle(
             limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms, limits.crossing_ms
         )
@@ -112,11 +114,13 @@
     @property
     def healthy(self) -> bool:
         """What a health check is told."""
-        return self.operator.good(self.policy_healthy)
+        return self.admin.is_healthy(self.policy_healthy)
 
-    def figures(self, names: Sequence[str]) -> MetricsSnapshot:
+    def metrics_snapshot(self, names: Sequence[str]) -> MetricsSnapshot:
         """The counts for the management address, taken now."""
-        return MetricsSnapshot(names, [list(row) for row in self.ends], list(self.forwards), self.tracker.owed)
+        return MetricsSnapshot(
+            names, [list(row) for row in self.answer_counts], list(self.engine_run_counts), self.tracker.unanswered
+        )
 
     @property
     def draining(self) -> bool:
@@ -136,30 +140,30 @@
         self._carry(effects)
         return True
 
-    def gone(self, exchange: Exchange) -> None:
+    def caller_gone(self, exchange: Exchange) -> None:
         """Nobody waits for this request any longer."""
         if exchange.state in OWED:
             self.counters.add(f"answer.gone.{exchange.front}")
-        self._carry(self.tracker.gone(exchange))
+        self._carry(self.tracker.caller_gone(exchange))
 
-    def ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
+    def run_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
         """A run is over; `answer` is its result, or how it failed."""
-        self._carry(self.tracker.ended(id, outcome, elapsed_ms, answer, unix_ms()))
+        self._carry(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
 
     def call_needed(self, id: str, body: bytes) -> None:
         """A run waits for a call."""
         self._carry(self.tracker.call_needed(id, body))
 
-    def called(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
+    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
         """A call came back."""
         self.counters.add(f"store.{outcome.value.replace(' ', '_')}")
-        self._carry(self.tracker.called(id, outcome, elapsed_ms, reply))
+        self._carry(self.tracker.call_ended(id, outcome, elapsed_ms, reply))
 
     def drain(self) -> bool:
         """Notice to leave. Whether clients are to be told."""
-        acts = self.process.notice(unix_ms())
+        acts = self.process.drain_notice(unix_ms())
         if ProcessAction.TELL_POLICY in acts:
-            self._post(api.Drain(self.process.answer_by(self.tracker.owed)))
+            self._post(api.Drain(self.process.answer_deadline(self.tracker.unanswered)))
         return ProcessAction.ASK_CLIENTS in acts
 
     def _post(self, event: api.Event | Exchange) -> None:
@@ -233,9 +237,9 @@
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
         return api.Arrival(
             exchange.id,
-            exchange.cls,
-            exchange.kb,
-            max(0.0, now - exchange.arrived),
+            exchange.class_index,
+            exchange.memory_kb,
+            max(0.0, now - exchange.arrived_at),
             sender=exchange.sender,
             rank=exchange.rank,
             is_retry=exchange.is_retry,
@@ -247,13 +251,13 @@
                 self._carry(self.tracker.start(id, now))
             case api.Reject(id, retry_after_ms, last):
                 answer = Answer(AnswerKind.REFUSED, retry_after_ms=retry_after_ms, last=last)
-                self._carry(self.tracker.refuse(id, answer, now))
+                self._carry(self.tracker.reject(id, answer, now))
             case api.Fail(id):
                 self._carry(self.tracker.fail(id, now))
             case api.Call(id, limit_ms):
-                self._carry(self.tracker.call(id, limit_ms))
+                self._carry(self.tracker.start_call(id, limit_ms))
             case api.Advertise(value):
-                self.value = value
+                self.advertised_value = value
             case api.SetHealth(good, _):
                 self.policy_healthy = good
             case api.CloseIdle(after_ms):
@@ -274,24 +278,24 @@
                 self._carry_out(effect)
             except Exception:  # guards every other request, and the core itself, against a fault with this one
                 if self.counters.rare("core.effect_fault"):
-                    log.exception("effect failed", effect=effect.do.name, id=effect.exchange.id)
+                    log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
 
     def _carry_out(self, effect: RequestEffect) -> None:
         do, exchange, answer, outcome, ms, body = effect
         if do is DELIVER:
             assert answer is not None
             self.counters.add(f"answer.{answer.kind.value}.{exchange.front}")
-            self.ends[exchange.cls][ENDS[answer.kind]] += 1
+            self.answer_counts[exchange.class_index][ENDS[answer.kind]] += 1
             began = unix_ms()
             exchange.deliver(exchange, answer)
             took = min(ANSWER_MOST_MS, unix_ms() - began)  # guards against a pause that falls into one of them
-            self.process.answer_ms += ANSWER_LEARN * (took - self.process.answer_ms)
+            self.process.average_answer_ms += ANSWER_LEARN * (took - self.process.average_answer_ms)
         elif do is TELL_ARRIVAL:
             self._post(exchange)
         elif do is START_RUN:
             self.counters.add("run.started")
             if not exchange.target:
-                self.forwards[exchange.cls] += 1
+                self.engine_run_counts[exchange.class_index] += 1
             self.engines[exchange.target].run(exchange)
         elif do is TELL_ENDED:
             self._post(api.RunEnded(exchange.id, outcome, ms))
@@ -313,23 +317,26 @@
     def _sweep(self, now: float) -> None:
         """Guards against anything that leaves a request open."""
         self._end_lost_runs(now)
-        effects = self.tracker.sweep(now)
+        effects = self.tracker.fail_overdue(now)
         if effects:
-            self.counters.add("answer.overdue", sum(effect.do is DELIVER for effect in effects))
+            self.counters.add("answer.overdue", sum(effect.action is DELIVER for effect in effects))
             self._carry(effects)
 
     def _end_lost_runs(self, now: float) -> None:
         """Give back the places of runs that the kernel no longer has. Only of those that nobody waits for: what is
-        owed an answer has its due time."""
-        running, unwanted = self.tracker.on_cores()
-        lost = [x for x in self.tracker.at_calls_unwanted() if now > 2 * x.due - x.arrived]  # nothing tells but time
+        owed an answer has its due time.
+        """
+        running, unwanted = self.tracker.runs_on_cores()
+        lost = [
+            x for x in self.tracker.abandoned_runs_at_calls() if now > 2 * x.due_at - x.arrived_at
+        ]  # nothing tells but time
         if unwanted and RUNNABLE in self.settings.gauges:
-            lost += unwanted[: self._lost_runs.look(now, running, self._runnable(now))]
+            lost += unwanted[: self._lost_runs.count_lost(now, running, self._runnable(now))]
         elif unwanted:
-            lost += [x for x in unwanted if now > 2 * x.due - x.arrived]
+            lost += [x for x in unwanted if now > 2 * x.due_at - x.arrived_at]
         for exchange in lost:
             self.counters.add("run.lost")
-            self.ended(exchange.id, RunOutcome.ERROR, 0.0)
+            self.run_ended(exchange.id, RunOutcome.ERROR, 0.0)
 
     def _runnable(self, now: float) -> float | None:
         """What wants a core, by the kernel's gauges; None if they do not tell."""
@@ -338,13 +345,13 @@
         values, place = self.gauges.latest(now), self.settings.gauges.index(RUNNABLE)
         return values[place] if place < len(values) else None
 
-    def answer_rest(self) -> None:
+    def fail_unanswered(self) -> None:
         """The process ends: fail all that is still owed an answer. Guards a stop that leaves no time for a drain."""
-        effects = self.tracker.end_all(unix_ms())
+        effects = self.tracker.fail_all(unix_ms())
         if effects:
-            self.counters.add("answer.at_stop", sum(effect.do is DELIVER for effect in effects))
+            self.counters.add("answer.at_stop", sum(effect.action is DELIVER for effect in effects))
             self._carry(effects)
 
-    def report(self) -> dict[str, int]:
+    def counter_report(self) -> dict[str, int]:
         """All counts, those of impossible events included."""
         return {**self.counters.report(), **impossible(TABLES)}
--- a/myrtlespar/runtime/clock.py
+++ b/myrtlespar/runtime/clock.py
@@ -2,7 +2,8 @@
 
 `unix_ms` never steps: it is the monotonic clock, set to the Unix clock as the process starts. All due times, timers
 and ages are taken from it. `wall_ms` is the Unix clock as it is now, for stamps that other processes make or read;
-`from_wall` and `to_wall` lead from one to the other by way of the age."""
+`from_wall` and `to_wall` lead from one to the other by way of the age.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/runtime/log_output.py
+++ b/myrtlespar/runtime/log_output.py
@@ -1,7 +1,8 @@
 """The log's way out: a writer that never blocks the process and never raises.
 
 Standard output may be a pipe that nobody reads, a pipe whose reader has gone, a file on a full disk, or closed. The
-log is lost then, counted, and nothing else suffers."""
+log is lost then, counted, and nothing else suffers.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
 
 def open_standard_descriptors() -> None:
     """Guard against standard streams that are closed at the start: the first sockets would get their numbers, and
-    what libraries write to standard output or error would reach a client or a server."""
+    what libraries write to standard output or error would reach a client or a server.
+    """
     for descriptor in STANDARD_DESCRIPTORS:
         try:
             os.fstat(descriptor)
--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -1,6 +1,7 @@
 """Signals from the process's first moment on: noted until the server can act on them, so that none ends it or is lost.
 
-Loads nothing but the standard library: it stands before all that takes time to load."""
+Loads nothing but the standard library: it stands before all that takes time to load.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +41,8 @@
 
 def ignore_signals(stop: Callable[[], object]) -> None:
     """Guards the exit status against a signal between the last answer and the end of the process. `stop` gives up
-    whoever handles signals until then; meanwhile, as that brings the deadly default back, they wait."""
+    whoever handles signals until then; meanwhile, as that brings the deadly default back, they wait.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     stop()
     for number in SIGNALS:
--- a/myrtlespar/runtime/supervision.py
+++ b/myrtlespar/runtime/supervision.py
@@ -1,5 +1,6 @@
 """What becomes of an exception that nobody expected: it is logged with its traceback, counted, and ends no more than
-the connection, call or link it came from."""
+the connection, call or link it came from.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,8 @@
 
 def report_uncaught(counters: Counters) -> None:
     """Have the event loop log and count what no greenlet caught. Its own way is to print to standard error, which
-    blocks the process when nobody reads that."""
+    blocks the process when nobody reads that.
+    """
     hub = gevent.get_hub()
     hub.exception_stream = None
     handle_system_error = hub.handle_error
@@ -39,7 +41,8 @@
 
 def run_for_good(name: str, function: Callable[[], None], counters: Counters) -> None:
     """Run a part that has to go on for the life of the process. Guards against a link that nobody serves any
-    longer: what a peer sent ends a turn of it, not the part."""
+    longer: what a peer sent ends a turn of it, not the part.
+    """
     while True:
         try:
             function()
--- a/myrtlespar/runtime/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -17,11 +17,11 @@
         who=who,
         state=table.states(state).name,
         on=table.events(event).name,
-        to=table.states(row.next).name if row else "impossible",
+        to=table.states(row.next_state).name if row else "impossible",
     )
 
 
 def trace_to_log() -> None:
     """Write every step from now on. `myrtlespar check trace` reads such lines."""
     for table in TABLES:
-        table.watch = _line
+        table.observer = _line
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -19,7 +19,7 @@
 from myrtlespar.net.ajp_front import AjpFront
 from myrtlespar.net.dependency_client import DependencyClient
 from myrtlespar.net.engine_client import EngineClient
-from myrtlespar.net.listener import AddressInUse
+from myrtlespar.net.listener import AddressInUseError
 from myrtlespar.net.registry_client import RegistryClient
 from myrtlespar.net.thrift_front import ThriftFront
 from myrtlespar.request_coordinator import RequestCoordinator
@@ -39,21 +39,22 @@
 
 def serve(config: Config, early_signals: StartupSignals, output: LogOutput) -> int:
     """Wire the parts, run until a notice to drain or a hand-over is carried out. 2: an address can't be taken, or
-    the fleet's file has a fault, before any client is."""
+    the fleet's file has a fault, before any client is.
+    """
     counters, limits, reloads = Counters(), config.limits, 0
     report_uncaught(counters)
     if config.trace:
         trace_to_log()
-    core = RequestCoordinator(config.settings, config.seed, config.limits, counters)
-    kernel, store = EngineClient(config, core), DependencyClient(config, core)
-    roster = RegistryClient(config, core, kernel)
-    core.engines[""], core.gauges, core.dependency = kernel, kernel, store
-    core.engines.update(engines(config, core))
+    coordinator = RequestCoordinator(config.settings, config.seed, config.limits, counters)
+    kernel, store = EngineClient(config, coordinator), DependencyClient(config, coordinator)
+    roster = RegistryClient(config, coordinator, kernel)
+    coordinator.engines[""], coordinator.gauges, coordinator.dependency = kernel, kernel, store
+    coordinator.engines.update(engines(config, coordinator))
     try:
-        fronts: list[ThriftFront | AjpFront] = [ThriftFront(config, core, early_signals.told_to_leave)]
+        fronts: list[ThriftFront | AjpFront] = [ThriftFront(config, coordinator, early_signals.told_to_leave)]
         if config.ajp.listen:
-            fronts.append(AjpFront(config, core, config.ajp.listen, early_signals.told_to_leave))
-    except AddressInUse as error:
+            fronts.append(AjpFront(config, coordinator, config.ajp.listen, early_signals.told_to_leave))
+    except AddressInUseError as error:
         if early_signals.told_to_leave():
             return 0
         complain(error)
@@ -64,9 +65,9 @@
             front.idle_ms = after_ms
 
     def drain() -> None:
-        if not core.draining:
+        if not coordinator.draining:
             log.info("draining")
-        if core.drain():
+        if coordinator.drain():
             for front in fronts:
                 front.drain()
         if fleet is not None:
@@ -74,7 +75,8 @@
 
     def reload() -> None:
         """Take over new addresses. A file with a fault changes nothing and is named; guards against one that was
-        half written when the signal came: it is looked at again for a while, until it is whole or asked for anew."""
+        half written when the signal came: it is looked at again for a while, until it is whole or asked for anew.
+        """
         nonlocal reloads
         reloads = mine = reloads + 1
         named, until = "", unix_ms() + config.limits.reload_ms
@@ -84,13 +86,15 @@
                 break
             except ConfigError as error:
                 counters.add("reload.refused")
-                if str(error) != named and ProcessAction.NAME_FAULT in core.process.say(ProcessEvent.BAD_RELOAD):
+                if str(error) != named and ProcessAction.NAME_FAULT in coordinator.process.handle(
+                    ProcessEvent.BAD_RELOAD
+                ):
                     log.error("reload refused", error=str(error))
                 named = str(error)
             gevent.sleep(config.limits.reload_look_ms / 1000.0)
             if mine != reloads or unix_ms() > until:
                 return
-        if ProcessAction.MOVE_LINKS not in core.process.say(ProcessEvent.RELOAD):
+        if ProcessAction.MOVE_LINKS not in coordinator.process.handle(ProcessEvent.RELOAD):
             return
         counters.add("reload.done")
         kernel.move(fresh.kernel)
@@ -103,8 +107,8 @@
     def hand_over() -> None:
         """SIGTERM beside a second process: stop listening, tell clients, answer what was read, then exit."""
         longest = max(kind.client_timeout_ms for kind in config.settings.classes)
-        acts = core.process.handover(unix_ms(), min(longest, limits.handover_cap_ms) + limits.handover_spare_ms)
-        log.info("handing over", owed=core.tracker.owed)
+        acts = coordinator.process.handover(unix_ms(), min(longest, limits.handover_cap_ms) + limits.handover_spare_ms)
+        log.info("handing over", owed=coordinator.tracker.unanswered)
         if ProcessAction.CLOSE_LISTENERS in acts:
             for front in fronts:
                 front.stop()
@@ -113,49 +117,49 @@
             fleet.leave()
 
     def figures() -> MetricsSnapshot:
-        taken = core.figures(config.class_names)
-        return taken if fleet is None else replace(taken, more=fleet.figures())
+        taken = coordinator.metrics_snapshot(config.class_names)
+        return taken if fleet is None else replace(taken, extra_lines=fleet.metrics())
 
     fleet = None
     if config.fleet:
         try:
-            fleet = _fleet(config, core, counters)
+            fleet = _fleet(config, coordinator, counters)
         except ConfigError as error:
             complain(error)
             return 2
     mgmt = None
     succession = None
     if config.tmpdir:
-        succession = KeyHandover(core, HandoverFolder(config.tmpdir, config.name))
-        succession.begin()
+        succession = KeyHandover(coordinator, HandoverFolder(config.tmpdir, config.name))
+        succession.start()
     if config.mgmt is not None:
         try:
             mgmt = AdminServer(
                 config.mgmt,
-                core.operator,
+                coordinator.admin,
                 counters,
-                lambda: kernel.up and not core.draining,
+                lambda: kernel.up and not coordinator.draining,
                 figures,
                 limits,
                 early_signals.told_to_leave,
             )
             mgmt.start()
-        except AddressInUse as error:
+        except AddressInUseError as error:
             if early_signals.told_to_leave():
                 return 0
             complain(error)
             return 2
-    core.close_idle = close_idle
+    coordinator.close_idle = close_idle
     acts = {
         signal.SIGHUP: reload,
         signal.SIGTERM: drain if mgmt is None else hand_over,
         signal.SIGINT: drain,
-        signal.SIGUSR1: lambda: log.info("counters", **core.report()),
+        signal.SIGUSR1: lambda: log.info("counters", **coordinator.counter_report()),
     }
     watchers = [gevent.signal_handler(number, act) for number, act in acts.items()]
     early_signals.deliver_to(lambda number: gevent.spawn(acts[signal.Signals(number)]))
     gevent.sleep(0)  # what came before is carried out
-    if core.draining:  # told to leave before anybody could reach it: nothing was read, nothing is owed
+    if coordinator.draining:  # told to leave before anybody could reach it: nothing was read, nothing is owed
         log.info("told to leave at the start")
         ignore_signals(lambda: [watcher.cancel() for watcher in watchers])
         if fleet is not None:
@@ -163,7 +167,7 @@
         return 0
     for front in fronts:
         front.start()
-    turns = gevent.spawn(core.run)
+    turns = gevent.spawn(coordinator.run)
     for name, part in (("kernel", kernel), ("store", store), ("roster", roster)):
         gevent.spawn(run_for_good, name, part.serve, counters)
     log.info(
@@ -181,7 +185,7 @@
             turns.get()
         gevent.sleep(0.02)
         output.flush()
-        for act in core.process.look(unix_ms(), core.tracker.owed):
+        for act in coordinator.process.poll(unix_ms(), coordinator.tracker.unanswered):
             if act is ProcessAction.CLOSE_LISTENERS:
                 for front in fronts:
                     front.stop()
@@ -189,43 +193,44 @@
                 for front in fronts:
                     front.drain()  # connections opened since the notice
             else:
-                core.answer_rest()
+                coordinator.fail_unanswered()
                 for front in fronts:
                     front.end()  # before the keys: what were read behind them would be known to nobody
                 if succession is not None:
-                    succession.leave()
+                    succession.publish_keys()
                 # Guards the exit status against a client that does not read until the kill.
-                left_ms = max(0.0, core.process.kill_at - unix_ms())
+                left_ms = max(0.0, coordinator.process.kill_at - unix_ms())
                 flush_s = min(limits.flush_ms, left_ms / 2) / 1000.0
                 gevent.joinall([gevent.spawn(front.finish, flush_s) for front in fronts], flush_s)
-                stopped = ProcessAction.STOP in core.process.say(ProcessEvent.FLUSHED)
-    core.stop()
+                stopped = ProcessAction.STOP in coordinator.process.handle(ProcessEvent.FLUSHED)
+    coordinator.stop()
     ignore_signals(lambda: [watcher.cancel() for watcher in watchers])
     if fleet is not None:
         fleet.close()
-    log.info("counters", **core.report())
+    log.info("counters", **coordinator.counter_report())
     return 0
 
 
-def _fleet(config: Config, core: RequestCoordinator, counters: Counters) -> FleetNode:
+def _fleet(config: Config, coordinator: RequestCoordinator, counters: Counters) -> FleetNode:
     """The fleet's parts, imported only here."""
     from myrtlespar.fleet import open_fleet
 
     def key_of(id: str) -> str:
-        exchange = core.tracker.find(id)
+        exchange = coordinator.tracker.find(id)
         return exchange.key if exchange is not None else ""
 
     fleet = open_fleet(config, counters, key_of)
-    core.operator.more[b"MEMBERS"] = fleet.members
+    coordinator.admin.extra_commands[b"MEMBERS"] = fleet.members
     if fleet.limits is not None:
-        core.operator.more[b"LIMITS"] = fleet.limits.report
-        core.policy.fleet = fleet.limits
+        coordinator.admin.extra_commands[b"LIMITS"] = fleet.limits.report
+        coordinator.policy.fleet = fleet.limits
     return fleet
 
 
 def main(early_signals: StartupSignals | None = None) -> int:
     """Run until drained. 0 is a drain carried out, 1 a fault of a part that is needed, 2 a faulty configuration,
-    named in one line."""
+    named in one line.
+    """
     open_standard_descriptors()
     early_signals = early_signals or StartupSignals()
     output = log_to_standard_output()
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -23,7 +23,8 @@
 def play(script: Script, seed: int, terms: MembershipSettings | None = None, plain: bool = False) -> dict[str, Any]:
     """Figures as `standins.fleet.play` gives them, and what the emulator alone knows: datagrams, bytes, speed.
 
-    `plain` plays the baseline. In fleets of more than 64 some observers are judged, and no standings."""
+    `plain` plays the baseline. In fleets of more than 64 some observers are judged, and no standings.
+    """
     terms, sites, names = terms or MembershipSettings(), script.sites, list(script.members)
     observers = names if len(names) <= PAIRED_MOST else watchers(script, sites)
     joined = len(names) > JOINED_FROM and not plain
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -10,9 +10,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
+from myrtlespar.errors import MyrtlesparError
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.policy import Policy
-from myrtlespar.policy.settings import InvalidSetting, Json, MissingSetting, read_settings
+from myrtlespar.policy.settings import InvalidSettingError, Json, MissingSettingError, read_settings
 
 OUTCOMES = {
     100: api.RunOutcome.OK,
@@ -26,7 +27,7 @@
 }
 
 
-class MalformedInput(Exception):
+class MalformedInputError(MyrtlesparError):
     """A line that is not a batch of this wire."""
 
 
@@ -37,8 +38,8 @@
     bits = event.get("bits") or 0
     return api.Arrival(
         id=event["xid"],
-        cls=event.get("grade", 0),
-        kb=event.get("mem_kb", 0.0),
+        class_index=event.get("grade", 0),
+        memory_kb=event.get("mem_kb", 0.0),
         waited_ms=event.get("queued_for_ms", 0.0),
         deadline=event.get("drop_dead_ms", 0.0),
         tenant=event.get("user_group", 0),
@@ -106,7 +107,7 @@
     def _instance(self, now: float, name: str, rows: list[Json]) -> list[Json]:
         try:
             return self._decide(now, name, rows)
-        except (MissingSetting, InvalidSetting) as error:
+        except (MissingSettingError, InvalidSettingError) as error:
             self._policies.pop(name, None)
             return [{"type": "bug", "message": str(error)}]
         except Exception as error:
@@ -136,24 +137,24 @@
     try:
         batch = json.loads(line)
     except ValueError as error:
-        raise MalformedInput(f"input line {number}: not JSON: {error}") from None
+        raise MalformedInputError(f"input line {number}: not JSON: {error}") from None
     if not isinstance(batch, dict):
-        raise MalformedInput(f"input line {number}: not a batch: expected an object")
+        raise MalformedInputError(f"input line {number}: not a batch: expected an object")
     if isinstance(batch.get("sim_time_ms"), bool) or not isinstance(batch.get("sim_time_ms"), int | float):
-        raise MalformedInput(f"input line {number}: not a batch: sim_time_ms is missing or no number")
+        raise MalformedInputError(f"input line {number}: not a batch: sim_time_ms is missing or no number")
     _check_rows(batch.get("backends"), number)
     return batch
 
 
 def _check_rows(rows: Any, number: int) -> None:
     if not isinstance(rows, list):
-        raise MalformedInput(f"input line {number}: not a batch: backends is missing or no list")
+        raise MalformedInputError(f"input line {number}: not a batch: backends is missing or no list")
     for row in rows:
         if not (isinstance(row, dict) and isinstance(row.get("backend"), str)):
-            raise MalformedInput(f"input line {number}: not a batch: an entry of backends has no name")
+            raise MalformedInputError(f"input line {number}: not a batch: an entry of backends has no name")
         events = row.get("arrivals")
         if not (isinstance(events, list) and all(isinstance(event, dict) for event in events)):
-            raise MalformedInput(f"input line {number}: not a batch: arrivals is no list of events")
+            raise MalformedInputError(f"input line {number}: not a batch: arrivals is no list of events")
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
@@ -169,7 +170,7 @@
     """Run the adapter on standard input and output."""
     try:
         serve(sys.stdin, sys.stdout)
-    except MalformedInput as error:
+    except MalformedInputError as error:
         print(error, file=sys.stderr)
         return 1
     return 0
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -97,12 +97,12 @@
         self.state: int = ConnectionState.IDLE
 
     @property
-    def reads(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether what comes is still taken."""
         return self.state < ENDING
 
-    def be(self, event: ConnectionEvent) -> tuple[ConnectionAction, ...]:
+    def handle(self, event: ConnectionEvent) -> tuple[ConnectionAction, ...]:
         """One event, and what follows."""
         row = CONNECTION_TABLE.step(self.state, event, self.name)
-        self.state = row.next
+        self.state = row.next_state
         return row.effects
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -105,10 +105,10 @@
 
     id: str
     body: bytes
-    made: float
+    started_at: float
     limit_ms: float
     state: int = CallState.WAITING
-    wire: DependencyConnection | None = None
+    connection: DependencyConnection | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -116,35 +116,35 @@
     """One connection to the store."""
 
     number: int
-    epoch: int  # which address it leads to
-    served: deque[str]  # the latest requests it carried calls for
+    address_epoch: int  # which address it leads to
+    recent_requests: deque[str]  # the latest requests it carried calls for
     state: int = DependencyConnectionState.OPENING
     call: DependencyCall | None = None
-    used: float = 0.0  # when it last became idle
-    rested: float = 0.0  # how long it was idle before its present call
+    idle_since: float = 0.0  # when it last became idle
+    idle_ms_before_call: float = 0.0  # how long it was idle before its present call
 
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
     """Open this connection."""
 
-    wire: DependencyConnection
+    connection: DependencyConnection
 
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
     """Send the call on its connection."""
 
-    wire: DependencyConnection
+    connection: DependencyConnection
     call: DependencyCall
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close it; `drop` names a call to give up first."""
+    """Close it; `cancelled_request` names a call to give up first."""
 
-    wire: DependencyConnection
-    drop: str = ""
+    connection: DependencyConnection
+    cancelled_request: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,10 +163,10 @@
 class CallLimits:
     """Limits of the calls; times in milliseconds."""
 
-    links: int  # connections open or being opened
-    waiting: int  # calls that wait for a connection
-    trust_ms: float  # a connection idle for longer may be forgotten by the store
-    served: int  # latest requests of a connection, whose calls the store may still answer again
+    max_connections: int  # connections open or being opened
+    max_waiting: int  # calls that wait for a connection
+    max_idle_ms: float  # a connection idle for longer may be forgotten by the store
+    max_recent_requests: int  # latest requests of a connection, whose calls the store may still answer again
     grace_ms: float  # past a call's time until it is taken for timed out
 
 
@@ -184,46 +184,46 @@
 
 @dataclass(slots=True)
 class DependencyCalls:
-    """All calls of one server life. `quiet` tells whether nothing has come on a connection unasked."""
+    """All calls of one server life. `is_quiet` tells whether nothing has come on a connection unasked."""
 
-    bounds: CallLimits
-    quiet: Callable[[DependencyConnection], bool]
+    limits: CallLimits
+    is_quiet: Callable[[DependencyConnection], bool]
     calls: dict[str, DependencyCall] = field(default_factory=dict)
     idle: deque[DependencyConnection] = field(default_factory=deque)  # the one used last is taken first
     waiting: deque[DependencyCall] = field(default_factory=deque)
-    wires: int = 0  # connections open or being opened
+    connection_count: int = 0  # connections open or being opened
     serial: int = 0
-    epoch: int = 0
+    address_epoch: int = 0
 
     # What the server wants.
 
-    def make(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
+    def start_call(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
         """Make a call. A second call for one request takes the place of the first."""
-        out = self.drop(id)
+        out = self.cancel(id)
         call = self.calls[id] = DependencyCall(id, body, now, limit_ms)
         wire = self._trusted(id, now)
         if wire is not None:
             return [*out, self._take(wire, call, now)]
-        if self.wires < self.bounds.links:
+        if self.connection_count < self.limits.max_connections:
             self.waiting.append(call)
             return [*out, self._open()]
-        if len(self.waiting) < self.bounds.waiting:
+        if len(self.waiting) < self.limits.max_waiting:
             self.waiting.append(call)
             return out
         return out + self._end(call, CallEvent.UNREACHED)  # guards memory against a store that only takes calls
 
-    def drop(self, id: str) -> list[CallEffect]:
+    def cancel(self, id: str) -> list[CallEffect]:
         """Give up a call that nobody needs. Its connection closes, as its reply may still come, or never."""
         call = self.calls.get(id)
         if call is None:
             return []
-        wire = call.wire
+        wire = call.connection
         self._end(call, CallEvent.GIVEN_UP)
         return [] if wire is None else [self._spend(wire, DependencyConnectionEvent.DROP, id)]
 
-    def move(self) -> list[CallEffect]:
+    def change_address(self) -> list[CallEffect]:
         """New calls go to another address; calls in hand end where they are."""
-        self.epoch += 1
+        self.address_epoch += 1
         return self._retire(float("inf"))
 
     # What happened.
@@ -233,17 +233,19 @@
         self._hear(wire, DependencyConnectionEvent.OPENED)
         return self._free(wire, now)
 
-    def refused(self, wire: DependencyConnection) -> list[CallEffect]:
+    def open_failed(self, wire: DependencyConnection) -> list[CallEffect]:
         """It could not be opened, so the call that it was opened for never ran."""
         self._hear(wire, DependencyConnectionEvent.REFUSED)
-        self.wires -= 1
+        self.connection_count -= 1
         call = self._next()
         out = [] if call is None else self._end(call, CallEvent.UNREACHED)
-        if self.waiting and not self.wires:  # guards calls against waiting for a connection that nobody opens
+        if (
+            self.waiting and not self.connection_count
+        ):  # guards calls against waiting for a connection that nobody opens
             out.append(self._open())
         return out
 
-    def reply(
+    def reply_received(
         self, wire: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
     ) -> list[CallEffect] | None:
         """One reply came. None: it was for no call in hand here, such as a second copy."""
@@ -255,39 +257,39 @@
         self._step(call, GET_ANSWERED)
         return [*self._free(wire, now), EndCall(call, outcome, body)]
 
-    def broken(self, wire: DependencyConnection) -> list[CallEffect]:
+    def connection_lost(self, wire: DependencyConnection) -> list[CallEffect]:
         """It is over, by either side. Calls that wait get another in its place."""
         call, wire.call = wire.call, None
         if wire in self.idle:
             self.idle.remove(wire)
         self._hear(wire, DependencyConnectionEvent.BROKEN)
-        self.wires -= 1
+        self.connection_count -= 1
         out = [] if call is None else self._end(call, CallEvent.CUT)
-        if self.waiting and self.wires < self.bounds.links:
+        if self.waiting and self.connection_count < self.limits.max_connections:
             out.append(self._open())
         return out
 
-    def look(self, now: float) -> list[CallEffect]:
+    def expire(self, now: float) -> list[CallEffect]:
         """Time calls out, and close connections that have been idle for too long to be trusted."""
         out: list[CallEffect] = []
         for call in list(self.calls.values()):
-            if now >= call.made + call.limit_ms + self.bounds.grace_ms:
-                wire = call.wire
+            if now >= call.started_at + call.limit_ms + self.limits.grace_ms:
+                wire = call.connection
                 out += self._end(call, CallEvent.OUT_OF_TIME)
                 if wire is not None:  # guards later calls against a connection that fell silent
                     out.append(self._spend(wire, DependencyConnectionEvent.DROP))
-        return out + self._retire(now - self.bounds.trust_ms)
+        return out + self._retire(now - self.limits.max_idle_ms)
 
     # How it is carried out.
 
     def _hear(self, wire: DependencyConnection, event: DependencyConnectionEvent) -> None:
-        wire.state = DEPENDENCY_CONNECTION_TABLE.step(wire.state, event, f"store-{wire.number}").next
+        wire.state = DEPENDENCY_CONNECTION_TABLE.step(wire.state, event, f"store-{wire.number}").next_state
 
     def _step(self, call: DependencyCall, event: CallEvent) -> Transition:
         row = CALL_TABLE.step(call.state, event, call.id)
-        call.state = row.next
-        if row.next == STAND_OVER:
-            call.wire = None
+        call.state = row.next_state
+        if row.next_state == STAND_OVER:
+            call.connection = None
             if self.calls.get(call.id) is call:
                 del self.calls[call.id]
         return row
@@ -296,16 +298,18 @@
         return [EndCall(call, outcome) for outcome in self._step(call, event).effects]
 
     def _open(self) -> OpenConnection:
-        self.wires += 1
+        self.connection_count += 1
         self.serial += 1
-        return OpenConnection(DependencyConnection(self.serial, self.epoch, deque(maxlen=self.bounds.served)))
+        return OpenConnection(
+            DependencyConnection(self.serial, self.address_epoch, deque(maxlen=self.limits.max_recent_requests))
+        )
 
     def _take(self, wire: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
         self._hear(wire, HEAR_TAKE)
         self._step(call, GET_PUT)
-        wire.call, call.wire = call, wire
-        wire.rested = now - wire.used if wire.used else 0.0
-        wire.served.append(call.id)
+        wire.call, call.connection = call, wire
+        wire.idle_ms_before_call = now - wire.idle_since if wire.idle_since else 0.0
+        wire.recent_requests.append(call.id)
         return SendCall(wire, call)
 
     def _spend(self, wire: DependencyConnection, event: DependencyConnectionEvent, drop: str = "") -> CloseConnection:
@@ -317,12 +321,13 @@
         """An idle connection for this call.
 
         Guards against connections that the store may have forgotten, and against a second copy of a reply,
-        which would pass for the reply to the same request's next call."""
-        fresh = now - self.bounds.trust_ms
+        which would pass for the reply to the same request's next call.
+        """
+        fresh = now - self.limits.max_idle_ms
         for wire in reversed(self.idle):
-            if wire.used < fresh:
+            if wire.idle_since < fresh:
                 break
-            if id not in wire.served and self.quiet(wire):
+            if id not in wire.recent_requests and self.is_quiet(wire):
                 self.idle.remove(wire)
                 return wire
         return None
@@ -337,20 +342,20 @@
 
     def _free(self, wire: DependencyConnection, now: float) -> list[CallEffect]:
         """It carries nothing: the next call that waits may have it."""
-        if wire.epoch != self.epoch:
+        if wire.address_epoch != self.address_epoch:
             return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
-        wire.used = now
+        wire.idle_since = now
         call = self._next()
         if call is None:
             self.idle.append(wire)
             return []
-        if call.id in wire.served:  # the connection that takes this one's place will carry it
+        if call.id in wire.recent_requests:  # the connection that takes this one's place will carry it
             self.waiting.appendleft(call)
             return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
         return [self._take(wire, call, now)]
 
     def _retire(self, before: float) -> list[CallEffect]:
         out: list[CallEffect] = []
-        while self.idle and self.idle[0].used < before:
+        while self.idle and self.idle[0].idle_since < before:
             out.append(self._spend(self.idle.popleft(), DependencyConnectionEvent.RETIRE))
         return out
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -120,11 +120,11 @@
 class Command:
     """One command to the kernel, until something proves that it was read."""
 
-    rid: str
+    request_id: str
     line: bytes
-    start: bool  # SCHED; else IODONE
-    harmless: bool = False  # a second run of it would do no harm
-    sent: int = 0  # its place among all that was sent
+    is_start: bool  # SCHED; else IODONE
+    is_idempotent: bool = False  # a second run of it would do no harm
+    sequence_number: int = 0  # its place among all that was sent
     state: int = CommandState.KEPT
 
 
@@ -146,7 +146,7 @@
 class SendOpen:
     """Send OPEN with this number."""
 
-    last: int
+    last_notice: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,7 +158,7 @@
 class EndRun:
     """This run is over as far as the server is concerned: nothing was started, or nobody can know."""
 
-    rid: str
+    request_id: str
 
 
 LinkEffect = WriteCommand | RequestMark | SendOpen | CloseLink | EndRun
@@ -180,44 +180,48 @@
 
 
 class CommandLog:
-    """All commands of one server life. `wanted` tells whether somebody waits for a request."""
+    """All commands of one server life. `is_wanted` tells whether somebody waits for a request."""
 
     def __init__(self, wanted: IsWanted, marks_most: int) -> None:
-        self.wanted, self.marks_most = wanted, marks_most
-        self.link: int = LinkState.DOWN
-        self.last = 0  # number of the last notice read
-        self.gap = -1  # the last one before a gap that was asked for again
+        self.is_wanted, self.max_marks = wanted, marks_most
+        self.state: int = LinkState.DOWN
+        self.last_notice = 0  # number of the last notice read
+        self.gap_after = -1  # the last one before a gap that was asked for again
         self.fresh = False  # no numbered notice has come on this link yet
-        self.open: dict[str, Command] = {}  # by request, which has one at a time; in the order of sending
-        self.marks: dict[str, int] = {}  # the newest command when the mark was sent
-        self.serial = self.sent = 0
-        self.sent_before = 0  # the newest command when the present link opened
+        self.unconfirmed: dict[str, Command] = {}  # by request, which has one at a time; in the order of sending
+        self.pending_marks: dict[str, int] = {}  # the newest command when the mark was sent
+        self.serial = self.sent_count = 0
+        self.sent_before_link = 0  # the newest command when the present link opened
 
     @property
-    def in_step(self) -> bool:
+    def is_synchronized(self) -> bool:
         """Whether the greeting and all replayed notices have been read."""
-        return self.link in (LINK_READY, LinkState.MOVING)
+        return self.state in (LINK_READY, LinkState.MOVING)
 
     # What the server wants.
 
-    def post(self, command: Command) -> list[LinkEffect]:
+    def send(self, command: Command) -> list[LinkEffect]:
         """Send it, or keep it until there is a link to send it on. It takes the place of an earlier one."""
-        self.open.pop(command.rid, None)
-        self.open[command.rid] = command
-        return self._prove(command, PROVE_SEND) if self.link == LINK_READY else []
+        self.unconfirmed.pop(command.request_id, None)
+        self.unconfirmed[command.request_id] = command
+        return self._prove(command, PROVE_SEND) if self.state == LINK_READY else []
 
-    def unsent(self, command: Command) -> None:
+    def send_failed(self, command: Command) -> None:
         """The link took nothing of it: it waits for the next one."""
         self._prove(command, CommandEvent.UNSENT)
 
-    def ask(self) -> list[LinkEffect]:
+    def request_gauges(self) -> list[LinkEffect]:
         """Ask for the gauges; the answer also proves that all before it was read."""
-        return [self._mark("gauges")] if self.in_step and len(self.marks) < self.marks_most else []
+        return [self._mark("gauges")] if self.is_synchronized and len(self.pending_marks) < self.max_marks else []
 
-    def settle(self) -> list[LinkEffect]:
+    def request_doubt_mark(self) -> list[LinkEffect]:
         """Ask for a mark if something is in doubt: what nobody waits for by then is given up."""
-        doubtful = any(command.state == SENT_DOUBTFUL for command in self.open.values())
-        return [self._mark("doubt")] if doubtful and self.in_step and len(self.marks) < self.marks_most else []
+        doubtful = any(command.state == SENT_DOUBTFUL for command in self.unconfirmed.values())
+        return (
+            [self._mark("doubt")]
+            if doubtful and self.is_synchronized and len(self.pending_marks) < self.max_marks
+            else []
+        )
 
     def move(self) -> list[LinkEffect]:
         """Go on at another address."""
@@ -227,7 +231,7 @@
 
     def connected(self) -> list[LinkEffect]:
         """There is a link."""
-        self.fresh, self.sent_before = True, self.sent
+        self.fresh, self.sent_before_link = True, self.sent_count
         return self._hear(LinkEvent.CONNECTED)
 
     def broken(self) -> None:
@@ -236,46 +240,50 @@
 
     def booted(self) -> list[LinkEffect]:
         """The kernel is up. A second such line means nothing."""
-        return self._hear(LinkEvent.BOOTED) if self.link == LinkState.GREETING else []
+        return self._hear(LinkEvent.BOOTED) if self.state == LinkState.GREETING else []
 
     def restarted(self) -> list[str]:
         """This is a new kernel: requests whose commands died with the old one. Starts that were kept, or sent on this
-        link, are the new kernel's; every reply is for a run that died."""
-        self.last = 0
-        lost = [rid for rid, command in self.open.items() if not (command.start and self._of_this_link(command))]
+        link, are the new kernel's; every reply is for a run that died.
+        """
+        self.last_notice = 0
+        lost = [
+            rid for rid, command in self.unconfirmed.items() if not (command.is_start and self._of_this_link(command))
+        ]
         for rid in lost:
-            self._prove(self.open[rid], PROVE_READ)
+            self._prove(self.unconfirmed[rid], PROVE_READ)
         return lost
 
-    def numbered(self, number: int) -> int:
+    def classify_notice(self, number: int) -> int:
         """What a notice of this number is: OLD was read before, NEXT is read now, before a GAP some are missing.
 
         A gap is asked for once: the kernel does not keep all notices for good. RENUMBERED proves another kernel, as
-        this one would go on behind the last notice that the greeting named."""
+        this one would go on behind the last notice that the greeting named.
+        """
         fresh, self.fresh = self.fresh, False
-        if fresh and 1 <= number <= self.last:
+        if fresh and 1 <= number <= self.last_notice:
             return RENUMBERED
-        if number <= self.last:
+        if number <= self.last_notice:
             return OLD
-        if number > self.last + 1 and self.gap != self.last:
-            self.gap = self.last
+        if number > self.last_notice + 1 and self.gap_after != self.last_notice:
+            self.gap_after = self.last_notice
             return GAP
-        self.last = number
+        self.last_notice = number
         return NEXT
 
-    def settled(self, rid: str) -> None:
+    def run_reported(self, rid: str) -> None:
         """A notice of a run proves that what was sent for it was read."""
-        command = self.open.get(rid)
+        command = self.unconfirmed.get(rid)
         if command is not None:
             self._prove(command, PROVE_READ)
 
-    def informed(self, mark: str) -> list[LinkEffect] | None:
+    def mark_received(self, mark: str) -> list[LinkEffect] | None:
         """A mark came back. None: it was not asked for on this link."""
-        newest = self.marks.pop(mark, None)
+        newest = self.pending_marks.pop(mark, None)
         if newest is None:
             return None
-        for command in list(self.open.values()):
-            if command.state == SENT_SENT and command.sent <= newest:
+        for command in list(self.unconfirmed.values()):
+            if command.state == SENT_SENT and command.sequence_number <= newest:
                 self._prove(command, PROVE_READ)
         kind = mark.partition("-")[0]
         if kind == "sync":
@@ -284,33 +292,34 @@
             return self._hear(LinkEvent.MOVED)
         return self._give_up() if kind == "doubt" else []
 
-    def declined(self) -> list[LinkEffect]:
+    def mark_rejected(self) -> list[LinkEffect]:
         """A mark was read and not answered, as a site may not allow gauges. Commands are read in their order, so it
-        is the oldest one, and proves as much as an answer."""
-        oldest = next(iter(self.marks), None)
-        return [] if oldest is None else self.informed(oldest) or []
+        is the oldest one, and proves as much as an answer.
+        """
+        oldest = next(iter(self.pending_marks), None)
+        return [] if oldest is None else self.mark_received(oldest) or []
 
     # How it is carried out.
 
     def _of_this_link(self, command: Command) -> bool:
-        return command.state == SENT_KEPT or command.sent > self.sent_before
+        return command.state == SENT_KEPT or command.sequence_number > self.sent_before_link
 
     def _mark(self, kind: str) -> RequestMark:
         self.serial += 1
         name = f"{kind}-{self.serial}"
-        self.marks[name] = self.sent
+        self.pending_marks[name] = self.sent_count
         return RequestMark(name)
 
     def _hear(self, event: LinkEvent) -> list[LinkEffect]:
-        row = LINK_TABLE.step(self.link, event, "kernel")
-        self.link = row.next
+        row = LINK_TABLE.step(self.state, event, "kernel")
+        self.state = row.next_state
         out: list[LinkEffect] = []
         for make in row.effects:
             if make is LinkAction.GREET:
-                out.append(SendOpen(self.last))
+                out.append(SendOpen(self.last_notice))
             elif make is LinkAction.DOUBT:
-                self.marks.clear()
-                for command in self.open.values():
+                self.pending_marks.clear()
+                for command in self.unconfirmed.values():
                     if command.state == SENT_SENT:
                         self._prove(command, CommandEvent.BREAK)
             elif make is LinkAction.MARK_SYNC:
@@ -326,35 +335,37 @@
     def _release(self) -> list[LinkEffect]:
         """All replayed notices are read, so what was to be proven by them is."""
         out: list[LinkEffect] = []
-        for command in list(self.open.values()):
-            if command.state == SENT_DOUBTFUL and command.harmless and self.wanted(command.rid):
+        for command in list(self.unconfirmed.values()):
+            if command.state == SENT_DOUBTFUL and command.is_idempotent and self.is_wanted(command.request_id):
                 out += self._prove(command, CommandEvent.REPEAT)
             elif command.state == SENT_KEPT:
-                stale = command.start and not self.wanted(command.rid)  # it never ran, and now nobody waits
+                stale = command.is_start and not self.is_wanted(
+                    command.request_id
+                )  # it never ran, and now nobody waits
                 out += self._prove(command, CommandEvent.GIVE_UP if stale else PROVE_SEND)
         return out
 
     def _give_up(self) -> list[LinkEffect]:
         """What is in doubt and unwanted holds a place for nothing; a wanted one may still show itself."""
         out: list[LinkEffect] = []
-        for command in list(self.open.values()):
-            if command.state == SENT_DOUBTFUL and not self.wanted(command.rid):
+        for command in list(self.unconfirmed.values()):
+            if command.state == SENT_DOUBTFUL and not self.is_wanted(command.request_id):
                 out += self._prove(command, CommandEvent.GIVE_UP)
         return out
 
     def _prove(self, command: Command, event: CommandEvent) -> list[LinkEffect]:
-        row = COMMAND_TABLE.step(command.state, event, command.rid)
-        command.state = row.next
-        if row.next == SENT_DONE:
-            self.open.pop(command.rid, None)
+        row = COMMAND_TABLE.step(command.state, event, command.request_id)
+        command.state = row.next_state
+        if row.next_state == SENT_DONE:
+            self.unconfirmed.pop(command.request_id, None)
         out: list[LinkEffect] = []
         if not row.effects:
             return out
         for do in row.effects:
             if do is DO_WRITE:
-                self.sent += 1
-                command.sent = self.sent
+                self.sent_count += 1
+                command.sequence_number = self.sent_count
                 out.append(WriteCommand(command))
             else:
-                out.append(EndRun(command.rid))
+                out.append(EndRun(command.request_id))
         return out
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -76,52 +76,55 @@
 
 
 class IdempotencyKeyTable:
-    """The table of keys. `most` bounds it, `key_ms` counts from the outcome, `followers` bounds repeats waiting."""
+    """The table of keys.
+
+    `capacity` bounds it, `key_ms` counts from the outcome, `max_followers` bounds the retries that wait for one run.
+    """
 
     def __init__(self, most: int, key_ms: float, followers: int, result_bytes: int) -> None:
-        self.most, self.key_ms, self.followers, self.result_bytes = most, key_ms, followers, result_bytes
+        self.capacity, self.key_ms, self.max_followers, self.max_result_bytes = most, key_ms, followers, result_bytes
         self.entries: dict[KeyId, KeyEntry] = {}
         self.expiry: deque[tuple[float, KeyId]] = deque()
-        self.waiting = False  # for the keys of a process before this one: no new key is taken meanwhile
+        self.awaiting_handover = False  # for the keys of a process before this one: no new key is taken meanwhile
 
-    def arrive(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
+    def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
         """What a new try of this key becomes: OWN, FOLLOW, ANSWER (with it), TURN_AWAY or FAIL."""
-        slot = (exchange.cls, exchange.key)
+        slot = (exchange.class_index, exchange.key)
         entry = self.entries.get(slot)
         if entry is None:
             # Guards against a flood of keys: none is forgotten early.
             # Guards against a second run beside an old process: no key is taken before its keys came.
-            event = KeyEvent.FULL_TRY if self.waiting or len(self.entries) >= self.most else KeyEvent.TRY
+            event = KeyEvent.FULL_TRY if self.awaiting_handover or len(self.entries) >= self.capacity else KeyEvent.TRY
             row = KEY_TABLE.step(KeyState.FREE, event, exchange.key)
-            if row.next == KeyState.OWNED:
+            if row.next_state == KeyState.OWNED:
                 self.entries[slot] = KeyEntry(KeyState.OWNED, exchange)
             return row.effects[0], None
-        crowded = entry.state == KeyState.OWNED and len(entry.followers) >= self.followers
+        crowded = entry.state == KeyState.OWNED and len(entry.followers) >= self.max_followers
         row = KEY_TABLE.step(entry.state, KeyEvent.CROWDED_TRY if crowded else KeyEvent.TRY, exchange.key)
         if row.effects[0] == KeyAction.FOLLOW:
             entry.followers.append(exchange)
         return row.effects[0], entry.outcome
 
-    def conclude(self, exchange: Exchange, answer: Answer, ran: bool, now: float) -> list[Exchange]:
+    def record_outcome(self, exchange: Exchange, answer: Answer, ran: bool, now: float) -> list[Exchange]:
         """Its owner is over: the tries that share the answer. What never ran frees the key."""
-        slot = (exchange.cls, exchange.key)
+        slot = (exchange.class_index, exchange.key)
         entry = self.entries.get(slot)
         if entry is None or entry.owner is not exchange:
             return []
         row = KEY_TABLE.step(entry.state, KeyEvent.OUTCOME if ran else KeyEvent.NEVER_RAN, exchange.key)
         sharing, entry.followers = entry.followers, []
-        entry.state, entry.owner = row.next, None
-        if row.next == KeyState.FREE:
+        entry.state, entry.owner = row.next_state, None
+        if row.next_state == KeyState.FREE:
             del self.entries[slot]
         else:
             # Guards memory: long results are not remembered, a late repeat of those is failed.
-            entry.outcome = answer if len(answer.body) <= self.result_bytes else Answer(AnswerKind.FAILED)
+            entry.outcome = answer if len(answer.body) <= self.max_result_bytes else Answer(AnswerKind.FAILED)
             self.expiry.append((now + self.key_ms, slot))
         return sharing
 
-    def leave(self, exchange: Exchange) -> Exchange | None:
+    def remove_attempt(self, exchange: Exchange) -> Exchange | None:
         """A try left before it ran. The follower that takes its place, if it was the owner and one waits."""
-        slot = (exchange.cls, exchange.key)
+        slot = (exchange.class_index, exchange.key)
         entry = self.entries.get(slot)
         if entry is None:
             return None
@@ -129,8 +132,8 @@
             entry.followers = [one for one in entry.followers if one is not exchange]
             return None
         row = KEY_TABLE.step(entry.state, KeyEvent.OWNER_LEFT if entry.followers else KeyEvent.LAST_LEFT, exchange.key)
-        entry.state = row.next
-        if row.next == KeyState.FREE:
+        entry.state = row.next_state
+        if row.next_state == KeyState.FREE:
             del self.entries[slot]
             return None
         entry.owner = entry.followers.pop(0)
@@ -138,10 +141,10 @@
 
     def owns(self, exchange: Exchange) -> bool:
         """Whether this try is the one that stands for its key."""
-        entry = self.entries.get((exchange.cls, exchange.key))
+        entry = self.entries.get((exchange.class_index, exchange.key))
         return entry is not None and entry.owner is exchange
 
-    def known(self) -> list[tuple[KeyId, Answer, float]]:
+    def known_outcomes(self) -> list[tuple[KeyId, Answer, float]]:
         """Keys with their outcomes and when they lapse, oldest first: what a successor must not run again."""
         return [
             (slot, entry.outcome, at)
@@ -149,9 +152,9 @@
             if (entry := self.entries.get(slot)) is not None and entry.outcome is not None
         ]
 
-    def take(self, slot: KeyId, outcome: Answer, lapses_at: float) -> None:
+    def import_outcome(self, slot: KeyId, outcome: Answer, lapses_at: float) -> None:
         """A key whose outcome an earlier process knew. Taken in the order they lapse, before any key of its own."""
-        if slot not in self.entries and len(self.entries) < self.most:
+        if slot not in self.entries and len(self.entries) < self.capacity:
             self.entries[slot] = KeyEntry(KeyState.KNOWN, None, [], outcome)
             self.expiry.append((lapses_at, slot))
 
@@ -159,5 +162,5 @@
         """Forget outcomes whose time is over."""
         while self.expiry and self.expiry[0][0] <= now:
             slot = self.expiry.popleft()[1]
-            if KEY_TABLE.step(self.entries[slot].state, KeyEvent.EXPIRE, slot[1]).next == KeyState.FREE:
+            if KEY_TABLE.step(self.entries[slot].state, KeyEvent.EXPIRE, slot[1]).next_state == KeyState.FREE:
                 del self.entries[slot]
--- a/myrtlespar/state_machines/lost_runs.py
+++ b/myrtlespar/state_machines/lost_runs.py
@@ -2,7 +2,8 @@
 
 The end of a run can be lost for good: with a kernel that started anew unseen, or with notices that it keeps no
 longer. Such a run would hold its place for ever, and with enough of them nothing would start again. The gauge counts
-every run on the cores and more (reading, checks), so that runs counted here above it, over a whole window, are gone."""
+every run on the cores and more (reading, checks), so that runs counted here above it, over a whole window, are gone.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
         self._since = math.inf  # when the present surplus began
         self._least = 0.0  # the smallest surplus since then
 
-    def look(self, now: float, counted: int, gauge: float | None) -> int:
+    def count_lost(self, now: float, counted: int, gauge: float | None) -> int:
         """How many of the runs counted are surely gone; `gauge` is None where there is no fresh one."""
         surplus = 0.0 if gauge is None else counted - gauge
         if surplus < 1.0:
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -96,59 +96,62 @@
     def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float, crossing_ms: float) -> None:
         self.stop_ms, self.grace_ms, self.sweep_ms = stop_ms, grace_ms, sweep_ms
         self.flush_ms, self.crossing_ms = flush_ms, crossing_ms
-        self.stage: int = ProcessState.SERVING
-        self.answer_ms = 0.0  # what the last answers took to hand over, one by one
+        self.state: int = ProcessState.SERVING
+        self.average_answer_ms = 0.0  # what the last answers took to hand over, one by one
         self.notice_at = self.kill_at = self.closed_at = float("inf")
 
     @property
     def draining(self) -> bool:
         """Whether the notice to leave has come."""
-        return self.stage != ProcessState.SERVING
+        return self.state != ProcessState.SERVING
 
-    def say(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
+    def handle(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
         """An event without a time."""
-        row = PROCESS_TABLE.step(self.stage, event, "process")
-        self.stage = row.next
+        row = PROCESS_TABLE.step(self.state, event, "process")
+        self.state = row.next_state
         return row.effects
 
-    def notice(self, now: float) -> tuple[ProcessAction, ...]:
+    def drain_notice(self, now: float) -> tuple[ProcessAction, ...]:
         """The notice to leave. The first one counts."""
-        if self.stage == ProcessState.SERVING:
+        if self.state == ProcessState.SERVING:
             self.notice_at, self.kill_at = now, now + self.stop_ms
-        return self.say(ProcessEvent.NOTICE)
+        return self.handle(ProcessEvent.NOTICE)
 
     def handover(self, now: float, kill_in_ms: float) -> tuple[ProcessAction, ...]:
         """SIGTERM while a second process serves beside this one: it is no notice to drain, so nothing is barred
-        and health stays; listeners close now and all that was read is answered before the kill."""
-        if self.stage in (ProcessState.SERVING, ProcessState.DRAINING):
+        and health stays; listeners close now and all that was read is answered before the kill.
+        """
+        if self.state in (ProcessState.SERVING, ProcessState.DRAINING):
             self.closed_at, self.kill_at = now, min(self.kill_at, now + kill_in_ms)
-        return self.say(ProcessEvent.HANDOVER)
+        return self.handle(ProcessEvent.HANDOVER)
 
-    def look(self, now: float, owed: int) -> tuple[ProcessAction, ...]:
+    def poll(self, now: float, owed: int) -> tuple[ProcessAction, ...]:
         """Whether the drain may go one stage on."""
-        if self.stage == ProcessState.DRAINING:
+        if self.state == ProcessState.DRAINING:
             if now > self.notice_at + self.grace_ms and not owed:
                 self.closed_at = now
-                return self.say(ProcessEvent.EMPTY)
+                return self.handle(ProcessEvent.EMPTY)
             if now > self.kill_at - 2 * self.flush_ms:
                 self.closed_at = now
-                return self.say(ProcessEvent.KILL_NEAR)
-        elif self.stage == ProcessState.CROSSING:
+                return self.handle(ProcessEvent.KILL_NEAR)
+        elif self.state == ProcessState.CROSSING:
             crossed = now >= self.closed_at + self.crossing_ms and not owed
             if crossed or now >= self.kill_at:
-                return self.say(ProcessEvent.CROSSED)
+                return self.handle(ProcessEvent.CROSSED)
         return ()
 
     def may_start(self, arrived: float) -> bool:
         """Nothing that reached the machine later than the grace after the notice runs, and nothing once the keys
-        are left to the process that takes over."""
-        return arrived <= self.notice_at + self.grace_ms and self.stage < FLUSHING
+        are left to the process that takes over.
+        """
+        return arrived <= self.notice_at + self.grace_ms and self.state < FLUSHING
 
-    def reserve(self, owed: int) -> float:
+    def answer_reserve_ms(self, owed: int) -> float:
         """How long before the kill the last answers are begun. Guards them against being more than the time left
-        takes: a look may come a sweep late, and each answer takes its hand-over and as much again to decide on."""
-        return 2 * self.sweep_ms + 2 * self.answer_ms * owed
+        takes: a look may come a sweep late, and each answer takes its hand-over and as much again to decide on.
+        """
+        return 2 * self.sweep_ms + 2 * self.average_answer_ms * owed
 
-    def answer_by(self, owed: int = 0) -> float:
+    def answer_deadline(self, owed: int = 0) -> float:
         """When so many that are owed must be answered, whatever their own due time."""
-        return self.kill_at - self.reserve(owed)
+        return self.kill_at - self.answer_reserve_ms(owed)
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -66,11 +66,11 @@
 class RequestEffect(NamedTuple):
     """One thing for the core to carry out. What a kind does not need is left at its default."""
 
-    do: AttemptAction
+    action: AttemptAction
     exchange: Exchange
     answer: Answer | None = None
     outcome: RunOutcome = RunOutcome.OK
-    ms: float = 0.0  # elapsed, or the limit of a call
+    duration_ms: float = 0.0  # elapsed, or the limit of a call
     body: bytes = b""
 
 
@@ -79,7 +79,7 @@
 
     answer: Answer | None = None
     outcome: RunOutcome = RunOutcome.OK
-    ms: float = 0.0
+    duration_ms: float = 0.0
     body: bytes = b""
 
 
@@ -99,35 +99,36 @@
 
 class RequestTracker:
     """Every public method takes one event and returns the effects, in order. Unknown ids are passed over: they
-    belong to tries that are over, or to an earlier life of the server."""
+    belong to tries that are over, or to an earlier life of the server.
+    """
 
     def __init__(self, terms: RequestTerms, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
-        self.terms, self.keys, self.process = terms, keys, process
-        self.open: dict[str, Exchange] = {}  # by id, until answered and no longer running
-        self.owed = 0  # tries without their final answer
+        self.settings, self.keys, self.process = terms, keys, process
+        self.requests: dict[str, Exchange] = {}  # by id, until answered and no longer running
+        self.unanswered = 0  # tries without their final answer
 
     def find(self, id: str) -> Exchange | None:
         """A try that is not over."""
-        return self.open.get(id)
+        return self.requests.get(id)
 
-    def wanted(self, id: str) -> bool:
+    def is_wanted(self, id: str) -> bool:
         """Whether somebody still waits for this try."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         return exchange is not None and exchange.state in OWED
 
     # What happened.
 
     def submit(self, exchange: Exchange) -> list[RequestEffect] | None:
         """A request was read whole. None: its id is in use, nothing was taken."""
-        if exchange.id in self.open:
+        if exchange.id in self.requests:
             return None
-        exchange.due = exchange.arrived + self.terms.client_timeout_ms[exchange.cls]
+        exchange.due_at = exchange.arrived_at + self.settings.client_timeout_ms[exchange.class_index]
         exchange.state = TRY_READ
-        self.open[exchange.id] = exchange
-        self.owed += 1
-        if not exchange.key or not self.terms.effectful[exchange.cls]:
+        self.requests[exchange.id] = exchange
+        self.unanswered += 1
+        if not exchange.key or not self.settings.effectful[exchange.class_index]:
             return self._step(exchange, ON_ADMIT)
-        then, outcome = self.keys.arrive(exchange)
+        then, outcome = self.keys.register(exchange)
         if then is THEN_OWN:
             return self._step(exchange, ON_ADMIT)
         if then is THEN_FOLLOW:
@@ -136,123 +137,128 @@
             outcome = self._refusal()
         return self._step(exchange, ON_KNOWN, EventDetails(outcome or FAILED))
 
-    def gone(self, exchange: Exchange) -> list[RequestEffect]:
+    def caller_gone(self, exchange: Exchange) -> list[RequestEffect]:
         """Nobody waits for this try any longer."""
-        return self._step(exchange, ON_GONE) if self.open.get(exchange.id) is exchange else []
+        return self._step(exchange, ON_GONE) if self.requests.get(exchange.id) is exchange else []
 
     def call_needed(self, id: str, body: bytes) -> list[RequestEffect]:
         """A run waits for a call."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         if exchange is None:
             return []
         exchange.call_body = body
         return self._step(exchange, ON_CALL_NEEDED)
 
-    def called(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> list[RequestEffect]:
+    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> list[RequestEffect]:
         """A call came back."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         if exchange is None:
             return []
         event = ON_CALL_OK if outcome is RunOutcome.OK else ON_CALL_BAD
         return self._step(exchange, event, _tuple(EventDetails, (None, outcome, elapsed_ms, reply)))
 
-    def ended(
+    def run_ended(
         self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
     ) -> list[RequestEffect]:
         """A run is over; a refusal or NEVER_RAN as its answer proves that it never began."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         if exchange is None or exchange.state not in STARTED:
             return []
         final = answer or FAILED
         event = ON_NEVER_RAN if final.kind is AnswerKind.REFUSED or final is NEVER_RAN else ON_ENDED
         return self._step(exchange, event, _tuple(EventDetails, (final, outcome, elapsed_ms, b"")), now)
 
-    def sweep(self, now: float) -> list[RequestEffect]:
+    def fail_overdue(self, now: float) -> list[RequestEffect]:
         """Guards against anything that leaves a try open: a lost run, a policy that forgot it."""
         out: list[RequestEffect] = []
-        end = self.process.answer_by(self.owed)
-        for exchange in list(self.open.values()):
+        end = self.process.answer_deadline(self.unanswered)
+        for exchange in list(self.requests.values()):
             if exchange.state in OWED:
-                slack = 0.0 if exchange.state == TRY_FOLLOWING else self.terms.overdue_ms
-                if now >= min(exchange.due + slack, end) and exchange.state in OWED:
+                slack = 0.0 if exchange.state == TRY_FOLLOWING else self.settings.overdue_ms
+                if now >= min(exchange.due_at + slack, end) and exchange.state in OWED:
                     out += self._step(exchange, ON_OVERDUE, EventDetails(LATE), now)
         self.keys.expire(now)
         return out
 
-    def on_cores(self) -> tuple[int, list[Exchange]]:
+    def runs_on_cores(self) -> tuple[int, list[Exchange]]:
         """How many runs are on the kernel's cores, and those of them that nobody waits for, the oldest first."""
-        running = [exchange for exchange in self.open.values() if exchange.state in ON_CORES and not exchange.target]
+        running = [
+            exchange for exchange in self.requests.values() if exchange.state in ON_CORES and not exchange.target
+        ]
         return len(running), [exchange for exchange in running if exchange.state == TRY_RUNNING_UNWANTED]
 
-    def at_calls_unwanted(self) -> list[Exchange]:
+    def abandoned_runs_at_calls(self) -> list[Exchange]:
         """Runs at a call that nobody waits for. The kernel ends them by itself and says so."""
         return [
             exchange
-            for exchange in self.open.values()
+            for exchange in self.requests.values()
             if exchange.state == TRY_AT_CALL_UNWANTED and not exchange.target
         ]
 
-    def end_all(self, now: float) -> list[RequestEffect]:
+    def fail_all(self, now: float) -> list[RequestEffect]:
         """The process ends: fail every try that is owed its answer."""
         out: list[RequestEffect] = []
-        for exchange in list(self.open.values()):
+        for exchange in list(self.requests.values()):
             if exchange.state in OWED:  # one that follows another may have been answered with it
                 out += self._step(exchange, ON_OVERDUE, EventDetails(LATE), now)
         return out
 
-    def left(self, now: float) -> list[tuple[KeyId, Answer, float]]:
+    def keys_to_hand_over(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Keys for a process that takes over, with their outcomes and when they lapse. A run that nobody waits for
-        goes on in the kernel without us: its key stands for a failure, as nothing can be promised of it."""
+        goes on in the kernel without us: its key stands for a failure, as nothing can be promised of it.
+        """
         running = [
-            ((exchange.cls, exchange.key), FAILED, now + self.keys.key_ms)
-            for exchange in self.open.values()
+            ((exchange.class_index, exchange.key), FAILED, now + self.keys.key_ms)
+            for exchange in self.requests.values()
             if exchange.key and exchange.state in STARTED and self.keys.owns(exchange)
         ]
-        return self.keys.known() + running
+        return self.keys.known_outcomes() + running
 
     # What the policy decided.
 
     def start(self, id: str, now: float) -> list[RequestEffect]:
         """Run it, unless it came too long after the notice to leave."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         if exchange is None:
             return []
-        if not self.process.may_start(exchange.arrived):
+        if not self.process.may_start(exchange.arrived_at):
             return self._step(exchange, ON_BAR, EventDetails(self._refusal(), RunOutcome.MOOT), now)
         return self._step(exchange, ON_START)
 
-    def refuse(self, id: str, answer: Answer, now: float) -> list[RequestEffect]:
+    def reject(self, id: str, answer: Answer, now: float) -> list[RequestEffect]:
         """Turn it away. What has started fails instead."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         return [] if exchange is None else self._step(exchange, ON_REFUSE, EventDetails(answer), now)
 
     def fail(self, id: str, now: float) -> list[RequestEffect]:
         """Give it up."""
-        exchange = self.open.get(id)
+        exchange = self.requests.get(id)
         return [] if exchange is None else self._step(exchange, ON_FAIL, EventDetails(LATE), now)
 
-    def call(self, id: str, limit_ms: float) -> list[RequestEffect]:
+    def start_call(self, id: str, limit_ms: float) -> list[RequestEffect]:
         """Make the call that it waits for."""
-        exchange = self.open.get(id)
-        return [] if exchange is None else self._step(exchange, ON_CALL, EventDetails(ms=limit_ms))
+        exchange = self.requests.get(id)
+        return [] if exchange is None else self._step(exchange, ON_CALL, EventDetails(duration_ms=limit_ms))
 
     # How a step is carried out.
 
     def _refusal(self) -> Answer:
-        return Answer(AnswerKind.REFUSED, retry_after_ms=self.terms.retry_after_ms)
+        return Answer(AnswerKind.REFUSED, retry_after_ms=self.settings.retry_after_ms)
 
     def _step(
         self, exchange: Exchange, event: AttemptEvent, note: EventDetails = NOTHING, now: float = 0.0
     ) -> list[RequestEffect]:
         row = ATTEMPT_TABLE.step(exchange.state, event, exchange.id)
-        exchange.state = row.next
+        exchange.state = row.next_state
         out: list[RequestEffect] = []
         for do in row.effects:
             if do is DO_DELIVER:
-                self.owed -= 1
+                self.unanswered -= 1
                 out.append(_tuple(RequestEffect, (do, exchange, note.answer, note.outcome, 0.0, b"")))
             elif do <= LAST_OUTWARD:
-                out.append(_tuple(RequestEffect, (do, exchange, note.answer, note.outcome, note.ms, note.body)))
+                out.append(
+                    _tuple(RequestEffect, (do, exchange, note.answer, note.outcome, note.duration_ms, note.body))
+                )
             else:
                 self._inward(do, exchange, note, now, out)
         return out
@@ -261,19 +267,19 @@
         self, do: AttemptAction, exchange: Exchange, note: EventDetails, now: float, out: list[RequestEffect]
     ) -> None:
         if do is DO_LEAVE:
-            del self.open[exchange.id]
+            del self.requests[exchange.id]
         elif do is DO_WITHDRAW:
-            self.owed -= 1
+            self.unanswered -= 1
         elif do is DO_DELIVER_FAILED:
-            self.owed -= 1
+            self.unanswered -= 1
             out.append(RequestEffect(DO_DELIVER, exchange, FAILED))
         elif not exchange.key:
             return
         elif do is DO_REMEMBER or do is DO_FREE_KEY:
             answer = note.answer or FAILED
-            for one in self.keys.conclude(exchange, answer, do is DO_REMEMBER, now):
+            for one in self.keys.record_outcome(exchange, answer, do is DO_REMEMBER, now):
                 out += self._step(one, ON_SHARE, EventDetails(answer), now)
         elif do is DO_PASS_ON or do is DO_UNFOLLOW:
-            heir = self.keys.leave(exchange)
+            heir = self.keys.remove_attempt(exchange)
             if heir is not None:
                 out += self._step(heir, ON_PROMOTE)
