--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,162 @@
+"""Import rules: which part of the project may know which, as `docs/architecture.md` draws it."""
+
+from __future__ import annotations
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+PACKAGE = Path(__file__).parent.parent / "myrtlespar"
+
+# Each part with the parts that it may import. `net.codec` is a part of its own: bytes to messages and back, pure.
+ALLOWED: dict[str, set[str]] = {
+    "errors": set(),
+    "policy": {"errors"},
+    "resource_limits": set(),
+    "exchange": set(),
+    "state_machines": {"errors", "exchange", "policy"},
+    "membership": {"errors"},
+    "quota": {"errors"},
+    "runtime": {"errors", "state_machines"},
+    "admin": {"errors"},
+    "config": {"errors", "policy", "resource_limits"},
+    "request_coordinator": {"admin", "errors", "exchange", "policy", "resource_limits", "runtime", "state_machines"},
+    "handover": {"errors", "exchange", "request_coordinator", "runtime"},
+    "net.codec": {"errors", "membership", "quota"},
+    "net": {
+        "admin",
+        "config",
+        "errors",
+        "exchange",
+        "membership",
+        "net.codec",
+        "policy",
+        "quota",
+        "request_coordinator",
+        "resource_limits",
+        "runtime",
+        "state_machines",
+    },
+    "fleet": {"config", "errors", "membership", "net", "net.codec", "policy", "quota", "runtime"},
+    "server": {
+        "admin",
+        "config",
+        "errors",
+        "exchange",
+        "fleet",
+        "handover",
+        "net",
+        "policy",
+        "request_coordinator",
+        "resource_limits",
+        "runtime",
+        "state_machines",
+    },
+    "simulator_adapter": {"errors", "policy"},
+    "fakes": {"errors", "net.codec"},
+    "fault_proxy": {"errors"},
+    "fleet_tests": {"errors", "fakes", "fault_proxy", "membership", "net.codec", "quota"},
+    "simulation": {"errors", "fault_proxy", "fleet_tests", "membership", "net.codec", "quota"},
+    "model_checker": {
+        "errors",
+        "exchange",
+        "fakes",
+        "handover",
+        "membership",
+        "policy",
+        "quota",
+        "server",  # the program with one mutation in it, started by `python -m`
+        "state_machines",
+    },
+    "cli": {"config", "errors", "fakes", "fleet", "fleet_tests", "model_checker", "quota", "server", "simulation"},
+    "__main__": {"cli", "runtime", "server"},
+    "": {"policy"},  # the package itself offers Policy and Settings
+}
+PURE_PARTS = ("policy", "state_machines", "membership", "quota", "net.codec", "admin", "exchange", "errors")
+IMPURE_MODULES = {"gevent", "socket", "select", "threading", "subprocess", "time", "datetime", "secrets", "signal"}
+RANDOM_TYPE_ONLY = {"Random"}  # a source that the caller hands in
+
+
+def modules() -> list[Path]:
+    """All modules of the package."""
+    return sorted(PACKAGE.rglob("*.py"))
+
+
+def dotted(path: Path) -> str:
+    """A module's name below the package."""
+    return ".".join(path.relative_to(PACKAGE).with_suffix("").parts).removesuffix("__init__").rstrip(".")
+
+
+MODULE_NAMES = {dotted(path) for path in modules()}
+
+
+def part_of(module: str) -> str:
+    """The part that a module belongs to."""
+    if module.startswith("net.codec"):
+        return "net.codec"
+    return module.partition(".")[0]
+
+
+def typing_only(tree: ast.Module) -> set[int]:
+    """The nodes below `if TYPE_CHECKING`, which are never imported at run time."""
+    return {
+        id(inner)
+        for node in ast.walk(tree)
+        if isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test)
+        for inner in ast.walk(node)
+    }
+
+
+def imports(path: Path) -> Iterator[tuple[str, list[str]]]:
+    """Each imported module with the names taken from it, wherever the statement stands."""
+    tree = ast.parse(path.read_text())
+    skipped = typing_only(tree)
+    for node in ast.walk(tree):
+        if id(node) in skipped:
+            continue
+        if isinstance(node, ast.Import):
+            for alias in node.names:
+                yield alias.name, []
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, f"{path}: relative import"
+            yield node.module or "", [alias.name for alias in node.names]
+
+
+def project_imports(path: Path) -> Iterator[str]:
+    """The project's own modules that a module imports, named below the package."""
+    for module, names in imports(path):
+        root, _, below = module.partition(".")
+        if root != "myrtlespar":
+            continue
+        submodules = [f"{below}.{name}".lstrip(".") for name in names]
+        yield from [name for name in submodules if name in MODULE_NAMES] or [below]
+
+
+@pytest.mark.parametrize("path", modules(), ids=dotted)
+def test_a_module_imports_only_parts_that_its_own_part_may_know(path: Path) -> None:
+    part = part_of(dotted(path))
+    for imported in project_imports(path):
+        other = part_of(imported)
+        assert other in ALLOWED[part] | {part}, f"{dotted(path)} imports {imported}"
+
+
+def test_the_rules_have_no_cycle() -> None:
+    order: list[str] = []
+    while len(order) < len(ALLOWED):
+        ready = [part for part, below in ALLOWED.items() if part not in order and below <= set(order)]
+        assert ready, f"a cycle among {sorted(set(ALLOWED) - set(order))}"
+        order += ready
+
+
+def test_every_part_has_its_rule() -> None:
+    assert {part_of(name) for name in MODULE_NAMES} == set(ALLOWED)
+
+
+@pytest.mark.parametrize("path", [path for path in modules() if part_of(dotted(path)) in PURE_PARTS], ids=dotted)
+def test_a_pure_part_imports_no_clock_socket_or_random_source(path: Path) -> None:
+    for module, names in imports(path):
+        assert module.partition(".")[0] not in IMPURE_MODULES, f"{dotted(path)} imports {module}"
+        if module == "random":
+            assert set(names) == RANDOM_TYPE_ONLY, f"{dotted(path)} imports {names} of random"
