--- /dev/null
+++ b/myrtlespar/server/application.py
@@ -0,0 +1,172 @@
+"""The parts of one server process and how they are connected."""
+
+from __future__ import annotations
+
+import gc
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+import gevent
+import structlog
+
+from myrtlespar.admin.commands import MetricsSnapshot
+from myrtlespar.config import Config
+from myrtlespar.handover.driver import KeyHandover
+from myrtlespar.handover.folder import HandoverFolder
+from myrtlespar.net.admin_server import AdminServer
+from myrtlespar.net.ajp_backends import engines
+from myrtlespar.net.ajp_front import AjpFront
+from myrtlespar.net.dependency_client import DependencyClient
+from myrtlespar.net.engine_client import EngineClient
+from myrtlespar.net.registry_client import RegistryClient
+from myrtlespar.net.thrift_front import ThriftFront
+from myrtlespar.request_coordinator import RequestCoordinator
+from myrtlespar.runtime.counters import Counters
+from myrtlespar.runtime.supervision import report_uncaught, run_for_good
+from myrtlespar.runtime.tracing import trace_to_log
+
+if TYPE_CHECKING:  # imported at run time only where an operator enables the fleet
+    from myrtlespar.fleet import FleetNode
+
+log = structlog.get_logger()
+Front = ThriftFront | AjpFront
+
+
+class Application:
+    """The connected parts of one server process.
+
+    The constructor creates the parts in the order of the start and takes the addresses of the fronts and of the admin
+    server. No client connection is accepted before `start`.
+
+    Args:
+        config: The configuration of this process.
+        shutdown_requested: Whether a shutdown signal has arrived; ends the wait for an address that is in use.
+
+    Raises:
+        AddressInUseError: An address of a front or of the admin server stayed in use.
+        ConfigError: The fleet's configuration file has a fault.
+    """
+
+    def __init__(self, config: Config, shutdown_requested: Callable[[], bool]) -> None:
+        self.config = config
+        self.counters = Counters()
+        report_uncaught(self.counters)
+        if config.trace:
+            trace_to_log()
+        self.coordinator = RequestCoordinator(config.settings, config.seed, config.limits, self.counters)
+        self.engine_client = EngineClient(config, self.coordinator)
+        self.dependency_client = DependencyClient(config, self.coordinator)
+        self.registry_client = RegistryClient(config, self.coordinator, self.engine_client)
+        self._attach_clients()
+        self.fronts = self._create_fronts(shutdown_requested)
+        self.fleet = _open_fleet(config, self.coordinator, self.counters) if config.fleet else None
+        self.key_handover = self._start_key_handover()
+        self.admin_server = self._start_admin_server(shutdown_requested)
+        self.coordinator.close_idle = self._set_idle_timeout
+        self._coordinator_greenlet: gevent.Greenlet | None = None
+
+    def start(self) -> None:
+        """Accept clients and start the greenlets that serve them."""
+        for front in self.fronts:
+            front.start()
+        self._coordinator_greenlet = gevent.spawn(self.coordinator.run)
+        # The names are those of the counters `fault.NAME` and of the log.
+        gevent.spawn(run_for_good, "kernel", self.engine_client.serve, self.counters)
+        gevent.spawn(run_for_good, "store", self.dependency_client.serve, self.counters)
+        gevent.spawn(run_for_good, "roster", self.registry_client.serve, self.counters)
+        log.info(
+            "serving",
+            name=self.config.name,
+            ports=[front.port for front in self.fronts],
+            mgmt=self.admin_server.port if self.admin_server else None,
+            calls_share=self.config.settings.calls_share,
+            shared=self.config.settings.shared_dependency,
+        )
+        gc.freeze()
+
+    def raise_if_coordinator_ended(self) -> None:
+        """Raise the exception that ended the coordinator's greenlet, if it has ended.
+
+        This prevents a server that still accepts requests while nothing decides on them.
+        """
+        if self._coordinator_greenlet is not None and self._coordinator_greenlet.ready():
+            self._coordinator_greenlet.get()
+
+    def leave_fleet(self) -> None:
+        """Announce to the other members that this server leaves, if it is in a fleet."""
+        if self.fleet is not None:
+            self.fleet.leave()
+
+    def close_fleet(self) -> None:
+        """Close the sockets and files of the fleet's part, if there is one."""
+        if self.fleet is not None:
+            self.fleet.close()
+
+    def _attach_clients(self) -> None:
+        """Connect the coordinator to the clients of its upstream servers."""
+        self.coordinator.engines[""] = self.engine_client
+        self.coordinator.gauges = self.engine_client
+        self.coordinator.dependency = self.dependency_client
+        self.coordinator.engines.update(engines(self.config, self.coordinator))
+
+    def _create_fronts(self, shutdown_requested: Callable[[], bool]) -> list[Front]:
+        """Bind the addresses on which clients connect."""
+        fronts: list[Front] = [ThriftFront(self.config, self.coordinator, shutdown_requested)]
+        if self.config.ajp.listen:
+            fronts.append(AjpFront(self.config, self.coordinator, self.config.ajp.listen, shutdown_requested))
+        return fronts
+
+    def _start_key_handover(self) -> KeyHandover | None:
+        """Begin to receive the idempotency keys of the previous process, if a folder for them is configured."""
+        if not self.config.tmpdir:
+            return None
+        key_handover = KeyHandover(self.coordinator, HandoverFolder(self.config.tmpdir, self.config.name))
+        key_handover.start()
+        return key_handover
+
+    def _start_admin_server(self, shutdown_requested: Callable[[], bool]) -> AdminServer | None:
+        """Listen on the operators' address, if one is configured."""
+        if self.config.mgmt is None:
+            return None
+        admin_server = AdminServer(
+            self.config.mgmt,
+            self.coordinator.admin,
+            self.counters,
+            self._is_ready,
+            self._metrics,
+            self.config.limits,
+            shutdown_requested,
+        )
+        admin_server.start()
+        return admin_server
+
+    def _is_ready(self) -> bool:
+        """Whether this process can serve new clients."""
+        return self.engine_client.up and not self.coordinator.draining
+
+    def _metrics(self) -> MetricsSnapshot:
+        """The metrics of this process, with those of the fleet's part."""
+        snapshot = self.coordinator.metrics_snapshot(self.config.class_names)
+        return snapshot if self.fleet is None else replace(snapshot, extra_lines=self.fleet.metrics())
+
+    def _set_idle_timeout(self, timeout_ms: float) -> None:
+        """Close client connections that are idle for this long; 0 leaves that to the clients."""
+        for front in self.fronts:
+            front.idle_ms = timeout_ms
+
+
+def _open_fleet(config: Config, coordinator: RequestCoordinator, counters: Counters) -> FleetNode:
+    """Start this server's part of the fleet. Its modules are imported only here, so that others need not load them."""
+    from myrtlespar.fleet import open_fleet
+
+    def key_of(id: str) -> str:
+        exchange = coordinator.tracker.find(id)
+        return exchange.key if exchange is not None else ""
+
+    fleet = open_fleet(config, counters, key_of)
+    coordinator.admin.extra_commands[b"MEMBERS"] = fleet.members
+    if fleet.limits is not None:
+        coordinator.admin.extra_commands[b"LIMITS"] = fleet.limits.report
+        coordinator.policy.fleet = fleet.limits
+    return fleet
--- /dev/null
+++ b/myrtlespar/server/drain.py
@@ -0,0 +1,23 @@
+"""Graceful shutdown (SIGINT, or SIGTERM without an admin server): stop new requests, finish those in flight."""
+
+from __future__ import annotations
+
+import structlog
+
+from myrtlespar.server.application import Application
+
+log = structlog.get_logger()
+
+
+def begin_drain(application: Application) -> None:
+    """Ask the clients to send nothing new. A repeated call has no further effect.
+
+    The shutdown sequence carries out the later stages.
+    """
+    coordinator = application.coordinator
+    if not coordinator.draining:
+        log.info("draining")
+    if coordinator.drain():
+        for front in application.fronts:
+            front.drain()
+    application.leave_fleet()
--- /dev/null
+++ b/myrtlespar/server/handover.py
@@ -0,0 +1,33 @@
+"""Hand-over to a replacement process (SIGTERM with an admin server): stop listening, answer what was read, exit."""
+
+from __future__ import annotations
+
+import structlog
+
+from myrtlespar.runtime.clock import unix_ms
+from myrtlespar.server.application import Application
+from myrtlespar.state_machines.process import ProcessAction
+
+log = structlog.get_logger()
+
+
+def begin_handover(application: Application) -> None:
+    """Close the listeners and ask the clients to connect again, which leads them to the replacement.
+
+    The shutdown sequence carries out the later stages.
+    """
+    coordinator = application.coordinator
+    actions = coordinator.process.handover(unix_ms(), _time_until_kill_ms(application))
+    log.info("handing over", owed=coordinator.tracker.unanswered)
+    if ProcessAction.CLOSE_LISTENERS in actions:
+        for front in application.fronts:
+            front.stop()
+            front.drain()
+    application.leave_fleet()
+
+
+def _time_until_kill_ms(application: Application) -> float:
+    """How long after SIGTERM the platform sends SIGKILL: the longest client timeout, capped, and a fixed reserve."""
+    limits = application.config.limits
+    longest_timeout_ms = max(request_class.client_timeout_ms for request_class in application.config.settings.classes)
+    return min(longest_timeout_ms, limits.handover_cap_ms) + limits.handover_spare_ms
--- /dev/null
+++ b/myrtlespar/server/signal_handlers.py
@@ -0,0 +1,63 @@
+"""What each signal does while the server runs."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable
+
+import gevent
+import structlog
+
+from myrtlespar.runtime.startup_signals import StartupSignals, ignore_signals
+from myrtlespar.server.application import Application
+from myrtlespar.server.drain import begin_drain
+from myrtlespar.server.handover import begin_handover
+from myrtlespar.server.reload import ConfigReloader
+
+log = structlog.get_logger()
+
+
+class SignalHandlers:
+    """Calls the operation of each signal in a greenlet of its own, from construction until `ignore_further_signals`.
+
+    Signals that arrived during the start are handled too.
+    """
+
+    def __init__(self, application: Application, startup_signals: StartupSignals) -> None:
+        self._handlers = _handlers_of(application)
+        self._watchers = [gevent.signal_handler(number, handler) for number, handler in self._handlers.items()]
+        startup_signals.deliver_to(self._spawn_handler)
+
+    def ignore_further_signals(self) -> None:
+        """Ignore all signals from now on, so that none changes the exit code."""
+        ignore_signals(self._cancel_watchers)
+
+    def _spawn_handler(self, number: int) -> None:
+        gevent.spawn(self._handlers[signal.Signals(number)])
+
+    def _cancel_watchers(self) -> None:
+        for watcher in self._watchers:
+            watcher.cancel()
+
+
+def _handlers_of(application: Application) -> dict[signal.Signals, Callable[[], None]]:
+    """The operation for each signal.
+
+    SIGTERM means a hand-over where there is an admin server, as a replacement process then runs beside this one.
+    """
+
+    def drain() -> None:
+        begin_drain(application)
+
+    def hand_over() -> None:
+        begin_handover(application)
+
+    def log_counters() -> None:
+        log.info("counters", **application.coordinator.counter_report())
+
+    return {
+        signal.SIGHUP: ConfigReloader(application).reload,
+        signal.SIGTERM: drain if application.admin_server is None else hand_over,
+        signal.SIGINT: drain,
+        signal.SIGUSR1: log_counters,
+    }
