--- a/myrtlespar/__init__.py
+++ b/myrtlespar/__init__.py
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Loaded when asked for: guards the start, which takes signals over first, against a wait for the module."""
+    """Load the policy at its first use, so that a start can install its signal handlers before it."""
     if name == "Policy":
         from myrtlespar.policy.policy import Policy
 
--- a/myrtlespar/__main__.py
+++ b/myrtlespar/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m myrtlespar` serves; with a command behind it, it does that instead."""
+"""Entry point: `python -m myrtlespar` runs the server, `python -m myrtlespar COMMAND` a command of the tools."""
 
 from __future__ import annotations
 
@@ -6,17 +6,20 @@
 
 
 def main() -> int:
-    """Without a command nothing but the server is loaded: that is how the platform starts it."""
+    """Run the server or a command, and return the exit code.
+
+    The platform starts the server without a command; the modules of the commands are not loaded then.
+    """
     if len(sys.argv) > 1:
-        from myrtlespar.cli import main as command
+        from myrtlespar.cli import main as run_command
 
-        return command()
+        return run_command()
     from myrtlespar.runtime.startup_signals import StartupSignals
 
-    early_signals = StartupSignals()  # before all that takes time to load
-    from myrtlespar.server.main import main as serve
+    startup_signals = StartupSignals()  # before the import below, which takes time
+    from myrtlespar.server.main import main as run_server
 
-    return serve(early_signals)
+    return run_server(startup_signals)
 
 
 if __name__ == "__main__":
--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-LINE_MOST = 256  # bytes of one management line, its end included; more is an error and closes the connection
+MAX_LINE_BYTES = 256  # bytes of one management line, its end included; more is an error and closes the connection
 KINDS = ("succeeded", "declined", "aborted")  # served, refused, failed
 
 
@@ -70,8 +70,8 @@
 
         `figures` is asked for by METRICS only; without it METRICS is an error naming that.
         """
-        if len(raw) > LINE_MOST:
-            return b"error line longer than %d bytes\n" % LINE_MOST, True
+        if len(raw) > MAX_LINE_BYTES:
+            return b"error line longer than %d bytes\n" % MAX_LINE_BYTES, True
         word = raw.strip()
         if not word:
             return b"error empty line\n", False
--- a/myrtlespar/errors.py
+++ b/myrtlespar/errors.py
@@ -4,4 +4,4 @@
 
 
 class MyrtlesparError(Exception):
-    """Base class of every exception that the project raises on purpose."""
+    """Base class of all exceptions that the project itself defines."""
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -186,7 +186,7 @@
                 continue
             if not isinstance(effect, SendMessage):
                 self.counters.add(f"limits.{effect.counter.replace(' ', '_')}")
-                if effect.log_message and self.counters.rare(f"limits.log.{effect.counter}"):
+                if effect.log_message and self.counters.count_and_sample(f"limits.log.{effect.counter}"):
                     log.warning("fleet: " + effect.log_message)
                 continue
             data = encode(LimitDatagram(self.settings.fleet, name, boot, effect.message))
@@ -212,7 +212,7 @@
                     saved = rows
             except OSError as error:  # guards against answers for what would not outlive us
                 self.counters.add("limits.unwritten", len(keeps))
-                if self.counters.rare("limits.log.unwritten"):
+                if self.counters.count_and_sample("limits.log.unwritten"):
                     log.error("fleet: budgets can't be written down", error=str(error))
                 continue
             for keep in keeps:
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -104,7 +104,7 @@
                 new=QuorumStatus(effect.new_status).name.lower(),
                 at=time.time() * 1000,
             )
-        elif effect.log_message and self.counters.rare(f"fleet.log.{effect.counter}"):
+        elif effect.log_message and self.counters.count_and_sample(f"fleet.log.{effect.counter}"):
             log.warning("fleet: " + effect.log_message)
 
     def leave(self) -> None:
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -6,7 +6,7 @@
 import structlog
 
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, known_keys
+from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, key_outcomes
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import from_wall, to_wall, unix_ms, wall_ms
 
@@ -37,7 +37,7 @@
     def publish_keys(self) -> None:
         """At the end of a hand-over: the outcomes of keys, for the process that takes over."""
         rows = self._core.tracker.keys_to_hand_over(unix_ms())
-        known = known_keys((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
+        known = key_outcomes((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
         try:
             self._folder.write_keys(encode(known))
             log.info("keys left for the next process", keys=len(known))
@@ -80,6 +80,6 @@
             old_lives = not self._folder.acquire_lock()
             return self._folder.read_keys(), old_lives
         except OSError as error:
-            if self._core.counters.rare("handover.unusable"):
+            if self._core.counters.count_and_sample("handover.unusable"):
                 log.error("hand-over folder unusable", error=str(error))
             return None, unix_ms() < self._began + self._core.limits.key_ms
--- a/myrtlespar/handover/folder.py
+++ b/myrtlespar/handover/folder.py
@@ -15,14 +15,14 @@
 from pathlib import Path
 from urllib.parse import quote
 
-FILE_BYTES = 1 << 25  # of a hand-over file; a longer one is foreign
-NAME_CHARS = 128  # of a server's name within a file's name
+MAX_FILE_BYTES = 1 << 25  # of a hand-over file; a longer one is foreign
+MAX_NAME_CHARS = 128  # of a server's name within a file's name
 
 
 def _file_part(name: str) -> str:
     """A server's name as part of a file's name: no separators, and not too long for the file system."""
     quoted = quote(name, safe="")
-    return quoted if len(quoted) <= NAME_CHARS else blake2b(name.encode(), digest_size=16).hexdigest()
+    return quoted if len(quoted) <= MAX_NAME_CHARS else blake2b(name.encode(), digest_size=16).hexdigest()
 
 
 class HandoverFolder:
@@ -63,9 +63,9 @@
             status = os.fstat(fd)
             if not stat.S_ISREG(status.st_mode):
                 raise OSError(errno.EINVAL, "not a regular file", str(self.keys_path))
-            if status.st_size > FILE_BYTES:
+            if status.st_size > MAX_FILE_BYTES:
                 raise OSError(errno.EFBIG, "too long for a hand-over file", str(self.keys_path))
-            return file.read(FILE_BYTES)
+            return file.read(MAX_FILE_BYTES)
 
     def remove_keys(self) -> None:
         """The file was read whole: remove it, so that no later start takes it again. One that stays lapses."""
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownKey:
+class KeyOutcome:
     """One key with its outcome: class number, key, kind of answer, body, retry-after, and when it lapses."""
 
     class_index: int
@@ -38,19 +38,20 @@
     expires_at: float
 
 
-def known_keys(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KnownKey]:
+def key_outcomes(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KeyOutcome]:
     """What the desk leaves, as rows of the file."""
     return [
-        KnownKey(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at) for (cls, key), answer, at in rows
+        KeyOutcome(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at)
+        for (cls, key), answer, at in rows
     ]
 
 
-def answer_of(known: KnownKey) -> Answer:
+def answer_of(known: KeyOutcome) -> Answer:
     """The outcome that a key stands for."""
     return Answer(AnswerKind(known.kind), known.body, known.retry_after_ms)
 
 
-def encode(known: Iterable[KnownKey]) -> bytes:
+def encode(known: Iterable[KeyOutcome]) -> bytes:
     """The file's bytes."""
     rows = b"".join(
         json.dumps(
@@ -62,7 +63,7 @@
     return b"%s %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(rows), len(rows)) + rows
 
 
-def decode(data: bytes, now: float, classes: int) -> list[KnownKey]:
+def decode(data: bytes, now: float, classes: int) -> list[KeyOutcome]:
     """The keys that have not lapsed. Refused: torn, of another version, spoilt, or naming an unknown class."""
     head, _, rows = data.partition(b"\n")
     words = head.split(b" ")
@@ -74,7 +75,7 @@
         raise HandoverRejectedError(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
     if words[2] != b"%08x" % zlib.crc32(rows):
         raise HandoverRejectedError("spoilt: the checksum differs")
-    out: list[KnownKey] = []
+    out: list[KeyOutcome] = []
     try:
         for line in rows.splitlines():
             cls, key, kind, body, retry, lapses = json.loads(line)
@@ -88,7 +89,9 @@
             if not (0 <= float(retry) < math.inf and 0 <= float(lapses) < math.inf):
                 raise HandoverRejectedError(f"an entry with a time that is none: {line[-60:]!r}")
             if float(lapses) > now:
-                out.append(KnownKey(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses)))
+                out.append(
+                    KeyOutcome(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses))
+                )
     except (ValueError, TypeError, OverflowError, RecursionError) as error:
         raise HandoverRejectedError(f"spoilt entry: {error}") from None
     return sorted(out, key=lambda known: known.expires_at)
@@ -114,7 +117,7 @@
     rejection: str = ""
     received_count: int = 0
 
-    def poll(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KnownKey], str]:
+    def poll(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KeyOutcome], str]:
         """The keys to take now, and a line for the log (empty: nothing new to tell)."""
         if self.state is HandoverState.OPEN:
             return [], ""
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, known_keys
+from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, key_outcomes
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
@@ -148,7 +148,7 @@
         for act in old.tracker.process.poll(self.now, old.tracker.unanswered):
             if act is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
                 old.ends = old.left = True
-                self.file = encode(known_keys(old.tracker.keys_to_hand_over(self.now)))
+                self.file = encode(key_outcomes(old.tracker.keys_to_hand_over(self.now)))
 
     def _take(self) -> None:
         known, _ = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -13,7 +13,7 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.admin.commands import LINE_MOST, AdminCommands, MetricsSnapshot
+from myrtlespar.admin.commands import MAX_LINE_BYTES, AdminCommands, MetricsSnapshot
 from myrtlespar.config import Address
 from myrtlespar.net.listener import Acceptor, bind_in_time
 from myrtlespar.resource_limits import ResourceLimits
@@ -84,12 +84,12 @@
             sock.close()
 
     def _line(self, sock: socket.socket) -> bytes | None:
-        """One line, at most LINE_MOST + 1 bytes of it; None when the caller left or took too long."""
+        """One line, at most MAX_LINE_BYTES + 1 bytes of it; None when the caller left or took too long."""
         data = b""
         sock.settimeout(HOLD_S)
         try:
-            while b"\n" not in data and len(data) <= LINE_MOST:
-                chunk = sock.recv(LINE_MOST + 1 - len(data))
+            while b"\n" not in data and len(data) <= MAX_LINE_BYTES:
+                chunk = sock.recv(MAX_LINE_BYTES + 1 - len(data))
                 if not chunk:
                     return data or None
                 data += chunk
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -124,7 +124,7 @@
             self._carry(self.book.connection_lost(wire))
 
     def _broken(self, wire: DependencyConnection, how: str, error: str) -> None:
-        if wire.call is not None and self.coordinator.counters.rare(f"store.{how}"):
+        if wire.call is not None and self.coordinator.counters.count_and_sample(f"store.{how}"):
             log.info(
                 "store broke a call", how=how, error=error, id=wire.call.id, rested_ms=round(wire.idle_ms_before_call)
             )
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -140,7 +140,7 @@
             try:
                 self._connect()
             except (OSError, ConnectionEndedError) as error:
-                if self.coordinator.counters.rare(
+                if self.coordinator.counters.count_and_sample(
                     "kernel.link_ended"
                 ):  # a kernel that is down is tried again very often
                     log.info("kernel link", error=str(error))
@@ -261,7 +261,7 @@
         if kind == "INFO":
             self._info(notice)
         elif kind == "EINVAL":
-            if self.coordinator.counters.rare("kernel.einval"):
+            if self.coordinator.counters.count_and_sample("kernel.einval"):
                 log.error("command not carried out", command=notice.get("status"), rid=notice.get("rid"))
             if notice.get("status") == "SYSINFO":
                 self._carry(self.book.mark_rejected())
@@ -289,7 +289,7 @@
                 self.book.run_reported(rid)
                 self.coordinator.call_needed(rid, base64.b64decode(notice.get("b64", ""), validate=True))
         except (KeyError, TypeError, ValueError, OverflowError) as error:  # guards the link against one odd notice
-            if self.coordinator.counters.rare("kernel.bad_notice"):
+            if self.coordinator.counters.count_and_sample("kernel.bad_notice"):
                 log.error("notice can't be read", error=f"{type(error).__name__}: {error}"[:200])
             if kind == "REAP":  # it is over all the same, and nobody knows how
                 self.coordinator.run_ended(rid, RunOutcome.ERROR, 0.0)
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -18,7 +18,7 @@
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
-from myrtlespar.runtime.supervision import run_for_good
+from myrtlespar.runtime.supervision import run_forever
 
 log = structlog.get_logger()
 NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})  # what accept says for the moment
@@ -81,7 +81,7 @@
         """Listen. Not before: a second process that is refused its start would take connections and drop them."""
         self._socket.listen(self.coordinator.limits.backlog)
         self._server.start()
-        gevent.spawn(run_for_good, f"{self.name}.look", self._look, self.coordinator.counters)
+        gevent.spawn(run_forever, f"{self.name}.look", self._look, self.coordinator.counters)
 
     @property
     def port(self) -> int:
@@ -206,7 +206,7 @@
         try:
             link.read()
         except Exception:  # guards all other connections, and what this one is owed, against a fault with one message
-            if self.coordinator.counters.rare(f"in.fault.{self.name}"):
+            if self.coordinator.counters.count_and_sample(f"in.fault.{self.name}"):
                 log.exception("connection failed", front=self.name)
             link.spoil()
         finally:
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -122,7 +122,7 @@
         except ConnectionEndedError:
             pass
         except (MalformedMessageError, ReadingStoppedError) as error:
-            if self.coordinator.counters.rare("in.bad_message.thrift"):
+            if self.coordinator.counters.count_and_sample("in.bad_message.thrift"):
                 log.info("client's message can't be read", error=str(error)[:200])
             # Only a call that stands alone under its number is answered: without one, or beside an open request of
             # that number, an exception would be an answer to what nobody asked, or a second one.
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -277,7 +277,7 @@
             try:
                 self._carry_out(effect)
             except Exception:  # guards every other request, and the core itself, against a fault with this one
-                if self.counters.rare("core.effect_fault"):
+                if self.counters.count_and_sample("core.effect_fault"):
                     log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
 
     def _carry_out(self, effect: RequestEffect) -> None:
--- a/myrtlespar/runtime/__init__.py
+++ b/myrtlespar/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part runs on: clock, counters, log output, signals, supervision, tracing. Decides nothing."""
+"""Services that every other package uses: clocks, counters, log output, signals, supervision, tracing."""
--- a/myrtlespar/runtime/clock.py
+++ b/myrtlespar/runtime/clock.py
@@ -1,8 +1,8 @@
-"""The time by which the program acts.
+"""The two clocks of the process, both in milliseconds since the Unix epoch.
 
-`unix_ms` never steps: it is the monotonic clock, set to the Unix clock as the process starts. All due times, timers
-and ages are taken from it. `wall_ms` is the Unix clock as it is now, for stamps that other processes make or read;
-`from_wall` and `to_wall` lead from one to the other by way of the age.
+`unix_ms` never steps: it is the monotonic clock, aligned with the Unix clock when the process starts. All deadlines,
+timers and ages use it. `wall_ms` is the Unix clock itself, for timestamps that other processes write or read.
+`from_wall` and `to_wall` convert between the two.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 def unix_ms() -> float:
-    """Milliseconds since the epoch, by a clock that nobody sets."""
+    """The time now by the monotonic clock, which setting the system's clock does not change."""
     return (time.monotonic() + _OFFSET_S) * 1000.0
 
 
 def wall_ms() -> float:
-    """The Unix clock, in milliseconds; it may step."""
+    """The time now by the Unix clock, which may step forward or back."""
     return time.time() * 1000.0
 
 
-def from_wall(stamp_ms: float) -> float:
-    """The time of a stamp of the Unix clock."""
-    return stamp_ms + unix_ms() - wall_ms()
+def from_wall(timestamp_ms: float) -> float:
+    """Convert a timestamp of the Unix clock to a time of `unix_ms`."""
+    return timestamp_ms + unix_ms() - wall_ms()
 
 
 def to_wall(time_ms: float) -> float:
-    """The stamp of the Unix clock for a time."""
+    """Convert a time of `unix_ms` to a timestamp of the Unix clock."""
     return time_ms + wall_ms() - unix_ms()
--- a/myrtlespar/runtime/counters.py
+++ b/myrtlespar/runtime/counters.py
@@ -1,25 +1,32 @@
-"""Counts of what is taken in, sent and answered."""
+"""Named event counters of the process."""
 
 from __future__ import annotations
 
 from collections import Counter
 
+ALWAYS_LOGGED_COUNT = 20  # the first events of a name, each worth a log line
+SAMPLING_INTERVAL = 100  # later only every so many-th event is worth one
+
 
 class Counters:
-    """Named counts; a name is 'part.kind' or 'part.kind.front'."""
+    """Counts events by name; a name is `part.kind` or `part.kind.front`."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count something."""
+        """Count `by` events."""
         self._counts[name] += by
 
-    def rare(self, name: str) -> bool:
-        """Count something that may come in floods; whether it is worth a line of the log."""
+    def count_and_sample(self, name: str) -> bool:
+        """Count one event of a kind that may occur in great numbers.
+
+        Returns:
+            Whether to log it: true for the first events of this name and for a sample of the later ones.
+        """
         self._counts[name] += 1
-        return self._counts[name] <= 20 or self._counts[name] % 100 == 0
+        return self._counts[name] <= ALWAYS_LOGGED_COUNT or self._counts[name] % SAMPLING_INTERVAL == 0
 
     def report(self) -> dict[str, int]:
-        """All counts so far, by name."""
+        """All counts since the process started, sorted by name."""
         return dict(sorted(self._counts.items()))
--- a/myrtlespar/runtime/log_output.py
+++ b/myrtlespar/runtime/log_output.py
@@ -1,7 +1,7 @@
-"""The log's way out: a writer that never blocks the process and never raises.
+"""Log output that never blocks the process and never raises.
 
-Standard output may be a pipe that nobody reads, a pipe whose reader has gone, a file on a full disk, or closed. The
-log is lost then, counted, and nothing else suffers.
+Standard output may be a pipe that nobody reads, a pipe whose reader has ended, a file on a full disk, or closed. Log
+lines are then lost and counted, and nothing else is affected.
 """
 
 from __future__ import annotations
@@ -14,24 +14,33 @@
 
 import structlog
 
-BACKLOG_BYTES = 65536  # lines kept while the descriptor takes none; newer ones are lost
-WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes so many without blocking
-STANDARD_DESCRIPTORS = (0, 1, 2)
+MAX_BACKLOG_BYTES = 65536  # of lines stored while the descriptor is not writable; newer ones are lost
+MAX_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many without blocking
+STANDARD_INPUT = 0
+STANDARD_OUTPUT = 1
+STANDARD_ERROR = 2
+STANDARD_DESCRIPTORS = (STANDARD_INPUT, STANDARD_OUTPUT, STANDARD_ERROR)
 
 
 def open_standard_descriptors() -> None:
-    """Guard against standard streams that are closed at the start: the first sockets would get their numbers, and
-    what libraries write to standard output or error would reach a client or a server.
+    """Open the standard streams that are closed at the start, on the null device.
+
+    Otherwise the first sockets would get their numbers, and what libraries write to standard output or standard error
+    would be sent to a client or a server.
     """
     for descriptor in STANDARD_DESCRIPTORS:
         try:
             os.fstat(descriptor)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # the lowest free number, which is this one
+            os.open(os.devnull, os.O_RDWR)  # opens the lowest free number, which is this one
 
 
 class LogOutput:
-    """Writes whole lines to one descriptor, in order, as far as it takes them."""
+    """Writes lines to one descriptor, in order and complete, without blocking.
+
+    Attributes:
+        lost: Lines that could not be written.
+    """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -39,31 +48,32 @@
         self._poll.register(descriptor, select.POLLOUT)
         self._backlog: deque[bytes] = deque()
         self._backlog_bytes = 0
-        self.lost = 0  # lines that could not be written
-        self._told = 0  # of these, already named in the log
+        self.lost = 0
+        self._reported_lost = 0  # lost lines that a line of the log reports
         self._failing = False  # whether the last write failed
 
     def write(self, line: str) -> None:
-        """Write a line, or keep it until the descriptor takes it."""
-        self._keep(line)
+        """Write a line, or store it until the descriptor is writable."""
+        self._enqueue(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write what is kept, as far as that is possible at once; then tell what was lost meanwhile."""
+        """Write as many stored lines as possible without blocking; after the last one, report how many were lost."""
         self._write_backlog()
-        if self.lost > self._told and not self._backlog and not self._failing:
-            self._keep(f'{{"event": "log lines lost", "lines": {self.lost - self._told}, "level": "warning"}}')
-            self._told = self.lost
+        if self.lost > self._reported_lost and not self._backlog and not self._failing:
+            newly_lost = self.lost - self._reported_lost
+            self._enqueue(f'{{"event": "log lines lost", "lines": {newly_lost}, "level": "warning"}}')
+            self._reported_lost = self.lost
             self._write_backlog()
 
     def _write_backlog(self) -> None:
         while self._backlog and self._writable():
             head = self._backlog[0]
             try:
-                written = os.write(self._descriptor, head[:WRITE_BYTES])
+                written = os.write(self._descriptor, head[:MAX_WRITE_BYTES])
             except BlockingIOError:
                 return
-            except OSError:  # no reader, no space: this line is lost, the next one may have more luck
+            except OSError:  # no reader or no space: this line is lost, the next one is tried all the same
                 written = len(head)
                 self.lost += 1
                 self._failing = True
@@ -75,36 +85,37 @@
             else:
                 self._backlog[0] = head[written:]
 
-    def _keep(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         data = line.encode("utf-8", "backslashreplace") + b"\n"
-        if self._backlog_bytes + len(data) > BACKLOG_BYTES:  # guards memory while nobody reads the log
+        if self._backlog_bytes + len(data) > MAX_BACKLOG_BYTES:  # bounds the memory used while nobody reads the log
             self.lost += 1
             return
         self._backlog.append(data)
         self._backlog_bytes += len(data)
 
     def _writable(self) -> bool:
-        """Whether a short write would not block; a broken descriptor counts, as its error comes at once."""
+        """Whether a short write returns at once, be it with an error."""
         return bool(self._poll.poll(0))
 
 
 class LineLogger:
-    """What structlog calls with each finished line."""
+    """The logger that structlog calls with each rendered line, whatever its level."""
 
     def __init__(self, output: LogOutput) -> None:
         self.msg = self.debug = self.info = self.warning = self.error = self.critical = output.write
 
 
-def _output(stream: TextIO | None, default: int) -> LogOutput:
+def _output_to(stream: TextIO | None, default_descriptor: int) -> LogOutput:
+    """An output to a standard stream, or to the default descriptor if the stream is missing or closed."""
     try:
-        return LogOutput(default if stream is None else stream.fileno())
+        return LogOutput(default_descriptor if stream is None else stream.fileno())
     except (OSError, ValueError):
-        return LogOutput(default)
+        return LogOutput(default_descriptor)
 
 
 def log_to_standard_output() -> LogOutput:
-    """Set the log up: one JSON object a line, to standard output."""
-    output = _output(sys.stdout, 1)
+    """Configure structlog to write one JSON object per line to standard output."""
+    output = _output_to(sys.stdout, STANDARD_OUTPUT)
     logger = LineLogger(output)
     structlog.configure(
         processors=[
@@ -118,6 +129,6 @@
     return output
 
 
-def complain(text: object) -> None:
-    """One line on standard error, without waiting for a reader."""
-    _output(sys.stderr, 2).write(str(text))
+def print_error(message: object) -> None:
+    """Write one line to standard error without blocking."""
+    _output_to(sys.stderr, STANDARD_ERROR).write(str(message))
--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -1,6 +1,7 @@
-"""Signals from the process's first moment on: noted until the server can act on them, so that none ends it or is lost.
+"""Collects signals from the first moment of the process until the server can handle them.
 
-Loads nothing but the standard library: it stands before all that takes time to load.
+A signal during the start then neither kills the process nor is lost. The module imports only the standard library, so
+that it is loaded before everything that takes time to load.
 """
 
 from __future__ import annotations
@@ -10,40 +11,44 @@
 from types import FrameType
 
 SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGUSR1)
+SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class StartupSignals:
-    """Takes the signals over at once. `deliver_to` tells who acts on them, on those that came before too."""
+    """Replaces the default handlers at construction and stores the signals until `forward_to` names a handler."""
 
     def __init__(self) -> None:
-        self.noted: list[int] = []
-        self.act: Callable[[int], object] | None = None
+        self._pending: list[int] = []
+        self._handler: Callable[[int], object] | None = None
         for number in SIGNALS:
-            signal.signal(number, self._note)
-
-    def told_to_leave(self) -> bool:
-        """Whether a notice to leave is among what came and was not handed on yet."""
-        return any(number in (signal.SIGTERM, signal.SIGINT) for number in self.noted)
-
-    def deliver_to(self, act: Callable[[int], object]) -> None:
-        """From now on `act` is called, first for what came until now."""
-        self.act = act
-        noted, self.noted = self.noted, []
-        for number in noted:
-            act(number)
-
-    def _note(self, number: int, frame: FrameType | None) -> None:
-        if self.act is None:
-            self.noted.append(number)
+            signal.signal(number, self._receive)
+
+    def shutdown_requested(self) -> bool:
+        """Whether a shutdown signal is among those that are stored and not forwarded yet."""
+        return any(number in SHUTDOWN_SIGNALS for number in self._pending)
+
+    def forward_to(self, handler: Callable[[int], object]) -> None:
+        """Call `handler` for each stored signal in the order of arrival, and for every later one."""
+        self._handler = handler
+        pending, self._pending = self._pending, []
+        for number in pending:
+            handler(number)
+
+    def _receive(self, number: int, frame: FrameType | None) -> None:
+        if self._handler is None:
+            self._pending.append(number)
         else:
-            self.act(number)
+            self._handler(number)
 
 
-def ignore_signals(stop: Callable[[], object]) -> None:
-    """Guards the exit status against a signal between the last answer and the end of the process. `stop` gives up
-    whoever handles signals until then; meanwhile, as that brings the deadly default back, they wait.
+def ignore_signals(remove_handlers: Callable[[], object]) -> None:
+    """Ignore all signals, so that none between the last answer and the end of the process changes the exit code.
+
+    Args:
+        remove_handlers: Removes the present handlers. As this restores the default action, which kills the process,
+            signals are blocked meanwhile.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    stop()
+    remove_handlers()
     for number in SIGNALS:
         signal.signal(number, signal.SIG_IGN)
--- a/myrtlespar/runtime/supervision.py
+++ b/myrtlespar/runtime/supervision.py
@@ -1,5 +1,6 @@
-"""What becomes of an exception that nobody expected: it is logged with its traceback, counted, and ends no more than
-the connection, call or link it came from.
+"""Handling of unexpected exceptions.
+
+Each is logged with its traceback and counted, and ends no more than the connection, call or greenlet that raised it.
 """
 
 from __future__ import annotations
@@ -14,12 +15,14 @@
 from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
-RESTART_PAUSE_S = 0.05  # before a part that failed goes on
+RESTART_PAUSE_S = 0.05  # between the end of a function that runs forever and its next call
+MAX_CONTEXT_CHARS = 200  # of the description of a failed greenlet in the log
+
 
+def log_uncaught_exceptions(counters: Counters) -> None:
+    """Make the event loop log and count the exceptions that no greenlet catches.
 
-def report_uncaught(counters: Counters) -> None:
-    """Have the event loop log and count what no greenlet caught. Its own way is to print to standard error, which
-    blocks the process when nobody reads that.
+    By default gevent prints them to standard error, which blocks the process when nobody reads that stream.
     """
     hub = gevent.get_hub()
     hub.exception_stream = None
@@ -33,20 +36,26 @@
         if issubclass(kind, hub.SYSTEM_ERROR):
             handle_system_error(context, kind, error, traceback)
             return
-        if counters.rare("uncaught"):
-            log.error("uncaught exception", where=repr(context)[:200], exc_info=(kind, error, traceback))
+        if counters.count_and_sample("uncaught"):
+            log.error("uncaught exception", where=repr(context)[:MAX_CONTEXT_CHARS], exc_info=(kind, error, traceback))
 
     hub.handle_error = handle_error
 
 
-def run_for_good(name: str, function: Callable[[], None], counters: Counters) -> None:
-    """Run a part that has to go on for the life of the process. Guards against a link that nobody serves any
-    longer: what a peer sent ends a turn of it, not the part.
+def run_forever(name: str, function: Callable[[], None], counters: Counters) -> None:
+    """Call a function again and again for the life of the process.
+
+    An exception, such as one caused by a peer's unexpected message, ends one call and not the service of that peer.
+
+    Args:
+        name: Of the part, in its counter `fault.NAME` and in the log.
+        function: Usually has a loop of its own and returns or raises only after a fault.
+        counters: Count the exceptions.
     """
     while True:
         try:
             function()
-        except Exception:
-            if counters.rare(f"fault.{name}"):
+        except Exception:  # the outermost boundary of a greenlet that must not end
+            if counters.count_and_sample(f"fault.{name}"):
                 log.exception("part failed and goes on", part=name)
         gevent.sleep(RESTART_PAUSE_S)
--- a/myrtlespar/runtime/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -1,4 +1,4 @@
-"""The opt-in trace of transitions: one log line for each step of each machine. Off, it costs nothing."""
+"""The optional trace of the state machines: one log line for each transition. It costs nothing while it is off."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 log = structlog.get_logger()
 
 
-def _line(table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
+def trace_to_log() -> None:
+    """Log every transition from now on. `myrtlespar check trace` reads these lines."""
+    for table in TABLES:
+        table.observer = _log_transition
+
+
+def _log_transition(
+    table: TransitionTable, machine_id: str, state: int, event: int, transition: Transition | None
+) -> None:
+    """Log one event of one machine; `transition` is None if the table has no entry for it."""
     log.info(
         "step",
         machine=table.name,
-        who=who,
+        who=machine_id,
         state=table.states(state).name,
         on=table.events(event).name,
-        to=table.states(row.next_state).name if row else "impossible",
+        to=table.states(transition.next_state).name if transition else "impossible",
     )
-
-
-def trace_to_log() -> None:
-    """Write every step from now on. `myrtlespar check trace` reads such lines."""
-    for table in TABLES:
-        table.observer = _line
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -23,7 +23,7 @@
 from myrtlespar.net.thrift_front import ThriftFront
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.counters import Counters
-from myrtlespar.runtime.supervision import report_uncaught, run_for_good
+from myrtlespar.runtime.supervision import log_uncaught_exceptions, run_forever
 from myrtlespar.runtime.tracing import trace_to_log
 
 if TYPE_CHECKING:  # imported at run time only where an operator enables the fleet
@@ -51,7 +51,7 @@
     def __init__(self, config: Config, shutdown_requested: Callable[[], bool]) -> None:
         self.config = config
         self.counters = Counters()
-        report_uncaught(self.counters)
+        log_uncaught_exceptions(self.counters)
         if config.trace:
             trace_to_log()
         self.coordinator = RequestCoordinator(config.settings, config.seed, config.limits, self.counters)
@@ -72,9 +72,9 @@
             front.start()
         self._coordinator_greenlet = gevent.spawn(self.coordinator.run)
         # The names are those of the counters `fault.NAME` and of the log.
-        gevent.spawn(run_for_good, "kernel", self.engine_client.serve, self.counters)
-        gevent.spawn(run_for_good, "store", self.dependency_client.serve, self.counters)
-        gevent.spawn(run_for_good, "roster", self.registry_client.serve, self.counters)
+        gevent.spawn(run_forever, "kernel", self.engine_client.serve, self.counters)
+        gevent.spawn(run_forever, "store", self.dependency_client.serve, self.counters)
+        gevent.spawn(run_forever, "roster", self.registry_client.serve, self.counters)
         log.info(
             "serving",
             name=self.config.name,
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -7,7 +7,7 @@
 
 from myrtlespar.config import Config, ConfigError, load
 from myrtlespar.net.listener import AddressInUseError
-from myrtlespar.runtime.log_output import LogOutput, complain, log_to_standard_output, open_standard_descriptors
+from myrtlespar.runtime.log_output import LogOutput, log_to_standard_output, open_standard_descriptors, print_error
 from myrtlespar.runtime.startup_signals import StartupSignals
 from myrtlespar.server.application import Application
 from myrtlespar.server.shutdown import ShutdownSequence
@@ -30,11 +30,11 @@
         ConfigError: The fleet's configuration file has a fault. No client was accepted.
     """
     try:
-        application = Application(config, startup_signals.told_to_leave)
+        application = Application(config, startup_signals.shutdown_requested)
     except AddressInUseError as error:
-        if startup_signals.told_to_leave():
+        if startup_signals.shutdown_requested():
             return EXIT_OK
-        complain(error)
+        print_error(error)
         return EXIT_BAD_CONFIG
     coordinator = application.coordinator
     signal_handlers = SignalHandlers(application, startup_signals)
@@ -70,7 +70,7 @@
     try:
         return serve(load(), startup_signals, output)
     except ConfigError as error:
-        complain(error)
+        print_error(error)
         return EXIT_BAD_CONFIG
     except Exception:  # the process's outermost boundary: a process that can't serve must end instead of hang
         log.exception("cannot go on")
--- a/myrtlespar/server/signal_handlers.py
+++ b/myrtlespar/server/signal_handlers.py
@@ -26,7 +26,7 @@
     def __init__(self, application: Application, startup_signals: StartupSignals) -> None:
         self._handlers = _handlers_of(application)
         self._watchers = [gevent.signal_handler(number, handler) for number, handler in self._handlers.items()]
-        startup_signals.deliver_to(self._spawn_handler)
+        startup_signals.forward_to(self._spawn_handler)
 
     def ignore_further_signals(self) -> None:
         """Ignore all signals from now on, so that none changes the exit code."""
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -74,7 +74,7 @@
     limits.BudgetDrawResponse: "shard_id epoch key period drawn_total remaining",
     limits.BudgetReserveRequest: "shard_id epoch key period reserved_total",
     limits.BudgetReserveResponse: "shard_id epoch key period reserved_total",
-    keys_file.KnownKey: "class_index key kind body retry_after_ms expires_at",
+    keys_file.KeyOutcome: "class_index key kind body retry_after_ms expires_at",
 }
 
 
@@ -165,7 +165,7 @@
 def encode_handover(entries: Any) -> bytes:
     """The hand-over file for entries, by way of the answers that they stand for in a process."""
     rows = [((entry.class_index, entry.key), keys_file.answer_of(entry), entry.expires_at) for entry in entries]
-    return keys_file.encode(keys_file.known_keys(rows))
+    return keys_file.encode(keys_file.key_outcomes(rows))
 
 
 def decode_budget_state(data: bytes) -> BudgetJournal:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,14 +15,14 @@
 
 import pytest
 
-from myrtlespar.admin.commands import LINE_MOST, AdminCommands, MetricsSnapshot, exposition
+from myrtlespar.admin.commands import MAX_LINE_BYTES, AdminCommands, MetricsSnapshot, exposition
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, until
 from myrtlespar.fakes.tcp_server import exactly
 from myrtlespar.handover.keys_file import (
     HandoverReceiver,
     HandoverRejectedError,
     HandoverState,
-    KnownKey,
+    KeyOutcome,
     decode,
     encode,
 )
@@ -50,7 +50,7 @@
     assert not ops.is_healthy(False)
     assert ops.handle_line(b"", 5.0, True) == (b"error empty line\n", False)
     assert ops.handle_line(b"FLY away", 5.0, True) == (b"error unknown call 'FLY away'\n", False)
-    assert ops.handle_line(b"X" * (LINE_MOST + 1), 5.0, True) == (b"error line longer than 256 bytes\n", True)
+    assert ops.handle_line(b"X" * (MAX_LINE_BYTES + 1), 5.0, True) == (b"error line longer than 256 bytes\n", True)
 
 
 def test_figures_are_prometheus_text_with_a_type_for_each_family() -> None:
@@ -163,7 +163,10 @@
 
 
 def test_a_handover_file_is_taken_whole_or_refused_whole() -> None:
-    known = [KnownKey(2, "k1", "served", b"\x00result", 0.0, 9000.0), KnownKey(2, "k0", "refused", b"", 250.0, 5000.0)]
+    known = [
+        KeyOutcome(2, "k1", "served", b"\x00result", 0.0, 9000.0),
+        KeyOutcome(2, "k0", "refused", b"", 250.0, 5000.0),
+    ]
     data = encode(known)
     assert decode(data, 1000.0, 3) == sorted(known, key=lambda one: one.expires_at)
     assert decode(data, 6000.0, 3) == known[:1]  # what lapsed is left out
@@ -188,7 +191,7 @@
     assert waiting.poll(False, None, 0.0, 3)[1].startswith("the old process is gone")
     assert waiting.state is HandoverState.OPEN
     taking = HandoverReceiver(HandoverState.WAITING)
-    keys, line = taking.poll(True, encode([KnownKey(0, "k", "served", b"r", 0.0, 10.0)]), 0.0, 3)
+    keys, line = taking.poll(True, encode([KeyOutcome(0, "k", "served", b"r", 0.0, 10.0)]), 0.0, 3)
     assert len(keys) == 1
     assert line == "hand-over taken: 1 keys"
     assert taking.state is HandoverState.OPEN
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -23,7 +23,7 @@
 from myrtlespar.fakes import ThriftClient, server_process, settings, until
 from myrtlespar.fakes.server_process import ROOT
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.handover.keys_file import HandoverRejectedError, KnownKey, decode, encode, known_keys
+from myrtlespar.handover.keys_file import HandoverRejectedError, KeyOutcome, decode, encode, key_outcomes
 from myrtlespar.net.connections import connect
 from tests.gates import Gate
 from tests.sites import GUARDED
@@ -122,9 +122,9 @@
     assert one.acquire_lock()
     assert other.acquire_lock()
     assert not HandoverFolder(str(tmp_path), name).acquire_lock()
-    one.write_keys(encode(known_keys([((0, "k"), Answer(AnswerKind.SERVED, b"r"), 9.0)])))
+    one.write_keys(encode(key_outcomes([((0, "k"), Answer(AnswerKind.SERVED, b"r"), 9.0)])))
     assert other.read_keys() is None
-    assert decode(one.read_keys() or b"", 0.0, 1) == [KnownKey(0, "k", "served", b"r", 0.0, 9.0)]
+    assert decode(one.read_keys() or b"", 0.0, 1) == [KeyOutcome(0, "k", "served", b"r", 0.0, 9.0)]
     assert all(path.parent == tmp_path for path in tmp_path.rglob("*"))
 
 
