--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -14,7 +14,7 @@
 
 import click
 
-from myrtlespar.admin.commands import KINDS, MetricsSnapshot, exposition
+from myrtlespar.admin.metrics import ANSWER_METRICS, MetricsSnapshot, exposition
 
 NAMES = ("render", "fetch", "order")
 
@@ -37,7 +37,7 @@
     from prometheus_client import CollectorRegistry, Counter, generate_latest
 
     registry = CollectorRegistry()
-    families = [Counter(f"app_{kind}", kind, ["service"], registry=registry) for kind in KINDS]
+    families = [Counter(f"app_{kind}", kind, ["service"], registry=registry) for kind in ANSWER_METRICS]
     cells = [[family.labels(service=name) for family in families] for name in NAMES]  # bound once, as one would
     began = time.process_time()
     for n in range(answers):
--- a/myrtlespar/admin/__init__.py
+++ b/myrtlespar/admin/__init__.py
@@ -1,5 +1,5 @@
-"""Operators' commands of one process: status, metrics, pause and resume. Pure.
+"""Operators' commands of one process: status, metrics, pause and resume.
 
-Lines, times and counts come in as arguments; replies go out as bytes. Sockets are in `net/admin_server.py`, which
+Pure: lines, times and counts come in as arguments, replies go out as bytes. `net/admin_server.py` owns the sockets and
 bounds connections, line lengths and waits.
 """
--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -1,97 +1,94 @@
-"""Operators' commands: one line in, one reply out, and the pause that drains this process.
+"""Operators' commands: one line in, one reply out, and the pause that drains this process by its health.
 
-Replies begin with `done` or `error`; `METRICS` follows its `done` line with the figures in the Prometheus text
+Replies begin with `done` or `error`. The reply to `METRICS` is a `done` line, the metrics in the Prometheus text
 exposition format and a line `end`. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
-MAX_LINE_BYTES = 256  # bytes of one management line, its end included; more is an error and closes the connection
-KINDS = ("succeeded", "declined", "aborted")  # served, refused, failed
+from myrtlespar.admin.metrics import MetricsSnapshot, exposition
 
-
-@dataclass(frozen=True, slots=True)
-class MetricsSnapshot:
-    """Counts since the process started: per class `ends[c]` = (served, refused, failed) and `forwards[c]`
-    (runs handed to the kernel); `outstanding` is the requests taken and not yet answered.
-    """
-
-    class_names: Sequence[str]
-    answer_counts: Sequence[Sequence[int]]
-    engine_run_counts: Sequence[int]
-    outstanding: int
-    extra_lines: Sequence[str] = ()  # further lines of the exposition
+MAX_LINE_BYTES = 256  # of one command line, its end included; a longer one is an error and closes the connection
+MAX_SHOWN_BYTES = 40  # of an unknown command, in the reply
 
 
-def _label(name: str) -> str:
-    """A label's value, with what the exposition format wants escaped."""
-    return name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
-
+@dataclass(frozen=True, slots=True)
+class AdminReply:
+    """The reply to one line, and whether the connection is to be closed after it."""
 
-def exposition(figures: MetricsSnapshot) -> bytes:
-    """The figures as Prometheus text exposition, each family with its TYPE line."""
-    out: list[str] = []
-    rows = list(zip(map(_label, figures.class_names), figures.answer_counts, figures.engine_run_counts, strict=True))
-    for n, kind in enumerate(KINDS):
-        out.append(f"# TYPE app_{kind} counter")
-        out += [f'app_{kind}{{service="{name}"}} {ends[n]}' for name, ends, _ in rows]
-    out.append("# TYPE app_forwards counter")
-    out += [f'app_forwards{{service="{name}"}} {count}' for name, _, count in rows]
-    out += ["# TYPE app_outstanding gauge", f"app_outstanding {figures.outstanding}", *figures.extra_lines, ""]
-    return "\n".join(out).encode()
+    data: bytes
+    close_connection: bool = False
 
 
 @dataclass(slots=True)
 class AdminCommands:
-    """Pause state and the answers to operators' lines.
-
-    `ready` is whether the process takes clients: listening, with its kernel up, and not handing over.
+    """The replies to operators' lines, and whether the process is paused.
+
+    Attributes:
+        paused: Whether the last of PAUSE and RESUME was PAUSE.
+        paused_at: When the latest pause began.
+        resumed_at: When the latest pause ended.
+        pause_count: PAUSE lines that began a pause.
+        extra_commands: Further commands, each with the function that returns the lines of its reply.
     """
 
     paused: bool = False
     paused_at: float = float("inf")
     resumed_at: float = float("-inf")
-    pause_count: int = 0  # PAUSE lines that began a drain
-    extra_commands: dict[bytes, Callable[[], bytes]] = field(
-        default_factory=dict
-    )  # further words, and what answers them
+    pause_count: int = 0
+    extra_commands: dict[bytes, Callable[[], bytes]] = field(default_factory=dict)
 
-    def is_healthy(self, policy_good: bool) -> bool:
-        """What a health check is told: bad from PAUSE until RESUME, else what the policy says."""
-        return policy_good and not self.paused
+    def is_healthy(self, policy_healthy: bool) -> bool:
+        """The result of a health check: unhealthy while paused, otherwise as the policy decides."""
+        return policy_healthy and not self.paused
 
-    def handle_line(
-        self, raw: bytes, now: float, ready: bool, figures: MetricsSnapshot | None = None
-    ) -> tuple[bytes, bool]:
-        """The reply to one whole line, and whether the connection is to be closed after it.
+    def handle_line(self, line: bytes, now: float, ready: bool, metrics: MetricsSnapshot | None = None) -> AdminReply:
+        """Carry out one command.
 
-        `figures` is asked for by METRICS only; without it METRICS is an error naming that.
+        Args:
+            line: The line, with or without its end.
+            now: The time now.
+            ready: Whether the process can serve new clients: listening, its execution engine connected, no hand-over.
+            metrics: Needed by METRICS only, which is an error without it.
         """
-        if len(raw) > MAX_LINE_BYTES:
-            return b"error line longer than %d bytes\n" % MAX_LINE_BYTES, True
-        word = raw.strip()
-        if not word:
-            return b"error empty line\n", False
-        if word == b"STATUS":
-            return (b"done yes\n", False) if ready else (b"done no\n", False)
-        if word == b"PAUSE":
-            if not self.paused:
-                self.paused, self.paused_at, self.pause_count = True, now, self.pause_count + 1
-                return b"done paused\n", False
-            return b"done paused already\n", False
-        if word == b"RESUME":
-            if self.paused:
-                self.paused, self.resumed_at = False, now
-                return b"done resumed\n", False
-            return b"done not paused\n", False
-        if word == b"METRICS":
-            if figures is None:
-                return b"error no figures\n", False
-            return b"done\n" + exposition(figures) + b"end\n", False
-        if word in self.extra_commands:
-            return b"done\n" + self.extra_commands[word]() + b"end\n", False
-        shown = word[:40].decode("ascii", "replace")
-        return f"error unknown call {shown!r}\n".encode(), False
+        if len(line) > MAX_LINE_BYTES:
+            return AdminReply(b"error line longer than %d bytes\n" % MAX_LINE_BYTES, close_connection=True)
+        command = line.strip()
+        if not command:
+            return AdminReply(b"error empty line\n")
+        if command == b"STATUS":
+            return AdminReply(b"done yes\n" if ready else b"done no\n")
+        if command == b"PAUSE":
+            return self._pause(now)
+        if command == b"RESUME":
+            return self._resume(now)
+        if command == b"METRICS":
+            return _metrics_reply(metrics)
+        if command in self.extra_commands:
+            return AdminReply(b"done\n" + self.extra_commands[command]() + b"end\n")
+        shown = command[:MAX_SHOWN_BYTES].decode("ascii", "replace")
+        return AdminReply(f"error unknown call {shown!r}\n".encode())
+
+    def _pause(self, now: float) -> AdminReply:
+        if self.paused:
+            return AdminReply(b"done paused already\n")
+        self.paused = True
+        self.paused_at = now
+        self.pause_count += 1
+        return AdminReply(b"done paused\n")
+
+    def _resume(self, now: float) -> AdminReply:
+        if not self.paused:
+            return AdminReply(b"done not paused\n")
+        self.paused = False
+        self.resumed_at = now
+        return AdminReply(b"done resumed\n")
+
+
+def _metrics_reply(metrics: MetricsSnapshot | None) -> AdminReply:
+    if metrics is None:
+        return AdminReply(b"error no figures\n")
+    return AdminReply(b"done\n" + exposition(metrics) + b"end\n")
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -1,85 +1,105 @@
-"""How the idempotency keys of one process reach the process that replaces it, so that no order runs in both."""
+"""Passes the idempotency keys of a process to its replacement, so that no request with a key runs in both."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import gevent
 import structlog
 
 from myrtlespar.handover.folder import HandoverFolder
-from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, key_outcomes
+from myrtlespar.handover.keys_file import answer_of, encode, key_outcomes
+from myrtlespar.handover.receiver import HandoverReceiver, HandoverState
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import from_wall, to_wall, unix_ms, wall_ms
 
 log = structlog.get_logger()
-LOOK_S = 0.05  # between looks for an old process's keys
+POLL_INTERVAL_S = 0.05  # between two reads of the folder while an old process lives
+
+
+@dataclass(frozen=True, slots=True)
+class FolderContent:
+    """What one read of the shared folder found."""
+
+    keys_data: bytes | None  # the hand-over file; None if there is none
+    old_process_alive: bool
 
 
 class KeyHandover:
-    """Takes over the keys that the process before this one left, and leaves this one's at its end.
+    """Receives the keys that the previous process published, and publishes those of this one at its end.
 
-    Guards orders against a second run where the folder can't be used: an old process may live unseen, so keys wait
-    for as long as one is remembered.
+    While the folder can't be used, an old process may run unnoticed. Requests with a key are then rejected for as long
+    as a key is remembered, because they could run a second time.
     """
 
     def __init__(self, coordinator: RequestCoordinator, folder: HandoverFolder) -> None:
-        self._core, self._folder = coordinator, folder
-        self._successor = HandoverReceiver(HandoverState.WAITING)
-        self._began = unix_ms()
+        self._coordinator = coordinator
+        self._folder = folder
+        self._receiver = HandoverReceiver(HandoverState.WAITING)
+        self._started_at = unix_ms()
 
     def start(self) -> None:
-        """Take the keys that are there, or wait for them while an old process lives."""
-        if self._look():
+        """Import the keys that are there, or wait for them in a greenlet while an old process lives."""
+        if self._poll_folder():
             return
-        self._core.tracker.keys.awaiting_handover = True
+        self._coordinator.tracker.keys.awaiting_handover = True
         log.info("an old process lives: keys wait for its hand-over")
-        gevent.spawn(self._await)
+        gevent.spawn(self._wait_for_handover)
 
     def publish_keys(self) -> None:
-        """At the end of a hand-over: the outcomes of keys, for the process that takes over."""
-        rows = self._core.tracker.keys_to_hand_over(unix_ms())
-        known = key_outcomes((slot, answer, to_wall(lapses_at)) for slot, answer, lapses_at in rows)
+        """Write the outcomes of this process's keys for its replacement; a failure is logged."""
+        rows = self._coordinator.tracker.keys_to_hand_over(unix_ms())
+        outcomes = key_outcomes((slot, answer, to_wall(expires_at)) for slot, answer, expires_at in rows)
         try:
-            self._folder.write_keys(encode(known))
-            log.info("keys left for the next process", keys=len(known))
+            self._folder.write_keys(encode(outcomes))
+            log.info("keys left for the next process", keys=len(outcomes))
         except OSError as error:
             log.error("keys could not be left", error=str(error))
 
-    def _await(self) -> None:
-        while self._successor.state is HandoverState.WAITING:
-            gevent.sleep(LOOK_S)
-            self._look()
-
-    def _look(self) -> bool:
-        """One look into the folder; whether keys are open now."""
-        data, old_lives = self._read()
-        refused_before = self._successor.rejection
-        now, classes = wall_ms(), len(self._core.settings.classes)
-        known, line = self._successor.poll(old_lives, data, now, classes)
-        if line:
-            log.info(line)
-        if self._successor.rejection != refused_before:
-            self._core.counters.add("handover.refused")
-            self._successor.poll(old_lives, None, now, classes)  # as if there were none
-        for one in known:
-            self._core.tracker.keys.import_outcome(
-                (one.class_index, one.key), answer_of(one), from_wall(one.expires_at)
-            )
-        if self._successor.state is HandoverState.WAITING:
+    def _wait_for_handover(self) -> None:
+        while self._receiver.state is HandoverState.WAITING:
+            gevent.sleep(POLL_INTERVAL_S)
+            self._poll_folder()
+
+    def _poll_folder(self) -> bool:
+        """Read the folder once and import what it holds.
+
+        Returns:
+            Whether requests with a key may run now.
+        """
+        content = self._read_folder()
+        self._receive(content)
+        if self._receiver.state is HandoverState.WAITING:
             return False
-        self._core.tracker.keys.awaiting_handover = False
-        if data is not None and not self._successor.rejection:
+        self._coordinator.tracker.keys.awaiting_handover = False
+        if content.keys_data is not None and not self._receiver.rejection:
             self._folder.remove_keys()
         return True
 
-    def _read(self) -> tuple[bytes | None, bool]:
-        """What an old process left, and whether it may still live. A folder that fails is named, counted and passed
-        over.
-        """
+    def _receive(self, content: FolderContent) -> None:
+        """Pass what was read to the receiver and import the outcomes that it accepts."""
+        rejection_before = self._receiver.rejection
+        now = wall_ms()
+        class_count = len(self._coordinator.settings.classes)
+        received = self._receiver.poll(content.old_process_alive, content.keys_data, now, class_count)
+        if received.log_message:
+            log.info(received.log_message)
+        if self._receiver.rejection != rejection_before:
+            self._coordinator.counters.add("handover.refused")
+            # Without a usable file, the end of the old process decides at once.
+            self._receiver.poll(content.old_process_alive, None, now, class_count)
+        for outcome in received.outcomes:
+            self._coordinator.tracker.keys.import_outcome(
+                (outcome.class_index, outcome.key), answer_of(outcome), from_wall(outcome.expires_at)
+            )
+
+    def _read_folder(self) -> FolderContent:
+        """Read the folder; a failure is logged, counted, and treated as an old process that may still live."""
         try:
-            # The lock before the file: what a process that is gone left is whole by then.
-            old_lives = not self._folder.acquire_lock()
-            return self._folder.read_keys(), old_lives
+            # The lock before the file: an old process that has ended had completed its file before.
+            old_process_alive = not self._folder.acquire_lock()
+            return FolderContent(self._folder.read_keys(), old_process_alive)
         except OSError as error:
-            if self._core.counters.count_and_sample("handover.unusable"):
+            if self._coordinator.counters.count_and_sample("handover.unusable"):
                 log.error("hand-over folder unusable", error=str(error))
-            return None, unix_ms() < self._began + self._core.limits.key_ms
+            return FolderContent(None, unix_ms() < self._started_at + self._coordinator.limits.key_ms)
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -1,8 +1,8 @@
-"""The hand-over of idempotency keys from an old process to its replacement, through the shared `$TMPDIR`.
+"""The format of the hand-over file, with which a process passes its idempotency keys to its replacement.
 
-Pure: bytes and times come in, entries and verdicts go out. The file is one header line
-`myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, one known outcome each. A file that is torn,
-of another version or spoilt is refused whole. Times are Unix milliseconds.
+The file is a header line `myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, one key with its
+outcome each. A file that is truncated, corrupt or of another version is rejected as a whole. Times are Unix
+milliseconds. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -13,123 +13,134 @@
 import zlib
 from collections.abc import Iterable
 from dataclasses import dataclass
-from enum import Enum
+from typing import Any
 
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.exchange import Answer, AnswerKind
 
 VERSION = 1
 MAGIC = b"myrtlespar-keys"
+HEADER_WORDS = 4  # magic, version, checksum, length
+ANSWER_KINDS = ("served", "refused", "failed")  # as the file writes them
+MAX_SHOWN_CHARS = 60  # of a rejected entry, in the text of the error
 
 
 class HandoverRejectedError(MyrtlesparError):
-    """A hand-over file that can't be taken whole; the text says why, in one line."""
+    """A hand-over file that can't be accepted; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyOutcome:
-    """One key with its outcome: class number, key, kind of answer, body, retry-after, and when it lapses."""
+    """One idempotency key with the outcome of its request.
+
+    Attributes:
+        class_index: The request class, by its position in the settings.
+        key: The idempotency key, unique within its class.
+        kind: The kind of the answer: "served", "refused" or "failed".
+        body: The body of the answer.
+        retry_after_ms: The Retry-After of the answer; 0 for none.
+        expires_at: When the key may be forgotten, in Unix milliseconds.
+    """
 
     class_index: int
     key: str
-    kind: str  # "served", "refused" or "failed"
+    kind: str
     body: bytes
     retry_after_ms: float
     expires_at: float
 
 
 def key_outcomes(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KeyOutcome]:
-    """What the desk leaves, as rows of the file."""
+    """The entries of the file for the rows of a request tracker: class and key, answer, time of expiry."""
     return [
-        KeyOutcome(cls, key, answer.kind.value, answer.body, answer.retry_after_ms, at)
-        for (cls, key), answer, at in rows
+        KeyOutcome(class_index, key, answer.kind.value, answer.body, answer.retry_after_ms, expires_at)
+        for (class_index, key), answer, expires_at in rows
     ]
 
 
-def answer_of(known: KeyOutcome) -> Answer:
-    """The outcome that a key stands for."""
-    return Answer(AnswerKind(known.kind), known.body, known.retry_after_ms)
+def answer_of(outcome: KeyOutcome) -> Answer:
+    """The answer to a repeated request with this key."""
+    return Answer(AnswerKind(outcome.kind), outcome.body, outcome.retry_after_ms)
 
 
-def encode(known: Iterable[KeyOutcome]) -> bytes:
-    """The file's bytes."""
-    rows = b"".join(
-        json.dumps(
-            [k.class_index, k.key, k.kind, base64.b64encode(k.body).decode(), k.retry_after_ms, k.expires_at]
-        ).encode()
-        + b"\n"
-        for k in known
-    )
+def encode(outcomes: Iterable[KeyOutcome]) -> bytes:
+    """The bytes of a hand-over file."""
+    rows = b"".join(_encode_row(outcome) for outcome in outcomes)
     return b"%s %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(rows), len(rows)) + rows
 
 
-def decode(data: bytes, now: float, classes: int) -> list[KeyOutcome]:
-    """The keys that have not lapsed. Refused: torn, of another version, spoilt, or naming an unknown class."""
-    head, _, rows = data.partition(b"\n")
-    words = head.split(b" ")
-    if len(words) != 4 or words[0] != MAGIC:
-        raise HandoverRejectedError("no hand-over header")
-    if words[1] != b"%d" % VERSION:
-        raise HandoverRejectedError(f"version {words[1][:8].decode('ascii', 'replace')}, not {VERSION}")
-    if not words[3].isdigit() or int(words[3]) != len(rows):
-        raise HandoverRejectedError(f"torn: {len(rows)} bytes of {words[3][:12].decode('ascii', 'replace')}")
-    if words[2] != b"%08x" % zlib.crc32(rows):
-        raise HandoverRejectedError("spoilt: the checksum differs")
-    out: list[KeyOutcome] = []
-    try:
-        for line in rows.splitlines():
-            cls, key, kind, body, retry, lapses = json.loads(line)
-            if not (
-                isinstance(cls, int)
-                and 0 <= cls < classes
-                and isinstance(key, str)
-                and kind in ("served", "refused", "failed")
-            ):
-                raise HandoverRejectedError(f"an entry that names no known class or kind: {line[:60]!r}")
-            if not (0 <= float(retry) < math.inf and 0 <= float(lapses) < math.inf):
-                raise HandoverRejectedError(f"an entry with a time that is none: {line[-60:]!r}")
-            if float(lapses) > now:
-                out.append(
-                    KeyOutcome(cls, key, kind, base64.b64decode(body, validate=True), float(retry), float(lapses))
-                )
-    except (ValueError, TypeError, OverflowError, RecursionError) as error:
-        raise HandoverRejectedError(f"spoilt entry: {error}") from None
-    return sorted(out, key=lambda known: known.expires_at)
-
-
-class HandoverState(Enum):
-    """Where a new process stands with the keys of the one before it."""
+def decode(data: bytes, now: float, class_count: int) -> list[KeyOutcome]:
+    """Read a hand-over file.
 
-    WAITING = "waiting"  # an old process lives: keyed requests are turned away, as they could run twice
-    OPEN = "open"
+    Args:
+        data: The whole file.
+        now: The time now; keys that have expired by then are left out.
+        class_count: The number of request classes; an entry of another class makes the file invalid.
 
+    Returns:
+        The outcomes, ordered by their time of expiry.
 
-@dataclass(slots=True)
-class HandoverReceiver:
-    """What a new process does about the keys of an old one.
-
-    `look` is told whether the old process still holds its lock and what the hand-over file holds (None: none
-    yet). Keys open once a whole file was read, or once the old process is gone; a refused file is told once and
-    then waited past.
+    Raises:
+        HandoverRejectedError: The file is not complete and valid.
     """
+    header, _, rows = data.partition(b"\n")
+    _check_header(header, rows)
+    outcomes: list[KeyOutcome] = []
+    try:
+        for line in rows.splitlines():
+            outcome = _decode_row(line, now, class_count)
+            if outcome is not None:
+                outcomes.append(outcome)
+    except (ValueError, TypeError, OverflowError, RecursionError) as error:
+        raise HandoverRejectedError(f"malformed entry: {error}") from None
+    return sorted(outcomes, key=lambda outcome: outcome.expires_at)
+
+
+def _encode_row(outcome: KeyOutcome) -> bytes:
+    row = [
+        outcome.class_index,
+        outcome.key,
+        outcome.kind,
+        base64.b64encode(outcome.body).decode(),
+        outcome.retry_after_ms,
+        outcome.expires_at,
+    ]
+    return json.dumps(row).encode() + b"\n"
+
 
-    state: HandoverState = HandoverState.OPEN
-    rejection: str = ""
-    received_count: int = 0
-
-    def poll(self, old_lives: bool, data: bytes | None, now: float, classes: int) -> tuple[list[KeyOutcome], str]:
-        """The keys to take now, and a line for the log (empty: nothing new to tell)."""
-        if self.state is HandoverState.OPEN:
-            return [], ""
-        if data is not None and not self.rejection:
-            try:
-                known = decode(data, now, classes)
-            except HandoverRejectedError as why:
-                self.rejection = str(why)
-                return [], f"hand-over refused: {why}"
-            self.state, self.received_count = HandoverState.OPEN, len(known)
-            return known, f"hand-over taken: {len(known)} keys"
-        if not old_lives:
-            self.state = HandoverState.OPEN
-            return [], "the old process is gone; keys open without its hand-over"
-        return [], ""
+def _check_header(header: bytes, rows: bytes) -> None:
+    """Check version, length and checksum of the rows against the header line."""
+    words = header.split(b" ")
+    if len(words) != HEADER_WORDS or words[0] != MAGIC:
+        raise HandoverRejectedError("no hand-over header")
+    _, version, checksum, length = words
+    if version != b"%d" % VERSION:
+        raise HandoverRejectedError(f"version {version[:8].decode('ascii', 'replace')}, not {VERSION}")
+    if not length.isdigit() or int(length) != len(rows):
+        raise HandoverRejectedError(f"truncated: {len(rows)} bytes of {length[:12].decode('ascii', 'replace')}")
+    if checksum != b"%08x" % zlib.crc32(rows):
+        raise HandoverRejectedError("corrupt: the checksum differs")
+
+
+def _decode_row(line: bytes, now: float, class_count: int) -> KeyOutcome | None:
+    """One entry; None if it has expired. Malformed JSON raises the errors that `decode` translates."""
+    class_index, key, kind, body, retry_after, expires_at = json.loads(line)
+    if not _is_known(class_index, key, kind, class_count):
+        raise HandoverRejectedError(f"an entry that names no known class or kind: {line[:MAX_SHOWN_CHARS]!r}")
+    retry_after_ms = float(retry_after)
+    expires_at_ms = float(expires_at)
+    if not (0 <= retry_after_ms < math.inf and 0 <= expires_at_ms < math.inf):
+        raise HandoverRejectedError(f"an entry with an invalid time: {line[-MAX_SHOWN_CHARS:]!r}")
+    if expires_at_ms <= now:
+        return None
+    return KeyOutcome(class_index, key, kind, base64.b64decode(body, validate=True), retry_after_ms, expires_at_ms)
+
+
+def _is_known(class_index: Any, key: Any, kind: Any, class_count: int) -> bool:
+    """Whether the first fields of an entry have their types and values that this process knows."""
+    return (
+        isinstance(class_index, int)
+        and 0 <= class_index < class_count
+        and isinstance(key, str)
+        and kind in ANSWER_KINDS
+    )
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, key_outcomes
+from myrtlespar.handover.keys_file import answer_of, encode, key_outcomes
+from myrtlespar.handover.receiver import HandoverReceiver, HandoverState
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
@@ -151,8 +152,8 @@
                 self.file = encode(key_outcomes(old.tracker.keys_to_hand_over(self.now)))
 
     def _take(self) -> None:
-        known, _ = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
-        for each in known:
+        received = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
+        for each in received.outcomes:
             self.new.tracker.keys.import_outcome((each.class_index, each.key), answer_of(each), each.expires_at)
         self.new.tracker.keys.awaiting_handover = self.receiver.state is HandoverState.WAITING
         if self.old.gone and self.new.tracker.keys.awaiting_handover and not (self.torn and self.file):
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -13,7 +13,8 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.admin.commands import MAX_LINE_BYTES, AdminCommands, MetricsSnapshot
+from myrtlespar.admin.commands import MAX_LINE_BYTES, AdminCommands
+from myrtlespar.admin.metrics import MetricsSnapshot
 from myrtlespar.config import Address
 from myrtlespar.net.listener import Acceptor, bind_in_time
 from myrtlespar.resource_limits import ResourceLimits
@@ -70,12 +71,12 @@
             raw = self._line(sock)
             if raw is None:
                 return
-            reply, overlong = self.commands.handle_line(
+            reply = self.commands.handle_line(
                 raw, unix_ms(), self.ready(), self.figures() if raw.strip() == b"METRICS" else None
             )
-            self.counters.add("mgmt.error" if reply.startswith(b"error") else "mgmt.done")
-            sock.sendall(reply)
-            if overlong:
+            self.counters.add("mgmt.error" if reply.data.startswith(b"error") else "mgmt.done")
+            sock.sendall(reply.data)
+            if reply.close_connection:
                 _discard(sock)
         except OSError:
             self.counters.add("mgmt.broken")
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -10,7 +10,8 @@
 import structlog
 from gevent.event import Event
 
-from myrtlespar.admin.commands import AdminCommands, MetricsSnapshot
+from myrtlespar.admin.commands import AdminCommands
+from myrtlespar.admin.metrics import MetricsSnapshot
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -10,7 +10,7 @@
 import gevent
 import structlog
 
-from myrtlespar.admin.commands import MetricsSnapshot
+from myrtlespar.admin.metrics import MetricsSnapshot
 from myrtlespar.config import Config
 from myrtlespar.handover.driver import KeyHandover
 from myrtlespar.handover.folder import HandoverFolder
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -1,4 +1,7 @@
-"""Stops the real program in front of one of its functions until the test lets it go on: no crossing is hoped for."""
+"""Stops the real program at a call of one of its functions until the test lets it continue.
+
+Tests use it to force an order of events instead of waiting for it to occur by chance.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,21 @@
 
 from myrtlespar.fakes import ServerProcess, until
 
-START = """import importlib, json, os, runpy, sys
+START_SCRIPT = """import importlib, json, os, runpy, sys
 sys.path.insert(0, os.getcwd())
 module, _, name = {where!r}.partition(":")
 owner, _, name = name.rpartition(".")
 owner = getattr(importlib.import_module(module), owner)
 old = getattr(owner, name)
-def held(*args):
+def stopping(*args):
     if {when}:
         setattr(owner, name, old)
         print(json.dumps({{"event": "at the gate"}}), flush=True)
-        with open({go!r}) as gate:
+        with open({pipe!r}) as gate:
             gate.read()
         {then}
     return old(*args)
-setattr(owner, name, held)
+setattr(owner, name, stopping)
 {first}
 sys.argv[:] = ["myrtlespar"]
 runpy.run_module("myrtlespar", run_name="__main__")
@@ -30,25 +33,36 @@
 
 
 class Gate:
-    """`where` is MODULE:CLASS.METHOD; `when` an expression over its `args` that tells which call is held, once;
-    `first` and `then` are statements for the program to carry out before its start and behind the gate.
+    """A call at which the program stops once, until the test opens the gate.
+
+    Args:
+        tmp: A folder for the start script and the pipe that the program waits at.
+        where: The function, as `MODULE:CLASS.METHOD`.
+        when: An expression over its `args` that is true for the call to stop at.
+        first: Statements that the program runs before its start.
+        then: A statement that it runs when the gate is open, before the call.
+
+    Attributes:
+        start: The path of the start script.
     """
 
     def __init__(self, tmp: Path, where: str, when: str = "True", first: str = "pass", then: str = "pass") -> None:
-        self.go, self.start = str(tmp / "go"), str(tmp / "gated.py")
-        os.mkfifo(self.go)
-        Path(self.start).write_text(START.format(where=where, when=when, go=self.go, first=first, then=then))
+        self._pipe = str(tmp / "go")
+        self.start = str(tmp / "gated.py")
+        os.mkfifo(self._pipe)
+        script = START_SCRIPT.format(where=where, when=when, pipe=self._pipe, first=first, then=then)
+        Path(self.start).write_text(script)
 
     def reached(self, server: ServerProcess) -> None:
-        """Wait until the program stands there, with all of its greenlets."""
+        """Wait until the program stands at the gate, with all of its greenlets."""
         until(lambda: server.event("at the gate"))
 
     def open(self) -> None:
-        """Let it go on."""
+        """Let the program continue."""
 
         def opened() -> bool:
-            with contextlib.suppress(OSError):  # nobody reads yet
-                os.close(os.open(self.go, os.O_WRONLY | os.O_NONBLOCK))
+            with contextlib.suppress(OSError):  # the program does not read the pipe yet
+                os.close(os.open(self._pipe, os.O_WRONLY | os.O_NONBLOCK))
                 return True
             return False
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The system's clock is set forward or back while the program serves: no due time moves, and no request is lost."""
+"""The system clock is set forward or back while the server runs: no deadline moves, and no request is lost."""
 
 from __future__ import annotations
 
@@ -10,6 +10,9 @@
 
 from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
+FETCH_TIMEOUT_MS = 2700  # `give_up_ms` of the class "fetch" in the settings of the fakes
+MAX_DELAY_MS = 250  # of an answer behind its deadline
+
 STEPPING_CLOCK = """import os, runpy, signal, sys, time
 sys.path.insert(0, os.getcwd())
 wall, step_s = time.time, 0.0
@@ -25,7 +28,7 @@
 
 
 def step_clock(running: ServerProcess) -> None:
-    """Set the program's clock."""
+    """Set the clock of the server process."""
     running.process.send_signal(signal.SIGUSR2)
     until(lambda: running.event("clock set"))
 
@@ -37,17 +40,17 @@
     with server_process(tmp_path, start=str(start)) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"calls=1")[0] == "success"
-        running_now = client.send("order", b"ms=1500 calls=1")
+        in_flight = client.send("order", b"ms=1500 calls=1")
         until(lambda: len(running.store.calls) == 2)
         running.store.script = ["hang"]
-        stuck = client.send("fetch", b"calls=1")
+        without_reply = client.send("fetch", b"calls=1")
         until(lambda: len(running.store.calls) == 3)
-        sent_ms = time.time() * 1000
+        stepped_at_ms = time.time() * 1000
         step_clock(running)
         stamp = str(int((time.time() + step_s) * 1000))
         assert client.ask("order", b"calls=1", t0=stamp)[0] == "success"
-        assert client.answer(running_now)[0] == "success"
-        assert client.answer(stuck)[0] in ("failed", "refused", "success")
-        assert client.times[stuck] - sent_ms < 2700 + 250
+        assert client.answer(in_flight)[0] == "success"
+        assert client.answer(without_reply)[0] in ("failed", "refused", "success")
+        assert client.times[without_reply] - stepped_at_ms < FETCH_TIMEOUT_MS + MAX_DELAY_MS
         assert len(running.roster.reports) >= 2
         assert running.stop() == 0
--- /dev/null
+++ b/tests/test_handover.py
@@ -0,0 +1,232 @@
+"""The hand-over from one process to its replacement: no connection, request or idempotency key is lost."""
+
+from __future__ import annotations
+
+import json
+import os
+import select
+import socket
+import subprocess
+import sys
+import threading
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from myrtlespar.fakes import ROOT, ThriftClient, server_process, until
+from myrtlespar.fakes.tcp_server import exactly
+from myrtlespar.net.codec.thrift import encode as encode_message
+from myrtlespar.net.codec.thrift import idl
+from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle, ProcessState
+from tests.conftest import HandoverFolders
+from tests.gates import Gate
+from tests.ports import connect_when_listening, free_port
+from tests.sites import GUARDED
+
+
+def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
+    process = ProcessLifecycle(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
+    assert process.handover(1000.0, 3700.0) == (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
+    assert process.state == ProcessState.CROSSING
+    assert process.may_start(9000.0)
+    assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
+    assert process.handover(1200.0, 3700.0) == ()
+    assert process.kill_at == 4700.0
+    assert process.poll(1040.0, owed=0) == ()
+    assert process.poll(1060.0, owed=0) == (ProcessAction.FLUSH,)
+
+
+KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
+CONNECT_INTERVAL_S = 0.008  # between connections during the life of a process that fails to start
+
+
+def ends_within(process: subprocess.Popen[bytes], seconds: float) -> bool:
+    """Wait for the end of a process; whether it came in time."""
+    try:
+        process.wait(seconds)
+    except subprocess.TimeoutExpired:
+        return False
+    return True
+
+
+def readable_within(sockets: list[socket.socket], seconds: float) -> bool:
+    """Wait for data, an end or a reset on any of the sockets; whether one came in time."""
+    poll = select.poll()
+    for sock in sockets:
+        poll.register(sock, select.POLLIN)
+    return bool(poll.poll(seconds * 1000.0))
+
+
+def ask_like_a_client_proxy(port: int) -> str:
+    """One request as a client proxy sends it: retried on a new connection if a shutdown message crossed it."""
+    for _ in range(2):
+        try:
+            client = ThriftClient(port)
+        except OSError as error:
+            return f"refused: {error}"
+        seq = client.send("render", b"ms=20")
+        until(lambda: seq in client.answers or client.ended.is_set(), "an answer or the end")  # noqa: B023
+        client.sock.close()
+        if seq in client.answers:
+            return str(client.answers[seq][0])
+        if "shutdown" not in client.told:
+            return "closed without notice"
+    return "closed without notice twice"
+
+
+@pytest.mark.parametrize("kill_new", [False, True])
+def test_a_replacement_under_load_rejects_no_client(handover_folders: HandoverFolders, kill_new: bool) -> None:
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared) as old:
+        port, results, stop = old.ports[0], [], threading.Event()
+
+        def load() -> None:
+            for _ in range(2000):  # bounded, and ended by `stop` much sooner
+                if stop.is_set():
+                    return
+                results.append(ask_like_a_client_proxy(port))
+
+        held = ThriftClient(port)
+        slow = [held.send("render", b"ms=700") for _ in range(8)]
+        loaders = [threading.Thread(target=load) for _ in range(4)]
+        for loader in loaders:
+            loader.start()
+        with server_process(
+            handover_folders.new, mgmt=True, shared=handover_folders.shared, listen=f"127.0.0.1:{port}"
+        ) as new:
+            until(lambda: new.ask(b"STATUS\n") == "done yes\n", "the new process ready")
+            if kill_new:  # the new process dies before the hand-over: the old one goes on alone
+                new.process.kill()
+                new.process.wait(10)
+                answered = len(results)
+                until(lambda: len(results) > answered + 60, "requests that the old process answers")
+                assert old.ask(b"STATUS\n") == "done yes\n"
+            else:
+                old.process.terminate()
+                assert old.process.wait(10) == 0
+                assert old.event("keys left for the next process") is not None
+            assert {held.answer(seq)[0] for seq in slow} <= {"success", "refused"}  # each read one is answered
+            seen = len(results)
+            until(lambda: len(results) > seen + 20, "requests after the hand-over")
+            stop.set()
+            for loader in loaders:
+                loader.join(30)
+        assert len(results) > 20, Counter(results)
+        assert set(results) <= {"success", "refused"}, Counter(results)
+
+
+def test_a_second_process_that_fails_to_start_accepts_no_connection(tmp_path: Path) -> None:
+    """A process that finds the admin address in use must not have listened for clients before.
+
+    Otherwise connections that it accepted in between would be dropped.
+    """
+    with server_process(tmp_path, mgmt=True) as old:
+        path, listen = tmp_path / "new.json", f"127.0.0.1:{old.ports[0]}"
+        path.write_text(json.dumps({**old.config, "listen": listen, "mgmt": f"127.0.0.1:{old.mgmt}"}))
+        env = {**os.environ, "BALANCER_CONFIG": str(path)}
+        check = encode_message("ping", 1, 1, idl.Front.ping_args(full=False))
+        for _ in range(3):
+            new = subprocess.Popen(
+                [sys.executable, "-m", "myrtlespar"],
+                cwd=ROOT,
+                env=env,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.PIPE,
+            )
+            held: list[socket.socket] = []
+            while len(held) < 400 and not ends_within(new, CONNECT_INTERVAL_S):
+                held.append(socket.create_connection(("127.0.0.1", old.ports[0]), 10))
+                held[-1].sendall(check)  # answered at once, and from then on no silent client that is closed
+                assert len(exactly(held[-1], int.from_bytes(exactly(held[-1], 4), "big"))) > 8
+            assert new.wait(20) == 2
+            assert b"mgmt" in new.communicate()[1]
+            assert not readable_within(held, 0.1)  # neither closed nor reset
+            for sock in held:
+                sock.setblocking(False)
+                with pytest.raises(BlockingIOError):
+                    sock.recv(1)
+                sock.close()
+
+
+def test_a_request_run_by_the_old_process_is_not_run_again_by_the_new_one(handover_folders: HandoverFolders) -> None:
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared, operator=KEYS_ENABLED) as old:
+        port = old.ports[0]
+        assert ThriftClient(port).ask("order", b"ms=5 once", key="k-1")[0] == "success"
+        with server_process(
+            handover_folders.new,
+            mgmt=True,
+            shared=handover_folders.shared,
+            operator=KEYS_ENABLED,
+            listen=f"127.0.0.1:{port}",
+        ) as new:
+            assert new.event("an old process lives: keys wait for its hand-over") is not None
+            old.process.terminate()
+            assert old.process.wait(10) == 0
+            until(lambda: new.event("hand-over taken: 1 keys"), "the keys received")
+            kind, answer = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
+            assert kind == "success"
+            assert answer.body == b"result of ms=5 once"
+            assert new.kernel.by_body[b"ms=5 once"] == 0
+            assert old.kernel.by_body[b"ms=5 once"] == 1
+            assert ThriftClient(port).ask("order", b"ms=5 twice", key="k-2")[0] == "success"
+            assert new.kernel.by_body[b"ms=5 twice"] == 1
+
+
+def test_a_request_that_still_runs_when_its_process_ends_is_not_run_again(handover_folders: HandoverFolders) -> None:
+    """Found by the model checker: only outcomes were handed over, and the key of a run in progress was in no file."""
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared, operator=KEYS_ENABLED) as old:
+        port = old.ports[0]
+        client = ThriftClient(port)
+        client.send("order", b"ms=6000 slow", key="k-1")
+        until(lambda: old.kernel.by_body[b"ms=6000 slow"], "the run")
+        client.sock.close()  # nobody waits for the answer now
+        with server_process(
+            handover_folders.new,
+            mgmt=True,
+            shared=handover_folders.shared,
+            operator=KEYS_ENABLED,
+            listen=f"127.0.0.1:{port}",
+        ) as new:
+            old.process.terminate()
+            assert old.process.wait(10) == 0
+            until(lambda: new.event("hand-over taken: 1 keys"), "the keys received")
+            assert ThriftClient(port).ask("order", b"ms=6000 slow", key="k-1")[0] == "failed"
+            assert new.kernel.by_body[b"ms=6000 slow"] == 0
+            assert old.kernel.by_body[b"ms=6000 slow"] == 1
+
+
+def test_keys_published_between_two_polls_are_not_missed(tmp_path: Path) -> None:
+    """The new process reads no file, the old one publishes its keys and ends, the new one finds the lock free."""
+    gate = Gate(
+        tmp_path,
+        "myrtlespar.handover.folder:HandoverFolder.acquire_lock",
+        "calls.append(1) or len(calls) == 2",
+        "calls = []",
+    )
+    port = free_port()
+    (tmp_path / "old").mkdir()
+    (tmp_path / "new").mkdir()
+    with server_process(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
+        assert ThriftClient(port).ask("booking", b"seat 1", token="t")[0] == "success"
+        with server_process(
+            tmp_path / "new",
+            mgmt=True,
+            shared=tmp_path,
+            given={**GUARDED, "kernel": old.kernel.address},
+            listen=f"127.0.0.1:{port}",
+            start=gate.start,
+            wait=False,
+        ) as new:
+            gate.reached(new)  # in its second poll, with the old process alive in the first
+            old.process.terminate()
+            assert old.process.wait(20) == 0
+            gate.open()
+            until(lambda: new.event("serving"))
+            until(
+                lambda: new.event("hand-over taken: 1 keys")
+                or new.event("the old process is gone; keys open without its hand-over")
+            )
+            assert new.event("hand-over taken: 1 keys") is not None
+            client = connect_when_listening(port)
+            assert client.ask("booking", b"seat 1", token="t", again="1")[0] == "success"
+        assert old.kernel.by_body[b"seat 1"] == 1
--- /dev/null
+++ b/tests/test_handover_file.py
@@ -0,0 +1,155 @@
+"""The file and the folder of a hand-over: accepted whole or rejected whole, and no obstacle when they fail."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import zlib
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from myrtlespar.exchange import Answer, AnswerKind
+from myrtlespar.fakes import ThriftClient, server_process, until
+from myrtlespar.handover.folder import HandoverFolder
+from myrtlespar.handover.keys_file import HandoverRejectedError, KeyOutcome, decode, encode, key_outcomes
+from myrtlespar.handover.receiver import HandoverReceiver, HandoverState, ReceivedKeys
+from tests.sites import GUARDED
+
+
+def test_a_handover_file_is_accepted_or_rejected_as_a_whole() -> None:
+    outcomes = [
+        KeyOutcome(2, "k1", "served", b"\x00result", 0.0, 9000.0),
+        KeyOutcome(2, "k0", "refused", b"", 250.0, 5000.0),
+    ]
+    data = encode(outcomes)
+    assert decode(data, 1000.0, 3) == sorted(outcomes, key=lambda outcome: outcome.expires_at)
+    assert decode(data, 6000.0, 3) == outcomes[:1]  # what has expired is left out
+    for malformed, reason in [
+        (data[:-3], "truncated"),
+        (data.replace(b"keys 1", b"keys 2"), "version"),
+        (data.replace(b"k1", b"k2"), "corrupt"),
+        (b"", "header"),
+    ]:
+        with pytest.raises(HandoverRejectedError, match=reason):
+            decode(malformed, 1000.0, 3)
+    with pytest.raises(HandoverRejectedError, match="class"):
+        decode(data, 1000.0, 2)
+
+
+def test_after_a_rejected_file_the_receiver_waits_for_the_end_of_the_old_process() -> None:
+    waiting = HandoverReceiver(HandoverState.WAITING)
+    assert waiting.poll(True, None, 0.0, 3) == ReceivedKeys([], "")
+    assert waiting.poll(True, b"junk", 0.0, 3).log_message.startswith("hand-over refused")
+    assert waiting.state is HandoverState.WAITING
+    assert waiting.poll(True, encode([]), 0.0, 3) == ReceivedKeys([], "")  # rejected once: now only the end counts
+    assert waiting.poll(False, None, 0.0, 3).log_message.startswith("the old process is gone")
+    assert waiting.state is HandoverState.OPEN  # type: ignore[comparison-overlap]  # poll changes it
+    receiving = HandoverReceiver(HandoverState.WAITING)
+    received = receiving.poll(True, encode([KeyOutcome(0, "k", "served", b"r", 0.0, 10.0)]), 0.0, 3)
+    assert len(received.outcomes) == 1
+    assert received.log_message == "hand-over taken: 1 keys"
+    assert receiving.state is HandoverState.OPEN
+
+
+def keys_file(*entries: Any) -> bytes:
+    """A hand-over file with a valid checksum over entries of any kind."""
+    rows = b"".join(json.dumps(entry).encode() + b"\n" for entry in entries)
+    return b"myrtlespar-keys 1 %08x %d\n" % (zlib.crc32(rows), len(rows)) + rows
+
+
+@pytest.mark.parametrize(
+    "entry",
+    [
+        [0, "k", "served", "", float("nan"), 1e15],
+        [0, "k", "served", "", 0, float("inf")],
+        [0, "k", "served", "", 10**400, 1e15],
+        [0, "k", "served", "", -1, 1e15],
+    ],
+)
+def test_an_entry_with_an_invalid_time_rejects_the_whole_file(entry: list[Any]) -> None:
+    with pytest.raises(HandoverRejectedError):
+        decode(keys_file(entry), 0.0, 1)
+
+
+@pytest.mark.parametrize("name", ["n3", "n.3", "n/3", "../n3", "é ß", "n" * 300])
+def test_servers_with_different_names_share_no_file(tmp_path: Path, name: str) -> None:
+    first, second = HandoverFolder(str(tmp_path), name), HandoverFolder(str(tmp_path), name + ".b")
+    assert first.acquire_lock()
+    assert second.acquire_lock()
+    assert not HandoverFolder(str(tmp_path), name).acquire_lock()
+    first.write_keys(encode(key_outcomes([((0, "k"), Answer(AnswerKind.SERVED, b"r"), 9.0)])))
+    assert second.read_keys() is None
+    assert decode(first.read_keys() or b"", 0.0, 1) == [KeyOutcome(0, "k", "served", b"r", 0.0, 9.0)]
+    assert all(path.parent == tmp_path for path in tmp_path.rglob("*"))
+
+
+def folder_is_missing(folder: Path) -> None:
+    folder.rmdir()
+
+
+def folder_is_a_file(folder: Path) -> None:
+    folder.rmdir()
+    folder.write_text("")
+
+
+def lock_is_a_folder(folder: Path) -> None:
+    (folder / "myrtlespar-n3.lock").mkdir()
+
+
+def keys_are_a_folder(folder: Path) -> None:
+    (folder / "myrtlespar-n3.keys").mkdir()
+
+
+def keys_are_a_pipe(folder: Path) -> None:
+    os.mkfifo(folder / "myrtlespar-n3.keys")
+
+
+def keys_are_endless(folder: Path) -> None:
+    with open(folder / "myrtlespar-n3.keys", "wb") as file:
+        file.truncate(1 << 40)
+
+
+def keys_have_huge_numbers(folder: Path) -> None:
+    (folder / "myrtlespar-n3.keys").write_bytes(keys_file([0, "k", "served", "", 0, 10**400]))
+
+
+def keys_are_nested(folder: Path) -> None:
+    rows = b"[" * 100_000 + b"\n"
+    (folder / "myrtlespar-n3.keys").write_bytes(b"myrtlespar-keys 1 %08x %d\n" % (zlib.crc32(rows), len(rows)) + rows)
+
+
+@pytest.mark.parametrize(
+    "break_folder",
+    [
+        folder_is_missing,
+        folder_is_a_file,
+        lock_is_a_folder,
+        keys_are_a_folder,
+        keys_are_a_pipe,
+        keys_are_endless,
+        keys_have_huge_numbers,
+        keys_are_nested,
+    ],
+)
+def test_a_folder_that_fails_is_counted_and_does_not_prevent_the_start(
+    tmp_path: Path, break_folder: Callable[[Path], None]
+) -> None:
+    shared = tmp_path / "shared"
+    shared.mkdir()
+    break_folder(shared)
+    with server_process(tmp_path, mgmt=True, shared=shared, given=GUARDED) as running:
+        client = ThriftClient(running.ports[0])
+        assert client.ask("tide", b"calls=1")[0] == "success"
+
+        def booked() -> bool:
+            return client.ask("booking", b"seat", token="t")[0] == "success"
+
+        until(booked, "a request with a key that is accepted")
+        counts = running.counters()
+        assert counts.get("handover.unusable", 0) + counts.get("handover.refused", 0) >= 1, counts
+        running.process.send_signal(signal.SIGTERM)
+        assert running.process.wait(20) == 0
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -10,7 +10,7 @@
 from myrtlespar.fakes import server_process, until
 from myrtlespar.fakes.upstreams import FakeEngine
 from tests.fault_injection import TracedClient, TracedKernel
-from tests.test_standard_streams import free_port
+from tests.ports import free_port
 
 LIVES, CLIENTS = 5, 30
 
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -1,4 +1,4 @@
-"""Standard output that blocks, is closed, full or without a reader: the log is lost, and nothing else."""
+"""Standard output that blocks, is closed, full or without a reader: log lines are lost, and nothing else."""
 
 from __future__ import annotations
 
@@ -6,39 +6,21 @@
 import fcntl
 import os
 import signal
-import socket
 import sys
 from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
 
-from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
+from myrtlespar.fakes import ServerProcess, server_process, until
+from tests.ports import connect_when_listening, free_port
 
-PIPE_BYTES = 4096  # the least that the system gives a pipe
-
-
-def free_port() -> int:
-    """A port that nobody listens on."""
-    with socket.create_server(("127.0.0.1", 0)) as probe:
-        return int(probe.getsockname()[1])
-
-
-def reach(port: int) -> ThriftClient:
-    """A client, once the program listens."""
-
-    def connected() -> ThriftClient | None:
-        with contextlib.suppress(OSError):
-            return ThriftClient(port)
-        return None
-
-    found: ThriftClient = until(connected, "a listener")
-    return found
+PIPE_BYTES = 4096  # the smallest capacity of a pipe
 
 
 @contextlib.contextmanager
-def stream(kind: str) -> Iterator[int]:
-    """A descriptor that fails as named."""
+def failing_stream(kind: str) -> Iterator[int]:
+    """A descriptor whose writes fail or block, as named."""
     if kind == "full disk":
         descriptor = os.open("/dev/full", os.O_WRONLY)
         yield descriptor
@@ -56,9 +38,9 @@
         os.close(reader)
 
 
-def serves_and_leaves(running: ServerProcess, port: int) -> None:
-    """Requests, a log line asked for by an operator, an odd line of the kernel, and a drain."""
-    client = reach(port)
+def serve_and_stop(running: ServerProcess, port: int) -> None:
+    """Requests, a log line on an operator's signal, an unexpected line of the execution engine, and a drain."""
+    client = connect_when_listening(port)
     until(lambda: running.kernel.link)
     assert client.ask("order", b"calls=1")[0] == "success"
     running.process.send_signal(signal.SIGUSR1)
@@ -76,49 +58,49 @@
 def test_a_log_that_cannot_be_written_stops_nothing(tmp_path: Path, kind: str) -> None:
     port = free_port()
     with (
-        stream(kind) as output,
+        failing_stream(kind) as output,
         server_process(tmp_path, listen=f"127.0.0.1:{port}", output=output, wait=False) as running,
     ):
-        serves_and_leaves(running, port)
+        serve_and_stop(running, port)
 
 
-def test_standard_streams_that_are_closed_at_the_start_are_no_connections_later(tmp_path: Path) -> None:
-    """Their numbers go to the first sockets: what is written to them must reach no client and no server."""
+def test_descriptors_closed_at_the_start_are_not_used_for_connections(tmp_path: Path) -> None:
+    """The first sockets would get their numbers, and output to them would reach a client or a server."""
     port = free_port()
     command = ["/bin/sh", "-c", f"exec {sys.executable} -m myrtlespar <&- >&- 2>&-"]
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", command=command, wait=False) as running:
-        serves_and_leaves(running, port)
+        serve_and_stop(running, port)
         kinds = {row["t"] for row in running.kernel.commands}
         assert kinds <= {"OPEN", "SCHED", "IODONE", "SYSINFO"}
 
 
 @pytest.mark.parametrize("kind", ["blocked", "no reader"])
-def test_a_faulty_start_ends_though_nobody_reads_why(tmp_path: Path, kind: str) -> None:
+def test_a_faulty_start_ends_even_if_nobody_reads_the_reason(tmp_path: Path, kind: str) -> None:
     with (
-        stream(kind) as output,
+        failing_stream(kind) as output,
         server_process(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running,
     ):
         assert running.process.wait(20) == 2
 
 
-def test_the_log_goes_on_once_it_is_read_again_and_tells_what_was_lost(tmp_path: Path) -> None:
+def test_a_log_that_is_read_again_continues_and_reports_lost_lines(tmp_path: Path) -> None:
     port, (reader, writer) = free_port(), os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", output=writer, wait=False) as running:
-        client = reach(port)
+        client = connect_when_listening(port)
         for _ in range(900):  # more than the pipe and the backlog hold
             running.process.send_signal(signal.SIGUSR1)
             assert client.ask("fetch")[0] == "success"
         os.set_blocking(reader, False)
         seen = b""
 
-        def told() -> bool:
+        def lost_lines_reported() -> bool:
             nonlocal seen
             with contextlib.suppress(BlockingIOError):
                 seen += os.read(reader, 65536)
             return b"log lines lost" in seen
 
-        until(told, "the number of lost lines")
+        until(lost_lines_reported, "the number of lost lines")
         assert running.stop() == 0
     os.close(writer)
     os.close(reader)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Exceptions that nobody expected: planted in the real program, in one connection, link, answer or part at a time."""
+"""Unexpected exceptions, raised in one connection, answer or part of the real program at a time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
-PLANTED = """import os, runpy, sys
+FAILING_METHOD = """import os, runpy, sys
 sys.path.insert(0, os.getcwd())
 from myrtlespar.{module} import {owner} as owner
-real, planted = owner.{name}, []
+real, raised = owner.{name}, []
 def failing(*args):
     if {when}:
-        planted.append(1)
-        raise ZeroDivisionError("planted")
+        raised.append(1)
+        raise ZeroDivisionError("raised by the test")
     return real(*args)
 owner.{name} = failing
 sys.argv[:] = ["myrtlespar"]
@@ -23,45 +23,45 @@
 """
 
 
-def planted(tmp: Path, module: str, owner: str, name: str, when: str) -> str:
-    """A program that raises in this method, where `when` holds for its `args`."""
-    path = tmp / "planted.py"
-    path.write_text(PLANTED.format(module=module, owner=owner, name=name, when=when))
+def program_that_fails(tmp: Path, module: str, owner: str, name: str, when: str) -> str:
+    """A start script of the server whose method raises where the expression `when` over its `args` holds."""
+    path = tmp / "failing.py"
+    path.write_text(FAILING_METHOD.format(module=module, owner=owner, name=name, when=when))
     return str(path)
 
 
-def told_once(running: ServerProcess, event: str, counter: str) -> None:
-    """It is in the log with its traceback, and counted."""
+def assert_logged_and_counted(running: ServerProcess, event: str, counter: str) -> None:
+    """The exception is in the log with its traceback, and counted."""
     row = until(lambda: running.event(event))
-    assert "ZeroDivisionError: planted" in row["exception"]
+    assert "ZeroDivisionError: raised by the test" in row["exception"]
     assert "Traceback" in row["exception"]
     assert running.counters()[counter] >= 1
 
 
-def test_a_fault_with_one_message_ends_its_connection_behind_what_is_owed(tmp_path: Path) -> None:
-    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
+def test_a_fault_in_one_message_ends_its_connection_after_the_pending_answers(tmp_path: Path) -> None:
+    start = program_that_fails(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
     with server_process(tmp_path, start=start) as running:
         other, client = ThriftClient(running.ports[0]), ThriftClient(running.ports[0])
-        owed = client.send("order", b"ms=400 calls=1")
+        pending = client.send("order", b"ms=400 calls=1")
         until(lambda: running.kernel.starts)
         client.send("fetch", b"boom")
-        assert client.answer(owed)[0] == "success"
+        assert client.answer(pending)[0] == "success"
         assert client.ended.wait(20)
         assert other.ask("order", b"calls=1")[0] == "success"
         assert not other.ended.is_set()
-        told_once(running, "connection failed", "in.fault.thrift")
+        assert_logged_and_counted(running, "connection failed", "in.fault.thrift")
 
 
-def test_a_fault_with_one_answer_costs_no_other_one(tmp_path: Path) -> None:
-    start = planted(
-        tmp_path, "net.thrift_front", "ThriftConnection", "_answer", "not planted and args[2].kind.value == 'served'"
+def test_a_fault_in_one_answer_affects_no_other(tmp_path: Path) -> None:
+    start = program_that_fails(
+        tmp_path, "net.thrift_front", "ThriftConnection", "_answer", "not raised and args[2].kind.value == 'served'"
     )
     with server_process(tmp_path, start=start) as running:
         client = ThriftClient(running.ports[0])
         client.send("fetch", b"ms=1")
         until(lambda: running.event("effect failed"))
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
-        told_once(running, "effect failed", "core.effect_fault")
+        assert_logged_and_counted(running, "effect failed", "core.effect_fault")
 
 
 @pytest.mark.parametrize(
@@ -73,18 +73,22 @@
         ("net.listener", "Listener", "_close_silent", "thrift.look"),
     ],
 )
-def test_a_part_that_has_to_go_on_goes_on(tmp_path: Path, module: str, owner: str, name: str, part: str) -> None:
-    with server_process(tmp_path, start=planted(tmp_path, module, owner, name, "len(planted) < 2")) as running:
+def test_a_part_that_runs_forever_continues_after_a_fault(
+    tmp_path: Path, module: str, owner: str, name: str, part: str
+) -> None:
+    with server_process(
+        tmp_path, start=program_that_fails(tmp_path, module, owner, name, "len(raised) < 2")
+    ) as running:
         silent = ThriftClient(running.ports[0])
-        told_once(running, "part failed and goes on", f"fault.{part}")
+        assert_logged_and_counted(running, "part failed and goes on", f"fault.{part}")
         until(lambda: running.roster.reports)
         assert ThriftClient(running.ports[0]).ask("order", b"calls=1")[0] == "success"
-        assert silent.ended.wait(20)  # closed, as any that sends nothing
+        assert silent.ended.wait(20)  # closed, as every connection that sends nothing
         assert running.stop() == 0
 
 
-def test_without_its_core_the_process_ends_at_once_and_says_why(tmp_path: Path) -> None:
-    start = planted(
+def test_a_fault_of_the_coordinator_ends_the_process_with_its_traceback(tmp_path: Path) -> None:
+    start = program_that_fails(
         tmp_path,
         "request_coordinator",
         "RequestCoordinator",
@@ -97,4 +101,4 @@
         client.send("fetch", b"ms=1")
         assert running.process.wait(5) == 1
         row = until(lambda: running.event("cannot go on"))
-        assert "ZeroDivisionError: planted" in row["exception"]
+        assert "ZeroDivisionError: raised by the test" in row["exception"]
