--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -30,7 +30,8 @@
     def forward_to(self, handler: Callable[[int], object]) -> None:
         """Call `handler` for each stored signal in the order of arrival, and for every later one."""
         self._handler = handler
-        pending, self._pending = self._pending, []
+        pending = self._pending
+        self._pending = []
         for number in pending:
             handler(number)
 
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -55,17 +55,17 @@
     with server_process(tmp_path, mgmt=True) as server:
         assert server.mgmt is not None
         assert server.ask(b"STATUS\n") == "done yes\n"
-        holders = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
-        for holder in holders:
-            holder.sendall(b"STA")
+        half_sent = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
+        for connection in half_sent:
+            connection.sendall(b"STA")
         clients = [ThriftClient(server.ports[0]) for _ in range(4)]
         sent = [(client, client.send("render", b"ms=300")) for client in clients for _ in range(32)]
         waits = [ask_admin_server(server.mgmt, b"STATUS\n") for _ in range(10)]
         assert all(reply == b"done yes\n" for reply, _ in waits)
         assert max(took for _, took in waits) < 1.0, waits
         assert all(client.answer(seq)[0] for client, seq in sent)
-        for holder in holders:
-            holder.close()
+        for connection in half_sent:
+            connection.close()
         reply, _ = ask_admin_server(server.mgmt, b"Z" * 400 + b"\n")
         assert reply.startswith(b"error line longer")
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,6 +24,11 @@
 from tests.ports import connect_when_listening, free_port
 from tests.sites import GUARDED
 
+KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
+MAX_REQUESTS_PER_THREAD = 2000  # of a load that is stopped much sooner
+CONNECT_INTERVAL_S = 0.008  # between connections during the life of a process that fails to start
+MAX_CONNECTIONS = 400  # during that life
+
 
 def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
     process = ProcessLifecycle(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
@@ -37,10 +42,6 @@
     assert process.poll(1060.0, owed=0) == (ProcessAction.FLUSH,)
 
 
-KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
-CONNECT_INTERVAL_S = 0.008  # between connections during the life of a process that fails to start
-
-
 def ends_within(process: subprocess.Popen[bytes], seconds: float) -> bool:
     """Wait for the end of a process; whether it came in time."""
     try:
@@ -75,22 +76,46 @@
     return "closed without notice twice"
 
 
+class RequestLoad:
+    """Requests from several threads, one after another in each, until it is stopped.
+
+    Attributes:
+        results: What `ask_like_a_client_proxy` returned for each request.
+    """
+
+    def __init__(self, port: int, thread_count: int) -> None:
+        self.results: list[str] = []
+        self._port = port
+        self._stop_requested = threading.Event()
+        self._threads = [threading.Thread(target=self._send) for _ in range(thread_count)]
+        for thread in self._threads:
+            thread.start()
+
+    def wait_for_more(self, count: int, what: str) -> None:
+        """Wait until more than this many further requests have a result."""
+        seen = len(self.results)
+        until(lambda: len(self.results) > seen + count, what)
+
+    def stop(self) -> None:
+        """Send no more, and wait for the threads to end."""
+        self._stop_requested.set()
+        for thread in self._threads:
+            thread.join(30)
+
+    def _send(self) -> None:
+        for _ in range(MAX_REQUESTS_PER_THREAD):
+            if self._stop_requested.is_set():
+                return
+            self.results.append(ask_like_a_client_proxy(self._port))
+
+
 @pytest.mark.parametrize("kill_new", [False, True])
 def test_a_replacement_under_load_rejects_no_client(handover_folders: HandoverFolders, kill_new: bool) -> None:
     with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared) as old:
-        port, results, stop = old.ports[0], [], threading.Event()
-
-        def load() -> None:
-            for _ in range(2000):  # bounded, and ended by `stop` much sooner
-                if stop.is_set():
-                    return
-                results.append(ask_like_a_client_proxy(port))
-
-        held = ThriftClient(port)
-        slow = [held.send("render", b"ms=700") for _ in range(8)]
-        loaders = [threading.Thread(target=load) for _ in range(4)]
-        for loader in loaders:
-            loader.start()
+        port = old.ports[0]
+        client = ThriftClient(port)
+        slow_requests = [client.send("render", b"ms=700") for _ in range(8)]
+        load = RequestLoad(port, thread_count=4)
         with server_process(
             handover_folders.new, mgmt=True, shared=handover_folders.shared, listen=f"127.0.0.1:{port}"
         ) as new:
@@ -98,21 +123,18 @@
             if kill_new:  # the new process dies before the hand-over: the old one goes on alone
                 new.process.kill()
                 new.process.wait(10)
-                answered = len(results)
-                until(lambda: len(results) > answered + 60, "requests that the old process answers")
+                load.wait_for_more(60, "requests that the old process answers")
                 assert old.ask(b"STATUS\n") == "done yes\n"
             else:
                 old.process.terminate()
                 assert old.process.wait(10) == 0
                 assert old.event("keys left for the next process") is not None
-            assert {held.answer(seq)[0] for seq in slow} <= {"success", "refused"}  # each read one is answered
-            seen = len(results)
-            until(lambda: len(results) > seen + 20, "requests after the hand-over")
-            stop.set()
-            for loader in loaders:
-                loader.join(30)
-        assert len(results) > 20, Counter(results)
-        assert set(results) <= {"success", "refused"}, Counter(results)
+            # Each request that was read is answered.
+            assert {client.answer(seq)[0] for seq in slow_requests} <= {"success", "refused"}
+            load.wait_for_more(20, "requests after the hand-over")
+            load.stop()
+        assert len(load.results) > 20, Counter(load.results)
+        assert set(load.results) <= {"success", "refused"}, Counter(load.results)
 
 
 def test_a_second_process_that_fails_to_start_accepts_no_connection(tmp_path: Path) -> None:
@@ -121,7 +143,8 @@
     Otherwise connections that it accepted in between would be dropped.
     """
     with server_process(tmp_path, mgmt=True) as old:
-        path, listen = tmp_path / "new.json", f"127.0.0.1:{old.ports[0]}"
+        path = tmp_path / "new.json"
+        listen = f"127.0.0.1:{old.ports[0]}"
         path.write_text(json.dumps({**old.config, "listen": listen, "mgmt": f"127.0.0.1:{old.mgmt}"}))
         env = {**os.environ, "BALANCER_CONFIG": str(path)}
         check = encode_message("ping", 1, 1, idl.Front.ping_args(full=False))
@@ -133,19 +156,21 @@
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.PIPE,
             )
-            held: list[socket.socket] = []
-            while len(held) < 400 and not ends_within(new, CONNECT_INTERVAL_S):
-                held.append(socket.create_connection(("127.0.0.1", old.ports[0]), 10))
-                held[-1].sendall(check)  # answered at once, and from then on no silent client that is closed
-                assert len(exactly(held[-1], int.from_bytes(exactly(held[-1], 4), "big"))) > 8
+            connections: list[socket.socket] = []
+            while len(connections) < MAX_CONNECTIONS and not ends_within(new, CONNECT_INTERVAL_S):
+                connection = socket.create_connection(("127.0.0.1", old.ports[0]), 10)
+                connections.append(connection)
+                connection.sendall(check)  # once it is answered, the connection is not closed as a silent one
+                assert len(exactly(connection, int.from_bytes(exactly(connection, 4), "big"))) > 8
             assert new.wait(20) == 2
             assert b"mgmt" in new.communicate()[1]
-            assert not readable_within(held, 0.1)  # neither closed nor reset
-            for sock in held:
-                sock.setblocking(False)
+            assert connections
+            assert not readable_within(connections, 0.1)  # neither closed nor reset
+            for connection in connections:
+                connection.setblocking(False)
                 with pytest.raises(BlockingIOError):
-                    sock.recv(1)
-                sock.close()
+                    connection.recv(1)
+                connection.close()
 
 
 def test_a_request_run_by_the_old_process_is_not_run_again_by_the_new_one(handover_folders: HandoverFolders) -> None:
--- a/tests/test_handover_file.py
+++ b/tests/test_handover_file.py
@@ -77,7 +77,8 @@
 
 @pytest.mark.parametrize("name", ["n3", "n.3", "n/3", "../n3", "é ß", "n" * 300])
 def test_servers_with_different_names_share_no_file(tmp_path: Path, name: str) -> None:
-    first, second = HandoverFolder(str(tmp_path), name), HandoverFolder(str(tmp_path), name + ".b")
+    first = HandoverFolder(str(tmp_path), name)
+    second = HandoverFolder(str(tmp_path), name + ".b")
     assert first.acquire_lock()
     assert second.acquire_lock()
     assert not HandoverFolder(str(tmp_path), name).acquire_lock()
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -47,10 +47,10 @@
     assert running.kernel.link
     running.kernel.link.sendall(b'{"t":"EINVAL","status":"SCHED","rid":"00"}\n')
     assert client.ask("fetch", b"calls=1")[0] == "success"
-    held = client.send("render", b"ms=300")
+    in_flight = client.send("render", b"ms=300")
     until(lambda: len(running.kernel.starts) == 3)
     assert running.stop() == 0
-    assert client.answer(held)[0] == "success"
+    assert client.answer(in_flight)[0] == "success"
     assert not client.count.keys() - set(range(1, client.seq + 1))
 
 
@@ -84,7 +84,8 @@
 
 
 def test_a_log_that_is_read_again_continues_and_reports_lost_lines(tmp_path: Path) -> None:
-    port, (reader, writer) = free_port(), os.pipe()
+    port = free_port()
+    reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", output=writer, wait=False) as running:
         client = connect_when_listening(port)
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -21,7 +21,8 @@
 @pytest.mark.parametrize("which", ["listen", "mgmt"])
 def test_an_address_that_an_earlier_process_still_holds_is_waited_for(tmp_path: Path, which: str) -> None:
     with socket.create_server(("127.0.0.1", 0), reuse_port=False) as holder:
-        address, start = f"127.0.0.1:{holder.getsockname()[1]}", tmp_path / "prints_address_taken.py"
+        address = f"127.0.0.1:{holder.getsockname()[1]}"
+        start = tmp_path / "prints_address_taken.py"
         start.write_text(PRINTS_ADDRESS_TAKEN)
         with server_process(tmp_path, given={which: address}, start=str(start), wait=False) as running:
             until(lambda: running.event("address taken") or running.process.poll() is not None)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -41,7 +41,8 @@
 def test_a_fault_in_one_message_ends_its_connection_after_the_pending_answers(tmp_path: Path) -> None:
     start = program_that_fails(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
     with server_process(tmp_path, start=start) as running:
-        other, client = ThriftClient(running.ports[0]), ThriftClient(running.ports[0])
+        other = ThriftClient(running.ports[0])
+        client = ThriftClient(running.ports[0])
         pending = client.send("order", b"ms=400 calls=1")
         until(lambda: running.kernel.starts)
         client.send("fetch", b"boom")
