--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -10,7 +10,8 @@
 import structlog
 from gevent.event import Event
 
-from myrtlespar.admin.commands import AdminCommands, MetricsSnapshot
+from myrtlespar.admin.commands import AdminCommands
+from myrtlespar.admin.metrics import MetricsSnapshot
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
@@ -277,7 +278,7 @@
             try:
                 self._carry_out(effect)
             except Exception:  # guards every other request, and the core itself, against a fault with this one
-                if self.counters.rare("core.effect_fault"):
+                if self.counters.count_and_sample("core.effect_fault"):
                     log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
 
     def _carry_out(self, effect: RequestEffect) -> None:
