--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -1,4 +1,4 @@
-"""The meeting place of one request's client side and server side."""
+"""One request between its client side and its server side, and its final answer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AnswerKind(enum.Enum):
-    """The three final answers."""
+    """The three kinds of final answers."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -17,21 +17,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A final answer. `status` and `headers` are set only by servers whose answers carry them."""
+    """A final answer. `status` and `headers` are set only by back ends whose answers have them."""
 
     kind: AnswerKind
     body: bytes = b""
     retry_after_ms: float = 0.0
-    last: bool = False
-    late: bool = False
+    last: bool = False  # a final rejection: the client should not retry elsewhere
+    late: bool = False  # a failure because the due time passed
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
 
 
 class Exchange:
-    """One request: what it asks for, when it arrived, and where it stands (`attempt.tries.Try`).
+    """One attempt of a request: what it asks for, when it arrived, and its `AttemptState`.
 
-    Only the desk moves `state`; it sees to it that `deliver` is called once at the most.
+    Only the request tracker changes `state`. It ensures that `deliver` is called at most once. Times are Unix
+    milliseconds.
     """
 
     __slots__ = (
@@ -58,15 +59,31 @@
     )
 
     def __init__(
-        self, id: str, front: str, cls: int, body: bytes, arrived: float, deliver: Callable[[Exchange, Answer], None]
+        self,
+        id: str,
+        front: str,
+        class_index: int,
+        body: bytes,
+        arrived_at: float,
+        deliver: Callable[[Exchange, Answer], None],
     ) -> None:
-        self.id, self.front, self.class_index, self.body, self.arrived_at = id, front, cls, body, arrived
+        self.id = id
+        self.front = front
+        self.class_index = class_index
+        self.body = body
+        self.arrived_at = arrived_at
         self.deliver = deliver
-        self.memory_kb, self.rank, self.sender, self.is_retry = 1.0, 0.0, 0, False
-        self.due_at = 0.0  # set by the desk from the class
+        self.memory_kb = 1.0
+        self.rank = 0.0
+        self.sender = 0
+        self.is_retry = False
+        self.due_at = 0.0  # set by the request tracker, from the request class
         self.key = ""  # idempotency key, where the front supplies one
-        self.target = ""  # the back end that runs it; empty is the kernel
-        self.method, self.uri, self.query, self.route = "POST", "", "", ""
+        self.target = ""  # the back end that runs it; empty is the execution engine
+        self.method = "POST"
+        self.uri = ""
+        self.query = ""
+        self.route = ""
         self.headers: tuple[tuple[str, str], ...] = ()
-        self.call_body = b""  # what the run asks of the store at the moment
-        self.state = 0
+        self.call_body = b""  # what the run requests from the dependency at the moment
+        self.state = 0  # an AttemptState
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -24,7 +24,7 @@
 from myrtlespar.state_machines import dependency_calls as calls
 from myrtlespar.state_machines.attempts import STARTED
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle, ConnectionState
-from myrtlespar.state_machines.engine_link import GAP, NEXT, RENUMBERED
+from myrtlespar.state_machines.command_log import GAP, NEXT, RENUMBERED
 from myrtlespar.state_machines.process import ProcessAction, ProcessEvent, ProcessState
 
 REFUSED = Answer(AnswerKind.REFUSED, retry_after_ms=500.0)
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -4,8 +4,8 @@
 
 from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITS, World
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import OWED, STARTED, AttemptState
-from myrtlespar.state_machines.dependency_calls import CallState
+from myrtlespar.state_machines.attempts import AWAITING_ANSWER, STARTED, AttemptState
+from myrtlespar.state_machines.dependency_tables import CallState
 from myrtlespar.state_machines.engine_link import CommandState, LinkState
 from myrtlespar.state_machines.idempotency_keys import KeyState
 from myrtlespar.state_machines.transition_table import Transition, TransitionTable
@@ -73,7 +73,10 @@
     if not world.stopped:
         if (
             ticked
-            and any(x.state in OWED and world.now >= x.due_at + OVERDUE_MS for x in world.tracker.requests.values())
+            and any(
+                x.state in AWAITING_ANSWER and world.now >= x.due_at + OVERDUE_MS
+                for x in world.tracker.requests.values()
+            )
         ) or (ticked and _forgotten(world)):
             out.append("answered in time")
         if not _agree(world):
@@ -108,7 +111,7 @@
 
 def _agree(world: World) -> bool:
     tracker = world.tracker
-    owed = sum(x.state in OWED for x in tracker.requests.values())
+    owed = sum(x.state in AWAITING_ANSWER for x in tracker.requests.values())
     if owed != tracker.unanswered or any(x.state == AttemptState.OVER for x in tracker.requests.values()):
         return False
     waiting = sum(
--- a/myrtlespar/model_checker/mutants.py
+++ b/myrtlespar/model_checker/mutants.py
@@ -126,21 +126,21 @@
         _mutation(
             "nobody is overdue",
             "request_tracker",
-            "if exchange.state in OWED:\n                slack",
+            "if exchange.state in AWAITING_ANSWER:\n                slack",
             "if exchange.state == AttemptState.HELD:\n                slack",
             "quick",
         ),
         _mutation(
             "due time ignored",
             "request_tracker",
-            "if now >= min(exchange.due_at + slack, end)",
-            "if now >= end",
+            "if now >= min(exchange.due_at + slack, deadline)",
+            "if now >= deadline",
             "quick",
         ),
         _mutation(
             "kill ignored",
             "request_tracker",
-            "min(exchange.due_at + slack, end)",
+            "min(exchange.due_at + slack, deadline)",
             "exchange.due_at + 10 * slack",
             "forgets",
         ),
@@ -154,15 +154,15 @@
         _mutation(
             "every repeat starts",
             "request_tracker",
-            "if then is THEN_FOLLOW:\n            return self._step(exchange, ON_FOLLOW)",
-            "if then is THEN_FOLLOW:\n            return self._step(exchange, ON_ADMIT)",
+            "if key_action is KEY_FOLLOW:\n            return self._step(exchange, EVENT_FOLLOW)",
+            "if key_action is KEY_FOLLOW:\n            return self._step(exchange, EVENT_ADMIT)",
             "quick",
         ),
         _mutation(
             "a late refusal ends the run",
             "request_tracker",
-            "event = ON_NEVER_RAN if final.kind is AnswerKind.REFUSED or",
-            "event = ON_NEVER_RAN if final.kind is not AnswerKind.SERVED or",
+            "event = EVENT_NEVER_RAN if final.kind is AnswerKind.REFUSED or",
+            "event = EVENT_NEVER_RAN if final.kind is not AnswerKind.SERVED or",
             "quick",
         ),
         _mutation(
@@ -217,24 +217,25 @@
         ),
         _mutation(
             "orders repeated after a break",
-            "engine_link",
-            "command.state == SENT_DOUBTFUL and command.is_idempotent and",
-            "command.state == SENT_DOUBTFUL and",
+            "command_log",
+            "command.state == COMMAND_DOUBTFUL and command.is_idempotent and",
+            "command.state == COMMAND_DOUBTFUL and",
             "once",
         ),
         _mutation(
             "repeated once the mark is back",
-            "engine_link",
-            "if command.state == SENT_DOUBTFUL and (not self.is_wanted(command.request_id)):\n"
-            "                out += self._prove(command, CommandEvent.GIVE_UP)",
-            "if command.state == SENT_DOUBTFUL:\n" "                out += self._prove(command, CommandEvent.REPEAT)",
+            "command_log",
+            "if command.state == COMMAND_DOUBTFUL and (not self.is_wanted(command.request_id)):\n"
+            "                effects += self._step_command(command, CommandEvent.GIVE_UP)",
+            "if command.state == COMMAND_DOUBTFUL:\n"
+            "                effects += self._step_command(command, CommandEvent.REPEAT)",
             "once",
         ),
         _mutation(
             "replies repeated",
-            "engine_link",
-            "command.state == SENT_DOUBTFUL and command.is_idempotent and",
-            "command.state == SENT_DOUBTFUL and (command.is_idempotent or not command.is_start) and",
+            "command_log",
+            "command.state == COMMAND_DOUBTFUL and command.is_idempotent and",
+            "command.state == COMMAND_DOUBTFUL and (command.is_idempotent or not command.is_start) and",
             "calls",
         ),
         _mutation(
@@ -242,9 +243,9 @@
         ),
         _mutation(
             "proof by any mark",
-            "engine_link",
-            "command.state == SENT_SENT and command.sequence_number <= newest",
-            "command.state != SENT_KEPT",
+            "command_log",
+            "command.state == COMMAND_SENT and command.sequence_number <= newest",
+            "command.state != COMMAND_KEPT",
             "once",
         ),
         _mutation(
@@ -256,21 +257,21 @@
         ),
         _mutation(
             "notices taken twice",
-            "engine_link",
+            "command_log",
             "if number <= self.last_notice:",
             "if number < self.last_notice:",
             "calls",
         ),
         _mutation(
             "gap passed over",
-            "engine_link",
+            "command_log",
             "if number > self.last_notice + 1 and self.gap_after != self.last_notice:",
             "if False:",
             "gaps",
         ),
         _mutation(
             "new kernel not noticed",
-            "engine_link",
+            "command_log",
             "        self.last_notice = 0\n        lost",
             "        lost",
             "kernels",
@@ -278,13 +279,13 @@
         _mutation(
             "call twice on one connection",
             "dependency_calls",
-            "if id not in wire.recent_requests and self.is_quiet(wire):",
-            "if self.is_quiet(wire):",
+            "if id not in connection.recent_requests and self.is_quiet(connection):",
+            "if self.is_quiet(connection):",
             "store",
         ),
         _mutation(
             "broken call not told",
-            "dependency_calls",
+            "dependency_tables",
             "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,))",
             "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER)",
             "store",
@@ -299,8 +300,9 @@
         _mutation(
             "given-up connection used again",
             "dependency_calls",
-            "self._hear(wire, event)\n        return CloseConnection(wire, drop)",
-            "self._hear(wire, event)\n        self.idle.append(wire)\n        return CloseConnection(wire, drop)",
+            "self._step_connection(connection, event)\n        return CloseConnection(connection, cancelled_request)",
+            "self._step_connection(connection, event)\n        self.idle.append(connection)\n        "
+            "return CloseConnection(connection, cancelled_request)",
             "store",
         ),
         _mutation(
@@ -343,7 +345,7 @@
         _mutation(
             "handed over keys lost",
             "idempotency_keys",
-            "self.entries[slot] = KeyEntry(KeyState.KNOWN, None, [], outcome)",
+            "self.entries[key_id] = KeyEntry(KeyState.KNOWN, None, [], outcome)",
             "pass",
             "twins",
         ),
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -17,7 +17,8 @@
 from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_tracker import FAILED, RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import FAILED, RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[str, ...]
 SENT_MOST = 3  # tries of the key in a run
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -28,8 +28,8 @@
     quiet,
 )
 from myrtlespar.state_machines.client_connection import ConnectionLifecycle
+from myrtlespar.state_machines.command_log import Command, CommandLog
 from myrtlespar.state_machines.dependency_calls import DependencyCall, DependencyCalls, DependencyConnection
-from myrtlespar.state_machines.engine_link import Command, CommandLog
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable, KeyEntry
 from myrtlespar.state_machines.process import ProcessLifecycle
 from myrtlespar.state_machines.request_tracker import RequestTracker
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -9,15 +9,16 @@
 from myrtlespar.model_checker.environment import KernelModel, PolicyModel
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines import command_log, dependency_tables, engine_link
 from myrtlespar.state_machines import dependency_calls as calls
-from myrtlespar.state_machines import engine_link as commands
 from myrtlespar.state_machines.attempts import AttemptAction
 from myrtlespar.state_machines.attempts import AttemptState as State
 from myrtlespar.state_machines.client_connection import ConnectionAction as ConnDo
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle, ConnectionState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessLifecycle, ProcessState
-from myrtlespar.state_machines.request_tracker import RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[Any, ...]
 TICK_MS = 1000.0
@@ -89,7 +90,7 @@
             IdempotencyKeyTable(s.keys_most, s.key_ms, s.followers, 64),
             ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0),
         )
-        self.commands = commands.CommandLog(self.tracker.is_wanted, 8)
+        self.commands = command_log.CommandLog(self.tracker.is_wanted, 8)
         self.calls = calls.DependencyCalls(bounds(s), quiet)
         self.conns = [ConnectionLifecycle(IDS[n]) for n in range(len(s.tries))]
         self.tries: list[Exchange | None] = [None for _ in s.tries]
@@ -174,7 +175,7 @@
 
     def _link_events(self, out: list[Event]) -> None:
         c = self.commands
-        if c.state == commands.LinkState.DOWN:
+        if c.state == engine_link.LinkState.DOWN:
             out.append(("connect",))
         else:
             if self.kernel.down:
@@ -190,10 +191,10 @@
                 out.append(("deaf",))
             if self.deaf or self.left("break", self.s.breaks):
                 out.append(("break",))
-            doubt = any(one.state == commands.CommandState.DOUBTFUL for one in c.unconfirmed.values())
+            doubt = any(one.state == engine_link.CommandState.DOUBTFUL for one in c.unconfirmed.values())
             if (
                 doubt
-                and c.state == commands.LinkState.READY
+                and c.state == engine_link.LinkState.READY
                 and not any(m.startswith("doubt") for m in c.pending_marks)
             ):
                 out.append(("settle",))
@@ -227,14 +228,14 @@
             out += [("worker", id, end) for end in ("PASS", "FAIL", "UNREACHED")]
         for wire in self.wires:
             fault = self.left("store", self.s.store_faults)
-            if wire.state == calls.DependencyConnectionState.OPENING:
+            if wire.state == dependency_tables.DependencyConnectionState.OPENING:
                 out.append(("wire opened", wire.number))
                 if fault:
                     out.append(("wire refused", wire.number))
-            elif wire.state == calls.DependencyConnectionState.SPENT:
+            elif wire.state == dependency_tables.DependencyConnectionState.SPENT:
                 out.append(("wire over", wire.number))
             else:
-                if wire.state == calls.DependencyConnectionState.BUSY:
+                if wire.state == dependency_tables.DependencyConnectionState.BUSY:
                     out.append(("wire reply", wire.number, "OK"))
                     if fault:
                         out += [("wire reply", wire.number, "BUSY"), ("wire doubled", wire.number)]
@@ -266,7 +267,7 @@
                 if x.target:
                     self.workers.append(x.id)
                 else:
-                    self.order(self.commands.send(commands.Command(x.id, b"", True, x.class_index == 0)))
+                    self.order(self.commands.send(command_log.Command(x.id, b"", True, x.class_index == 0)))
             elif do is AttemptAction.MAKE_CALL:
                 if self.s.store:
                     self.order_calls(self.calls.start_call(x.id, CALL_MS, x.call_body, self.now))
@@ -277,7 +278,7 @@
                 if self.s.store:
                     self.order_calls(self.calls.cancel(x.id))
             elif do is AttemptAction.RESUME:
-                self.order(self.commands.send(commands.Command(x.id, body, False)))
+                self.order(self.commands.send(command_log.Command(x.id, body, False)))
             elif do is AttemptAction.TELL_CALL_NEEDED:
                 self.policy.call_needed(x.id)
             elif do is AttemptAction.TELL_CALL_ENDED:
@@ -330,13 +331,13 @@
                     if x is not None:
                         self.carry(self.tracker.caller_gone(x))
 
-    def order(self, orders: list[commands.LinkEffect]) -> None:
+    def order(self, orders: list[command_log.LinkEffect]) -> None:
         """The kernel link's part."""
         up = self.kernel.up
         for one in orders:
-            if isinstance(one, commands.EndRun):
+            if isinstance(one, command_log.EndRun):
                 self.ended(one.request_id, RunOutcome.MOOT, None)
-            elif isinstance(one, commands.WriteCommand):
+            elif isinstance(one, command_log.WriteCommand):
                 command = one.command
                 if self.deaf:
                     self.commands.send_failed(command)
@@ -346,11 +347,11 @@
                     if command.is_start
                     else ("IODONE", command.request_id, int(command.line))
                 )
-            elif self.deaf and not isinstance(one, commands.CloseLink):
+            elif self.deaf and not isinstance(one, command_log.CloseLink):
                 continue
-            elif isinstance(one, commands.RequestMark):
+            elif isinstance(one, command_log.RequestMark):
                 up.append(("MARK", one.name))
-            elif isinstance(one, commands.SendOpen):
+            elif isinstance(one, command_log.SendOpen):
                 up.append(("OPEN", one.last_notice))
             else:
                 self.cut()
@@ -359,7 +360,7 @@
         """The link to the kernel is over."""
         self.kernel.cut()
         self.deaf = False
-        if self.commands.state != commands.LinkState.DOWN:
+        if self.commands.state != engine_link.LinkState.DOWN:
             self.commands.broken()
 
     def order_calls(self, orders: list[calls.CallEffect]) -> None:
@@ -382,6 +383,6 @@
         answers = " ".join(f"{IDS[n]}:{','.join(one.answers)}" for n, one in enumerate(self.callers) if one.answers)
         runs = " ".join(f"{rid}x{count}" for rid, count in sorted(self.kernel.starts.items()))
         return (
-            f"{self.now / TICK_MS:.0f}s {ProcessState(p.state).name} link={commands.LinkState(c.state).name} {tries}"
+            f"{self.now / TICK_MS:.0f}s {ProcessState(p.state).name} link={engine_link.LinkState(c.state).name} {tries}"
             f"{' answers ' + answers if answers else ''}{' starts ' + runs if runs else ''}"
         )
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -17,7 +17,7 @@
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.state_machines.attempts import STARTED
-from myrtlespar.state_machines.engine_link import (
+from myrtlespar.state_machines.command_log import (
     GAP,
     NEXT,
     RENUMBERED,
@@ -29,7 +29,7 @@
     SendOpen,
     WriteCommand,
 )
-from myrtlespar.state_machines.request_tracker import NEVER_RAN
+from myrtlespar.state_machines.request_effects import NEVER_RAN
 
 log = structlog.get_logger()
 ENDS = {"PASS": RunOutcome.OK, "FAIL": RunOutcome.ERROR, "KILLED": RunOutcome.STOPPED, "NOOP": RunOutcome.MOOT}
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -19,11 +19,12 @@
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import OWED, AttemptAction, AttemptState
+from myrtlespar.state_machines.attempts import AWAITING_ANSWER, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.lost_runs import LostRunDetector
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_tracker import RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 from myrtlespar.state_machines.transition_table import report_invalid_transitions as impossible
 
 log = structlog.get_logger()
@@ -142,7 +143,7 @@
 
     def caller_gone(self, exchange: Exchange) -> None:
         """Nobody waits for this request any longer."""
-        if exchange.state in OWED:
+        if exchange.state in AWAITING_ANSWER:
             self.counters.add(f"answer.gone.{exchange.front}")
         self._carry(self.tracker.caller_gone(exchange))
 
--- a/myrtlespar/state_machines/__init__.py
+++ b/myrtlespar/state_machines/__init__.py
@@ -1,14 +1,14 @@
-"""The state machines that the server runs on: tries, keys, commands, store calls, connections, the process.
+"""The state machines of the served path: attempts, idempotency keys, engine commands, dependency calls, connections.
 
-Pure: no socket, file, greenlet, clock or random source. Time and observations come in as arguments, effects go
-out as values. Each machine is a table of states and events; what has no entry is counted as impossible, never
-passed over in silence. `myrtlespar.model_checker` explores these very classes. What is let in, when it runs and what is
-turned away is not decided here but in `decide.py`.
+The package is pure: it uses no socket, file, greenlet, clock or random source. Times and observations are arguments,
+effects are return values. Each machine is a `TransitionTable`; an event that has no transition in the current state is
+counted as invalid and changes nothing. `myrtlespar.model_checker` explores these very classes. Admission, scheduling
+and load shedding are decided in `myrtlespar.policy`, not here.
 """
 
 from myrtlespar.state_machines.attempts import ATTEMPT_TABLE
 from myrtlespar.state_machines.client_connection import CONNECTION_TABLE
-from myrtlespar.state_machines.dependency_calls import CALL_TABLE, DEPENDENCY_CONNECTION_TABLE
+from myrtlespar.state_machines.dependency_tables import CALL_TABLE, DEPENDENCY_CONNECTION_TABLE
 from myrtlespar.state_machines.engine_link import COMMAND_TABLE, LINK_TABLE
 from myrtlespar.state_machines.idempotency_keys import KEY_TABLE
 from myrtlespar.state_machines.process import PROCESS_TABLE
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -1,4 +1,7 @@
-"""One try of a request: from the moment it was read whole to its one final answer and the end of its run."""
+"""One attempt of a request: from the complete request to its single final answer and the end of its run.
+
+`AttemptState`, `AttemptEvent` and `AttemptAction` members appear by name in recorded traces, so their names are fixed.
+"""
 
 from __future__ import annotations
 
@@ -8,65 +11,68 @@
 
 
 class AttemptState(IntEnum):
-    """Where a try stands. In the states from READ to CALLING its final answer is owed."""
-
-    READ = 0  # whole, and nothing decided about it
-    HELD = auto()  # the policy has it
-    FOLLOWING = auto()  # waits for the outcome of another try of its key
-    RUNNING = auto()
-    AT_CALL = auto()  # the run waits for a call to be made
-    CALLING = auto()  # the call is under way
-    RUNNING_UNWANTED = auto()  # answered, or its caller is gone; the run can't be stopped
-    AT_CALL_UNWANTED = auto()
+    """The state of an attempt. From READ to CALLING, its client still waits for the final answer."""
+
+    READ = 0  # the request is complete, nothing has been decided yet
+    HELD = auto()  # queued by the policy
+    FOLLOWING = auto()  # waits for the outcome of another attempt with the same idempotency key
+    RUNNING = auto()  # the execution engine works on it
+    AT_CALL = auto()  # the run waits until its dependency call is made
+    CALLING = auto()  # the dependency call is in flight
+    RUNNING_UNWANTED = auto()  # answered, or its caller is gone; the run can't be cancelled
+    AT_CALL_UNWANTED = auto()  # the same, and the run waits at a dependency call
     OVER = auto()
 
 
 class AttemptEvent(IntEnum):
-    """What happens to a try."""
+    """What happens to an attempt."""
 
     ADMIT = 0
     FOLLOW = auto()
-    KNOWN = auto()  # the key's outcome is known, or there is no room for it
+    KNOWN = auto()  # the outcome of its key is known, or the key table has no capacity for it
     START = auto()
-    BAR = auto()  # a start that the drain forbids
-    REFUSE = auto()
+    BAR = auto()  # the policy starts it, and the graceful shutdown forbids that
+    REFUSE = auto()  # the policy rejects it
     FAIL = auto()
-    GONE = auto()
+    GONE = auto()  # the caller disconnected or cancelled
     CALL_NEEDED = auto()
     CALL = auto()
     CALL_OK = auto()
     CALL_BAD = auto()
     ENDED = auto()
-    NEVER_RAN = auto()  # the run ended with proof that it never began
-    OVERDUE = auto()
-    SHARE = auto()  # the try it follows has an outcome
-    PROMOTE = auto()  # it takes the place of the try it followed
+    NEVER_RAN = auto()  # the run ended, and it is certain that it never began
+    OVERDUE = auto()  # its due time passed
+    SHARE = auto()  # the attempt that it follows has an outcome
+    PROMOTE = auto()  # it replaces the attempt that it followed
 
 
 class AttemptAction(IntEnum):
-    """What follows. Those up to TELL_CALL_ENDED are for the core, the others for the desk itself."""
+    """The effects of a transition.
+
+    Members up to TELL_CALL_ENDED are carried out by the request coordinator, the others by the request tracker.
+    """
 
-    DELIVER = 0  # hand the final answer to the client side
+    DELIVER = 0  # send the final answer to the client
     START_RUN = auto()
     MAKE_CALL = auto()
     DROP_CALL = auto()
-    RESUME = auto()  # hand the run its reply
-    TELL_ARRIVAL = auto()  # these go to the policy
+    RESUME = auto()  # send the run the reply to its dependency call
+    TELL_ARRIVAL = auto()  # the TELL_ members notify the policy
     TELL_GONE = auto()
     TELL_ENDED = auto()
     TELL_CALL_NEEDED = auto()
     TELL_CALL_ENDED = auto()
-    DELIVER_FAILED = auto()  # a refusal that comes too late: what started is not refused
-    WITHDRAW = auto()  # nobody is owed the answer any longer
-    LEAVE = auto()  # forget the try
-    REMEMBER = auto()  # its key stands for this outcome from now on, and followers share it
-    FREE_KEY = auto()  # it never ran: followers share the answer, the key is free again
-    PASS_ON = auto()  # it leaves before it ran: its first follower takes its place
-    UNFOLLOW = auto()
+    DELIVER_FAILED = auto()  # a rejection after the start: the answer is a failure, as the run may have had its effect
+    WITHDRAW = auto()  # no client waits for the answer any longer
+    LEAVE = auto()  # remove the attempt from the tracker
+    REMEMBER = auto()  # record the outcome of its key and share it with the followers
+    FREE_KEY = auto()  # it never ran: share the answer with the followers and free the key
+    PASS_ON = auto()  # it ends before it ran: its first follower replaces it
+    UNFOLLOW = auto()  # remove it from the followers of its key
 
 
-LAST_OUTWARD = AttemptAction.TELL_CALL_ENDED
-OWED = frozenset(
+LAST_COORDINATOR_ACTION = AttemptAction.TELL_CALL_ENDED  # see AttemptAction
+AWAITING_ANSWER = frozenset(
     {
         AttemptState.READ,
         AttemptState.HELD,
@@ -86,6 +92,7 @@
     }
 )
 
+# Effects of the end of a run, by whether a client still waits (else LATE) and whether the run began.
 _END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
 _NEVER = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 _LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
@@ -116,7 +123,7 @@
             AttemptState.OVER,
             (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.PASS_ON, AttemptAction.TELL_GONE),
         ),
-        # The policy forgot it. Told, it can't start the try later for nobody.
+        # The policy is notified, so that it can't start the attempt later when nobody waits.
         (AttemptState.HELD, AttemptEvent.OVERDUE): Transition(
             AttemptState.OVER,
             (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_GONE),
@@ -182,13 +189,12 @@
         ),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _LATE_NEVER),
-        # Decided before the departure was told: the first end stands.
+        # The policy decided this before it was notified that the caller is gone: the first end is final.
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
-        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(
-            AttemptState.AT_CALL_UNWANTED
-        ),  # decided before the departure was told
+        # The policy decided these before it was notified that the caller is gone.
+        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED),
     },
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection on any front: what it owes, and how it ends without leaving an answer behind."""
+"""A client's connection on any front: which answers are outstanding, and how it closes without losing one."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 class ConnectionState(IntEnum):
-    """Where a connection stands."""
+    """The state of a client connection."""
 
-    IDLE = 0  # owes nothing
-    READING = auto()  # part of a request is here (fronts that see it)
-    OWING = auto()
-    ENDING = auto()  # nothing more is read; what is owed is still sent
+    IDLE = 0  # no answer is outstanding
+    READING = auto()  # part of a request has arrived (only on fronts that can tell)
+    OWING = auto()  # answers are outstanding
+    ENDING = auto()  # nothing more is read; outstanding answers are still sent
     CLOSED = auto()
 
 
 class ConnectionEvent(IntEnum):
-    """What happens to it."""
+    """What happens to a client connection."""
 
-    BEGIN = 0  # part of a request
-    REQUEST = auto()  # one was read whole and taken
-    ANSWERED = auto()  # one of several that are owed
-    LAST_ANSWERED = auto()  # nothing is owed now
-    TURNED_AWAY = auto()  # what was being read is answered without the core
-    SPOILT = auto()  # what can't be read, or stopped midway
-    CLOSE = auto()  # our wish, such as a drain or an idle one that makes room
-    END = auto()  # the process leaves: nothing more is taken, a request half read included
-    RESET = auto()  # the other side ended it
+    BEGIN = 0  # part of a request arrived
+    REQUEST = auto()  # a complete request was read and accepted
+    ANSWERED = auto()  # one of several outstanding answers was sent
+    LAST_ANSWERED = auto()  # the last outstanding answer was sent
+    TURNED_AWAY = auto()  # the request being read is answered without the request coordinator
+    SPOILT = auto()  # malformed or truncated input
+    CLOSE = auto()  # the server wants it closed, for example in a graceful shutdown or as idle
+    END = auto()  # the process ends: nothing more is accepted, not even a request half read
+    RESET = auto()  # the client closed it
 
 
 class ConnectionAction(IntEnum):
-    """What follows."""
+    """The effects of a transition."""
 
-    GONE = 0  # nobody waits for what was owed
-    FINISH = auto()  # close once all is sent
+    GONE = 0  # no client waits for the outstanding answers
+    FINISH = auto()  # close once everything is sent
 
 
 CONNECTION_TABLE = TransitionTable(
@@ -54,14 +54,12 @@
         (ConnectionState.READING, ConnectionEvent.SPOILT): Transition(
             ConnectionState.CLOSED, (ConnectionAction.FINISH,)
         ),
-        (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(
-            ConnectionState.READING
-        ),  # what is being read gets its answer first
+        # The request being read is answered first.
+        (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(ConnectionState.READING),
         (ConnectionState.READING, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
         (ConnectionState.READING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
-        (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(
-            ConnectionState.OWING
-        ),  # fronts that carry several at a time
+        # On fronts that multiplex several requests.
+        (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
         (ConnectionState.OWING, ConnectionEvent.ANSWERED): Transition(ConnectionState.OWING),
         (ConnectionState.OWING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.IDLE),
         (ConnectionState.OWING, ConnectionEvent.SPOILT): Transition(ConnectionState.ENDING),
@@ -73,9 +71,8 @@
         ),
         (ConnectionState.ENDING, ConnectionEvent.CLOSE): Transition(ConnectionState.ENDING),
         (ConnectionState.ENDING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
-        (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(
-            ConnectionState.CLOSED
-        ),  # the other side's end, or a part of something, behind our close
+        # The client's end of stream, or part of a request, after the server closed.
+        (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED),
         (ConnectionState.CLOSED, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED),
         (ConnectionState.CLOSED, ConnectionEvent.END): Transition(ConnectionState.CLOSED),
         (ConnectionState.CLOSED, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
@@ -88,7 +85,7 @@
 
 
 class ConnectionLifecycle:
-    """One connection's state. Fronts tell it what happens and carry out what it returns."""
+    """The state of one client connection. A front reports events to it and carries out the actions it returns."""
 
     __slots__ = ("name", "state")
 
@@ -98,11 +95,11 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether what comes is still taken."""
+        """Whether new requests are still accepted."""
         return self.state < ENDING
 
     def handle(self, event: ConnectionEvent) -> tuple[ConnectionAction, ...]:
-        """One event, and what follows."""
-        row = CONNECTION_TABLE.step(self.state, event, self.name)
-        self.state = row.next_state
-        return row.effects
+        """Make one step and return its actions, in order."""
+        transition = CONNECTION_TABLE.step(self.state, event, self.name)
+        self.state = transition.next_state
+        return transition.effects
--- /dev/null
+++ b/myrtlespar/state_machines/command_log.py
@@ -0,0 +1,293 @@
+"""The log of commands to the execution engine: which it certainly read, which may be lost, what is sent again."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import IntEnum, auto
+
+from myrtlespar.state_machines.engine_link import (
+    COMMAND_TABLE,
+    LINK_TABLE,
+    CommandAction,
+    CommandEvent,
+    CommandState,
+    LinkAction,
+    LinkEvent,
+    LinkState,
+)
+
+
+@dataclass(slots=True)
+class Command:
+    """One command to the execution engine, kept until something confirms that it was read."""
+
+    request_id: str
+    line: bytes
+    is_start: bool  # a start of a run (SCHED); otherwise a reply to a call (IODONE)
+    is_idempotent: bool = False  # a second run of it would do no harm
+    sequence_number: int = 0  # its position among all commands sent
+    state: int = CommandState.KEPT
+
+
+@dataclass(slots=True)
+class WriteCommand:
+    """Effect: send this command."""
+
+    command: Command
+
+
+@dataclass(frozen=True, slots=True)
+class RequestMark:
+    """Effect: request the gauges under this name; their arrival confirms all commands sent before."""
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class SendOpen:
+    """Effect: send OPEN with this number, so that the engine replays all later notices."""
+
+    last_notice: int
+
+
+@dataclass(frozen=True, slots=True)
+class CloseLink:
+    """Effect: close the link; another one will be opened."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndRun:
+    """Effect: report this run as over. It was not started, or nothing can tell what became of it."""
+
+    request_id: str
+
+
+LinkEffect = WriteCommand | RequestMark | SendOpen | CloseLink | EndRun
+IsWanted = Callable[[str], bool]
+
+
+class NoticeKind(IntEnum):
+    """What the number of a notice says about it."""
+
+    OLD = 0  # it was read before
+    NEXT = auto()
+    GAP = auto()  # notices before it are missing
+    RENUMBERED = auto()  # it comes from another engine process
+
+
+# Bound once: looking a member up in its class costs as much as a step of a table.
+OLD = NoticeKind.OLD
+NEXT = NoticeKind.NEXT
+GAP = NoticeKind.GAP
+RENUMBERED = NoticeKind.RENUMBERED
+COMMAND_KEPT = CommandState.KEPT
+COMMAND_SENT = CommandState.SENT
+COMMAND_DOUBTFUL = CommandState.DOUBTFUL
+COMMAND_DONE = CommandState.DONE
+EVENT_SEND = CommandEvent.SEND
+EVENT_READ = CommandEvent.READ
+ACTION_WRITE = CommandAction.WRITE
+LINK_READY = LinkState.READY
+
+
+class CommandLog:
+    """All unconfirmed commands of one server incarnation, and the state of the link that carries them.
+
+    Every public method takes one event and returns its effects in order. `is_wanted` returns whether a client waits
+    for a request; `max_marks` bounds the marks that are requested and not yet received.
+    """
+
+    def __init__(self, is_wanted: IsWanted, max_marks: int) -> None:
+        self.is_wanted = is_wanted
+        self.max_marks = max_marks
+        self.state: int = LinkState.DOWN
+        self.last_notice = 0  # number of the last notice read
+        self.gap_after = -1  # the last notice before a gap for which a replay was requested
+        self.fresh = False  # no numbered notice has come on this link yet
+        self.unconfirmed: dict[str, Command] = {}  # by request, which has one at a time; in the order of sending
+        self.pending_marks: dict[str, int] = {}  # by name: how many commands were sent when the mark was requested
+        self.serial = 0  # number of the last mark
+        self.sent_count = 0  # commands sent, on all links
+        self.sent_before_link = 0  # commands sent before the present link opened
+
+    @property
+    def is_synchronized(self) -> bool:
+        """Whether the greeting and all replayed notices have been read."""
+        return self.state in (LINK_READY, LinkState.MOVING)
+
+    # Requests of the server.
+
+    def send(self, command: Command) -> list[LinkEffect]:
+        """Send a command, or queue it until there is a link. It replaces an earlier one of the same request."""
+        self.unconfirmed.pop(command.request_id, None)
+        self.unconfirmed[command.request_id] = command
+        return self._step_command(command, EVENT_SEND) if self.state == LINK_READY else []
+
+    def send_failed(self, command: Command) -> None:
+        """Queue a command again that the link accepted no byte of."""
+        self._step_command(command, CommandEvent.UNSENT)
+
+    def request_gauges(self) -> list[LinkEffect]:
+        """Request the gauges; their arrival also confirms all commands sent before."""
+        return [self._request_mark("gauges")] if self._may_request_mark() else []
+
+    def request_doubt_mark(self) -> list[LinkEffect]:
+        """Request a mark if a command is in doubt. Once it comes, unwanted commands in doubt are abandoned."""
+        doubtful = any(command.state == COMMAND_DOUBTFUL for command in self.unconfirmed.values())
+        return [self._request_mark("doubt")] if doubtful and self._may_request_mark() else []
+
+    def move(self) -> list[LinkEffect]:
+        """Move the link to another address."""
+        return self._step_link(LinkEvent.MOVE)
+
+    # Events from the link.
+
+    def connected(self) -> list[LinkEffect]:
+        """Handle that a link is open."""
+        self.fresh = True
+        self.sent_before_link = self.sent_count
+        return self._step_link(LinkEvent.CONNECTED)
+
+    def broken(self) -> None:
+        """Handle that the link is over."""
+        self._step_link(LinkEvent.BROKEN)
+
+    def booted(self) -> list[LinkEffect]:
+        """Handle that the engine reports it is up. A second report on one link is ignored."""
+        return self._step_link(LinkEvent.BOOTED) if self.state == LinkState.GREETING else []
+
+    def restarted(self) -> list[str]:
+        """Handle that this is a new engine process, and return the requests whose commands were lost with the old one.
+
+        Starts that are queued or were sent on this link reach the new process. Every reply is for a run that is lost.
+        """
+        self.last_notice = 0
+        lost = [
+            request_id
+            for request_id, command in self.unconfirmed.items()
+            if not (command.is_start and self._belongs_to_this_link(command))
+        ]
+        for request_id in lost:
+            self._step_command(self.unconfirmed[request_id], EVENT_READ)
+        return lost
+
+    def classify_notice(self, number: int) -> NoticeKind:
+        """Classify a notice by its number, and record it as read if it is the next one.
+
+        A replay after a gap is requested only once, as the engine does not keep all notices for ever. RENUMBERED
+        proves another engine process: the same one would continue after the last notice that OPEN named.
+        """
+        fresh = self.fresh
+        self.fresh = False
+        if fresh and 1 <= number <= self.last_notice:
+            return RENUMBERED
+        if number <= self.last_notice:
+            return OLD
+        if number > self.last_notice + 1 and self.gap_after != self.last_notice:
+            self.gap_after = self.last_notice
+            return GAP
+        self.last_notice = number
+        return NEXT
+
+    def run_reported(self, request_id: str) -> None:
+        """Handle a notice of a run, which confirms the command sent for it."""
+        command = self.unconfirmed.get(request_id)
+        if command is not None:
+            self._step_command(command, EVENT_READ)
+
+    def mark_received(self, mark: str) -> list[LinkEffect] | None:
+        """Handle a mark, which confirms all commands sent before its request. None: not requested on this link."""
+        newest = self.pending_marks.pop(mark, None)
+        if newest is None:
+            return None
+        for command in list(self.unconfirmed.values()):
+            if command.state == COMMAND_SENT and command.sequence_number <= newest:
+                self._step_command(command, EVENT_READ)
+        kind = mark.partition("-")[0]
+        if kind == "sync":
+            return self._step_link(LinkEvent.SYNCED)
+        if kind == "move":
+            return self._step_link(LinkEvent.MOVED)
+        return self._abandon_unwanted() if kind == "doubt" else []
+
+    def mark_rejected(self) -> list[LinkEffect]:
+        """Handle that a mark was read and rejected, as a site may not provide gauges.
+
+        Commands are read in order, so it is the oldest mark, and the rejection confirms as much as an answer.
+        """
+        oldest = next(iter(self.pending_marks), None)
+        return [] if oldest is None else self.mark_received(oldest) or []
+
+    # Steps.
+
+    def _belongs_to_this_link(self, command: Command) -> bool:
+        return command.state == COMMAND_KEPT or command.sequence_number > self.sent_before_link
+
+    def _may_request_mark(self) -> bool:
+        return self.is_synchronized and len(self.pending_marks) < self.max_marks
+
+    def _request_mark(self, kind: str) -> RequestMark:
+        self.serial += 1
+        name = f"{kind}-{self.serial}"
+        self.pending_marks[name] = self.sent_count
+        return RequestMark(name)
+
+    def _step_link(self, event: LinkEvent) -> list[LinkEffect]:
+        transition = LINK_TABLE.step(self.state, event, "kernel")
+        self.state = transition.next_state
+        effects: list[LinkEffect] = []
+        for action in transition.effects:
+            if action is LinkAction.GREET:
+                effects.append(SendOpen(self.last_notice))
+            elif action is LinkAction.DOUBT:
+                self.pending_marks.clear()
+                for command in self.unconfirmed.values():
+                    if command.state == COMMAND_SENT:
+                        self._step_command(command, CommandEvent.BREAK)
+            elif action is LinkAction.MARK_SYNC:
+                effects.append(self._request_mark("sync"))
+            elif action is LinkAction.MARK_MOVE:
+                effects.append(self._request_mark("move"))
+            elif action is LinkAction.RELEASE:
+                effects += self._send_queued()
+            else:
+                effects.append(CloseLink())
+        return effects
+
+    def _send_queued(self) -> list[LinkEffect]:
+        """Send queued commands, and idempotent ones in doubt again. All replayed notices were read before this."""
+        effects: list[LinkEffect] = []
+        for command in list(self.unconfirmed.values()):
+            if command.state == COMMAND_DOUBTFUL and command.is_idempotent and self.is_wanted(command.request_id):
+                effects += self._step_command(command, CommandEvent.REPEAT)
+            elif command.state == COMMAND_KEPT:
+                # A start that was never sent and that nobody waits for.
+                stale = command.is_start and not self.is_wanted(command.request_id)
+                effects += self._step_command(command, CommandEvent.GIVE_UP if stale else EVENT_SEND)
+        return effects
+
+    def _abandon_unwanted(self) -> list[LinkEffect]:
+        """Abandon the commands in doubt that nobody waits for. The run of a wanted one may still be reported."""
+        effects: list[LinkEffect] = []
+        for command in list(self.unconfirmed.values()):
+            if command.state == COMMAND_DOUBTFUL and not self.is_wanted(command.request_id):
+                effects += self._step_command(command, CommandEvent.GIVE_UP)
+        return effects
+
+    def _step_command(self, command: Command, event: CommandEvent) -> list[LinkEffect]:
+        transition = COMMAND_TABLE.step(command.state, event, command.request_id)
+        command.state = transition.next_state
+        if transition.next_state == COMMAND_DONE:
+            self.unconfirmed.pop(command.request_id, None)
+        effects: list[LinkEffect] = []
+        if not transition.effects:
+            return effects
+        for action in transition.effects:
+            if action is ACTION_WRITE:
+                self.sent_count += 1
+                command.sequence_number = self.sent_count
+                effects.append(WriteCommand(command))
+            else:
+                effects.append(EndRun(command.request_id))
+        return effects
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -1,109 +1,28 @@
-"""Calls to the store, one at a time on each of a few connections, and what each end of one proves."""
+"""Calls to the dependency: one at a time on each connection of a small pool."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import IntEnum, auto
 
 from myrtlespar.policy.messages import RunOutcome
-from myrtlespar.state_machines.transition_table import Transition, TransitionTable
-
-
-class DependencyConnectionState(IntEnum):
-    """Where a connection to the store stands."""
-
-    OPENING = 0
-    IDLE = auto()
-    BUSY = auto()  # with one call
-    SPENT = auto()  # a reply that nobody waits for may still come: it carries nothing more
-    CLOSED = auto()
-
-
-class DependencyConnectionEvent(IntEnum):
-    """What happens to a connection."""
-
-    OPENED = 0
-    REFUSED = auto()
-    TAKE = auto()  # a call
-    REPLY = auto()
-    DROP = auto()  # its call is given up
-    BROKEN = auto()
-    RETIRE = auto()  # idle for too long, or at an old address
-
-
-DEPENDENCY_CONNECTION_TABLE = TransitionTable(
-    "wire",
-    DependencyConnectionState,
-    DependencyConnectionEvent,
-    {
-        (DependencyConnectionState.OPENING, DependencyConnectionEvent.OPENED): Transition(
-            DependencyConnectionState.IDLE
-        ),
-        (DependencyConnectionState.OPENING, DependencyConnectionEvent.REFUSED): Transition(
-            DependencyConnectionState.CLOSED
-        ),
-        (DependencyConnectionState.IDLE, DependencyConnectionEvent.TAKE): Transition(DependencyConnectionState.BUSY),
-        (DependencyConnectionState.IDLE, DependencyConnectionEvent.RETIRE): Transition(DependencyConnectionState.SPENT),
-        (DependencyConnectionState.IDLE, DependencyConnectionEvent.BROKEN): Transition(
-            DependencyConnectionState.CLOSED
-        ),
-        (DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY): Transition(DependencyConnectionState.IDLE),
-        (DependencyConnectionState.BUSY, DependencyConnectionEvent.DROP): Transition(DependencyConnectionState.SPENT),
-        (DependencyConnectionState.BUSY, DependencyConnectionEvent.BROKEN): Transition(
-            DependencyConnectionState.CLOSED
-        ),
-        (DependencyConnectionState.SPENT, DependencyConnectionEvent.BROKEN): Transition(
-            DependencyConnectionState.CLOSED
-        ),
-    },
-)
-
-
-class CallState(IntEnum):
-    """Where a call stands."""
-
-    WAITING = 0  # for a connection: it never ran
-    MADE = auto()
-    OVER = auto()
-
-
-class CallEvent(IntEnum):
-    """What happens to a call."""
-
-    PUT = 0  # on a connection
-    ANSWERED = auto()
-    CUT = auto()  # its connection broke
-    UNREACHED = auto()  # no connection could be had
-    OUT_OF_TIME = auto()
-    GIVEN_UP = auto()
-
-
-CALL_TABLE = TransitionTable(
-    "call",
-    CallState,
+from myrtlespar.state_machines.dependency_tables import (
+    CALL_TABLE,
+    DEPENDENCY_CONNECTION_TABLE,
     CallEvent,
-    {
-        (CallState.WAITING, CallEvent.PUT): Transition(CallState.MADE),
-        (CallState.WAITING, CallEvent.UNREACHED): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
-        (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
-        (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
-        (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
-        (CallState.MADE, CallEvent.CUT): Transition(
-            CallState.OVER, (RunOutcome.CUT_OFF,)
-        ),  # nothing but a reply proves that it never ran
-        (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
-        (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
-    },
+    CallState,
+    DependencyConnectionEvent,
+    DependencyConnectionState,
 )
+from myrtlespar.state_machines.transition_table import Transition
 
 
 @dataclass(slots=True, eq=False)
 class DependencyCall:
-    """A call in hand, or waiting for a connection. Times in Unix milliseconds."""
+    """A call in flight, or waiting for a connection. Times in Unix milliseconds."""
 
-    id: str
+    id: str  # of the request
     body: bytes
     started_at: float
     limit_ms: float
@@ -113,11 +32,11 @@
 
 @dataclass(slots=True, eq=False)
 class DependencyConnection:
-    """One connection to the store."""
+    """One connection to the dependency. Times in Unix milliseconds."""
 
     number: int
-    address_epoch: int  # which address it leads to
-    recent_requests: deque[str]  # the latest requests it carried calls for
+    address_epoch: int  # counts the changes of address; see DependencyCalls.address_epoch
+    recent_requests: deque[str]  # the latest requests whose calls it carried
     state: int = DependencyConnectionState.OPENING
     call: DependencyCall | None = None
     idle_since: float = 0.0  # when it last became idle
@@ -126,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Open this connection."""
+    """Effect: open this connection."""
 
     connection: DependencyConnection
 
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
-    """Send the call on its connection."""
+    """Effect: send the call on this connection."""
 
     connection: DependencyConnection
     call: DependencyCall
@@ -141,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close it; `cancelled_request` names a call to give up first."""
+    """Effect: close this connection; `cancelled_request`, if set, names a call to cancel on it first."""
 
     connection: DependencyConnection
     cancelled_request: str = ""
@@ -149,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndCall:
-    """Tell the desk how this call ended."""
+    """Effect: report the end of this call to the request coordinator."""
 
     call: DependencyCall
     outcome: RunOutcome
@@ -161,201 +80,207 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """Limits of the calls; times in milliseconds."""
+    """Limits of the dependency calls. Times in milliseconds."""
 
     max_connections: int  # connections open or being opened
     max_waiting: int  # calls that wait for a connection
-    max_idle_ms: float  # a connection idle for longer may be forgotten by the store
-    max_recent_requests: int  # latest requests of a connection, whose calls the store may still answer again
-    grace_ms: float  # past a call's time until it is taken for timed out
+    max_idle_ms: float  # the dependency may have forgotten a connection that was idle for longer
+    max_recent_requests: int  # latest requests of a connection, to whose calls a duplicate reply may come
+    grace_ms: float  # a call is timed out so long after its limit
 
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
-WIRE_BUSY, HEAR_REPLY, HEAR_TAKE, GET_ANSWERED, GET_PUT, STAND_OVER, STAND_WAITING = (
-    DependencyConnectionState.BUSY,
-    DependencyConnectionEvent.REPLY,
-    DependencyConnectionEvent.TAKE,
-    CallEvent.ANSWERED,
-    CallEvent.PUT,
-    CallState.OVER,
-    CallState.WAITING,
-)
+CONNECTION_BUSY = DependencyConnectionState.BUSY
+CONNECTION_REPLY = DependencyConnectionEvent.REPLY
+CONNECTION_TAKE = DependencyConnectionEvent.TAKE
+CALL_ANSWERED = CallEvent.ANSWERED
+CALL_PUT = CallEvent.PUT
+CALL_OVER = CallState.OVER
+CALL_WAITING = CallState.WAITING
 
 
 @dataclass(slots=True)
 class DependencyCalls:
-    """All calls of one server life. `is_quiet` tells whether nothing has come on a connection unasked."""
+    """All dependency calls of one server incarnation, and the pool of connections that carries them.
+
+    Every public method takes one event and returns its effects in order. `is_quiet` returns whether a connection has
+    no unread input. Times are Unix milliseconds.
+    """
 
     limits: CallLimits
     is_quiet: Callable[[DependencyConnection], bool]
-    calls: dict[str, DependencyCall] = field(default_factory=dict)
-    idle: deque[DependencyConnection] = field(default_factory=deque)  # the one used last is taken first
-    waiting: deque[DependencyCall] = field(default_factory=deque)
+    calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request
+    idle: deque[DependencyConnection] = field(default_factory=deque)  # the last one used is used first
+    waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
     connection_count: int = 0  # connections open or being opened
-    serial: int = 0
-    address_epoch: int = 0
+    serial: int = 0  # the number of the last connection
+    address_epoch: int = 0  # counts the changes of address
 
-    # What the server wants.
+    # Requests of the server.
 
     def start_call(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
-        """Make a call. A second call for one request takes the place of the first."""
-        out = self.cancel(id)
-        call = self.calls[id] = DependencyCall(id, body, now, limit_ms)
-        wire = self._trusted(id, now)
-        if wire is not None:
-            return [*out, self._take(wire, call, now)]
+        """Make a call. A second call for one request replaces the first."""
+        effects = self.cancel(id)
+        call = DependencyCall(id, body, now, limit_ms)
+        self.calls[id] = call
+        connection = self._take_idle_connection(id, now)
+        if connection is not None:
+            return [*effects, self._send(connection, call, now)]
         if self.connection_count < self.limits.max_connections:
             self.waiting.append(call)
-            return [*out, self._open()]
+            return [*effects, self._open()]
         if len(self.waiting) < self.limits.max_waiting:
             self.waiting.append(call)
-            return out
-        return out + self._end(call, CallEvent.UNREACHED)  # guards memory against a store that only takes calls
+            return effects
+        # The bound on waiting calls prevents unbounded memory use when the dependency accepts calls and never replies.
+        return effects + self._end(call, CallEvent.UNREACHED)
 
     def cancel(self, id: str) -> list[CallEffect]:
-        """Give up a call that nobody needs. Its connection closes, as its reply may still come, or never."""
+        """Cancel a call that is no longer needed. Its connection closes, as the reply may come late or never."""
         call = self.calls.get(id)
         if call is None:
             return []
-        wire = call.connection
+        connection = call.connection
         self._end(call, CallEvent.GIVEN_UP)
-        return [] if wire is None else [self._spend(wire, DependencyConnectionEvent.DROP, id)]
+        return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, id)]
 
     def change_address(self) -> list[CallEffect]:
-        """New calls go to another address; calls in hand end where they are."""
+        """Send new calls to another address. Calls in flight end at the old one."""
         self.address_epoch += 1
-        return self._retire(float("inf"))
+        return self._close_idle_since_before(float("inf"))
 
-    # What happened.
+    # Events from the network.
 
-    def opened(self, wire: DependencyConnection, now: float) -> list[CallEffect]:
-        """It is connected: the next call that waits may have it."""
-        self._hear(wire, DependencyConnectionEvent.OPENED)
-        return self._free(wire, now)
+    def opened(self, connection: DependencyConnection, now: float) -> list[CallEffect]:
+        """Handle that a connection is open. It carries the next call that waits."""
+        self._step_connection(connection, DependencyConnectionEvent.OPENED)
+        return self._release(connection, now)
 
-    def open_failed(self, wire: DependencyConnection) -> list[CallEffect]:
-        """It could not be opened, so the call that it was opened for never ran."""
-        self._hear(wire, DependencyConnectionEvent.REFUSED)
+    def open_failed(self, connection: DependencyConnection) -> list[CallEffect]:
+        """Handle that a connection could not be opened. The next call that waits ends as unreachable."""
+        self._step_connection(connection, DependencyConnectionEvent.REFUSED)
         self.connection_count -= 1
-        call = self._next()
-        out = [] if call is None else self._end(call, CallEvent.UNREACHED)
-        if (
-            self.waiting and not self.connection_count
-        ):  # guards calls against waiting for a connection that nobody opens
-            out.append(self._open())
-        return out
+        call = self._next_waiting_call()
+        effects = [] if call is None else self._end(call, CallEvent.UNREACHED)
+        # Without any connection left, nothing else would open one for the calls that still wait.
+        if self.waiting and not self.connection_count:
+            effects.append(self._open())
+        return effects
 
     def reply_received(
-        self, wire: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
+        self, connection: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
     ) -> list[CallEffect] | None:
-        """One reply came. None: it was for no call in hand here, such as a second copy."""
-        call = wire.call
-        if wire.state != WIRE_BUSY or call is None or call.id != id:
+        """Handle a reply. Returns None if it belongs to no call in flight here, as a duplicate does."""
+        call = connection.call
+        if connection.state != CONNECTION_BUSY or call is None or call.id != id:
             return None
-        wire.call = None
-        self._hear(wire, HEAR_REPLY)
-        self._step(call, GET_ANSWERED)
-        return [*self._free(wire, now), EndCall(call, outcome, body)]
-
-    def connection_lost(self, wire: DependencyConnection) -> list[CallEffect]:
-        """It is over, by either side. Calls that wait get another in its place."""
-        call, wire.call = wire.call, None
-        if wire in self.idle:
-            self.idle.remove(wire)
-        self._hear(wire, DependencyConnectionEvent.BROKEN)
+        connection.call = None
+        self._step_connection(connection, CONNECTION_REPLY)
+        self._step_call(call, CALL_ANSWERED)
+        return [*self._release(connection, now), EndCall(call, outcome, body)]
+
+    def connection_lost(self, connection: DependencyConnection) -> list[CallEffect]:
+        """Handle that a connection is closed, by either side. If calls wait, another one is opened."""
+        call = connection.call
+        connection.call = None
+        if connection in self.idle:
+            self.idle.remove(connection)
+        self._step_connection(connection, DependencyConnectionEvent.BROKEN)
         self.connection_count -= 1
-        out = [] if call is None else self._end(call, CallEvent.CUT)
+        effects = [] if call is None else self._end(call, CallEvent.CUT)
         if self.waiting and self.connection_count < self.limits.max_connections:
-            out.append(self._open())
-        return out
+            effects.append(self._open())
+        return effects
 
     def expire(self, now: float) -> list[CallEffect]:
-        """Time calls out, and close connections that have been idle for too long to be trusted."""
-        out: list[CallEffect] = []
+        """Time calls out, and close the connections that have been idle for too long."""
+        effects: list[CallEffect] = []
         for call in list(self.calls.values()):
             if now >= call.started_at + call.limit_ms + self.limits.grace_ms:
-                wire = call.connection
-                out += self._end(call, CallEvent.OUT_OF_TIME)
-                if wire is not None:  # guards later calls against a connection that fell silent
-                    out.append(self._spend(wire, DependencyConnectionEvent.DROP))
-        return out + self._retire(now - self.limits.max_idle_ms)
-
-    # How it is carried out.
-
-    def _hear(self, wire: DependencyConnection, event: DependencyConnectionEvent) -> None:
-        wire.state = DEPENDENCY_CONNECTION_TABLE.step(wire.state, event, f"store-{wire.number}").next_state
-
-    def _step(self, call: DependencyCall, event: CallEvent) -> Transition:
-        row = CALL_TABLE.step(call.state, event, call.id)
-        call.state = row.next_state
-        if row.next_state == STAND_OVER:
+                connection = call.connection
+                effects += self._end(call, CallEvent.OUT_OF_TIME)
+                if connection is not None:  # it no longer answers, so no later call may use it
+                    effects.append(self._close(connection, DependencyConnectionEvent.DROP))
+        return effects + self._close_idle_since_before(now - self.limits.max_idle_ms)
+
+    # Steps.
+
+    def _step_connection(self, connection: DependencyConnection, event: DependencyConnectionEvent) -> None:
+        machine_id = f"store-{connection.number}"
+        connection.state = DEPENDENCY_CONNECTION_TABLE.step(connection.state, event, machine_id).next_state
+
+    def _step_call(self, call: DependencyCall, event: CallEvent) -> Transition:
+        transition = CALL_TABLE.step(call.state, event, call.id)
+        call.state = transition.next_state
+        if transition.next_state == CALL_OVER:
             call.connection = None
             if self.calls.get(call.id) is call:
                 del self.calls[call.id]
-        return row
+        return transition
 
     def _end(self, call: DependencyCall, event: CallEvent) -> list[CallEffect]:
-        return [EndCall(call, outcome) for outcome in self._step(call, event).effects]
+        return [EndCall(call, outcome) for outcome in self._step_call(call, event).effects]
 
     def _open(self) -> OpenConnection:
         self.connection_count += 1
         self.serial += 1
-        return OpenConnection(
-            DependencyConnection(self.serial, self.address_epoch, deque(maxlen=self.limits.max_recent_requests))
-        )
-
-    def _take(self, wire: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
-        self._hear(wire, HEAR_TAKE)
-        self._step(call, GET_PUT)
-        wire.call, call.connection = call, wire
-        wire.idle_ms_before_call = now - wire.idle_since if wire.idle_since else 0.0
-        wire.recent_requests.append(call.id)
-        return SendCall(wire, call)
-
-    def _spend(self, wire: DependencyConnection, event: DependencyConnectionEvent, drop: str = "") -> CloseConnection:
-        wire.call = None
-        self._hear(wire, event)
-        return CloseConnection(wire, drop)
-
-    def _trusted(self, id: str, now: float) -> DependencyConnection | None:
-        """An idle connection for this call.
-
-        Guards against connections that the store may have forgotten, and against a second copy of a reply,
-        which would pass for the reply to the same request's next call.
+        recent_requests: deque[str] = deque(maxlen=self.limits.max_recent_requests)
+        return OpenConnection(DependencyConnection(self.serial, self.address_epoch, recent_requests))
+
+    def _send(self, connection: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
+        self._step_connection(connection, CONNECTION_TAKE)
+        self._step_call(call, CALL_PUT)
+        connection.call = call
+        call.connection = connection
+        connection.idle_ms_before_call = now - connection.idle_since if connection.idle_since else 0.0
+        connection.recent_requests.append(call.id)
+        return SendCall(connection, call)
+
+    def _close(
+        self, connection: DependencyConnection, event: DependencyConnectionEvent, cancelled_request: str = ""
+    ) -> CloseConnection:
+        connection.call = None
+        self._step_connection(connection, event)
+        return CloseConnection(connection, cancelled_request)
+
+    def _take_idle_connection(self, id: str, now: float) -> DependencyConnection | None:
+        """Remove an idle connection from the pool for a call of this request, or return None.
+
+        Connections that were idle for too long are not used, as the dependency may have forgotten them. Neither is one
+        that recently carried a call of the same request: a duplicate of that reply would pass for this one.
         """
-        fresh = now - self.limits.max_idle_ms
-        for wire in reversed(self.idle):
-            if wire.idle_since < fresh:
+        idle_since_min = now - self.limits.max_idle_ms
+        for connection in reversed(self.idle):
+            if connection.idle_since < idle_since_min:
                 break
-            if id not in wire.recent_requests and self.is_quiet(wire):
-                self.idle.remove(wire)
-                return wire
+            if id not in connection.recent_requests and self.is_quiet(connection):
+                self.idle.remove(connection)
+                return connection
         return None
 
-    def _next(self) -> DependencyCall | None:
-        """The next call that still waits."""
+    def _next_waiting_call(self) -> DependencyCall | None:
         while self.waiting:
             call = self.waiting.popleft()
-            if call.state == STAND_WAITING:
+            if call.state == CALL_WAITING:
                 return call
         return None
 
-    def _free(self, wire: DependencyConnection, now: float) -> list[CallEffect]:
-        """It carries nothing: the next call that waits may have it."""
-        if wire.address_epoch != self.address_epoch:
-            return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
-        wire.idle_since = now
-        call = self._next()
+    def _release(self, connection: DependencyConnection, now: float) -> list[CallEffect]:
+        """Use a connection that carries no call for the next call that waits, or make it idle."""
+        if connection.address_epoch != self.address_epoch:
+            return [self._close(connection, DependencyConnectionEvent.RETIRE)]
+        connection.idle_since = now
+        call = self._next_waiting_call()
         if call is None:
-            self.idle.append(wire)
+            self.idle.append(connection)
             return []
-        if call.id in wire.recent_requests:  # the connection that takes this one's place will carry it
+        if call.id in connection.recent_requests:  # the connection that replaces this one will carry the call
             self.waiting.appendleft(call)
-            return [self._spend(wire, DependencyConnectionEvent.RETIRE)]
-        return [self._take(wire, call, now)]
-
-    def _retire(self, before: float) -> list[CallEffect]:
-        out: list[CallEffect] = []
-        while self.idle and self.idle[0].idle_since < before:
-            out.append(self._spend(self.idle.popleft(), DependencyConnectionEvent.RETIRE))
-        return out
+            return [self._close(connection, DependencyConnectionEvent.RETIRE)]
+        return [self._send(connection, call, now)]
+
+    def _close_idle_since_before(self, time_ms: float) -> list[CallEffect]:
+        effects: list[CallEffect] = []
+        while self.idle and self.idle[0].idle_since < time_ms:
+            effects.append(self._close(self.idle.popleft(), DependencyConnectionEvent.RETIRE))
+        return effects
--- /dev/null
+++ b/myrtlespar/state_machines/dependency_tables.py
@@ -0,0 +1,95 @@
+"""The transition tables of a connection to the dependency and of a call, and the outcome that each end proves."""
+
+from __future__ import annotations
+
+from enum import IntEnum, auto
+
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.transition_table import Transition, TransitionTable
+
+
+class DependencyConnectionState(IntEnum):
+    """The state of a connection to the dependency."""
+
+    OPENING = 0
+    IDLE = auto()
+    BUSY = auto()  # with one call
+    SPENT = auto()  # a stale reply may still arrive, so it is used for no further call
+    CLOSED = auto()
+
+
+class DependencyConnectionEvent(IntEnum):
+    """What happens to a connection to the dependency."""
+
+    OPENED = 0
+    REFUSED = auto()  # it could not be opened
+    TAKE = auto()  # a call is sent on it
+    REPLY = auto()
+    DROP = auto()  # its call is cancelled or timed out
+    BROKEN = auto()  # closed, by either side
+    RETIRE = auto()  # idle for too long, or at an old address
+
+
+DEPENDENCY_CONNECTION_TABLE = TransitionTable(
+    "wire",
+    DependencyConnectionState,
+    DependencyConnectionEvent,
+    {
+        (DependencyConnectionState.OPENING, DependencyConnectionEvent.OPENED): Transition(
+            DependencyConnectionState.IDLE
+        ),
+        (DependencyConnectionState.OPENING, DependencyConnectionEvent.REFUSED): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.TAKE): Transition(DependencyConnectionState.BUSY),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.RETIRE): Transition(DependencyConnectionState.SPENT),
+        (DependencyConnectionState.IDLE, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.REPLY): Transition(DependencyConnectionState.IDLE),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.DROP): Transition(DependencyConnectionState.SPENT),
+        (DependencyConnectionState.BUSY, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+        (DependencyConnectionState.SPENT, DependencyConnectionEvent.BROKEN): Transition(
+            DependencyConnectionState.CLOSED
+        ),
+    },
+)
+
+
+class CallState(IntEnum):
+    """The state of a dependency call."""
+
+    WAITING = 0  # for a connection: it has not been sent
+    MADE = auto()  # sent
+    OVER = auto()
+
+
+class CallEvent(IntEnum):
+    """What happens to a dependency call."""
+
+    PUT = 0  # sent on a connection
+    ANSWERED = auto()
+    CUT = auto()  # its connection closed
+    UNREACHED = auto()  # no connection could be had
+    OUT_OF_TIME = auto()
+    GIVEN_UP = auto()  # cancelled
+
+
+CALL_TABLE = TransitionTable(
+    "call",
+    CallState,
+    CallEvent,
+    {
+        (CallState.WAITING, CallEvent.PUT): Transition(CallState.MADE),
+        (CallState.WAITING, CallEvent.UNREACHED): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+        (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
+        (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
+        (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
+        # Only a reply can prove that a call never ran.
+        (CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,)),
+        (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
+        (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
+    },
+)
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: the tries that one key links, so that a repeat of a started order never starts again."""
+"""Idempotency keys: link the attempts of one key, so that a retry of a started request never starts it again."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 
 class KeyState(IntEnum):
-    """What a key stands for."""
+    """The state of an idempotency key."""
 
     FREE = 0
-    OWNED = auto()  # by a try that may run; others follow it
-    KNOWN = auto()  # the outcome of a run
+    OWNED = auto()  # by an attempt that may run; further attempts follow it
+    KNOWN = auto()  # the outcome of a run is cached
 
 
 class KeyEvent(IntEnum):
-    """What happens to a key."""
+    """What happens to an idempotency key."""
 
-    TRY = 0
-    FULL_TRY = auto()  # a new key while the table is full
-    CROWDED_TRY = auto()  # one follower too many
-    OUTCOME = auto()
-    NEVER_RAN = auto()
-    OWNER_LEFT = auto()  # before it ran, with followers waiting
-    LAST_LEFT = auto()  # before it ran, nobody waits
-    EXPIRE = auto()
+    TRY = 0  # an attempt arrives
+    FULL_TRY = auto()  # an attempt arrives with a new key while the table is full
+    CROWDED_TRY = auto()  # an attempt arrives, and the key has its maximum of followers
+    OUTCOME = auto()  # the owner ran
+    NEVER_RAN = auto()  # the owner is over and certainly did not run
+    OWNER_LEFT = auto()  # the owner left before it ran, followers wait
+    LAST_LEFT = auto()  # the owner left before it ran, no follower waits
+    EXPIRE = auto()  # the outcome was cached for its whole time
 
 
 class KeyAction(IntEnum):
-    """What follows."""
+    """The effects of a transition."""
 
     OWN = 0
     FOLLOW = auto()
-    ANSWER = auto()  # with the known outcome
-    TURN_AWAY = auto()  # no room: refused, with a time to come back
-    FAIL = auto()  # nothing can be promised: failed
-    SHARE = auto()
-    PROMOTE = auto()
-    DROP = auto()
+    ANSWER = auto()  # with the cached outcome
+    TURN_AWAY = auto()  # no capacity: reject, with Retry-After
+    FAIL = auto()  # fail, as its outcome can't be known
+    SHARE = auto()  # answer the followers too
+    PROMOTE = auto()  # the first follower becomes the owner
+    DROP = auto()  # forget the key
 
 
 KEY_TABLE = TransitionTable(
@@ -62,12 +62,12 @@
     },
 )
 
-KeyId = tuple[int, str]  # class and key
+KeyId = tuple[int, str]  # request class and idempotency key
 
 
 @dataclass(slots=True)
 class KeyEntry:
-    """One key."""
+    """One idempotency key in use: its owner, the followers in order of arrival, and the outcome once it is known."""
 
     state: int
     owner: Exchange | None
@@ -76,91 +76,104 @@
 
 
 class IdempotencyKeyTable:
-    """The table of keys.
+    """All idempotency keys in use.
 
-    `capacity` bounds it, `key_ms` counts from the outcome, `max_followers` bounds the retries that wait for one run.
+    `capacity` bounds the number of keys, `key_ms` is how long an outcome is cached, `max_followers` bounds the
+    retries that wait for one run, and longer answers than `max_result_bytes` are not cached.
     """
 
-    def __init__(self, most: int, key_ms: float, followers: int, result_bytes: int) -> None:
-        self.capacity, self.key_ms, self.max_followers, self.max_result_bytes = most, key_ms, followers, result_bytes
+    def __init__(self, capacity: int, key_ms: float, max_followers: int, max_result_bytes: int) -> None:
+        self.capacity = capacity
+        self.key_ms = key_ms
+        self.max_followers = max_followers
+        self.max_result_bytes = max_result_bytes
         self.entries: dict[KeyId, KeyEntry] = {}
-        self.expiry: deque[tuple[float, KeyId]] = deque()
-        self.awaiting_handover = False  # for the keys of a process before this one: no new key is taken meanwhile
+        self.expiry: deque[tuple[float, KeyId]] = deque()  # times in Unix milliseconds, earliest first
+        self.awaiting_handover = False  # while the keys of an earlier process are awaited, no new key is accepted
 
     def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
-        """What a new try of this key becomes: OWN, FOLLOW, ANSWER (with it), TURN_AWAY or FAIL."""
-        slot = (exchange.class_index, exchange.key)
-        entry = self.entries.get(slot)
+        """Register a new attempt: OWN, FOLLOW, TURN_AWAY, FAIL, or ANSWER with the cached outcome."""
+        key_id = (exchange.class_index, exchange.key)
+        entry = self.entries.get(key_id)
         if entry is None:
-            # Guards against a flood of keys: none is forgotten early.
-            # Guards against a second run beside an old process: no key is taken before its keys came.
+            # A full table rejects new keys, so that a flood of them makes no key expire early. While the keys of an
+            # earlier process are awaited, a new key might be one of them, and its request would run a second time.
             event = KeyEvent.FULL_TRY if self.awaiting_handover or len(self.entries) >= self.capacity else KeyEvent.TRY
-            row = KEY_TABLE.step(KeyState.FREE, event, exchange.key)
-            if row.next_state == KeyState.OWNED:
-                self.entries[slot] = KeyEntry(KeyState.OWNED, exchange)
-            return row.effects[0], None
+            transition = KEY_TABLE.step(KeyState.FREE, event, exchange.key)
+            if transition.next_state == KeyState.OWNED:
+                self.entries[key_id] = KeyEntry(KeyState.OWNED, exchange)
+            return transition.effects[0], None
         crowded = entry.state == KeyState.OWNED and len(entry.followers) >= self.max_followers
-        row = KEY_TABLE.step(entry.state, KeyEvent.CROWDED_TRY if crowded else KeyEvent.TRY, exchange.key)
-        if row.effects[0] == KeyAction.FOLLOW:
+        transition = KEY_TABLE.step(entry.state, KeyEvent.CROWDED_TRY if crowded else KeyEvent.TRY, exchange.key)
+        if transition.effects[0] == KeyAction.FOLLOW:
             entry.followers.append(exchange)
-        return row.effects[0], entry.outcome
+        return transition.effects[0], entry.outcome
 
     def record_outcome(self, exchange: Exchange, answer: Answer, ran: bool, now: float) -> list[Exchange]:
-        """Its owner is over: the tries that share the answer. What never ran frees the key."""
-        slot = (exchange.class_index, exchange.key)
-        entry = self.entries.get(slot)
+        """Record the end of a key's owner, and return the followers that share its answer.
+
+        If it never ran, the key is free again. An attempt that is not the owner of its key changes nothing.
+        """
+        key_id = (exchange.class_index, exchange.key)
+        entry = self.entries.get(key_id)
         if entry is None or entry.owner is not exchange:
             return []
-        row = KEY_TABLE.step(entry.state, KeyEvent.OUTCOME if ran else KeyEvent.NEVER_RAN, exchange.key)
-        sharing, entry.followers = entry.followers, []
-        entry.state, entry.owner = row.next_state, None
-        if row.next_state == KeyState.FREE:
-            del self.entries[slot]
+        transition = KEY_TABLE.step(entry.state, KeyEvent.OUTCOME if ran else KeyEvent.NEVER_RAN, exchange.key)
+        followers = entry.followers
+        entry.followers = []
+        entry.state = transition.next_state
+        entry.owner = None
+        if transition.next_state == KeyState.FREE:
+            del self.entries[key_id]
         else:
-            # Guards memory: long results are not remembered, a late repeat of those is failed.
+            # Long results are not cached, to bound memory; a late retry of such a request fails.
             entry.outcome = answer if len(answer.body) <= self.max_result_bytes else Answer(AnswerKind.FAILED)
-            self.expiry.append((now + self.key_ms, slot))
-        return sharing
+            self.expiry.append((now + self.key_ms, key_id))
+        return followers
 
     def remove_attempt(self, exchange: Exchange) -> Exchange | None:
-        """A try left before it ran. The follower that takes its place, if it was the owner and one waits."""
-        slot = (exchange.class_index, exchange.key)
-        entry = self.entries.get(slot)
+        """Remove an attempt that ended before it ran.
+
+        Returns the follower that becomes the owner of the key, if the attempt was the owner and a follower waits.
+        """
+        key_id = (exchange.class_index, exchange.key)
+        entry = self.entries.get(key_id)
         if entry is None:
             return None
         if entry.owner is not exchange:
-            entry.followers = [one for one in entry.followers if one is not exchange]
+            entry.followers = [follower for follower in entry.followers if follower is not exchange]
             return None
-        row = KEY_TABLE.step(entry.state, KeyEvent.OWNER_LEFT if entry.followers else KeyEvent.LAST_LEFT, exchange.key)
-        entry.state = row.next_state
-        if row.next_state == KeyState.FREE:
-            del self.entries[slot]
+        event = KeyEvent.OWNER_LEFT if entry.followers else KeyEvent.LAST_LEFT
+        transition = KEY_TABLE.step(entry.state, event, exchange.key)
+        entry.state = transition.next_state
+        if transition.next_state == KeyState.FREE:
+            del self.entries[key_id]
             return None
         entry.owner = entry.followers.pop(0)
         return entry.owner
 
     def owns(self, exchange: Exchange) -> bool:
-        """Whether this try is the one that stands for its key."""
+        """Return whether this attempt owns its key."""
         entry = self.entries.get((exchange.class_index, exchange.key))
         return entry is not None and entry.owner is exchange
 
     def known_outcomes(self) -> list[tuple[KeyId, Answer, float]]:
-        """Keys with their outcomes and when they lapse, oldest first: what a successor must not run again."""
+        """Return the keys that a successor process must not run again, with outcome and expiry time, oldest first."""
         return [
-            (slot, entry.outcome, at)
-            for at, slot in self.expiry
-            if (entry := self.entries.get(slot)) is not None and entry.outcome is not None
+            (key_id, entry.outcome, expires_at)
+            for expires_at, key_id in self.expiry
+            if (entry := self.entries.get(key_id)) is not None and entry.outcome is not None
         ]
 
-    def import_outcome(self, slot: KeyId, outcome: Answer, lapses_at: float) -> None:
-        """A key whose outcome an earlier process knew. Taken in the order they lapse, before any key of its own."""
-        if slot not in self.entries and len(self.entries) < self.capacity:
-            self.entries[slot] = KeyEntry(KeyState.KNOWN, None, [], outcome)
-            self.expiry.append((lapses_at, slot))
+    def import_outcome(self, key_id: KeyId, outcome: Answer, expires_at: float) -> None:
+        """Import a key from an earlier process. Call in order of expiry, before any new key is registered."""
+        if key_id not in self.entries and len(self.entries) < self.capacity:
+            self.entries[key_id] = KeyEntry(KeyState.KNOWN, None, [], outcome)
+            self.expiry.append((expires_at, key_id))
 
     def expire(self, now: float) -> None:
-        """Forget outcomes whose time is over."""
+        """Forget the outcomes that were cached for their whole time."""
         while self.expiry and self.expiry[0][0] <= now:
-            slot = self.expiry.popleft()[1]
-            if KEY_TABLE.step(self.entries[slot].state, KeyEvent.EXPIRE, slot[1]).next_state == KeyState.FREE:
-                del self.entries[slot]
+            key_id = self.expiry.popleft()[1]
+            if KEY_TABLE.step(self.entries[key_id].state, KeyEvent.EXPIRE, key_id[1]).next_state == KeyState.FREE:
+                del self.entries[key_id]
--- a/myrtlespar/state_machines/lost_runs.py
+++ b/myrtlespar/state_machines/lost_runs.py
@@ -1,8 +1,8 @@
-"""Runs that the kernel no longer has, told from its own gauge of what wants a core.
+"""Detection of lost runs: runs that the execution engine no longer has, although their end was never reported.
 
-The end of a run can be lost for good: with a kernel that started anew unseen, or with notices that it keeps no
-longer. Such a run would hold its place for ever, and with enough of them nothing would start again. The gauge counts
-every run on the cores and more (reading, checks), so that runs counted here above it, over a whole window, are gone.
+The report of an end can be lost for good, after an unnoticed restart of the engine or when the engine no longer keeps
+it. Such a run would use its capacity for ever, and with enough of them nothing could start. The engine's gauge counts
+at least every run on its cores, so runs counted here in excess of the gauge for a whole window are lost.
 """
 
 from __future__ import annotations
@@ -11,23 +11,24 @@
 
 
 class LostRunDetector:
-    """Compares the runs counted here with the gauge, look by look. Times in milliseconds."""
+    """Compares the number of runs counted here with the gauge of the engine, check by check. Times in milliseconds."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
-        self._since = math.inf  # when the present surplus began
-        self._least = 0.0  # the smallest surplus since then
+        self._surplus_since = math.inf  # when the present surplus began
+        self._min_surplus = 0.0  # the smallest surplus since then
 
     def count_lost(self, now: float, counted: int, gauge: float | None) -> int:
-        """How many of the runs counted are surely gone; `gauge` is None where there is no fresh one."""
+        """Return how many of the runs counted are certainly lost; `gauge` is None if there is no fresh value."""
         surplus = 0.0 if gauge is None else counted - gauge
         if surplus < 1.0:
-            self._since = math.inf
+            self._surplus_since = math.inf
             return 0
-        if math.isinf(self._since):
-            self._since, self._least = now, surplus
-        self._least = min(self._least, surplus)
-        if now - self._since < self._window_ms:
+        if math.isinf(self._surplus_since):
+            self._surplus_since = now
+            self._min_surplus = surplus
+        self._min_surplus = min(self._min_surplus, surplus)
+        if now - self._surplus_since < self._window_ms:
             return 0
-        self._since = math.inf
-        return int(self._least)
+        self._surplus_since = math.inf
+        return int(self._min_surplus)
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -1,4 +1,4 @@
-"""The process as a whole: serving, draining, closing its listeners, flushing its last answers, stopped."""
+"""The lifecycle of the server process: serving, draining, listeners closed, flushing the last answers, stopped."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class ProcessState(IntEnum):
-    """Where the process stands."""
+    """The state of the process."""
 
     SERVING = 0
-    DRAINING = auto()  # the notice came; what arrived within the grace may still run
-    CROSSING = auto()  # listeners are closed; what was read meanwhile is answered
-    FLUSHING = auto()  # the last answers are on their way
+    DRAINING = auto()  # shutdown was announced; requests that arrive within the grace period may still run
+    CROSSING = auto()  # the listeners are closed; requests that crossed the close are answered
+    FLUSHING = auto()  # the last answers are being sent
     STOPPED = auto()
 
 
@@ -21,27 +21,27 @@
 
 
 class ProcessEvent(IntEnum):
-    """What happens to it."""
+    """What happens to the process."""
 
-    NOTICE = 0
+    NOTICE = 0  # the signal for a graceful shutdown
     RELOAD = auto()
-    BAD_RELOAD = auto()
-    EMPTY = auto()  # nothing is owed, and nothing that comes now may run
-    KILL_NEAR = auto()
-    CROSSED = auto()  # nothing that crossed the closing listeners is owed any longer
-    FLUSHED = auto()
-    HANDOVER = auto()  # SIGTERM beside a second process: stop listening at once, no drain, answer all read
+    BAD_RELOAD = auto()  # the new configuration is invalid
+    EMPTY = auto()  # no answer is outstanding, and no new request may run
+    KILL_NEAR = auto()  # the time until the kill is nearly used up
+    CROSSED = auto()  # all requests that crossed the close of the listeners are answered
+    FLUSHED = auto()  # the last answers are sent
+    HANDOVER = auto()  # SIGTERM while a second process serves: stop listening at once, answer all that was read
 
 
 class ProcessAction(IntEnum):
-    """What follows."""
+    """The effects of a transition."""
 
-    TELL_POLICY = 0
-    ASK_CLIENTS = auto()  # to send nothing new
-    MOVE_LINKS = auto()
-    NAME_FAULT = auto()
+    TELL_POLICY = 0  # notify the policy of the shutdown
+    ASK_CLIENTS = auto()  # ask clients to send nothing new
+    MOVE_LINKS = auto()  # connect to the upstream addresses of the new configuration
+    NAME_FAULT = auto()  # log why the configuration is invalid
     CLOSE_LISTENERS = auto()
-    FLUSH = auto()  # take nothing more, and end each connection behind its last answer
+    FLUSH = auto()  # accept nothing more, and close each connection after its last answer
     STOP = auto()
 
 
@@ -61,21 +61,16 @@
         (ProcessState.CROSSING, ProcessEvent.HANDOVER): Transition(ProcessState.CROSSING),
         (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
         (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
-        (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(
-            ProcessState.DRAINING
-        ),  # a second notice changes nothing
-        (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(
-            ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)
-        ),  # runs still end over those links
+        (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING),
+        # Runs still end over the new links.
+        (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)),
         (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(
             ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)
         ),
         (ProcessState.DRAINING, ProcessEvent.EMPTY): Transition(ProcessState.CROSSING, _CLOSE),
         (ProcessState.DRAINING, ProcessEvent.KILL_NEAR): Transition(ProcessState.CROSSING, _CLOSE),
         (ProcessState.CROSSING, ProcessEvent.NOTICE): Transition(ProcessState.CROSSING),
-        (ProcessState.CROSSING, ProcessEvent.RELOAD): Transition(
-            ProcessState.CROSSING, (ProcessAction.MOVE_LINKS,)
-        ),  # what is owed still ends over them
+        (ProcessState.CROSSING, ProcessEvent.RELOAD): Transition(ProcessState.CROSSING, (ProcessAction.MOVE_LINKS,)),
         (ProcessState.CROSSING, ProcessEvent.BAD_RELOAD): Transition(
             ProcessState.CROSSING, (ProcessAction.NAME_FAULT,)
         ),
@@ -91,42 +86,57 @@
 
 
 class ProcessLifecycle:
-    """One process. Times are Unix milliseconds."""
+    """The state of the server process and the deadlines of its graceful shutdown.
+
+    Times are Unix milliseconds, durations are milliseconds. `stop_ms` runs from the shutdown signal to the kill; what
+    arrives within `grace_ms` of the signal may still run; `sweep_ms` is the time between two checks for overdue
+    requests; `flush_ms` is reserved for the last answers; `crossing_ms` is how long requests may cross the close of
+    the listeners.
+    """
 
     def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float, crossing_ms: float) -> None:
-        self.stop_ms, self.grace_ms, self.sweep_ms = stop_ms, grace_ms, sweep_ms
-        self.flush_ms, self.crossing_ms = flush_ms, crossing_ms
+        self.stop_ms = stop_ms
+        self.grace_ms = grace_ms
+        self.sweep_ms = sweep_ms
+        self.flush_ms = flush_ms
+        self.crossing_ms = crossing_ms
         self.state: int = ProcessState.SERVING
-        self.average_answer_ms = 0.0  # what the last answers took to hand over, one by one
-        self.notice_at = self.kill_at = self.closed_at = float("inf")
+        self.average_answer_ms = 0.0  # how long delivering one answer took lately
+        self.notice_at = float("inf")  # the shutdown signal
+        self.kill_at = float("inf")
+        self.closed_at = float("inf")  # the close of the listeners
 
     @property
     def draining(self) -> bool:
-        """Whether the notice to leave has come."""
+        """Whether the process has begun to shut down."""
         return self.state != ProcessState.SERVING
 
     def handle(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
-        """An event without a time."""
-        row = PROCESS_TABLE.step(self.state, event, "process")
-        self.state = row.next_state
-        return row.effects
+        """Make one step and return its actions, in order."""
+        transition = PROCESS_TABLE.step(self.state, event, "process")
+        self.state = transition.next_state
+        return transition.effects
 
     def drain_notice(self, now: float) -> tuple[ProcessAction, ...]:
-        """The notice to leave. The first one counts."""
+        """Begin the graceful shutdown. Only the first signal sets the deadlines."""
         if self.state == ProcessState.SERVING:
-            self.notice_at, self.kill_at = now, now + self.stop_ms
+            self.notice_at = now
+            self.kill_at = now + self.stop_ms
         return self.handle(ProcessEvent.NOTICE)
 
     def handover(self, now: float, kill_in_ms: float) -> tuple[ProcessAction, ...]:
-        """SIGTERM while a second process serves beside this one: it is no notice to drain, so nothing is barred
-        and health stays; listeners close now and all that was read is answered before the kill.
+        """Handle SIGTERM while a second process serves beside this one.
+
+        This is not a graceful shutdown: starts are not barred and the health check stays good. The listeners close
+        now, and all that was read is answered before the kill.
         """
         if self.state in (ProcessState.SERVING, ProcessState.DRAINING):
-            self.closed_at, self.kill_at = now, min(self.kill_at, now + kill_in_ms)
+            self.closed_at = now
+            self.kill_at = min(self.kill_at, now + kill_in_ms)
         return self.handle(ProcessEvent.HANDOVER)
 
     def poll(self, now: float, owed: int) -> tuple[ProcessAction, ...]:
-        """Whether the drain may go one stage on."""
+        """Enter the next stage of the shutdown if it is time; `owed` is the number of outstanding answers."""
         if self.state == ProcessState.DRAINING:
             if now > self.notice_at + self.grace_ms and not owed:
                 self.closed_at = now
@@ -141,17 +151,19 @@
         return ()
 
     def may_start(self, arrived: float) -> bool:
-        """Nothing that reached the machine later than the grace after the notice runs, and nothing once the keys
-        are left to the process that takes over.
+        """Return whether a request that arrived at this time may start.
+
+        It may not after the grace period, nor once the idempotency keys are handed to the next process.
         """
         return arrived <= self.notice_at + self.grace_ms and self.state < FLUSHING
 
     def answer_reserve_ms(self, owed: int) -> float:
-        """How long before the kill the last answers are begun. Guards them against being more than the time left
-        takes: a look may come a sweep late, and each answer takes its hand-over and as much again to decide on.
+        """Return how long before the kill the outstanding answers must be begun.
+
+        A check may come one sweep late, and each answer takes its delivery and as long again to decide on.
         """
         return 2 * self.sweep_ms + 2 * self.average_answer_ms * owed
 
     def answer_deadline(self, owed: int = 0) -> float:
-        """When so many that are owed must be answered, whatever their own due time."""
+        """Return when this many outstanding answers must be given, whatever their own due times."""
         return self.kill_at - self.answer_reserve_ms(owed)
--- /dev/null
+++ b/myrtlespar/state_machines/request_effects.py
@@ -0,0 +1,48 @@
+"""The typed inputs and outputs of the request tracker: its settings, the effects it returns, and its fixed answers."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.attempts import AttemptAction
+
+FAILED = Answer(AnswerKind.FAILED)
+LATE = Answer(AnswerKind.FAILED, late=True)
+NEVER_RAN = Answer(AnswerKind.FAILED, headers=())  # compared by identity: the execution engine began nothing
+
+
+class RequestEffect(NamedTuple):
+    """One effect for the request coordinator to carry out. Fields that an action does not use keep their default."""
+
+    action: AttemptAction
+    exchange: Exchange
+    answer: Answer | None = None
+    outcome: RunOutcome = RunOutcome.OK
+    duration_ms: float = 0.0  # elapsed time, or the time limit of a call
+    body: bytes = b""
+
+
+class EventDetails(NamedTuple):
+    """The values that come with an event. Fields that an event does not use keep their default."""
+
+    answer: Answer | None = None
+    outcome: RunOutcome = RunOutcome.OK
+    duration_ms: float = 0.0  # elapsed time, or the time limit of a call
+    body: bytes = b""
+
+
+NO_DETAILS = EventDetails()
+
+
+@dataclass(frozen=True, slots=True)
+class RequestTerms:
+    """The settings of the request tracker. Times in milliseconds."""
+
+    client_timeout_ms: Sequence[float]  # by request class: due so long after the arrival
+    effectful: Sequence[bool]  # by request class: must not run twice
+    overdue_ms: float  # an attempt is failed so long after its due time, whatever else was decided
+    retry_after_ms: float  # Retry-After when the key table is full or a start is too late
--- a/myrtlespar/state_machines/transition_table.py
+++ b/myrtlespar/state_machines/transition_table.py
@@ -1,4 +1,4 @@
-"""Tables of states and events, the form of every machine in this package."""
+"""Transition tables: the common form of every state machine of this package."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Transition(NamedTuple):
-    """What an event does in one state: the state after it, and the effects, in their order."""
+    """The result of one event in one state: the next state, and the effects in the order in which they apply."""
 
     next_state: int
     effects: tuple[Any, ...] = ()
@@ -19,50 +19,61 @@
 
 
 class TransitionTable:
-    """The rows of one machine. All machines of one kind share it; each holds its own state.
+    """All transitions of one kind of machine.
 
-    `watch` is told of every step, who made it, and None for the row of an impossible one. Nothing watches unless
-    a trace was asked for.
+    Every machine of the kind shares the table and holds its own state. `observer`, if set, is called for each step
+    with the table, the name of the machine, its state, the event and the transition (None for an invalid event). It
+    is only set while a trace is recorded.
     """
 
     __slots__ = ("events", "invalid_counts", "name", "observer", "states", "transitions")
 
     def __init__(
-        self, name: str, states: type[IntEnum], events: type[IntEnum], rows: Mapping[tuple[int, int], Transition]
+        self,
+        name: str,
+        states: type[IntEnum],
+        events: type[IntEnum],
+        transitions: Mapping[tuple[int, int], Transition],
     ) -> None:
-        self.name, self.states, self.events = name, states, events
+        self.name = name
+        self.states = states
+        self.events = events
         self.transitions: list[list[Transition | None]] = [
-            [rows.get((state, event)) for event in events] for state in states
+            [transitions.get((state, event)) for event in events] for state in states
         ]
         self.invalid_counts: Counter[str] = Counter()
         self.observer: TransitionObserver | None = None
 
-    def step(self, state: int, event: int, who: str) -> Transition:
-        """The row for this event. Where there is none the state stays, nothing follows, and it is counted."""
-        row = self.transitions[state][event]
-        if row is not None and self.observer is None:
-            return row
+    def step(self, state: int, event: int, machine_id: str) -> Transition:
+        """Return the transition for an event.
+
+        For an invalid event the state stays the same, there are no effects, and the event is counted. `machine_id`
+        only names the machine for the observer.
+        """
+        transition = self.transitions[state][event]
+        if transition is not None and self.observer is None:
+            return transition
         if self.observer is not None:
-            self.observer(self, who, state, event, row)
-        if row is None:
+            self.observer(self, machine_id, state, event, transition)
+        if transition is None:
             self.invalid_counts[f"{self.states(state).name}.{self.events(event).name}"] += 1
             return Transition(state)
-        return row
+        return transition
 
     def defined_transitions(self) -> list[tuple[int, int]]:
-        """All states and events that have a row."""
+        """Return every pair of state and event that has a transition."""
         return [
             (state, event)
-            for state, rows in enumerate(self.transitions)
-            for event, row in enumerate(rows)
-            if row is not None
+            for state, by_event in enumerate(self.transitions)
+            for event, transition in enumerate(by_event)
+            if transition is not None
         ]
 
 
 def report_invalid_transitions(tables: tuple[TransitionTable, ...]) -> dict[str, int]:
-    """Counts of impossible events by `impossible.machine.STATE.EVENT`."""
+    """Return the counts of invalid events, each under the counter name `impossible.MACHINE.STATE.EVENT`."""
     return {
-        f"impossible.{table.name}.{what}": count
+        f"impossible.{table.name}.{state_and_event}": count
         for table in tables
-        for what, count in sorted(table.invalid_counts.items())
+        for state_and_event, count in sorted(table.invalid_counts.items())
     }
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -23,10 +23,12 @@
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.attempts import ATTEMPT_TABLE, AttemptAction, AttemptEvent, AttemptState
-from myrtlespar.state_machines.engine_link import Command, CommandLog, EndRun, LinkState, RequestMark, WriteCommand
+from myrtlespar.state_machines.command_log import Command, CommandLog, EndRun, RequestMark, WriteCommand
+from myrtlespar.state_machines.engine_link import LinkState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessEvent, ProcessLifecycle, ProcessState
-from myrtlespar.state_machines.request_tracker import RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
 REFUSED = Answer(AnswerKind.REFUSED)
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -14,7 +14,7 @@
 
 from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, settings, until
 from myrtlespar.fakes.upstreams import FakeEngine
-from myrtlespar.state_machines.engine_link import NEXT, OLD, RENUMBERED, Command, CommandLog
+from myrtlespar.state_machines.command_log import NEXT, OLD, RENUMBERED, Command, CommandLog
 
 HUGE = "1" + "0" * 400  # a whole number that no float holds
 
