--- /dev/null
+++ b/myrtlespar/coordinator/ports.py
@@ -0,0 +1,37 @@
+"""What the request coordinator needs from the network side: engines that run requests, a dependency, and gauges."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from myrtlespar.exchange import Exchange
+
+
+class ExecutionEngine(Protocol):
+    """Runs requests."""
+
+    def run(self, exchange: Exchange) -> None:
+        """Start a run; its end is reported by `RequestCoordinator.run_ended`."""
+
+    def resume(self, exchange: Exchange, reply: bytes) -> None:
+        """Send a run the reply to the dependency call that it waits for."""
+
+
+class Dependency(Protocol):
+    """Answers the calls that runs make."""
+
+    def call(self, id: str, limit_ms: float, body: bytes) -> None:
+        """Make a call for a request; its end is reported by `RequestCoordinator.call_ended`."""
+
+    def drop(self, id: str) -> None:
+        """Cancel the call of a request."""
+
+
+class GaugeSource(Protocol):
+    """Provides the gauges of the execution engine for ticks of the policy."""
+
+    def request_gauges(self) -> None:
+        """Request fresh values."""
+
+    def latest(self, now: float) -> list[float]:
+        """Return the latest values, in the order of the settings, or an empty list if they are stale."""
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -92,7 +92,7 @@
             )
         )
 
-    def ask(self) -> None:
+    def request_gauges(self) -> None:
         """Ask for the gauges; the answer also proves that all before it was read."""
         self._carry(self.book.request_gauges())
 
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -1,16 +1,18 @@
-"""The core: drives desk and policy, carries out what they say through narrow ports. It knows no wire."""
+"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format."""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Sequence
-from typing import Protocol
 
 import gevent
 import structlog
 from gevent.event import Event
 
 from myrtlespar.admin.commands import AdminCommands, MetricsSnapshot
+from myrtlespar.coordinator.effect_executor import EffectExecutor
+from myrtlespar.coordinator.lost_run_search import LostRunSearch
+from myrtlespar.coordinator.ports import Dependency, ExecutionEngine, GaugeSource
+from myrtlespar.coordinator.tick_schedule import TickSchedule
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
@@ -21,216 +23,196 @@
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.attempts import AWAITING_ANSWER, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
-from myrtlespar.state_machines.lost_runs import LostRunDetector
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_effects import RequestTerms
 from myrtlespar.state_machines.request_tracker import RequestTracker
-from myrtlespar.state_machines.transition_table import report_invalid_transitions as impossible
+from myrtlespar.state_machines.transition_table import report_invalid_transitions
 
 log = structlog.get_logger()
 # Bound once: looking a member up in its class costs as much as a step of a table.
-ENDS = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2}
-DELIVER, START_RUN, MAKE_CALL, RESUME = (
-    AttemptAction.DELIVER,
-    AttemptAction.START_RUN,
-    AttemptAction.MAKE_CALL,
-    AttemptAction.RESUME,
-)
-TELL_ARRIVAL, TELL_GONE, TELL_ENDED = AttemptAction.TELL_ARRIVAL, AttemptAction.TELL_GONE, AttemptAction.TELL_ENDED
-TELL_CALL_NEEDED, TELL_CALL_ENDED = AttemptAction.TELL_CALL_NEEDED, AttemptAction.TELL_CALL_ENDED
-HELD = AttemptState.HELD
-RUNNABLE = "runnable"  # the gauge of all that wants a core
-ANSWER_LEARN = 1 / 16  # weight of the newest answer in what answers take: the time of one is noise
-ANSWER_MOST_MS = 5.0  # of one; an answer takes under 0.3 ms of a whole core
-
-
-class ExecutionEngine(Protocol):
-    """What runs requests."""
-
-    def run(self, exchange: Exchange) -> None:
-        """Start it; the core hears of its end by `ended`."""
-
-    def resume(self, exchange: Exchange, reply: bytes) -> None:
-        """Hand a run the reply to the call it waits for."""
-
-
-class Dependency(Protocol):
-    """What runs call."""
-
-    def call(self, id: str, limit_ms: float, body: bytes) -> None:
-        """Make a call; the core hears of its end by `called`."""
-
-    def drop(self, id: str) -> None:
-        """Nobody needs this call any longer."""
-
-
-class GaugeSource(Protocol):
-    """Where the gauges for ticks come from."""
-
-    def ask(self) -> None:
-        """Ask for fresh ones."""
-
-    def latest(self, now: float) -> list[float]:
-        """The freshest there are, or none."""
+ACTION_DELIVER = AttemptAction.DELIVER
+STATE_HELD = AttemptState.HELD
+DEFAULT_RETRY_AFTER_MS = 1000.0  # where the settings name no maximum
 
 
 class RequestCoordinator:
-    """One greenlet that takes events in batches and acts on what the policy says."""
+    """One greenlet that passes events to the policy in batches and applies its decisions.
+
+    The network side reports events by the methods `submit` to `drain`; their effects are carried out at once, and the
+    events that they cause for the policy are queued for the next batch.
+    """
 
     def __init__(self, settings: api.Settings, seed: int, limits: ResourceLimits, counters: Counters) -> None:
-        self.settings, self.limits, self.counters = settings, limits, counters
+        self.settings = settings
+        self.limits = limits
+        self.counters = counters
         self.policy = Policy(settings, seed)
-        self.engines: dict[str, ExecutionEngine] = {}
-        self.dependency: Dependency | None = None
+        self.engines: dict[str, ExecutionEngine] = {}  # by target; the empty name is the execution engine
         self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
-        self.advertised_value = 1.0  # what is advertised with every answer
+        self.advertised_value = 1.0  # the load hint that goes out with every answer
         self.policy_healthy = True
-        self.admin = AdminCommands()  # the pause that operators ask for on the management address
-        self.answer_counts = [
-            [0, 0, 0] for _ in settings.classes
-        ]  # per class: served, refused, failed, since the start
-        self.engine_run_counts = [0 for _ in settings.classes]  # per class: runs handed to the kernel
+        self.admin = AdminCommands()  # the pause that operators request on the management address
         self.process = ProcessLifecycle(
             limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms, limits.crossing_ms
         )
         self.tracker = RequestTracker(
             RequestTerms(
-                [kind.client_timeout_ms for kind in settings.classes],
-                [kind.effect is not api.Effect.SAFE for kind in settings.classes],
+                [request_class.client_timeout_ms for request_class in settings.classes],
+                [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
                 limits.overdue_ms,
-                settings.max_retry_after_ms or 1000.0,
+                settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
             ),
             IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes),
             self.process,
         )
-        self._lost_runs = LostRunDetector(limits.lost_run_ms)
-        self._mail: list[api.Event | Exchange] = []
+        self._inbox: list[api.Event | Exchange] = []  # for the next batch
+        self._executor = EffectExecutor(len(settings.classes), self.engines, self.process, counters, self._post)
+        self._execute = self._executor.execute_all
+        self._lost_run_search = LostRunSearch(self.tracker, limits.lost_run_ms, settings.gauges)
+        self._ticks = TickSchedule(unix_ms(), limits.gauge_lead_ms)
+        self._next_sweep_at = 0.0
         self._ready = Event()
-        self._wakes: list[tuple[float, int]] = [(unix_ms(), 0)]
-        self._asked = False
-        self._sweep_at = 0.0
-        self._stop = False
+        self._stopping = False
+
+    @property
+    def dependency(self) -> Dependency | None:
+        """The dependency that runs call, if there is one."""
+        return self._executor.dependency
+
+    @dependency.setter
+    def dependency(self, dependency: Dependency | None) -> None:
+        self._executor.dependency = dependency
 
     @property
     def healthy(self) -> bool:
-        """What a health check is told."""
+        """Whether a health check succeeds."""
         return self.admin.is_healthy(self.policy_healthy)
 
+    @property
+    def draining(self) -> bool:
+        """Whether the process has begun to shut down."""
+        return self.process.draining
+
     def metrics_snapshot(self, names: Sequence[str]) -> MetricsSnapshot:
-        """The counts for the management address, taken now."""
+        """Return the present counts for the management address, with these names of the request classes."""
         return MetricsSnapshot(
-            names, [list(row) for row in self.answer_counts], list(self.engine_run_counts), self.tracker.unanswered
+            names,
+            [list(counts) for counts in self._executor.answer_counts],
+            list(self._executor.engine_run_counts),
+            self.tracker.unanswered,
         )
 
-    @property
-    def draining(self) -> bool:
-        """Whether the notice to leave has come."""
-        return self.process.draining
+    def counter_report(self) -> dict[str, int]:
+        """Return all counters, those of invalid transitions included."""
+        return {**self.counters.report(), **report_invalid_transitions(TABLES)}
 
-    # What happened, told by the fronts and back ends.
+    # Events from the network side.
 
     def submit(self, exchange: Exchange) -> bool:
-        """A request was read whole. False: its id is in use, nothing was taken."""
+        """Take a complete request. Returns False, and takes nothing, if its id is in use."""
         effects = self.tracker.submit(exchange)
         if effects is None:
             return False
         self.counters.add(f"in.request.{exchange.front}")
-        if exchange.state != HELD:
+        if exchange.state != STATE_HELD:
             self.counters.add(f"in.repeat.{exchange.front}")
-        self._carry(effects)
+        self._execute(effects)
         return True
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nobody waits for this request any longer."""
+        """Handle that no client waits for this request any longer."""
         if exchange.state in AWAITING_ANSWER:
             self.counters.add(f"answer.gone.{exchange.front}")
-        self._carry(self.tracker.caller_gone(exchange))
+        self._execute(self.tracker.caller_gone(exchange))
 
     def run_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
-        """A run is over; `answer` is its result, or how it failed."""
-        self._carry(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
+        """Handle the end of a run; `answer` is its result, or how it failed."""
+        self._execute(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
 
     def call_needed(self, id: str, body: bytes) -> None:
-        """A run waits for a call."""
-        self._carry(self.tracker.call_needed(id, body))
+        """Handle that a run waits for a dependency call with this body."""
+        self._execute(self.tracker.call_needed(id, body))
 
     def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
-        """A call came back."""
+        """Handle the end of a dependency call."""
         self.counters.add(f"store.{outcome.value.replace(' ', '_')}")
-        self._carry(self.tracker.call_ended(id, outcome, elapsed_ms, reply))
+        self._execute(self.tracker.call_ended(id, outcome, elapsed_ms, reply))
 
     def drain(self) -> bool:
-        """Notice to leave. Whether clients are to be told."""
-        acts = self.process.drain_notice(unix_ms())
-        if ProcessAction.TELL_POLICY in acts:
+        """Begin a graceful shutdown. Returns whether clients have to be notified."""
+        actions = self.process.drain_notice(unix_ms())
+        if ProcessAction.TELL_POLICY in actions:
             self._post(api.Drain(self.process.answer_deadline(self.tracker.unanswered)))
-        return ProcessAction.ASK_CLIENTS in acts
+        return ProcessAction.ASK_CLIENTS in actions
+
+    def fail_unanswered(self) -> None:
+        """Fail all requests that await their answer, as the process ends without the time for a graceful shutdown."""
+        effects = self.tracker.fail_all(unix_ms())
+        if effects:
+            self.counters.add("answer.at_stop", sum(effect.action is ACTION_DELIVER for effect in effects))
+            self._execute(effects)
 
     def _post(self, event: api.Event | Exchange) -> None:
-        self._mail.append(event)
+        """Queue an event for the policy; an exchange stands for its arrival."""
+        self._inbox.append(event)
         self._ready.set()
 
     # The greenlet.
 
     def run(self) -> None:
-        """Take batches until told to stop."""
-        while not self._stop:
-            self._turn()
-            if self._mail:
-                gevent.sleep(0)  # guards against a stream of events that lets nothing else run
+        """Process batches until `stop` is called."""
+        while not self._stopping:
+            self._process_batch()
+            if self._inbox:
+                gevent.sleep(0)  # lets the other greenlets run, also under a stream of events that never ends
             else:
-                self._ready.wait(max(0.0, self._next_turn() - unix_ms()) / 1000.0)
+                self._ready.wait(max(0.0, self._next_batch_at() - unix_ms()) / 1000.0)
             self._ready.clear()
 
-    def _next_turn(self) -> float:
-        """When something is due if nothing happens. Guards against turns that come early and find nothing."""
-        wake = min(at for at, _ in self._wakes)
-        return min(self._sweep_at, wake, math.inf if self._asked else self._ask_at())
-
-    def _ask_at(self) -> float:
-        """When the gauges for the next tick are due; ticks with another token than 0 need none."""
-        return min((at for at, token in self._wakes if not token), default=math.inf) - self.limits.gauge_lead_ms
-
     def stop(self) -> None:
-        """End the greenlet after its present turn."""
-        self._stop = True
+        """End `run` after the present batch."""
+        self._stopping = True
         self._ready.set()
 
-    def _turn(self) -> None:
+    def _next_batch_at(self) -> float:
+        """Return when something is due if no event comes. A batch any earlier would find nothing to do."""
+        return min(self._next_sweep_at, self._ticks.next_due_at())
+
+    def _process_batch(self) -> None:
         now = unix_ms()
         self.counters.add("core.turn")
-        if not self._asked and now >= self._ask_at():
-            self._asked = True
-            if self.gauges:
-                self.gauges.ask()
-        mail, self._mail = self._mail, []
+        if self._ticks.begin_gauge_request(now) and self.gauges:
+            self.gauges.request_gauges()
+        inbox = self._inbox
+        self._inbox = []
         events = [
             self._arrival(item, now) if isinstance(item, Exchange) else item
-            for item in mail
-            if not (isinstance(item, Exchange) and item.state != HELD)
+            for item in inbox
+            if not (isinstance(item, Exchange) and item.state != STATE_HELD)
         ]
-        ticks = [wake for wake in self._wakes if wake[0] <= now]
-        if ticks:
-            self._wakes = [wake for wake in self._wakes if wake[0] > now]
-            self._asked = self._asked and all(token for _, token in ticks)
-            self.counters.add("core.tick", len(ticks))
-            seen = self.gauges.latest(now) if self.gauges else []
-            events.extend(api.Tick(token, seen) for _, token in ticks)
+        tokens = self._ticks.take_due(now)
+        if tokens:
+            self.counters.add("core.tick", len(tokens))
+            gauges = self._latest_gauges(now)
+            events.extend(api.Tick(token, gauges) for token in tokens)
         if events:
             for action in self._decide(now, events):
-                self._act(action, now)
-            if not self._wakes:  # guards against housekeeping that ends for good with one lost tick
-                self._wakes.append((now + self.limits.sweep_ms, 0))
-        if now >= self._sweep_at:
-            self._sweep_at = now + self.limits.sweep_ms
+                self._apply(action, now)
+            if self._ticks.is_empty:  # the policy must get a tick again, even after a fault that lost its request
+                self._ticks.add(now + self.limits.sweep_ms, 0)
+        if now >= self._next_sweep_at:
+            self._next_sweep_at = now + self.limits.sweep_ms
             self._sweep(now)
 
+    def _latest_gauges(self, now: float) -> list[float]:
+        return self.gauges.latest(now) if self.gauges else []
+
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Guards against a fault of the module: the sweep still answers what it leaves open."""
+        """Return the decisions of the policy. If it fails there are none, and the sweep answers the requests."""
         try:
             return self.policy.handle(now, events)
-        except Exception:
+        except Exception:  # a fault of the policy must not end the coordinator, which still owes its answers
             self.counters.add("core.fault")
             log.exception("the module failed", events=len(events))
             return []
@@ -246,17 +228,26 @@
             is_retry=exchange.is_retry,
         )
 
-    def _act(self, action: api.Action, now: float) -> None:
+    def _apply(self, action: api.Action, now: float) -> None:
+        """Apply one decision of the policy on a request."""
         match action:
             case api.Run(id):
-                self._carry(self.tracker.start(id, now))
+                self._execute(self.tracker.start(id, now))
             case api.Reject(id, retry_after_ms, last):
                 answer = Answer(AnswerKind.REFUSED, retry_after_ms=retry_after_ms, last=last)
-                self._carry(self.tracker.reject(id, answer, now))
+                self._execute(self.tracker.reject(id, answer, now))
             case api.Fail(id):
-                self._carry(self.tracker.fail(id, now))
+                self._execute(self.tracker.fail(id, now))
             case api.Call(id, limit_ms):
-                self._carry(self.tracker.start_call(id, limit_ms))
+                self._execute(self.tracker.start_call(id, limit_ms))
+            case api.Keep() | api.Forget():
+                pass  # the tracker links the attempts of one key by itself, from the first one on
+            case _:
+                self._apply_to_server(action, now)
+
+    def _apply_to_server(self, action: api.Action, now: float) -> None:
+        """Apply one decision of the policy that concerns no single request."""
+        match action:
             case api.Advertise(value):
                 self.advertised_value = value
             case api.SetHealth(good, _):
@@ -264,95 +255,18 @@
             case api.CloseIdle(after_ms):
                 self.close_idle(after_ms)
             case api.Wake(after_ms, token):
-                self._wakes.append((now + after_ms, token))
+                self._ticks.add(now + after_ms, token)
             case api.Log(text):
                 log.info("policy", text=text)
-            case api.Keep() | api.Forget():
-                pass  # the desk links the tries of one key by itself, from the first one that is read
-            case _:  # stops, joins and skipped calls: `config` reads no setting that leads to them
+            case _:  # stops, shared runs and skipped calls: `config` reads no setting that leads to them
                 log.error("action not served", action=repr(action))
 
-    def _carry(self, effects: list[RequestEffect]) -> None:
-        """Carry out what the desk says, in its order."""
-        for effect in effects:
-            try:
-                self._carry_out(effect)
-            except Exception:  # guards every other request, and the core itself, against a fault with this one
-                if self.counters.rare("core.effect_fault"):
-                    log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
-
-    def _carry_out(self, effect: RequestEffect) -> None:
-        do, exchange, answer, outcome, ms, body = effect
-        if do is DELIVER:
-            assert answer is not None
-            self.counters.add(f"answer.{answer.kind.value}.{exchange.front}")
-            self.answer_counts[exchange.class_index][ENDS[answer.kind]] += 1
-            began = unix_ms()
-            exchange.deliver(exchange, answer)
-            took = min(ANSWER_MOST_MS, unix_ms() - began)  # guards against a pause that falls into one of them
-            self.process.average_answer_ms += ANSWER_LEARN * (took - self.process.average_answer_ms)
-        elif do is TELL_ARRIVAL:
-            self._post(exchange)
-        elif do is START_RUN:
-            self.counters.add("run.started")
-            if not exchange.target:
-                self.engine_run_counts[exchange.class_index] += 1
-            self.engines[exchange.target].run(exchange)
-        elif do is TELL_ENDED:
-            self._post(api.RunEnded(exchange.id, outcome, ms))
-        elif do is TELL_CALL_NEEDED:
-            self._post(api.CallNeeded(exchange.id))
-        elif do is TELL_CALL_ENDED:
-            self._post(api.CallEnded(exchange.id, outcome, ms))
-        elif do is RESUME:
-            self.engines[exchange.target].resume(exchange, body)
-        elif do is TELL_GONE:
-            self._post(api.CallerGone(exchange.id))
-        elif self.dependency is not None:
-            if do is MAKE_CALL:
-                self.counters.add("store.call")
-                self.dependency.call(exchange.id, ms, exchange.call_body)
-            else:
-                self.dependency.drop(exchange.id)
-
     def _sweep(self, now: float) -> None:
-        """Guards against anything that leaves a request open."""
-        self._end_lost_runs(now)
-        effects = self.tracker.fail_overdue(now)
-        if effects:
-            self.counters.add("answer.overdue", sum(effect.action is DELIVER for effect in effects))
-            self._carry(effects)
-
-    def _end_lost_runs(self, now: float) -> None:
-        """Give back the places of runs that the kernel no longer has. Only of those that nobody waits for: what is
-        owed an answer has its due time.
-        """
-        running, unwanted = self.tracker.runs_on_cores()
-        lost = [
-            x for x in self.tracker.abandoned_runs_at_calls() if now > 2 * x.due_at - x.arrived_at
-        ]  # nothing tells but time
-        if unwanted and RUNNABLE in self.settings.gauges:
-            lost += unwanted[: self._lost_runs.count_lost(now, running, self._runnable(now))]
-        elif unwanted:
-            lost += [x for x in unwanted if now > 2 * x.due_at - x.arrived_at]
-        for exchange in lost:
+        """End lost runs and fail overdue requests, so that no fault elsewhere leaves a request open."""
+        for exchange in self._lost_run_search.find_lost(now, self._latest_gauges(now)):
             self.counters.add("run.lost")
             self.run_ended(exchange.id, RunOutcome.ERROR, 0.0)
-
-    def _runnable(self, now: float) -> float | None:
-        """What wants a core, by the kernel's gauges; None if they do not tell."""
-        if self.gauges is None:
-            return None
-        values, place = self.gauges.latest(now), self.settings.gauges.index(RUNNABLE)
-        return values[place] if place < len(values) else None
-
-    def fail_unanswered(self) -> None:
-        """The process ends: fail all that is still owed an answer. Guards a stop that leaves no time for a drain."""
-        effects = self.tracker.fail_all(unix_ms())
+        effects = self.tracker.fail_overdue(now)
         if effects:
-            self.counters.add("answer.at_stop", sum(effect.action is DELIVER for effect in effects))
-            self._carry(effects)
-
-    def counter_report(self) -> dict[str, int]:
-        """All counts, those of impossible events included."""
-        return {**self.counters.report(), **impossible(TABLES)}
+            self.counters.add("answer.overdue", sum(effect.action is ACTION_DELIVER for effect in effects))
+            self._execute(effects)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from myrtlespar.coordinator.tick_schedule import TickSchedule
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.fakes import FakeDependency, ServerProcess, ThriftClient, exactly, server_process, settings, until
 from myrtlespar.policy.messages import RunOutcome
@@ -415,8 +416,10 @@
 )
 def test_the_core_turns_no_earlier_than_something_is_due(asked: bool, wake: float, turn: float) -> None:
     coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
-    coordinator._sweep_at, coordinator._wakes, coordinator._asked = 1000.0, [(wake, 0)], asked
-    assert coordinator._next_turn() == turn
+    coordinator._next_sweep_at = 1000.0
+    coordinator._ticks = TickSchedule(wake, coordinator.limits.gauge_lead_ms)
+    coordinator._ticks.gauges_requested = asked
+    assert coordinator._next_batch_at() == turn
 
 
 def test_a_fault_of_the_module_leaves_no_request_without_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -429,7 +432,7 @@
     arrived = time.time() * 1000 - 4500
     late = Exchange("a", "thrift", 2, b"", arrived, lambda _, answer: answers.append(answer.kind))
     assert coordinator.submit(late)
-    coordinator._turn()
+    coordinator._process_batch()
     assert answers == [AnswerKind.FAILED]
     assert coordinator.tracker.unanswered == 0
     assert coordinator.counters.report()["core.fault"] == 1
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -88,7 +88,7 @@
         tmp_path,
         "request_coordinator",
         "RequestCoordinator",
-        "_turn",
+        "_process_batch",
         "args[0].counters._counts['in.request.thrift'] > 1",
     )
     with server_process(tmp_path, start=start) as running:
