--- /dev/null
+++ b/tests/test_counterexample_replay.py
@@ -0,0 +1,75 @@
+"""Counterexamples of the model checker: stored ones are validated, and replayed on the real program over sockets."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from myrtlespar.model_checker import command
+from myrtlespar.model_checker.replay_on_process import play
+from myrtlespar.model_checker.scenarios import ALL
+from myrtlespar.model_checker.world import Event
+
+LOST_START = [
+    ("send", 0),
+    ("whole", 0),
+    ("run", "a"),
+    ("read",),
+    ("break",),
+    ("connect",),
+    ("read",),
+    ("hear",),
+    ("end", "a", "PASS"),
+    ("read",),
+    ("hear",),
+]
+RETRIED_KEY = [
+    ("send", 0),
+    ("whole", 0),
+    ("run", "a"),
+    ("read",),
+    ("end", "a", "PASS"),
+    ("hear",),
+    ("send", 1),
+    ("whole", 1),
+    ("run", "b"),
+    ("read",),
+]
+
+
+@pytest.mark.parametrize(
+    ("text", "complaint"),
+    [
+        (": [", "line 1: not YAML"),
+        ("scenario: moon", "scenario: unknown"),
+        ("scenario: once", "events: expected a list"),
+        ("scenario: once\nevents: [[fly, a]]", "event 1: no such event"),
+        ("scenario: once\nevents: [[run, a]]", "event 1: 'run a' can't come here"),
+        ("scenario: once\nevents: [[tick]]\nplant: moon", "plant: no planted bug"),
+    ],
+)
+def test_an_invalid_counterexample_is_reported_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, complaint: str
+) -> None:
+    path = tmp_path / "found.yaml"
+    path.write_text(text)
+    assert command.replay(path, False, "") == command.FAULTY
+    errors = capsys.readouterr().err
+    assert complaint in errors
+    assert errors.count("\n") == 1
+
+
+@pytest.mark.parametrize(
+    ("plant", "scenario", "events", "rule"),
+    [
+        ("orders repeated after a break", "once", LOST_START, "one start a try"),
+        ("key forgotten at its outcome", "quick", RETRIED_KEY, "one start a key"),
+        ("every repeat starts", "quick", [*RETRIED_KEY[:4], *RETRIED_KEY[6:]], "one start a key"),
+    ],
+)
+def test_a_counterexample_shows_on_sockets_with_the_bug_and_only_then(
+    plant: str, scenario: str, events: list[Event], rule: str
+) -> None:
+    assert play(ALL[scenario], events, plant).fell == [rule]
+    assert play(ALL[scenario], events).fell == []
