--- a/myrtlespar/model_checker/mutants.py
+++ b/myrtlespar/model_checker/mutants.py
@@ -175,7 +175,7 @@
         _mutation(
             "crossing leaves with answers owed",
             "process",
-            "crossed = now >= self.closed_at + self.crossing_ms and (not owed)",
+            "crossed = now >= self.closed_at + self.crossing_ms and (not unanswered)",
             "crossed = now >= self.closed_at",
             "fronts",
         ),
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -99,7 +99,7 @@
 _LATE_NEVER = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 
 ATTEMPT_TABLE = TransitionTable(
-    "try",
+    "try",  # the name of an attempt in recorded traces and counters
     AttemptState,
     AttemptEvent,
     {
--- a/myrtlespar/state_machines/dependency_tables.py
+++ b/myrtlespar/state_machines/dependency_tables.py
@@ -31,7 +31,7 @@
 
 
 DEPENDENCY_CONNECTION_TABLE = TransitionTable(
-    "wire",
+    "wire",  # the name of a connection to the dependency in recorded traces and counters
     DependencyConnectionState,
     DependencyConnectionEvent,
     {
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -135,17 +135,17 @@
             self.kill_at = min(self.kill_at, now + kill_in_ms)
         return self.handle(ProcessEvent.HANDOVER)
 
-    def poll(self, now: float, owed: int) -> tuple[ProcessAction, ...]:
-        """Enter the next stage of the shutdown if it is time; `owed` is the number of outstanding answers."""
+    def poll(self, now: float, unanswered: int) -> tuple[ProcessAction, ...]:
+        """Enter the next stage of the shutdown if it is time; `unanswered` counts the outstanding answers."""
         if self.state == ProcessState.DRAINING:
-            if now > self.notice_at + self.grace_ms and not owed:
+            if now > self.notice_at + self.grace_ms and not unanswered:
                 self.closed_at = now
                 return self.handle(ProcessEvent.EMPTY)
             if now > self.kill_at - 2 * self.flush_ms:
                 self.closed_at = now
                 return self.handle(ProcessEvent.KILL_NEAR)
         elif self.state == ProcessState.CROSSING:
-            crossed = now >= self.closed_at + self.crossing_ms and not owed
+            crossed = now >= self.closed_at + self.crossing_ms and not unanswered
             if crossed or now >= self.kill_at:
                 return self.handle(ProcessEvent.CROSSED)
         return ()
@@ -157,13 +157,13 @@
         """
         return arrived <= self.notice_at + self.grace_ms and self.state < FLUSHING
 
-    def answer_reserve_ms(self, owed: int) -> float:
-        """Return how long before the kill the outstanding answers must be begun.
+    def answer_reserve_ms(self, unanswered: int) -> float:
+        """Return how long before the kill this many outstanding answers must be begun.
 
         A check may come one sweep late, and each answer takes its delivery and as long again to decide on.
         """
-        return 2 * self.sweep_ms + 2 * self.average_answer_ms * owed
+        return 2 * self.sweep_ms + 2 * self.average_answer_ms * unanswered
 
-    def answer_deadline(self, owed: int = 0) -> float:
+    def answer_deadline(self, unanswered: int = 0) -> float:
         """Return when this many outstanding answers must be given, whatever their own due times."""
-        return self.kill_at - self.answer_reserve_ms(owed)
+        return self.kill_at - self.answer_reserve_ms(unanswered)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -74,8 +74,8 @@
     assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
     assert process.handover(1200.0, 3700.0) == ()
     assert process.kill_at == 4700.0
-    assert process.poll(1040.0, owed=0) == ()
-    assert process.poll(1060.0, owed=0) == (ProcessAction.FLUSH,)
+    assert process.poll(1040.0, unanswered=0) == ()
+    assert process.poll(1060.0, unanswered=0) == (ProcessAction.FLUSH,)
 
 
 def mgmt_answer(port: int, data: bytes) -> tuple[bytes, float]:
