--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -22,7 +22,17 @@
     "runtime": {"errors", "state_machines"},
     "admin": {"errors"},
     "config": {"errors", "policy", "resource_limits"},
-    "request_coordinator": {"admin", "errors", "exchange", "policy", "resource_limits", "runtime", "state_machines"},
+    "coordinator": {"admin", "errors", "exchange", "policy", "runtime", "state_machines"},
+    "request_coordinator": {
+        "admin",
+        "coordinator",
+        "errors",
+        "exchange",
+        "policy",
+        "resource_limits",
+        "runtime",
+        "state_machines",
+    },
     "handover": {"errors", "exchange", "request_coordinator", "runtime"},
     "net.codec": {"errors", "membership", "quota"},
     "net": {
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,8 +38,8 @@
     assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
     assert process.handover(1200.0, 3700.0) == ()
     assert process.kill_at == 4700.0
-    assert process.poll(1040.0, owed=0) == ()
-    assert process.poll(1060.0, owed=0) == (ProcessAction.FLUSH,)
+    assert process.poll(1040.0, unanswered=0) == ()
+    assert process.poll(1060.0, unanswered=0) == (ProcessAction.FLUSH,)
 
 
 def ends_within(process: subprocess.Popen[bytes], seconds: float) -> bool:
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -93,7 +93,7 @@
         tmp_path,
         "request_coordinator",
         "RequestCoordinator",
-        "_turn",
+        "_process_batch",
         "args[0].counters._counts['in.request.thrift'] > 1",
     )
     with server_process(tmp_path, start=start) as running:
