--- a/myrtlespar/config.py
+++ b/myrtlespar/config.py
@@ -14,7 +14,7 @@
 
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.settings import InvalidSettingError, MissingSettingError, read_settings
+from myrtlespar.policy.settings_reader import InvalidSettingError, MissingSettingError, read_settings
 from myrtlespar.resource_limits import ResourceLimits
 
 Address = tuple[str, int]
--- /dev/null
+++ b/myrtlespar/policy/circuit_breaker.py
@@ -0,0 +1,46 @@
+"""The circuit breaker of the dependency: while most calls fail, a call is skipped but for a trial now and then."""
+
+from __future__ import annotations
+
+from myrtlespar.policy.action_list import ActionList
+from myrtlespar.policy.learning import FAST_WEIGHT
+from myrtlespar.policy.policy_clock import PolicyClock
+
+OPEN_FAILED_PART = 0.5  # part of calls failing at which the call is skipped where that has worth
+
+
+class CircuitBreaker:
+    """Health of the dependency as own calls show it.
+
+    Attributes:
+        is_open: Most calls fail: calls that can be skipped are skipped.
+        failed_part: Part of calls that lately failed.
+        usual_call_ms: For each class how long a good call takes; 0 until one has come back.
+    """
+
+    def __init__(self, classes: int, clock: PolicyClock, actions: ActionList, probe_interval_ms: float) -> None:
+        self._clock = clock
+        self._actions = actions
+        self._probe_interval_ms = probe_interval_ms
+        self._last_call = 0.0
+        self.is_open = False
+        self.failed_part = 0.0
+        self.usual_call_ms = [0.0] * classes
+
+    def note_call(self) -> None:
+        """A call is made; while the breaker is open it is the trial."""
+        self._last_call = self._clock.now
+
+    def note_result(self, cls: int, succeeded: bool, elapsed_ms: float) -> None:
+        """Take in how a call ended, and open or close the breaker."""
+        self.failed_part += FAST_WEIGHT * ((0.0 if succeeded else 1.0) - self.failed_part)
+        if succeeded:
+            usual_ms = self.usual_call_ms[cls]
+            self.usual_call_ms[cls] += (FAST_WEIGHT if usual_ms else 1.0) * (elapsed_ms - usual_ms)
+        if self.is_open != (self.failed_part > OPEN_FAILED_PART):
+            self.is_open = not self.is_open
+            self._actions.log("dependency cut off: calls fail" if self.is_open else "dependency is back")
+
+    def blocks_call(self) -> bool:
+        """Whether the breaker is open and it is not yet time for another trial."""
+        return self.is_open and self._clock.now - self._last_call <= self._probe_interval_ms
--- /dev/null
+++ b/myrtlespar/policy/client_timeouts.py
@@ -0,0 +1,101 @@
+"""How long callers really wait, learned from the deadlines they pass and from when they leave."""
+
+from __future__ import annotations
+
+import math
+
+from myrtlespar.policy.held_request import HeldRequest
+from myrtlespar.policy.learning import FAST_WEIGHT, SURE_RUNS
+from myrtlespar.policy.settings import Settings
+
+AGREEMENT_PART = 0.1  # part of a learned timeout within which departures count as agreeing with it
+MIN_AGREEMENT = 0.4  # part of a caller's departures that must agree before its timeout is believed
+DISAGREEMENT_WEIGHT = 0.3  # of a later departure that does not agree
+MAX_KNOWN_CALLERS = 200  # callers and classes whose timeout is remembered; the oldest goes first
+SAME_WAIT_PART = 0.01  # part by which a passed wait may differ and still be the caller's usual one
+MAX_KNOWN_WAITS = 4  # usual waits of a class that are remembered at a time
+RARE_WAIT_PART = 0.2  # part of the commonest wait's count below which a wait is no first attempt's
+MAX_WAIT_COUNT = 5.0 * SURE_RUNS  # a usual wait counts no more than this, so that a new one can replace it
+
+
+class LearnedTimeout:
+    """When the callers of one kind leave, and what part of their departures agrees."""
+
+    __slots__ = ("agreement", "timeout_ms")
+
+    def __init__(self, timeout_ms: float) -> None:
+        self.timeout_ms = timeout_ms
+        self.agreement = 0.0
+
+
+class UsualWait:
+    """A wait that callers of a class pass with their first attempts, and how often it was seen."""
+
+    __slots__ = ("count", "wait_ms")
+
+    def __init__(self, wait_ms: float) -> None:
+        self.wait_ms = wait_ms
+        self.count = 1.0
+
+
+class ClientTimeouts:
+    """Timeouts of callers, and the usual waits that tell a retry from a first attempt.
+
+    Attributes:
+        timeouts: For each caller and class, what its departures told.
+        usual_waits: For each class the waits that first attempts pass.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self._classes = settings.classes
+        self._is_inner_tier = settings.tier > 0
+        self.timeouts: dict[tuple[int, int], LearnedTimeout] = {}
+        self.usual_waits: list[list[UsualWait]] = [[] for _ in settings.classes]
+
+    def timeout_ms(self, request: HeldRequest) -> float:
+        """How long the caller of this request waits for its class; infinity if that is not known."""
+        known = self.timeouts.get((request.sender, request.class_index))
+        return known.timeout_ms if known is not None and known.agreement > MIN_AGREEMENT else math.inf
+
+    def learn_departure(self, request: HeldRequest, now: float) -> None:
+        """Learn how long a caller waits for a class, where its departures agree: a low quantile of their ages.
+
+        Callers may give up before the latency objective; scattered departures (copies answered elsewhere)
+        never agree and change nothing.
+        """
+        age_ms = max(1.0, now - request.arrived)
+        key = (request.sender, request.class_index)
+        known = self.timeouts.get(key)
+        if known is None:
+            known = self.timeouts[key] = LearnedTimeout(age_ms)
+        if len(self.timeouts) > MAX_KNOWN_CALLERS:
+            self.timeouts.pop(next(iter(self.timeouts)))
+        agrees = abs(age_ms - known.timeout_ms) < AGREEMENT_PART * known.timeout_ms
+        known.agreement += FAST_WEIGHT * (float(agrees) - known.agreement)
+        weight = 1.0 if age_ms < known.timeout_ms or agrees else DISAGREEMENT_WEIGHT
+        known.timeout_ms += FAST_WEIGHT * (age_ms - known.timeout_ms) * weight
+
+    def retry_age_ms(self, request: HeldRequest, deadline: float) -> float:
+        """How old a retry is, from a wait that no first attempt of its class has: what its caller has left; else 0.
+
+        A retry whose latency objective, counted from the first attempt, has passed must not run. Learned from
+        all callers, as a server may never see one of many twice; each habit has a wait of its own.
+        """
+        if deadline <= 0 or self._is_inner_tier:
+            return 0.0
+        cls = request.class_index
+        wait_ms = deadline - request.arrived
+        waits = self.usual_waits[cls]
+        near = next((usual for usual in waits if abs(wait_ms - usual.wait_ms) <= SAME_WAIT_PART * usual.wait_ms), None)
+        if near is not None:
+            near.count = min(near.count + 1.0, MAX_WAIT_COUNT)
+        elif len(waits) < MAX_KNOWN_WAITS:
+            waits.append(UsualWait(wait_ms))
+        else:
+            for usual in waits:
+                usual.count -= 1.0
+            self.usual_waits[cls] = [usual for usual in waits if usual.count > 0]
+        most = max((usual.count for usual in waits), default=0.0)
+        if (near.count if near is not None else 0.0) <= RARE_WAIT_PART * most - 1.0:
+            return max(0.0, self._classes[cls].client_timeout_ms - wait_ms)
+        return 0.0
--- /dev/null
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -0,0 +1,81 @@
+"""The concurrency limit: how many requests run at once, and how many may be started in all."""
+
+from __future__ import annotations
+
+from myrtlespar.policy.held_request import CALLING, RUNNING, WAITING_FOR_CALL, HeldRequest
+from myrtlespar.policy.policy_clock import PolicyClock
+from myrtlespar.policy.server_capacity import ServerCapacity
+from myrtlespar.policy.settings import Settings
+
+MAX_SURVIVABLE_PART = 0.9  # part of the survivable crowd filled even if every call came back at once
+MAX_LIMIT_PER_CORE = 1.2  # times the cores: the most the limit may reach; more only slows all runs
+READING_LATE_PART = 0.5  # part of the cores that runs may take while arrivals wait unread past O
+LIMIT_RISE = 1.0  # runs that the limit gains in a tick with idle cores and queued work
+LIMIT_FALL = 0.25  # runs that it loses in a tick with all cores busy
+IDLE_BELOW = 0.92  # part of the cores busy below which some idle
+BUSY_ABOVE = 0.99  # part of the cores busy above which all are taken
+
+
+class ConcurrencyLimit:
+    """Runs on the cores and runs that wait for a call, and the limits on both.
+
+    Attributes:
+        limit: Runs that may be on the cores at once. It starts at the cores, its floor.
+        on_cores: Runs that are on the cores or wait for one.
+        at_calls: Runs that wait for a call to the dependency, off the cores.
+        core_clock_ms: Core time that each run on the cores has been given so far.
+    """
+
+    def __init__(self, settings: Settings, cores: int, clock: PolicyClock, capacity: ServerCapacity) -> None:
+        self._settings = settings
+        self._cores = cores
+        self._clock = clock
+        self._capacity = capacity
+        self.limit = float(cores)
+        self.on_cores = 0
+        self.at_calls = 0
+        self.core_clock_ms = 0.0
+
+    def advance(self, step_ms: float) -> None:
+        """Share out the core time of `step_ms`; a standstill of the process gives none."""
+        crowd = max(1.0, (self.on_cores + self._capacity.reading_cores) / self._cores)
+        self.core_clock_ms += min(step_ms, self._clock.max_step_ms) / crowd
+
+    def survivable_crowd(self) -> float:
+        """The crowd on the cores that this server survives, less while it may still be warming up."""
+        settings = self._settings
+        speed = 1.0
+        if settings.cold and settings.warm_up_ms > 0:
+            warmed = (self._clock.now - self._clock.started_at) / settings.warm_up_ms
+            speed = min(1.0, settings.cold_from + (1 - settings.cold_from) * warmed)
+        return (1 + (settings.fall_multiple - 1) * speed) * self._cores
+
+    def adjust(self, busy_part: float, is_work_waiting: bool) -> None:
+        """Move the limit by what a tick told of the cores."""
+        if busy_part < IDLE_BELOW and is_work_waiting:
+            self.limit = min(self.limit + LIMIT_RISE, MAX_LIMIT_PER_CORE * self._cores, self.survivable_crowd())
+        elif busy_part > BUSY_ABOVE:
+            self.limit = max(float(self._cores), self.limit - LIMIT_FALL)
+
+    def running_limit(self, is_reading_late: bool) -> float:
+        """Runs that may be on the cores: fewer while arrivals wait unread, as runs slow reading too."""
+        return READING_LATE_PART * self._cores if is_reading_late else self.limit
+
+    def enter_core(self, request: HeldRequest) -> None:
+        """A run starts."""
+        request.state = RUNNING
+        request.core_clock_start = self.core_clock_ms
+        self.on_cores += 1
+
+    def leave(self, request: HeldRequest) -> None:
+        """A run ends, or leaves its core for a call."""
+        if request.state is RUNNING:
+            self.on_cores -= 1
+            request.core_ms += self.core_clock_ms - request.core_clock_start
+        elif request.state is WAITING_FOR_CALL or request.state is CALLING:
+            self.at_calls -= 1
+
+    def return_to_core(self, request: HeldRequest) -> None:
+        """A run goes on after its call."""
+        self.at_calls -= 1
+        self.enter_core(request)
--- /dev/null
+++ b/myrtlespar/policy/cost_hints.py
@@ -0,0 +1,45 @@
+"""What callers' cost hints are worth: the slope of the cost of own runs over the hints, in logarithms."""
+
+from __future__ import annotations
+
+import math
+
+from myrtlespar.policy.held_request import HeldRequest
+from myrtlespar.policy.learning import FAST_WEIGHT, SLOW_WEIGHT, SURE_RUNS
+
+MAX_LOG_DEVIATION = 4.0  # natural logarithms by which a hint may move a cost either way
+
+
+class CostHints:
+    """Mean hint of each class, and how far hints have told the costs of own runs apart."""
+
+    def __init__(self, classes: int) -> None:
+        self._mean_log_hint = [math.nan] * classes
+        self._hint_variance = 1.0
+        self._hint_cost_covariance = 0.0
+
+    def relative_cost(self, request: HeldRequest) -> float:
+        """Cost as a multiple of the class's mean, as far as hints have told costs of own runs apart.
+
+        In sixteenths, so that sums of them are exact. Without hints or runs it is 1: the ordinary path.
+        """
+        mean = self._mean_log_hint[request.class_index]
+        if math.isnan(request.log_cost_hint) or math.isnan(mean):
+            return 1.0
+        trust = max(0.0, min(self._hint_cost_covariance / self._hint_variance, 1.0))
+        deviation = max(-MAX_LOG_DEVIATION, min(request.log_cost_hint - mean, MAX_LOG_DEVIATION))
+        return max(1.0, round(16 * math.exp(trust * deviation))) / 16
+
+    def learn(self, request: HeldRequest, cost_ratio: float, runs_seen: list[int]) -> None:
+        """Take in that a run cost `cost_ratio` times what was expected of its class."""
+        if math.isnan(request.log_cost_hint):
+            return
+        cls = request.class_index
+        mean = self._mean_log_hint[cls]
+        deviation = 0.0 if math.isnan(mean) else request.log_cost_hint - mean
+        self._mean_log_hint[cls] = request.log_cost_hint if math.isnan(mean) else mean + FAST_WEIGHT * deviation
+        weight = max(SLOW_WEIGHT, 1.0 / (SURE_RUNS + sum(runs_seen)))
+        self._hint_variance += weight * (deviation * deviation - self._hint_variance)
+        self._hint_cost_covariance += weight * (
+            deviation * math.log(max(0.01, cost_ratio)) - self._hint_cost_covariance
+        )
--- /dev/null
+++ b/myrtlespar/policy/delayed_rejection.py
@@ -0,0 +1,76 @@
+"""Delayed rejection: the overload flag with its hysteresis, and the timer T1 of costly requests set aside."""
+
+from __future__ import annotations
+
+from myrtlespar.policy.action_list import ActionList
+from myrtlespar.policy.cost_estimates import CostEstimates
+from myrtlespar.policy.held_request import HeldRequest
+from myrtlespar.policy.learning import FAST_WEIGHT
+from myrtlespar.policy.policy_clock import PolicyClock
+from myrtlespar.policy.priority_queues import PriorityQueues
+
+OVERLOAD_SLACK_PART = 0.25  # O, part of the tightest slack: later answers would start to miss their objective
+ABATEMENT_PART = 0.4  # A, part of O: far enough below it that one burst moves the flag once
+T1_SLACK_PART = 0.75  # T1, part of a request's slack: room for a burst to pass, and for the rejection to be of use
+MIN_OVERLOAD_MARK_MS = 1.0  # a latency objective of nothing still leaves a mark
+UNREAD_DECAY = 0.98  # what a tick leaves of the unread time
+
+
+class DelayedRejection:
+    """Whether this server is overloaded, told from how long work waits.
+
+    Attributes:
+        is_overloaded: The overload flag: it rises when the wait passes O and falls when it is below A.
+        unread_ms: How long arrivals have lately waited before this server read them.
+    """
+
+    def __init__(self, clock: PolicyClock, actions: ActionList, costs: CostEstimates, queues: PriorityQueues) -> None:
+        self._clock = clock
+        self._actions = actions
+        self._costs = costs
+        self._queues = queues
+        self.is_overloaded = False
+        self.unread_ms = 0.0
+
+    def overload_mark_ms(self) -> float:
+        """O: the wait above which this server is overloaded."""
+        return max(MIN_OVERLOAD_MARK_MS, OVERLOAD_SLACK_PART * self._costs.tightest_slack_ms())
+
+    def wait_ms(self, with_set_aside: bool = True) -> float:
+        """Time the work now waiting would need from all cores, and what arrivals waited unread."""
+        return self._queues.core_ms_per_core(with_set_aside) + self.unread_ms
+
+    def note_unread(self, arrived: float) -> None:
+        """Take in how long an arrival waited to be read; a standstill of the process is no queue."""
+        unread_ms = self._clock.now - max(arrived, self._clock.resumed_at)
+        self.unread_ms += FAST_WEIGHT * (max(0.0, unread_ms) - self.unread_ms)
+
+    def decay_unread(self) -> None:
+        """Let the unread time fall while nothing arrives; once a tick."""
+        self.unread_ms *= UNREAD_DECAY
+
+    def is_reading_late(self) -> bool:
+        """Whether arrivals wait unread for longer than O."""
+        return self.unread_ms > self.overload_mark_ms()
+
+    def update_flag(self) -> None:
+        """Raise or lower the overload flag."""
+        wait, mark = self.wait_ms(), self.overload_mark_ms()
+        if not self.is_overloaded and wait > mark:
+            self.is_overloaded = True
+            self._actions.log(f"overload flag up: wait {wait:.0f} ms passed {mark:.0f} ms")
+        elif self.is_overloaded and wait < ABATEMENT_PART * mark:
+            self.is_overloaded = False
+            self._actions.log(f"overload flag down: wait {wait:.0f} ms")
+
+    def set_aside(self, request: HeldRequest, others_have_capacity: bool) -> None:
+        """Set a costly request aside and start its timer T1, a shorter one where others have capacity."""
+        part = T1_SLACK_PART / 3 if others_have_capacity else T1_SLACK_PART
+        slack_ms = max(0.0, self._costs.latest_start(request) - self._clock.now)
+        request.set_aside_until = self._clock.now + part * slack_ms
+        self._queues.set_aside(request)
+
+    def cannot_start_in_time(self, request: HeldRequest) -> bool:
+        """Whether the work that already waits takes most of what is left until the request's latest start."""
+        queue_ms = self.wait_ms() - self.unread_ms
+        return queue_ms > T1_SLACK_PART * (self._costs.latest_start(request) - self._clock.now) > 0
--- /dev/null
+++ b/myrtlespar/policy/final_answers.py
@@ -0,0 +1,119 @@
+"""Final answers other than a run's own result: rejections and failures, and the deadlines that force them."""
+
+from __future__ import annotations
+
+from myrtlespar.policy.deadline_queue import DeadlineQueue
+from myrtlespar.policy.fleet_port import FleetLimitsPort
+from myrtlespar.policy.held_request import (
+    AWAITING_FLEET,
+    CALLING,
+    ENDED,
+    JOINED,
+    NEVER_STARTED_STATES,
+    QUEUED,
+    RUNNING,
+    SET_ASIDE,
+    STARTED_STATES,
+    WAITING_FOR_CALL,
+    HeldRequest,
+)
+from myrtlespar.policy.messages import Fail, Reject, Stop
+from myrtlespar.policy.server_state import ServerState
+
+
+class FinalAnswers:
+    """Answers requests that get no result.
+
+    A request that never started is rejected; one that ran, or joined a run, is failed. Each gets one answer.
+
+    Attributes:
+        due: Requests by their hard deadline.
+        objectives: Runs without late worth, by the end of their latency objective.
+        fleet: Limits of all servers together, or None.
+    """
+
+    def __init__(self, state: ServerState) -> None:
+        self._can_stop = state.settings.can_stop
+        self._max_retry_after_ms = state.settings.max_retry_after_ms
+        self._clock = state.clock
+        self._actions = state.actions
+        self._table = state.table
+        self._memory = state.memory
+        self._keys = state.keys
+        self._quotas = state.quotas
+        self._queues = state.queues
+        self._overload = state.overload
+        self._connections = state.connections
+        self.due = DeadlineQueue()
+        self.objectives = DeadlineQueue()
+        self.fleet: FleetLimitsPort | None = None
+
+    def reject(self, request: HeldRequest, last: bool, after_ms: float = 0.0) -> None:
+        """Reject a request, which must never have run here.
+
+        Args:
+            request: The request.
+            last: The caller shall not try another server: in overload that one would just read it too.
+            after_ms: When a limit of the fleet may have capacity; 0 advises as long as the waiting work needs.
+        """
+        retry_after_ms = after_ms or max(self._overload.wait_ms(), self._overload.overload_mark_ms())
+        is_last = last or (self.fleet is not None and not self.fleet.may_retry())
+        self._actions.append(Reject(request.id, min(self._max_retry_after_ms, retry_after_ms), is_last))
+        self._connections.note_rejected()
+        self._end_waiting(request)
+
+    def fail(self, request: HeldRequest) -> None:
+        """Answer with an error, which promises nothing about effects."""
+        self._actions.append(Fail(request.id))
+        self.close(request)
+
+    def close(self, request: HeldRequest) -> None:
+        """No answer is owed any more; core, call and memory of a run are given back by its end."""
+        if request.state not in STARTED_STATES:
+            self._end_waiting(request)
+            return
+        self._table.mark_answered(request)
+        if self._can_stop and request.state is RUNNING:  # its end follows: never started again, nor rejected
+            self._actions.append(Stop(request.id))
+
+    def stop_waiting(self, request: HeldRequest) -> None:
+        """Take a waiting request off the sums of the queues, its tenant's tokens and the memory of held requests."""
+        self._queues.leave(request)
+        if request.state is QUEUED or request.state is SET_ASIDE:
+            self._quotas.release(request)
+        self._memory.queued_kb -= request.memory_kb
+
+    def fail_useless(self) -> None:
+        """Fail what is past its latency objective, where it waits for a call or can be stopped.
+
+        Runs that nobody can use must not keep cores, memory and crowd, whatever made them late.
+        """
+        while (request := self.objectives.pop_due(self._clock.now)) is not None:
+            at_call = request.state is WAITING_FOR_CALL or request.state is CALLING
+            if (self._can_stop or at_call) and not request.answered:
+                self.fail(request)
+
+    def answer_due(self) -> None:
+        """Keep the hard deadline: what never ran is rejected, what ran or joined a run is failed."""
+        while (request := self.due.pop_due(self._clock.now)) is not None:
+            if request.state is ENDED or request.answered or request.answer_due > self._clock.now:
+                continue
+            if request.state in NEVER_STARTED_STATES:
+                self.reject(request, last=True)
+            else:
+                self.fail(request)
+
+    def bring_forward(self, answers_due_at: float) -> None:
+        """Let no open request be due after `answers_due_at`."""
+        for request in self._table.requests.values():
+            if not request.answered and request.answer_due > answers_due_at:
+                request.answer_due = max(self._clock.now, answers_due_at)
+                self.due.push(request.answer_due, request)
+
+    def _end_waiting(self, request: HeldRequest) -> None:
+        if request.state is not JOINED and request.key_is_kept:
+            self._keys.forget(request)
+        if request.state is AWAITING_FLEET and self.fleet:
+            self.fleet.release(request.id)
+        self.stop_waiting(request)
+        self._table.end(request)
--- /dev/null
+++ b/myrtlespar/policy/idempotency_keys.py
@@ -0,0 +1,47 @@
+"""Retention of idempotency keys: which keys are remembered, for how long, and in how much memory."""
+
+from __future__ import annotations
+
+import heapq
+
+from myrtlespar.policy.action_list import ActionList
+from myrtlespar.policy.held_request import HeldRequest
+from myrtlespar.policy.memory_account import MemoryAccount
+from myrtlespar.policy.messages import Forget, Keep
+from myrtlespar.policy.policy_clock import PolicyClock
+
+
+class IdempotencyKeys:
+    """The keys that are remembered, with the time each expires; every key takes `key_kb` of memory."""
+
+    def __init__(self, key_kb: float, clock: PolicyClock, actions: ActionList, memory: MemoryAccount) -> None:
+        self.key_kb = key_kb
+        self._clock = clock
+        self._actions = actions
+        self._memory = memory
+        self._expiries: list[tuple[float, str]] = []
+        self._remembered: set[str] = set()
+
+    def expire(self, now: float) -> None:
+        """Give back the memory of keys whose time has passed."""
+        while self._expiries and self._expiries[0][0] <= now:
+            self._release(heapq.heappop(self._expiries)[1])
+
+    def keep(self, request: HeldRequest, for_ms: float) -> None:
+        """Remember the key from the first sight on, so that a repeat of a held request is known too."""
+        keep_ms = max(0.0, for_ms)
+        request.key_is_kept = True
+        self._actions.append(Keep(request.id, keep_ms))
+        self._remembered.add(request.id)
+        heapq.heappush(self._expiries, (self._clock.now + keep_ms, request.id))
+        self._memory.used_kb += self.key_kb
+
+    def forget(self, request: HeldRequest) -> None:
+        """Drop the key of a request that never ran: a repeat of it may run."""
+        self._actions.append(Forget(request.id))
+        self._release(request.id)
+
+    def _release(self, key: str) -> None:
+        if key in self._remembered:
+            self._remembered.remove(key)
+            self._memory.used_kb -= self.key_kb
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -1,31 +1,49 @@
-"""The interface of the decision module: its settings, events and actions.
+"""The interface of the overload controller: the events it is told and the actions it answers with.
 
-Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are
-positions in the settings. Nothing here decides anything.
+Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are positions in
+the settings. Nothing here decides anything. The types of the settings and the fleet's port are offered here
+too, so that callers import from one place.
 """
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass, field
-from typing import Protocol
 
-
-class Effect(enum.Enum):
-    """Whether a request may run again."""
-
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
-
-
-class Signal(enum.Enum):
-    """What the advertised value means to callers."""
-
-    NONE = "none"
-    LEVEL = "level"
-    CREDIT = "credit"
-    WEIGHT = "weight"
+from myrtlespar.policy.fleet_port import FleetLimitsPort
+from myrtlespar.policy.settings import Effect, RequestClass, Settings, Signal
+
+__all__ = [
+    "Action",
+    "Advertise",
+    "Arrival",
+    "Call",
+    "CallEnded",
+    "CallNeeded",
+    "CallerGone",
+    "CloseIdle",
+    "Drain",
+    "Effect",
+    "Event",
+    "Fail",
+    "FleetLimitsPort",
+    "Forget",
+    "Keep",
+    "Log",
+    "Reject",
+    "RequestClass",
+    "Reuse",
+    "Run",
+    "RunEnded",
+    "RunOutcome",
+    "SetHealth",
+    "Settings",
+    "Signal",
+    "SkipCall",
+    "Stop",
+    "Tick",
+    "Wake",
+]
 
 
 class RunOutcome(enum.Enum):
@@ -41,60 +59,6 @@
     MOOT = "moot"
 
 
-@dataclass(slots=True)
-class RequestClass:
-    """One class of requests; `degraded_weight` is the part of its worth left without the call."""
-
-    latency_objective_ms: float
-    client_timeout_ms: float
-    priority_weight: float = 1.0
-    late_weight: float = 0.0
-    effect: Effect = Effect.SAFE
-    window_ms: float = 0.0
-    calls: bool = False
-    degraded_weight: float = 0.0
-
-
-@dataclass(slots=True)
-class Settings:
-    """What a server is told when it starts."""
-
-    classes: list[RequestClass]
-    cores: int
-    memory_kb: float
-    tenant_quotas: list[float] = field(default_factory=list)
-    over_quota_weight: float = 1.0
-    servers: int = 1
-    senders: int = 1
-    tier: int = 0
-    cold: bool = False
-    cold_from: float = 1.0
-    warm_up_ms: float = 0.0
-    fall_multiple: float = 2.0
-    fall_ms: float = 1000.0
-    answer_slack_ms: float = 50.0
-    drain_grace_ms: float = 0.0
-    round_ms: float = 1.0
-    run_memory_factor: float = 1.0
-    key_kb: float = 0.0
-    shared_dependency: bool = False
-    calls_share: float = 0.0
-    calls_over_ms: float = 1000.0
-    linger_ms: float = 0.0
-    passes_deadline: bool = False
-    reports_cancellation: bool = False
-    discovery_follows_health: bool = False
-    deep_checks: bool = False
-    signal: Signal = Signal.NONE
-    can_stop: bool = False
-    marks_retries: bool = False
-    weight_by_work: bool = False
-    heeded_ms: float = 1000.0
-    caller_idle_ms: float = 15000.0
-    max_retry_after_ms: float = 0.0
-    gauges: list[str] = field(default_factory=list)
-
-
 @dataclass(slots=True)
 class Arrival:
     """A request was read and is held from now on; an answer is owed."""
@@ -282,37 +246,3 @@
     | Wake
     | Log
 )
-
-
-class FleetLimitsPort(Protocol):
-    """What the policy is told of limits that hold for the whole fleet. Nothing here ever waits."""
-
-    def admit(self, id: str, cls: int, sender: int) -> float:
-        """0: there is room for this request, and it is taken. Otherwise in how many ms there may be."""
-
-    def enqueue(self, id: str, order: float) -> None:
-        """It is held until there is the room that it was just told of; the lowest order is first."""
-
-    def take_ready(self) -> list[str]:
-        """Held ones that may ask for room again now."""
-
-    def next_ready_ms(self) -> float:
-        """In how long the first held one may have room; infinity if that is not known."""
-
-    def reject(self, id: str, after_ms: float) -> float:
-        """It is refused for want of room: when its caller is to come back."""
-
-    def release(self, id: str) -> None:
-        """A run that was given room has ended, or one that was held will never ask again."""
-
-    def admit_call(self, id: str, cls: int) -> bool:
-        """Whether there is room for this run's call to the dependency; if so, it is taken."""
-
-    def release_call(self, id: str, after_ms: float) -> None:
-        """That call is over; the dependency may have it in hand for so long still."""
-
-    def record_attempt(self, again: bool) -> bool:
-        """A first try or a repeat was read. False: the fleet takes no more repeats now."""
-
-    def may_retry(self) -> bool:
-        """Whether a caller that is refused now may be left free to try again."""
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -13,7 +13,7 @@
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.policy import Policy
-from myrtlespar.policy.settings import InvalidSettingError, Json, MissingSettingError, read_settings
+from myrtlespar.policy.settings_reader import InvalidSettingError, Json, MissingSettingError, read_settings
 
 OUTCOMES = {
     100: api.RunOutcome.OK,
--- a/tests/helpers.py
+++ b/tests/policy/policy_server.py
@@ -34,7 +34,7 @@
     return api.Settings(**given)
 
 
-class Server:
+class PolicyServer:
     """Feeds one policy and remembers every action."""
 
     def __init__(self, **changes: Any) -> None:
@@ -59,7 +59,7 @@
         """One arrival."""
         return self.at(now, api.Arrival(id, cls, more.pop("kb", 20.0), **more))
 
-    def said(self, kind: type, id: str = "") -> list[Any]:
+    def actions(self, kind: type, id: str = "") -> list[Any]:
         """All actions so far of one kind, of one request if named."""
         return [a for a in self.log if isinstance(a, kind) and (not id or getattr(a, "id", "") == id)]
 
@@ -67,3 +67,12 @@
 def answers(log: list[api.Action], id: str) -> int:
     """Final answers other than a run's own result."""
     return sum(1 for a in log if isinstance(a, api.Reject | api.Fail) and a.id == id)
+
+
+def overloaded(**changes: object) -> PolicyServer:
+    """A server with all cores taken and the flag up."""
+    server = PolicyServer(cores=2, **changes)
+    for n in range(30):
+        server.arrive(10, f"fill{n}", 0)
+    assert server.policy.overload.is_overloaded
+    return server
--- /dev/null
+++ b/tests/policy/test_delayed_rejection.py
@@ -0,0 +1,54 @@
+"""The overload flag, work set aside, timer T1 and the forced turn."""
+
+from myrtlespar.policy import messages as api
+from myrtlespar.policy.messages import RunOutcome
+from tests.policy.policy_server import PolicyServer, answers, overloaded
+
+
+def test_flag_rises_past_o_and_falls_only_below_a() -> None:
+    server = PolicyServer(cores=2)
+    server.arrive(10, "a")
+    assert not server.policy.overload.is_overloaded
+    server = overloaded()
+    heights = []
+    now = 20.0
+    while server.policy.overload.is_overloaded:
+        run = next(a.id for a in server.actions(api.Run) if a.id in server.policy.table.requests)
+        heights.append(server.policy.overload.wait_ms())
+        now += 10
+        server.at(now, api.RunEnded(run, RunOutcome.OK, 150))
+    assert server.policy.overload.wait_ms() < 0.5 * server.policy.overload.overload_mark_ms() < max(heights)
+
+
+def test_costly_arrival_is_set_aside_and_rejected_only_after_t1_with_advice() -> None:
+    server = overloaded()
+    server.arrive(20, "costly", 1)
+    assert sum(server.policy.queues.set_aside_work) >= 1
+    assert not answers(server.log, "costly")
+    server.at(300)
+    assert not answers(server.log, "costly")
+    server.at(1900)
+    rejections = server.actions(api.Reject, "costly")
+    assert len(rejections) == 1
+    assert rejections[0].retry_after_ms > 0
+
+
+def test_t1_is_cut_to_fit_the_callers_wait() -> None:
+    server = overloaded()
+    server.arrive(20, "hasty", 1, deadline=700.0)
+    server.at(699)
+    assert server.actions(api.Reject, "hasty")
+
+
+def test_cheap_work_runs_first_and_set_aside_work_gets_a_forced_turn() -> None:
+    server = overloaded()
+    server.arrive(20, "costly", 1)
+    order = []
+    now = 20.0
+    for n in range(12):
+        run = next(a.id for a in server.actions(api.Run) if a.id in server.policy.table.requests)
+        now += 1
+        server.at(now, api.RunEnded(run, RunOutcome.OK, 150), api.Arrival(f"cheap{n}", 0, 1.0))
+        order = [a.id for a in server.actions(api.Run)]
+    assert "costly" in order
+    assert order.index("costly") > 5
--- /dev/null
+++ b/tests/policy/test_idempotency_keys.py
@@ -0,0 +1,41 @@
+"""How long idempotency keys are kept, and what becomes of repeats."""
+
+from myrtlespar.policy import messages as api
+from tests.policy.policy_server import PolicyServer
+
+
+def test_key_is_kept_before_its_request_starts_until_the_window_from_arrival() -> None:
+    server = PolicyServer()
+    out = server.arrive(100, "k", 2, waited_ms=40.0)
+    kinds = [type(a) for a in out]
+    assert kinds.index(api.Keep) < kinds.index(api.Run)
+    assert server.actions(api.Keep, "k")[0].for_ms >= 30000 - 40
+
+
+def test_repeat_joins_the_first_try_and_is_never_run_or_rejected() -> None:
+    server = PolicyServer()
+    server.arrive(10, "k", 2)
+    server.arrive(20, "again", 2, prior="k")
+    server.arrive(30, "old", 2, prior="unknown-try")
+    for id in ("again", "old"):
+        assert server.actions(api.Reuse, id)
+        assert not server.actions(api.Run, id)
+    server.at(8000)
+    assert not server.actions(api.Reject, "again")
+    assert len(server.actions(api.Fail, "again")) == 1
+
+
+def test_key_is_forgotten_only_if_it_never_ran() -> None:
+    server = PolicyServer(cores=1)
+    server.arrive(10, "ran", 2)
+    server.arrive(20, "held", 2)
+    server.at(7000)
+    assert server.actions(api.Forget, "held")
+    assert not server.actions(api.Forget, "ran")
+
+
+def test_no_room_for_a_key_means_no_run() -> None:
+    server = PolicyServer(key_kb=1e9)
+    server.arrive(10, "k", 2)
+    assert server.actions(api.Reject, "k")
+    assert not server.actions(api.Run, "k")
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -8,6 +8,7 @@
 
 from myrtlespar.fleet.limits_driver import HELD_MOST, LimitsDriver
 from myrtlespar.fleet.settings import read_fleet
+from myrtlespar.policy.fleet_queue import FLEET_CAPACITY_TOKEN
 from myrtlespar.policy.messages import (
     Arrival,
     Call,
@@ -22,7 +23,7 @@
     Settings,
     Tick,
 )
-from myrtlespar.policy.policy import FOR_ROOM, Policy
+from myrtlespar.policy.policy import Policy
 from myrtlespar.quota.admission_queue import AdmissionQueue
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.retry_budget import RetryBudget, RetryBudgetSettings
@@ -179,7 +180,7 @@
     assert set(port.held) == {"1", "2"}
     assert not [action for action in out if isinstance(action, Reject)]
     port.left = 1  # a window later there is room for one
-    out = one.handle(200.0, [Tick(FOR_ROOM)])
+    out = one.handle(200.0, [Tick(FLEET_CAPACITY_TOKEN)])
     assert [action.id for action in out if isinstance(action, Run)] == ["1"]
     assert set(port.held) == {"2"}
     one.handle(210.0, [CallerGone("2")])
@@ -195,8 +196,8 @@
     assert [a.id for a in out if isinstance(a, Reject)] == ["5"]
     assert not port.held
     assert port.told[-1][0] == "5"
-    assert one.memory == pytest.approx(40.0)
-    assert one.held_kb == 0.0
+    assert one.memory.used_kb == pytest.approx(40.0)
+    assert one.memory.queued_kb == 0.0
 
 
 def test_calls_wait_for_the_pool_and_abandoned_ones_linger_in_it() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.fakes import FakeDependency, ServerProcess, ThriftClient, exactly, server_process, settings, until
 from myrtlespar.policy.messages import RunOutcome
-from myrtlespar.policy.settings import read_settings
+from myrtlespar.policy.settings_reader import read_settings
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.counters import Counters
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -11,6 +11,7 @@
 
 
 IMPURE = {"gevent", "structlog", "socket", "select", "os", "io", "threading", "time", "datetime", "random", "secrets"}
+MAX_MODULE_LINES = 300
 
 
 def imported_modules(path: Path) -> set[str]:
@@ -36,6 +37,13 @@
                 assert name in ("myrtlespar", "myrtlespar.errors") or name.startswith("myrtlespar.policy"), name
 
 
+def test_modules_of_the_policy_are_short() -> None:
+    modules = sorted((ROOT / "myrtlespar" / "policy").rglob("*.py"))
+    assert modules
+    for path in modules:
+        assert len(path.read_text().splitlines()) <= MAX_MODULE_LINES, path.name
+
+
 def test_lines_are_short() -> None:
     for path in sorted((ROOT / "myrtlespar").rglob("*.py")):
         for number, line in enumerate(path.read_text().splitlines(), start=1):
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -39,8 +39,8 @@
                 "give_up_ms": client_timeout_ms,
                 **draw(
                     optional(
-                        priority_weight=numbers,
-                        late_weight=st.floats(0, 1),
+                        worth=numbers,
+                        late_worth=st.floats(0, 1),
                         window_ms=st.sampled_from([0, 80.5, 3000]),
                         aim_stretch=numbers,
                     )
@@ -78,11 +78,11 @@
                     caller_idle_ms=numbers,
                     key_kb=numbers,
                     linger_ms=numbers,
-                    discovery_follows_health=st.booleans(),
+                    list_follows=st.booleans(),
                     passes_deadline=st.booleans(),
                     senders=st.integers(0, 300),
                     signal=st.sampled_from(["floor", "allowance", "weight", "silent", "odd"]),
-                    reports_cancellation=st.booleans(),
+                    tells_gone=st.booleans(),
                 )
             ),
         },
@@ -102,7 +102,7 @@
             optional(
                 areas=st.lists(names),
                 clients=optional(marks_retry=st.booleans()),
-                over_quota_weight=st.floats(0, 1),
+                over_share_worth=st.floats(0, 1),
                 permissions=optional(max_retry_after_ms=numbers, retry_after=st.booleans()),
                 projects=shares,
                 round_ms=numbers,
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -75,7 +75,7 @@
     again = begin()
     again["arrivals"].insert(0, {"type": "halt"})
     host.batch(batch(10, again))
-    assert not host._policies["backend/0"].jobs
+    assert not host._policies["backend/0"].table.requests
 
 
 def test_missing_setting_is_named_in_a_bug() -> None:
