--- a/myrtlespar/policy/circuit_breaker.py
+++ b/myrtlespar/policy/circuit_breaker.py
@@ -6,7 +6,7 @@
 from myrtlespar.policy.learning import FAST_WEIGHT
 from myrtlespar.policy.policy_clock import PolicyClock
 
-OPEN_FAILED_PART = 0.5  # part of calls failing at which the call is skipped where that has worth
+OPEN_FAILED_PART = 0.5  # part of calls failing at which the call is skipped where a degraded result has weight
 
 
 class CircuitBreaker:
--- a/myrtlespar/policy/concurrency_limit.py
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -7,7 +7,7 @@
 from myrtlespar.policy.server_capacity import ServerCapacity
 from myrtlespar.policy.settings import Settings
 
-MAX_SURVIVABLE_PART = 0.9  # part of the survivable crowd filled even if every call came back at once
+MAX_SURVIVABLE_PART = 0.9  # part of the survivable concurrency that is used even if every call came back at once
 MAX_LIMIT_PER_CORE = 1.2  # times the cores: the most the limit may reach; more only slows all runs
 READING_LATE_PART = 0.5  # part of the cores that runs may take while arrivals wait unread past O
 LIMIT_RISE = 1.0  # runs that the limit gains in a tick with idle cores and queued work
@@ -38,11 +38,11 @@
 
     def advance(self, step_ms: float) -> None:
         """Share out the core time of `step_ms`; a standstill of the process gives none."""
-        crowd = max(1.0, (self.on_cores + self._capacity.reading_cores) / self._cores)
-        self.core_clock_ms += min(step_ms, self._clock.max_step_ms) / crowd
+        runs_per_core = max(1.0, (self.on_cores + self._capacity.reading_cores) / self._cores)
+        self.core_clock_ms += min(step_ms, self._clock.max_step_ms) / runs_per_core
 
-    def survivable_crowd(self) -> float:
-        """The crowd on the cores that this server survives, less while it may still be warming up."""
+    def survivable_concurrency(self) -> float:
+        """Runs on the cores at which this server does not break down, fewer while it may still be warming up."""
         settings = self._settings
         speed = 1.0
         if settings.cold and settings.warm_up_ms > 0:
@@ -51,9 +51,9 @@
         return (1 + (settings.fall_multiple - 1) * speed) * self._cores
 
     def adjust(self, busy_part: float, is_work_waiting: bool) -> None:
-        """Move the limit by what a tick told of the cores."""
+        """Move the limit by the part of the cores that was busy in the last tick."""
         if busy_part < IDLE_BELOW and is_work_waiting:
-            self.limit = min(self.limit + LIMIT_RISE, MAX_LIMIT_PER_CORE * self._cores, self.survivable_crowd())
+            self.limit = min(self.limit + LIMIT_RISE, MAX_LIMIT_PER_CORE * self._cores, self.survivable_concurrency())
         elif busy_part > BUSY_ABOVE:
             self.limit = max(float(self._cores), self.limit - LIMIT_FALL)
 
--- a/myrtlespar/policy/cost_hints.py
+++ b/myrtlespar/policy/cost_hints.py
@@ -1,4 +1,4 @@
-"""What callers' cost hints are worth: the slope of the cost of own runs over the hints, in logarithms."""
+"""How far callers' cost hints predict cost: the slope of the cost of own runs over the hints, in logarithms."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CostHints:
-    """Mean hint of each class, and how far hints have told the costs of own runs apart."""
+    """Mean hint of each class, and the covariance of hints with the costs of own runs."""
 
     def __init__(self, classes: int) -> None:
         self._mean_log_hint = [math.nan] * classes
--- a/myrtlespar/policy/delayed_rejection.py
+++ b/myrtlespar/policy/delayed_rejection.py
@@ -11,7 +11,7 @@
 
 OVERLOAD_SLACK_PART = 0.25  # O, part of the tightest slack: later answers would start to miss their objective
 ABATEMENT_PART = 0.4  # A, part of O: far enough below it that one burst moves the flag once
-T1_SLACK_PART = 0.75  # T1, part of a request's slack: room for a burst to pass, and for the rejection to be of use
+T1_SLACK_PART = 0.75  # T1, part of a request's slack: time for a burst to pass, and for the rejection to be of use
 MIN_OVERLOAD_MARK_MS = 1.0  # a latency objective of nothing still leaves a mark
 UNREAD_DECAY = 0.98  # what a tick leaves of the unread time
 
--- a/myrtlespar/policy/dependency_calls.py
+++ b/myrtlespar/policy/dependency_calls.py
@@ -39,11 +39,8 @@
         self._costs = state.costs
         self._concurrency = state.concurrency
         self._answers = answers
-        self._share = (
-            state.settings.calls_share
-            if state.settings.shared_dependency and state.settings.calls_share > 0
-            else math.inf
-        )
+        is_shared = state.settings.shared_dependency and state.settings.calls_share > 0
+        self._share = state.settings.calls_share if is_shared else math.inf
         self._mean_over_ms = max(1.0, state.settings.calls_over_ms / 2)
         self._lingering_until: deque[float] = deque()  # when abandoned calls may leave the dependency's hands
         self.breaker = breaker
@@ -66,8 +63,8 @@
         request.call_retry_at = self._clock.now
         request.call_attempts = 0
         self._concurrency.at_calls += 1
-        has_late_worth = self._settings.classes[request.class_index].late_weight
-        if request.useful_until <= self._clock.now and not has_late_worth and not request.answered:
+        has_late_weight = self._settings.classes[request.class_index].late_weight
+        if request.useful_until <= self._clock.now and not has_late_weight and not request.answered:
             self._answers.fail(request)
             return
         self.waiting.append(request)
@@ -112,7 +109,7 @@
                 self.waiting.append(request)
 
     def _decide(self, request: HeldRequest) -> bool:
-        """Call, or go on without where that has worth and the call is unlikely to help; False to wait."""
+        """Call, or go on without where a degraded result has weight and the call is unlikely to help; False to wait."""
         kind = self._settings.classes[request.class_index]
         if kind.degraded_weight > 0:
             limit_ms = self._skippable_limit_ms(request)
@@ -129,7 +126,7 @@
                 return False
             limit_ms = request.answer_due - self._clock.now
             if not kind.late_weight and self._settings.passes_deadline:
-                limit_ms = request.useful_until - self._clock.now  # what is called is told until when it is useful
+                limit_ms = request.useful_until - self._clock.now  # passed on to the dependency
         self.breaker.note_call()
         request.state = CALLING
         self.in_hand += 1
--- a/myrtlespar/policy/fault_detection.py
+++ b/myrtlespar/policy/fault_detection.py
@@ -42,7 +42,7 @@
         self.is_slowed = False
 
     def restart(self) -> None:
-        """Count stillness of runs from now: they begin, or the whole process stood still."""
+        """Count the time without progress from now: runs begin, or the whole process stood still."""
         self._last_progress = self._clock.now
 
     def note_progress(self) -> None:
--- a/myrtlespar/policy/final_answers.py
+++ b/myrtlespar/policy/final_answers.py
@@ -28,7 +28,7 @@
 
     Attributes:
         due: Requests by their hard deadline.
-        objectives: Runs without late worth, by the end of their latency objective.
+        objectives: Runs without weight for late answers, by the end of their latency objective.
         fleet: Limits of all servers together, or None.
     """
 
@@ -86,7 +86,7 @@
     def fail_useless(self) -> None:
         """Fail what is past its latency objective, where it waits for a call or can be stopped.
 
-        Runs that nobody can use must not keep cores, memory and crowd, whatever made them late.
+        Runs that nobody can use must not keep cores and memory, whatever made them late.
         """
         while (request := self.objectives.pop_due(self._clock.now)) is not None:
             at_call = request.state is WAITING_FOR_CALL or request.state is CALLING
--- a/myrtlespar/policy/fleet_port.py
+++ b/myrtlespar/policy/fleet_port.py
@@ -6,34 +6,34 @@
 
 
 class FleetLimitsPort(Protocol):
-    """What the policy is told of limits that hold for the whole fleet. Nothing here ever waits."""
+    """Limits that hold for the whole fleet, as the policy asks for them. No method blocks; times are in ms."""
 
     def admit(self, id: str, cls: int, sender: int) -> float:
-        """0: there is room for this request, and it is taken. Otherwise in how many ms there may be."""
+        """Acquire capacity for a request: 0 if it was acquired, else in how many ms there may be some."""
 
     def enqueue(self, id: str, order: float) -> None:
-        """It is held until there is the room that it was just told of; the lowest order is first."""
+        """Hold a request that `admit` has just turned down until there may be capacity; the lowest order is first."""
 
     def take_ready(self) -> list[str]:
-        """Held ones that may ask for room again now."""
+        """Return and remove the held requests that may ask `admit` again now."""
 
     def next_ready_ms(self) -> float:
-        """In how long the first held one may have room; infinity if that is not known."""
+        """In how many ms the first held request may have capacity; infinity if that is not known."""
 
     def reject(self, id: str, after_ms: float) -> float:
-        """It is refused for want of room: when its caller is to come back."""
+        """A request is rejected for want of capacity; return after how many ms its caller shall retry."""
 
     def release(self, id: str) -> None:
-        """A run that was given room has ended, or one that was held will never ask again."""
+        """Release the capacity of a run that has ended, or the place of a held request that will never run."""
 
     def admit_call(self, id: str, cls: int) -> bool:
-        """Whether there is room for this run's call to the dependency; if so, it is taken."""
+        """Acquire capacity for a run's call to the dependency; False if there is none."""
 
     def release_call(self, id: str, after_ms: float) -> None:
-        """That call is over; the dependency may have it in hand for so long still."""
+        """Release the capacity of a call that is over after `after_ms`, while the dependency may still have it."""
 
     def record_attempt(self, again: bool) -> bool:
-        """A first try or a repeat was read. False: the fleet takes no more repeats now."""
+        """Record that a first attempt or a retry was read; False if the fleet takes no more retries now."""
 
     def may_retry(self) -> bool:
-        """Whether a caller that is refused now may be left free to try again."""
+        """Whether a caller that is rejected now may retry on another server; takes from the retry budget."""
--- a/myrtlespar/policy/held_request.py
+++ b/myrtlespar/policy/held_request.py
@@ -44,7 +44,7 @@
     Attributes:
         lane: The priority queue it belongs to: twice its class, plus one for work over its tenant's quota.
         answer_due: The hard deadline: an answer is sent by then.
-        useful_until: When its latency objective, or its caller's patience, ends: later answers are of no use.
+        useful_until: When its latency objective, or its caller's learned timeout, ends: later answers are of no use.
         set_aside_until: When delayed rejection (timer T1) rejects it; 0 if it was not set aside.
         relative_cost: Its cost as a multiple of its class's mean, as told by its cost hint.
         core_clock_start: Reading of the core clock when it last went on a core.
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -10,7 +10,7 @@
 LEVEL_RISE_PER_S = 0.5  # per unit of excess wait
 LEVEL_FALL_PER_S = 0.25  # below A
 MAX_EXCESS = 2.0  # units of excess wait that count
-MAX_LEVEL = 0.5  # told less, callers stop sending and hear no better: all servers idle and flood in turns
+MAX_LEVEL = 0.5  # above it callers stop sending and get no newer value: all servers idle and are flooded in turns
 MIN_CHANGE_PART = 0.02  # a value that changed by less is not advertised again
 
 
--- a/myrtlespar/policy/memory_account.py
+++ b/myrtlespar/policy/memory_account.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_QUEUED_PART = 0.35  # part of the memory that held requests may take, so that runs find room
+MAX_QUEUED_PART = 0.35  # part of the memory that held requests may take, so that runs find memory
 MAX_USED_PART = 0.98  # part of the memory used at all; the rest is rounding
 
 
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -1,7 +1,7 @@
-"""The interface of the overload controller: the events it is told and the actions it answers with.
+"""The interface of the overload controller: the events that it takes and the actions that it answers with.
 
 Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are positions in
-the settings. Nothing here decides anything. The types of the settings and the fleet's port are offered here
+the settings. The types of the settings and the fleet's port are offered here
 too, so that callers import from one place.
 """
 
@@ -47,7 +47,10 @@
 
 
 class RunOutcome(enum.Enum):
-    """How a run or a call ended."""
+    """How a run or a call ended.
+
+    REJECTED, UNREACHABLE and MOOT mean that it never ran; ERROR, TIMED_OUT, CUT_OFF and STOPPED promise nothing.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -61,7 +64,19 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request was read and is held from now on; an answer is owed."""
+    """A request was read and is held from now on; an answer is owed.
+
+    Attributes:
+        class_index: Position of its class in the settings.
+        waited_ms: How long it waited before it was read.
+        deadline: When its caller stops waiting, on the policy's clock; 0 if the caller did not say.
+        tenant: Position of its tenant in the settings.
+        sender: The caller that sent it.
+        rank: Its rank as the caller gave it; not used.
+        prior: Id of the request of the same idempotency key that was read before; empty if there is none.
+        is_retry: Marked as a retry by its caller.
+        cost_hint_ms: The caller's guess of its cost; 0 if there is none.
+    """
 
     id: str
     class_index: int
@@ -78,7 +93,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run, or an answer taken from another's result, is over."""
+    """A run, or an answer taken from another request's result, is over."""
 
     id: str
     outcome: RunOutcome
@@ -87,7 +102,7 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run waits, off the cores, until its call is made or skipped."""
+    """A run waits, off the cores, until its call to the dependency is made or skipped."""
 
     id: str
 
@@ -110,14 +125,14 @@
 
 @dataclass(slots=True)
 class Drain:
-    """This server is stopped at `kill_at`."""
+    """This server drains: its process is killed at `kill_at`."""
 
     kill_at: float
 
 
 @dataclass(slots=True)
 class Tick:
-    """A timer came due, with the server's gauges in the order of the settings."""
+    """A timer asked for by `Wake` came due, with the server's gauges in the order of the settings."""
 
     token: int
     gauges: list[float] = field(default_factory=list)
@@ -135,7 +150,12 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: turned away, never ran."""
+    """Final answer: rejected, never ran.
+
+    Attributes:
+        retry_after_ms: When a retry may find capacity; 0 gives no advice.
+        last: The caller shall not try another server.
+    """
 
     id: str
     retry_after_ms: float = 0.0
@@ -151,21 +171,21 @@
 
 @dataclass(slots=True)
 class Stop:
-    """Take a run off its core; once it has its final answer, that ends it."""
+    """Take a run that has its final answer off its core; its end follows as `RunEnded`."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Reuse:
-    """Answer a repeat from the result of the try it repeats."""
+    """Answer a repeat from the result of the request it repeats."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Keep:
-    """Remember a request's key for a time."""
+    """Remember a request's idempotency key for `for_ms`."""
 
     id: str
     for_ms: float
@@ -173,14 +193,14 @@
 
 @dataclass(slots=True)
 class Forget:
-    """Drop a remembered key early."""
+    """Drop a remembered idempotency key early, as its request never ran."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Call:
-    """Make the call that a run waits for."""
+    """Make the call that a run waits for, and wait `limit_ms` for its result."""
 
     id: str
     limit_ms: float
@@ -188,7 +208,7 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Go on without the call, for part of the worth."""
+    """Let a run go on without its call, with a degraded result."""
 
     id: str
 
@@ -202,7 +222,12 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """What health checks are told from now on."""
+    """Set what health checks answer from now on.
+
+    Attributes:
+        good: Whether the server reports itself healthy.
+        from_store: Answer from this value, without a check of the dependency.
+    """
 
     good: bool
     from_store: bool
@@ -210,14 +235,14 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close connections that carried nothing for so long; 0 leaves it to the callers."""
+    """Close connections that carried nothing for `after_ms`; 0 leaves closing them to the callers."""
 
     after_ms: float
 
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for a tick."""
+    """Ask for a `Tick` with this token in `after_ms`."""
 
     after_ms: float
     token: int
--- a/myrtlespar/policy/priority_queues.py
+++ b/myrtlespar/policy/priority_queues.py
@@ -18,7 +18,7 @@
     Attributes:
         queued_work: For each lane the sum of relative costs of queued requests. Exact: see `CostHints`.
         set_aside_work: The same of requests that were set aside.
-        late: Requests past their latency objective whose late answers are still worth something.
+        late: Requests past their latency objective whose late answers still have weight.
     """
 
     def __init__(self, classes: int, cores: int, costs: CostEstimates) -> None:
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -54,9 +54,9 @@
         """
         self._expire()
         concurrency = self._concurrency
-        crowd = concurrency.survivable_crowd() * MAX_SURVIVABLE_PART
+        max_started = concurrency.survivable_concurrency() * MAX_SURVIVABLE_PART
         limit = concurrency.running_limit(self._overload.is_reading_late())
-        while concurrency.on_cores < limit and concurrency.on_cores + concurrency.at_calls + 1 <= crowd:
+        while concurrency.on_cores < limit and concurrency.on_cores + concurrency.at_calls + 1 <= max_started:
             request = self._queues.next_request(self._overload.is_overloaded)
             if request is None:
                 return
@@ -68,7 +68,7 @@
                 self._fleet_queue.hold(self.fleet, request, after_ms, self._give_up_at(request))
             else:
                 self._start(request)
-        if concurrency.on_cores + concurrency.at_calls + 1 > crowd and sum(self._queues.queued_work) > 0:
+        if concurrency.on_cores + concurrency.at_calls + 1 > max_started and sum(self._queues.queued_work) > 0:
             self._log_bound("crowd")
 
     def _start(self, request: HeldRequest) -> None:
@@ -107,9 +107,9 @@
                 self._answers.reject(request, last=True)
 
     def _miss_objective(self, request: HeldRequest) -> None:
-        """Past its objective a request is rejected, unless a late answer has worth and there is no overload."""
-        has_late_worth = self._classes[request.class_index].late_weight > 0
-        if has_late_worth and not self._overload.is_overloaded and self._drain.answers_due_at > request.answer_due:
+        """Past its objective a request is rejected, unless a late answer has weight and there is no overload."""
+        has_late_weight = self._classes[request.class_index].late_weight > 0
+        if has_late_weight and not self._overload.is_overloaded and self._drain.answers_due_at > request.answer_due:
             self._answers.stop_waiting(request)
             self._memory.queued_kb += request.memory_kb
             self._queues.append_late(request)
--- a/myrtlespar/policy/server_capacity.py
+++ b/myrtlespar/policy/server_capacity.py
@@ -47,7 +47,7 @@
         return MAX_EVEN_DEMAND * self._even_share_per_s * self.arrival_gap_ms > 1000.0
 
     def others_have_capacity(self, request: HeldRequest) -> bool:
-        """Whether others likely have room: this one cannot run its even part of the quotas, nor is asked for more.
+        """Whether others likely have capacity: this one cannot run its even part of the quotas, nor is asked for more.
 
         A slow or cold server must not hold what faster ones would serve. Asked for far more, all are taken for
         overloaded; and a retry is not sent on again.
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -1,4 +1,4 @@
-"""What a server is told when it starts: the classes of requests, its capacity and the rules that it keeps.
+"""The settings of a server: the classes of requests, its capacity and the rules that it keeps.
 
 Times are in milliseconds and memory is in kilobytes. Classes and tenants are positions in the lists.
 """
@@ -10,7 +10,7 @@
 
 
 class Effect(enum.Enum):
-    """Whether a request may run again."""
+    """Whether a request may run again: always, under its idempotency key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -28,7 +28,17 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests; `degraded_weight` is the part of its worth left without the call."""
+    """One class of requests.
+
+    Attributes:
+        latency_objective_ms: Answers within this time are useful.
+        client_timeout_ms: Callers wait this long, unless they pass a deadline.
+        priority_weight: What an answer is worth, compared with other classes.
+        late_weight: Part of the weight left for an answer past the latency objective.
+        window_ms: How long its idempotency keys are kept.
+        calls: Its runs call the dependency.
+        degraded_weight: Part of the weight left for a result without the call; 0 if a run cannot do without.
+    """
 
     latency_objective_ms: float
     client_timeout_ms: float
@@ -42,7 +52,33 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a server is told when it starts."""
+    """What the policy of one server goes by; fixed for its life.
+
+    Attributes:
+        memory_kb: Memory for requests, runs and idempotency keys.
+        tenant_quotas: Requests a second of each tenant, over all servers.
+        over_quota_weight: Factor of the priority weight of work over its tenant's quota.
+        senders: Callers that may send here.
+        tier: 0 for the servers that clients call; above, servers that are called by other tiers.
+        cold: The server may be cold at its start, and warms up within `warm_up_ms` from `cold_from` on.
+        fall_multiple: Times the cores: the concurrency at which the server breaks down when warm.
+        answer_slack_ms: How much later than due an answer may be.
+        drain_grace_ms: Arrivals within this time after the notice to drain still run.
+        run_memory_factor: Memory of a run as a multiple of its request's.
+        key_kb: Memory of a remembered idempotency key.
+        calls_share: Calls that this server may have in the shared dependency's hands on average; 0 for no limit.
+        calls_over_ms: Time over which that average is taken.
+        linger_ms: How long the dependency may keep an abandoned call.
+        passes_deadline: Callers pass their deadline, and it is passed on to the dependency.
+        reports_cancellation: Callers that leave are noticed.
+        discovery_follows_health: A server that reports itself unhealthy gets no new requests.
+        can_stop: A run can be taken off its core.
+        marks_retries: Callers mark their retries.
+        weight_by_work: Weight counts for each ms of work and not for each request.
+        caller_idle_ms: After this time callers close idle connections.
+        max_retry_after_ms: The longest Retry-After; 0 gives none.
+        gauges: Names of the gauges that come with each tick.
+    """
 
     classes: list[RequestClass]
     cores: int
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The adapter: reads batches of wire JSON, keeps one policy per instance, writes its actions.
+"""Hosts the overload controller in the simulator: reads batches of JSON, writes the actions of each instance.
 
-It translates and nothing else; what to do is decided in decide.py.
+One line of input is a batch of events of all instances; one line of output has their actions. It translates and
+nothing else: every decision is made in `myrtlespar.policy`.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from myrtlespar.policy.policy import Policy
 from myrtlespar.policy.settings_reader import InvalidSettingError, Json, MissingSettingError, read_settings
 
-OUTCOMES = {
+OUTCOMES_BY_STATUS = {
     100: api.RunOutcome.OK,
     301: api.RunOutcome.ERROR,
     302: api.RunOutcome.REJECTED,
@@ -27,11 +28,12 @@
 }
 
 
-class MalformedInputError(MyrtlesparError):
-    """A line that is not a batch of this wire."""
+HINT_VALID_BIT = 1
+IS_RETRY_BIT = 2
 
 
-HINT_VALID, FURTHER_TRY = 1, 2
+class MalformedInputError(MyrtlesparError):
+    """A line that is not a batch of events."""
 
 
 def _read_arrival(event: Json) -> api.Arrival:
@@ -46,56 +48,60 @@
         sender=event.get("neighbour", 0),
         rank=event.get("rank", 0.0),
         prior=event.get("dup_of") or "",
-        is_retry=bool(bits & FURTHER_TRY),
-        cost_hint_ms=(event.get("hint_ms") or 0.0) if bits & HINT_VALID else 0.0,
+        is_retry=bool(bits & IS_RETRY_BIT),
+        cost_hint_ms=(event.get("hint_ms") or 0.0) if bits & HINT_VALID_BIT else 0.0,
     )
 
 
-READERS: dict[str, Callable[[Json], api.Event]] = {
+EVENT_READERS: dict[str, Callable[[Json], api.Event]] = {
     "accept": _read_arrival,
-    "finished": lambda e: api.RunEnded(e["xid"], OUTCOMES[e["status"]], e.get("elapsed_ms", 0.0)),
-    "wants_call": lambda e: api.CallNeeded(e["xid"]),
-    "returned": lambda e: api.CallEnded(e["xid"], OUTCOMES[e["status"]], e.get("elapsed_ms", 0.0)),
-    "abandoned": lambda e: api.CallerGone(e["xid"]),
-    "drain": lambda e: api.Drain(e["drop_dead_ms"]),
-    "timer": lambda e: api.Tick(e.get("nonce", 0), e.get("feedback") or []),
+    "finished": lambda event: api.RunEnded(
+        event["xid"], OUTCOMES_BY_STATUS[event["status"]], event.get("elapsed_ms", 0.0)
+    ),
+    "wants_call": lambda event: api.CallNeeded(event["xid"]),
+    "returned": lambda event: api.CallEnded(
+        event["xid"], OUTCOMES_BY_STATUS[event["status"]], event.get("elapsed_ms", 0.0)
+    ),
+    "abandoned": lambda event: api.CallerGone(event["xid"]),
+    "drain": lambda event: api.Drain(event["drop_dead_ms"]),
+    "timer": lambda event: api.Tick(event.get("nonce", 0), event.get("feedback") or []),
 }
 
-WRITERS: dict[type, Callable[[Any], Json]] = {
-    api.Run: lambda a: {"type": "start", "xid": a.id},
-    api.Reject: lambda a: {
+ACTION_WRITERS: dict[type, Callable[[Any], Json]] = {
+    api.Run: lambda action: {"type": "start", "xid": action.id},
+    api.Reject: lambda action: {
         "type": "refuse",
-        "xid": a.id,
-        **({"hold_off_ms": round(a.retry_after_ms, 3)} if a.retry_after_ms > 0 else {}),
-        **({"last": True} if a.last else {}),
+        "xid": action.id,
+        **({"hold_off_ms": round(action.retry_after_ms, 3)} if action.retry_after_ms > 0 else {}),
+        **({"last": True} if action.last else {}),
     },
-    api.Fail: lambda a: {"type": "abort", "xid": a.id},
-    api.Stop: lambda a: {"type": "stop", "xid": a.id},
-    api.Reuse: lambda a: {"type": "answer_from", "xid": a.id},
-    api.Keep: lambda a: {"type": "keep", "xid": a.id, "hold_for_ms": round(a.for_ms, 3)},
-    api.Forget: lambda a: {"type": "unpin", "xid": a.id},
-    api.Call: lambda a: {"type": "call_dep", "xid": a.id, "limit_ms": round(a.limit_ms, 3)},
-    api.SkipCall: lambda a: {"type": "do_without", "xid": a.id},
-    api.Advertise: lambda a: {"type": "publish", "amount": round(a.value, 4)},
-    api.SetHealth: lambda a: {
+    api.Fail: lambda action: {"type": "abort", "xid": action.id},
+    api.Stop: lambda action: {"type": "stop", "xid": action.id},
+    api.Reuse: lambda action: {"type": "answer_from", "xid": action.id},
+    api.Keep: lambda action: {"type": "keep", "xid": action.id, "hold_for_ms": round(action.for_ms, 3)},
+    api.Forget: lambda action: {"type": "unpin", "xid": action.id},
+    api.Call: lambda action: {"type": "call_dep", "xid": action.id, "limit_ms": round(action.limit_ms, 3)},
+    api.SkipCall: lambda action: {"type": "do_without", "xid": action.id},
+    api.Advertise: lambda action: {"type": "publish", "amount": round(action.value, 4)},
+    api.SetHealth: lambda action: {
         "type": "status",
-        "on": a.good,
-        **({"light": True} if a.from_store else {}),
+        "on": action.good,
+        **({"light": True} if action.from_store else {}),
     },
-    api.CloseIdle: lambda a: {"type": "idle", "hold_for_ms": round(a.after_ms, 3)},
-    api.Wake: lambda a: {"type": "sleep", "from_now_ms": round(a.after_ms, 3), "nonce": a.token},
-    api.Log: lambda a: {"type": "print", "message": a.text},
+    api.CloseIdle: lambda action: {"type": "idle", "hold_for_ms": round(action.after_ms, 3)},
+    api.Wake: lambda action: {"type": "sleep", "from_now_ms": round(action.after_ms, 3), "nonce": action.token},
+    api.Log: lambda action: {"type": "print", "message": action.text},
 }
 
 
 class PolicyHost:
-    """All instances of one adapter process; they share nothing but this table."""
+    """One policy for each instance; the instances share nothing."""
 
     def __init__(self) -> None:
         self._policies: dict[str, Policy] = {}
 
     def batch(self, batch: Json) -> Json:
-        """Answer one batch of the wire."""
+        """Hand each instance its events, and return the actions of those that have any."""
         now = float(batch["sim_time_ms"])
         replies = []
         for row in batch["backends"]:
@@ -124,16 +130,20 @@
                 settings = read_settings(row.get("params") or {})
                 self._policies[name] = Policy(settings, int(row.get("prng", 0)))
                 events.clear()
-            elif kind in READERS:
-                events.append(READERS[kind](row))
+            elif kind in EVENT_READERS:
+                events.append(EVENT_READERS[kind](row))
         policy = self._policies.get(name)
         if policy is None:
             return []
-        return [WRITERS[type(action)](action) for action in policy.handle(now, events)]
+        return [ACTION_WRITERS[type(action)](action) for action in policy.handle(now, events)]
+
 
+def parse_batch(line: str, number: int) -> Json:
+    """Read one line of input.
 
-def parse(line: str, number: int) -> Json:
-    """Read one line of input, or say plainly what is wrong with it."""
+    Raises:
+        MalformedInputError: The line is not a batch; the text names the line and what is wrong.
+    """
     try:
         batch = json.loads(line)
     except ValueError as error:
@@ -158,16 +168,16 @@
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
-    """Answer every batch with one line until the input ends."""
+    """Answer each line of input with one line of output until the input ends."""
     host = PolicyHost()
     for number, line in enumerate(lines, start=1):
-        reply = host.batch(parse(line, number))
+        reply = host.batch(parse_batch(line, number))
         out.write(json.dumps(reply, separators=(",", ":")) + "\n")
         out.flush()
 
 
 def main() -> int:
-    """Run the adapter on standard input and output."""
+    """Serve standard input and output; returns 1 after malformed input, 0 otherwise."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as error:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,14 @@
 import pytest
 
 from myrtlespar.policy import messages as api
-from myrtlespar.simulator_adapter import READERS, MalformedInputError, PolicyHost, parse, read_settings, serve
+from myrtlespar.policy.settings_reader import read_settings
+from myrtlespar.simulator_adapter import (
+    EVENT_READERS,
+    MalformedInputError,
+    PolicyHost,
+    parse_batch,
+    serve,
+)
 
 ROOT = Path(__file__).parent.parent
 
@@ -120,7 +127,7 @@
 )
 def test_bad_lines_are_named(line: str) -> None:
     with pytest.raises(MalformedInputError, match="input line 4"):
-        parse(line, 4)
+        parse_batch(line, 4)
 
 
 def test_bad_line_ends_the_process_with_one_plain_line() -> None:
@@ -174,7 +181,7 @@
 
 
 def test_hints_and_marks_are_passed_on_only_where_their_bits_say_so() -> None:
-    read = READERS["accept"]
+    read = EVENT_READERS["accept"]
     assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival("a", 0, 10.0, is_retry=True, cost_hint_ms=40.0)
     assert read(arrive("b", bits=4, hint_ms=40.0)) == api.Arrival("b", 0, 10.0)
     assert read(arrive("c", bits=None, hint_ms=None)) == api.Arrival("c", 0, 10.0)
