--- a/myrtlespar/policy/admission.py
+++ b/myrtlespar/policy/admission.py
@@ -67,7 +67,8 @@
 
     def _set_deadlines(self, request: HeldRequest, event: Arrival) -> None:
         """Set the hard deadline, until when an answer is useful, and the cost told by the caller's hint."""
-        now, cls = self._clock.now, request.class_index
+        now = self._clock.now
+        cls = request.class_index
         caller_due = event.deadline if event.deadline > 0 else request.arrived + self._classes[cls].client_timeout_ms
         request.answer_due = min(max(caller_due, now), max(now, self._drain.answers_due_at))
         age_ms = self._client_timeouts.retry_age_ms(request, event.deadline)
--- a/myrtlespar/policy/delayed_rejection.py
+++ b/myrtlespar/policy/delayed_rejection.py
@@ -55,7 +55,8 @@
 
     def update_flag(self) -> None:
         """Raise or lower the overload flag."""
-        wait, mark = self.wait_ms(), self.overload_mark_ms()
+        wait = self.wait_ms()
+        mark = self.overload_mark_ms()
         if not self.is_overloaded and wait > mark:
             self.is_overloaded = True
             self._actions.log(f"overload flag up: wait {wait:.0f} ms passed {mark:.0f} ms")
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -6,6 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from typing import Any
+
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.admission import Admission
 from myrtlespar.policy.circuit_breaker import CircuitBreaker
@@ -66,15 +69,7 @@
             settings.discovery_follows_health, state.actions, state.overload, state.capacity, state.drain
         )
         self._fleet: api.FleetLimitsPort | None = None
-        self._handlers = {
-            api.Arrival: self.admission.arrive,
-            api.RunEnded: self._run_ended,
-            api.Tick: self._tick,
-            api.CallNeeded: self._call_needed,
-            api.CallEnded: self._call_ended,
-            api.CallerGone: self._caller_gone,
-            api.Drain: self._drain,
-        }
+        self._handlers = self._handlers_by_event()
 
     @property
     def fleet(self) -> api.FleetLimitsPort | None:
@@ -95,7 +90,7 @@
             self._start(now)
         self._advance(now)
         for event in events:
-            self._handlers[type(event)](event)  # type: ignore[operator]
+            self._handlers[type(event)](event)
         self.answers.fail_useless()
         self.answers.answer_due()
         self.overload.update_flag()
@@ -112,6 +107,17 @@
             self.fleet_queue.wake_when_ready(self._fleet, self.next_wake)
         return self._actions.take()
 
+    def _handlers_by_event(self) -> dict[type[api.Event], Callable[[Any], None]]:
+        return {
+            api.Arrival: self.admission.arrive,
+            api.RunEnded: self._run_ended,
+            api.Tick: self._tick,
+            api.CallNeeded: self._call_needed,
+            api.CallEnded: self._call_ended,
+            api.CallerGone: self._caller_gone,
+            api.Drain: self._drain,
+        }
+
     def _start(self, now: float) -> None:
         self._clock.start(now)
         self._last_tick = now
--- a/myrtlespar/policy/priority_queues.py
+++ b/myrtlespar/policy/priority_queues.py
@@ -64,7 +64,8 @@
 
     def core_ms_per_core(self, with_set_aside: bool) -> float:
         """Time in ms that the waiting work needs from all cores together."""
-        usual, pace = self._costs.usual_core_ms, self._costs.pace
+        usual = self._costs.usual_core_ms
+        pace = self._costs.pace
         work = sum([amount * (usual[lane >> 1] * pace) for lane, amount in enumerate(self.queued_work)])
         if with_set_aside:
             work += sum([amount * (usual[lane >> 1] * pace) for lane, amount in enumerate(self.set_aside_work)])
--- a/tests/policy/test_client_timeouts.py
+++ b/tests/policy/test_client_timeouts.py
@@ -9,7 +9,8 @@
     for n in range(5):
         server.arrive(10 + n, f"first{n}", 0, deadline=3510.0 + n)
     server.arrive(20, "again", 0, deadline=20.0 + 4800.0)
-    fresh, again = server.policy.table.requests["first4"], server.policy.table.requests["again"]
+    fresh = server.policy.table.requests["first4"]
+    again = server.policy.table.requests["again"]
     assert fresh.useful_until == 14 + 2000
     assert again.useful_until == 20 - 1200 + 2000
 
--- a/tests/policy/test_cost_hints.py
+++ b/tests/policy/test_cost_hints.py
@@ -16,7 +16,8 @@
 
 
 def test_hints_are_trusted_as_far_as_they_told_costs_apart() -> None:
-    good, none = PolicyServer(), PolicyServer()
+    good = PolicyServer()
+    none = PolicyServer()
     run_with_hints(good, {0: 40.0, 1: 400.0})
     run_with_hints(none, {0: 40.0, 1: 40.0})
     for server in (good, none):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -153,7 +153,8 @@
 
 def test_instances_act_alike_together_and_alone() -> None:
     def play(names: list[str]) -> dict[str, list[Any]]:
-        host, seen = PolicyHost(), {name: [] for name in names}
+        host = PolicyHost()
+        seen: dict[str, list[Any]] = {name: [] for name in names}
         for step in range(40):
             rows = [
                 begin(name)
