--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -29,10 +29,11 @@
 class Policy:
     """The controller of one server: feed it events, carry out its actions.
 
-    It hands each event to the parts concerned; these own the state and decide.
+    It hands each event to the parts concerned. These own the state and decide; each is an attribute, and is
+    described in its own module.
 
     Attributes:
-        seed: The seed that the server was given; nothing here is random so far.
+        seed: The seed that the server was given; no decision is random.
         next_wake: When the next housekeeping tick was asked for, in ms.
     """
 
@@ -85,7 +86,15 @@
         self.dependency.fleet = limits
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take what happened up to `now` (ms), return what to do about it in the order in which to do it."""
+        """Take the events up to `now` and return the actions that they call for.
+
+        Args:
+            now: Milliseconds on the caller's clock; a clock that goes back counts as standing still.
+            events: What happened since the last batch, in its order.
+
+        Returns:
+            What to do, in the order in which to do it.
+        """
         if self._clock.started_at < 0:
             self._start(now)
         self._advance(now)
--- a/myrtlespar/policy/server_state.py
+++ b/myrtlespar/policy/server_state.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerState:
-    """Every part owns its values; parts that decide (admission, scheduler, ...) are given this and each other.
+    """The parts that count and estimate. Each owns its values; the parts that decide (admission, ...) are given all.
 
     Attributes:
         cores: Cores of this server, at least one.
