--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -1,35 +1,56 @@
-"""The interface of the decision module: its settings, events and actions.
+"""The interface of the overload controller: the events that it takes and the actions that it answers with.
 
-Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are
-positions in the settings. Nothing here decides anything.
+Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are positions in
+the settings. The types of the settings and the fleet's port are offered here
+too, so that callers import from one place.
 """
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass, field
-from typing import Protocol
 
-
-class Effect(enum.Enum):
-    """Whether a request may run again."""
-
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
-
-
-class Signal(enum.Enum):
-    """What the advertised value means to callers."""
-
-    NONE = "none"
-    LEVEL = "level"
-    CREDIT = "credit"
-    WEIGHT = "weight"
+from myrtlespar.policy.fleet_port import FleetLimitsPort
+from myrtlespar.policy.settings import Effect, RequestClass, Settings, Signal
+
+__all__ = [
+    "Action",
+    "Advertise",
+    "Arrival",
+    "Call",
+    "CallEnded",
+    "CallNeeded",
+    "CallerGone",
+    "CloseIdle",
+    "Drain",
+    "Effect",
+    "Event",
+    "Fail",
+    "FleetLimitsPort",
+    "Forget",
+    "Keep",
+    "Log",
+    "Reject",
+    "RequestClass",
+    "Reuse",
+    "Run",
+    "RunEnded",
+    "RunOutcome",
+    "SetHealth",
+    "Settings",
+    "Signal",
+    "SkipCall",
+    "Stop",
+    "Tick",
+    "Wake",
+]
 
 
 class RunOutcome(enum.Enum):
-    """How a run or a call ended."""
+    """How a run or a call ended.
+
+    REJECTED, UNREACHABLE and MOOT mean that it never ran; ERROR, TIMED_OUT, CUT_OFF and STOPPED promise nothing.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -41,63 +62,21 @@
     MOOT = "moot"
 
 
-@dataclass(slots=True)
-class RequestClass:
-    """One class of requests; `degraded_weight` is the part of its worth left without the call."""
-
-    latency_objective_ms: float
-    client_timeout_ms: float
-    priority_weight: float = 1.0
-    late_weight: float = 0.0
-    effect: Effect = Effect.SAFE
-    window_ms: float = 0.0
-    calls: bool = False
-    degraded_weight: float = 0.0
-
-
-@dataclass(slots=True)
-class Settings:
-    """What a server is told when it starts."""
-
-    classes: list[RequestClass]
-    cores: int
-    memory_kb: float
-    tenant_quotas: list[float] = field(default_factory=list)
-    over_quota_weight: float = 1.0
-    servers: int = 1
-    senders: int = 1
-    tier: int = 0
-    cold: bool = False
-    cold_from: float = 1.0
-    warm_up_ms: float = 0.0
-    fall_multiple: float = 2.0
-    fall_ms: float = 1000.0
-    answer_slack_ms: float = 50.0
-    drain_grace_ms: float = 0.0
-    round_ms: float = 1.0
-    run_memory_factor: float = 1.0
-    key_kb: float = 0.0
-    shared_dependency: bool = False
-    calls_share: float = 0.0
-    calls_over_ms: float = 1000.0
-    linger_ms: float = 0.0
-    passes_deadline: bool = False
-    reports_cancellation: bool = False
-    discovery_follows_health: bool = False
-    deep_checks: bool = False
-    signal: Signal = Signal.NONE
-    can_stop: bool = False
-    marks_retries: bool = False
-    weight_by_work: bool = False
-    heeded_ms: float = 1000.0
-    caller_idle_ms: float = 15000.0
-    max_retry_after_ms: float = 0.0
-    gauges: list[str] = field(default_factory=list)
-
-
 @dataclass(slots=True)
 class Arrival:
-    """A request was read and is held from now on; an answer is owed."""
+    """A request was read and is held from now on; an answer is owed.
+
+    Attributes:
+        class_index: Position of its class in the settings.
+        waited_ms: How long it waited before it was read.
+        deadline: When its caller stops waiting, on the policy's clock; 0 if the caller did not say.
+        tenant: Position of its tenant in the settings.
+        sender: The caller that sent it.
+        rank: Its rank as the caller gave it; not used.
+        prior: Id of the request of the same idempotency key that was read before; empty if there is none.
+        is_retry: Marked as a retry by its caller.
+        cost_hint_ms: The caller's guess of its cost; 0 if there is none.
+    """
 
     id: str
     class_index: int
@@ -114,7 +93,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run, or an answer taken from another's result, is over."""
+    """A run, or an answer taken from another request's result, is over."""
 
     id: str
     outcome: RunOutcome
@@ -123,7 +102,7 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run waits, off the cores, until its call is made or skipped."""
+    """A run waits, off the cores, until its call to the dependency is made or skipped."""
 
     id: str
 
@@ -146,14 +125,14 @@
 
 @dataclass(slots=True)
 class Drain:
-    """This server is stopped at `kill_at`."""
+    """This server drains: its process is killed at `kill_at`."""
 
     kill_at: float
 
 
 @dataclass(slots=True)
 class Tick:
-    """A timer came due, with the server's gauges in the order of the settings."""
+    """A timer asked for by `Wake` came due, with the server's gauges in the order of the settings."""
 
     token: int
     gauges: list[float] = field(default_factory=list)
@@ -171,7 +150,12 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: turned away, never ran."""
+    """Final answer: rejected, never ran.
+
+    Attributes:
+        retry_after_ms: When a retry may find capacity; 0 gives no advice.
+        last: The caller shall not try another server.
+    """
 
     id: str
     retry_after_ms: float = 0.0
@@ -187,21 +171,21 @@
 
 @dataclass(slots=True)
 class Stop:
-    """Take a run off its core; once it has its final answer, that ends it."""
+    """Take a run that has its final answer off its core; its end follows as `RunEnded`."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Reuse:
-    """Answer a repeat from the result of the try it repeats."""
+    """Answer a repeat from the result of the request it repeats."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Keep:
-    """Remember a request's key for a time."""
+    """Remember a request's idempotency key for `for_ms`."""
 
     id: str
     for_ms: float
@@ -209,14 +193,14 @@
 
 @dataclass(slots=True)
 class Forget:
-    """Drop a remembered key early."""
+    """Drop a remembered idempotency key early, as its request never ran."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Call:
-    """Make the call that a run waits for."""
+    """Make the call that a run waits for, and wait `limit_ms` for its result."""
 
     id: str
     limit_ms: float
@@ -224,7 +208,7 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Go on without the call, for part of the worth."""
+    """Let a run go on without its call, with a degraded result."""
 
     id: str
 
@@ -238,7 +222,12 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """What health checks are told from now on."""
+    """Set what health checks answer from now on.
+
+    Attributes:
+        good: Whether the server reports itself healthy.
+        from_store: Answer from this value, without a check of the dependency.
+    """
 
     good: bool
     from_store: bool
@@ -246,14 +235,14 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close connections that carried nothing for so long; 0 leaves it to the callers."""
+    """Close connections that carried nothing for `after_ms`; 0 leaves closing them to the callers."""
 
     after_ms: float
 
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for a tick."""
+    """Ask for a `Tick` with this token in `after_ms`."""
 
     after_ms: float
     token: int
@@ -282,37 +271,3 @@
     | Wake
     | Log
 )
-
-
-class FleetLimitsPort(Protocol):
-    """What the policy is told of limits that hold for the whole fleet. Nothing here ever waits."""
-
-    def admit(self, id: str, cls: int, sender: int) -> float:
-        """0: there is room for this request, and it is taken. Otherwise in how many ms there may be."""
-
-    def enqueue(self, id: str, order: float) -> None:
-        """It is held until there is the room that it was just told of; the lowest order is first."""
-
-    def take_ready(self) -> list[str]:
-        """Held ones that may ask for room again now."""
-
-    def next_ready_ms(self) -> float:
-        """In how long the first held one may have room; infinity if that is not known."""
-
-    def reject(self, id: str, after_ms: float) -> float:
-        """It is refused for want of room: when its caller is to come back."""
-
-    def release(self, id: str) -> None:
-        """A run that was given room has ended, or one that was held will never ask again."""
-
-    def admit_call(self, id: str, cls: int) -> bool:
-        """Whether there is room for this run's call to the dependency; if so, it is taken."""
-
-    def release_call(self, id: str, after_ms: float) -> None:
-        """That call is over; the dependency may have it in hand for so long still."""
-
-    def record_attempt(self, again: bool) -> bool:
-        """A first try or a repeat was read. False: the fleet takes no more repeats now."""
-
-    def may_retry(self) -> bool:
-        """Whether a caller that is refused now may be left free to try again."""
