--- /dev/null
+++ b/myrtlespar/config/sizing.py
@@ -0,0 +1,74 @@
+"""How many connections, bytes and idempotency keys fit the descriptors and the memory of this process."""
+
+from __future__ import annotations
+
+import resource
+from dataclasses import replace
+
+from myrtlespar.config.table import ConfigTable
+from myrtlespar.policy import messages as api
+from myrtlespar.resource_limits import ResourceLimits
+
+MIN_DESCRIPTORS = 24
+MIN_CONNECTIONS = 4  # allowed even with less memory than the program itself takes: nothing else serves here
+RESERVED_DESCRIPTORS = 48  # for upstream connections, listeners, log and event loop
+DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12
+
+BASE_MEMORY_MB = 22.0  # what the program takes with a few connections
+CONNECTION_MEMORY_KB = 24.0  # what one connection may add: its greenlet, and part of a message
+IDEMPOTENCY_KEY_MEMORY_KB = 6.0  # one key with a result of 4 KiB
+IDEMPOTENCY_KEYS_MEMORY_FRACTION = 0.25  # of the memory beyond the base
+OUTBOX_MEMORY_FRACTION = 0.25  # of the memory beyond the base, for answers that clients do not read
+MIN_TOTAL_OUTBOX_BYTES = 1 << 20
+
+DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_STOP_MS = 3000
+MAX_STOP_MS = 1e7
+MAX_RESOURCE = 1e6  # descriptors, and MB of memory
+
+
+def size_limits(root: ConfigTable, settings: api.Settings) -> ResourceLimits:
+    """Return the limits that follow from the process's resources and from how long requests may be repeated.
+
+    Args:
+        root: The platform's configuration; `limits` and `stop_ms` are read from it.
+        settings: The policy's settings.
+
+    Raises:
+        ConfigError: One of these values is out of range.
+    """
+    resources = root.table("limits")
+    descriptors = _descriptors(resources)
+    spare_memory_kb = 1024 * (resources.number("memory_mb", DEFAULT_MEMORY_MB, 1, MAX_RESOURCE) - BASE_MEMORY_MB)
+    windows_ms = [kind.window_ms for kind in settings.classes if kind.effect is api.Effect.KEYED]
+    keys_memory_kb = spare_memory_kb * IDEMPOTENCY_KEYS_MEMORY_FRACTION if windows_ms else 0.0
+    default_dependency_connections = ResourceLimits().max_dependency_connections
+    dependency_connections = max(
+        1, min(default_dependency_connections, descriptors // DESCRIPTORS_PER_DEPENDENCY_CONNECTION)
+    )
+    reserved = min(RESERVED_DESCRIPTORS, descriptors * 3 // 4)
+    by_descriptors = descriptors - reserved - dependency_connections
+    by_memory = int((spare_memory_kb - keys_memory_kb) / CONNECTION_MEMORY_KB)
+    limits = replace(
+        ResourceLimits(),
+        max_dependency_connections=dependency_connections,
+        max_connections=max(MIN_CONNECTIONS, min(by_descriptors, by_memory)),
+        max_total_outbox_bytes=max(MIN_TOTAL_OUTBOX_BYTES, int(1024 * spare_memory_kb * OUTBOX_MEMORY_FRACTION)),
+        stop_ms=root.number("stop_ms", DEFAULT_STOP_MS, 0, MAX_STOP_MS),
+    )
+    if not windows_ms:
+        return limits
+    # A key is remembered from the end of its run on; its window counts from before the run began.
+    return replace(
+        limits,
+        idempotency_key_ms=max(windows_ms),
+        max_idempotency_keys=max(1, int(keys_memory_kb / IDEMPOTENCY_KEY_MEMORY_KB)),
+    )
+
+
+def _descriptors(resources: ConfigTable) -> int:
+    """Return how many descriptors this process may open: the system may grant fewer than are configured."""
+    configured = int(resources.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS, MAX_RESOURCE))
+    granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return configured if granted == resource.RLIM_INFINITY else min(configured, granted)
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -82,4 +82,4 @@
         except OSError as error:
             if self._core.counters.rare("handover.unusable"):
                 log.error("hand-over folder unusable", error=str(error))
-            return None, unix_ms() < self._began + self._core.limits.key_ms
+            return None, unix_ms() < self._began + self._core.limits.idempotency_key_ms
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.commands, self.counters, self.ready, self.figures = commands, counters, ready, figures
         self._open: dict[socket.socket, float] = {}  # connection: when it came
-        listener = bind_in_time("mgmt", address, 64, False, limits.mgmt_bind_ms, limits, give_up)
+        listener = bind_in_time("mgmt", address, 64, False, limits.admin_bind_timeout_ms, limits, give_up)
         self._server = Acceptor(listener, self._serve)
         self._server.max_accept = 16
 
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -8,7 +8,7 @@
 import structlog
 from gevent import socket
 
-from myrtlespar.config import Config, Worker
+from myrtlespar.config import AjpBackendSettings, Config
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.net.codec import ajp as wire
@@ -48,7 +48,7 @@
 class AjpBackend:
     """One AJP server, as seen from here."""
 
-    worker: Worker
+    worker: AjpBackendSettings
     busy: int = 0
     rests_until: float = 0.0
     idle: list[BackendConnection] = field(default_factory=list)
@@ -78,7 +78,7 @@
         except gevent.Timeout:
             answer = Answer(AnswerKind.FAILED, late=True)
         except BackendUnreachableError:  # it never ran: a later try may
-            answer = Answer(AnswerKind.REFUSED, retry_after_ms=self.limits.worker_rest_ms)
+            answer = Answer(AnswerKind.REFUSED, retry_after_ms=self.limits.backend_retry_ms)
         except (OSError, ConnectionEndedError, wire.MalformedPacketError) as error:
             log.warning("worker", error=str(error), id=exchange.id)
         self.coordinator.run_ended(exchange.id, outcome, unix_ms() - began, answer)
@@ -88,7 +88,7 @@
             connection = self._connection(server)
             if connection is None:  # it never ran there, so another server may have it
                 self.coordinator.counters.add("worker.unreachable")
-                server.rests_until = unix_ms() + self.limits.worker_rest_ms
+                server.rests_until = unix_ms() + self.limits.backend_retry_ms
                 continue
             server.busy += 1
             self.coordinator.counters.add("worker.sent")
@@ -98,7 +98,7 @@
                 return answer
             finally:
                 server.busy -= 1
-                if keep and len(server.idle) < self.limits.worker_idle:
+                if keep and len(server.idle) < self.limits.max_idle_backend_connections:
                     server.idle.append(connection)
                 else:
                     connection.sock.close()
@@ -121,21 +121,23 @@
         while server.idle:
             kept = server.idle.pop()
             try:  # guards against writing a request to a connection that its server has closed
-                with gevent.Timeout(self.limits.connect_ms / 1000.0, TimeoutError):
+                with gevent.Timeout(self.limits.connect_timeout_ms / 1000.0, TimeoutError):
                     kept.send(wire.packet(wire.TO_SERVLET, bytes([wire.CPING])))
-                    if kept.next(self.limits.ajp_packet)[0] == wire.CPONG:
+                    if kept.next(self.limits.max_ajp_packet_bytes)[0] == wire.CPONG:
                         return kept
             except (OSError, ConnectionEndedError, wire.MalformedPacketError):
                 pass
             kept.sock.close()
         try:
-            sock = connect(server.worker.address, self.limits.connect_ms)
+            sock = connect(server.worker.address, self.limits.connect_timeout_ms)
         except OSError:
             return None
-        return BackendConnection(sock, Reader(sock, self.limits.ajp_packet))
+        return BackendConnection(sock, Reader(sock, self.limits.max_ajp_packet_bytes))
 
-    def _talk(self, connection: BackendConnection, worker: Worker, exchange: Exchange) -> tuple[Answer, bool]:
-        body, most = exchange.body, self.limits.ajp_packet
+    def _talk(
+        self, connection: BackendConnection, worker: AjpBackendSettings, exchange: Exchange
+    ) -> tuple[Answer, bool]:
+        body, most = exchange.body, self.limits.max_ajp_packet_bytes
         attributes = {"jvm_route": worker.route} if worker.route else {}
         if exchange.query:
             attributes["query_string"] = exchange.query
@@ -157,7 +159,7 @@
             elif payload[0] == wire.BODY:
                 at = wire.PayloadReader(payload[1:])
                 out += at.take(at.number())
-                if len(out) > self.limits.ajp_reply_bytes:  # guards memory against an answer without end
+                if len(out) > self.limits.max_ajp_reply_bytes:  # guards memory against an answer without end
                     raise wire.MalformedPacketError("answer too long")
             elif payload[0] == wire.GET_BODY:
                 connection.send(wire.write_chunk(body[sent : sent + room]))
@@ -173,7 +175,7 @@
 
 def engines(config: Config, coordinator: RequestCoordinator) -> dict[str, AjpBackendPool]:
     """One engine for each worker and each balancer; they share what is known of a server."""
-    servers = {worker.name: AjpBackend(worker) for worker in config.ajp.workers}
+    servers = {worker.name: AjpBackend(worker) for worker in config.ajp.backends}
     out = {name: AjpBackendPool(config, coordinator, [server]) for name, server in servers.items()}
     for name, members in config.ajp.balancers.items():
         out[name] = AjpBackendPool(config, coordinator, [servers[member] for member in members])
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -39,7 +39,7 @@
         self, config: Config, coordinator: RequestCoordinator, listen: Address, give_up: Callable[[], bool]
     ) -> None:
         self.config, self.limits, self.ajp = config, config.limits, config.ajp
-        self.rules = sorted(config.ajp.maps, key=lambda rule: -len(rule.path))
+        self.rules = sorted(config.ajp.path_rules, key=lambda rule: -len(rule.path))
         self.serial = 0  # of the connections
         self.ids = random.Random(config.seed)
         super().__init__(
@@ -47,7 +47,7 @@
             "ajp.listen",
             listen,
             coordinator,
-            self.limits.connections // 4,
+            self.limits.max_connections // 4,
             lambda sock: AjpConnection(self, sock),
             give_up,
         )
@@ -75,8 +75,8 @@
             f"ajp-{front.serial}",
             sock,
             front.limits,
-            front.limits.ajp_outbox,
-            front.limits.ajp_packet,
+            front.limits.max_ajp_outbox_bytes,
+            front.limits.max_ajp_packet_bytes,
             front.unsent,
             front.conclude,
         )
@@ -103,7 +103,7 @@
                 self._packet(packet)
                 if self.bad == before:
                     self.bad = 0
-                elif self.bad >= self.limits.bad_most:  # guards the core's time against a flood
+                elif self.bad >= self.limits.max_consecutive_rejected:  # guards the core's time against a flood
                     raise wire.MalformedPacketError("too many requests that could not be taken")
                 self.reader.breathe()
         except ConnectionEndedError:
@@ -121,7 +121,7 @@
     def _next(self) -> bytes:
         magic = self.reader.exactly(4)
         size = int.from_bytes(magic[2:], "big")
-        if magic[:2] != wire.TO_SERVLET or size + 4 > self.limits.ajp_packet:
+        if magic[:2] != wire.TO_SERVLET or size + 4 > self.limits.max_ajp_packet_bytes:
             raise wire.MalformedPacketError(f"packet starts with {magic.hex()}")
         return self.reader.exactly(size)
 
@@ -137,7 +137,7 @@
             raise wire.MalformedPacketError(f"packet of kind {kind} out of place")
         self._be(ConnectionEvent.BEGIN)
         self.request = wire.ForwardRequest()
-        with gevent.Timeout(self.limits.ajp_header_ms / 1000.0):
+        with gevent.Timeout(self.limits.ajp_request_timeout_ms / 1000.0):
             self.request = wire.read_forward(payload)
             if not self._allowed():
                 return None
@@ -170,7 +170,7 @@
 
     def _body(self) -> bytes | None:
         """The whole body. Where its length is told, the first part comes unasked, others when asked for."""
-        told, most = self.request.header("content-length"), self.limits.body_bytes
+        told, most = self.request.header("content-length"), self.limits.max_body_bytes
         chunked = "chunked" in self.request.header("transfer-encoding").lower()
         if told and not (told.isascii() and told.isdigit()):
             raise wire.MalformedPacketError("content-length is no number")
@@ -181,7 +181,7 @@
         body, ask = b"", chunked
         while chunked or len(body) < want:
             if ask:
-                self.outbox.put(wire.get_body(wire.body_room(self.limits.ajp_packet)))
+                self.outbox.put(wire.get_body(wire.body_room(self.limits.max_ajp_packet_bytes)))
             part = wire.read_chunk(self._next())
             if not part:
                 break
@@ -198,13 +198,13 @@
         rule = front.rule(request.uri)
         assert rule
         query = request.attributes.get("query_string", "")
-        if not body and not rule.to:  # a kernel gets one body: that of a bodiless request is what it asks for
+        if not body and not rule.target:  # a kernel gets one body: that of a bodiless request is what it asks for
             body = (request.uri + (f"?{query}" if query else "")).encode("latin-1")
-            if len(body) > self.limits.body_bytes:
+            if len(body) > self.limits.max_body_bytes:
                 return self._reply(413)
         id = f"{front.ids.getrandbits(64):016x}"
         exchange = Exchange(id, "ajp", rule.class_index, body, unix_ms(), self._answer)
-        exchange.memory_kb, exchange.rank, exchange.target = rule.memory_kb, rule.priority_weight, rule.to
+        exchange.memory_kb, exchange.rank, exchange.target = rule.memory_kb, rule.priority_weight, rule.target
         exchange.sender = zlib.crc32(request.remote_addr.encode())
         exchange.method, exchange.uri, exchange.query = request.method, request.uri, query
         exchange.headers = tuple(row for row in request.headers if row[0] not in HOP_HEADERS)
@@ -236,7 +236,7 @@
         whole = self.conn.state != ConnectionState.READING
         reuse = not self.coordinator.draining and (whole or not unread)
         rows = (*rows, ("Content-Length", str(len(body))))
-        body, most = b"" if self.request.method == "HEAD" else body, self.limits.ajp_packet
+        body, most = b"" if self.request.method == "HEAD" else body, self.limits.max_ajp_packet_bytes
         try:
             data = b"".join(wire.write_reply(status, rows, body, reuse, most))
         except wire.MalformedPacketError:  # guards the core against headers of a worker that fill more than a packet
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -27,7 +27,7 @@
     ) -> None:
         """`conclude` ends a connection of which no more is read, once it has what it is owed."""
         self.limits = limits
-        self.outbox = Outbox(sock, outbox_bytes, limits.send_ms, limits.crossing_ms, unsent)
+        self.outbox = Outbox(sock, outbox_bytes, limits.send_timeout_ms, limits.close_linger_ms, unsent)
         self.reader = Reader(sock, message_bytes)
         self.conn = ConnectionLifecycle(name)
         self.used = unix_ms()  # when a message last came or went
@@ -77,7 +77,7 @@
     def _leave(self) -> None:
         """No more is read: send the last answers, if we end it, and close."""
         if self.outbox.ending:
-            self.outbox.drained(self.limits.send_ms / 1000.0)
+            self.outbox.drained(self.limits.send_timeout_ms / 1000.0)
             self.reader.discard()
         self.outbox.close()
         self._be(ConnectionEvent.RESET)
--- a/myrtlespar/net/connections.py
+++ b/myrtlespar/net/connections.py
@@ -164,7 +164,7 @@
     """What every accepted socket gets: no delays, and a bounded buffer for a peer that does not read."""
     with contextlib.suppress(OSError):  # it serves without them too
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, limits.send_buffer)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, limits.send_buffer_bytes)
 
 
 class Reader:
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -46,11 +46,11 @@
         limits = config.limits
         self.book = DependencyCalls(
             CallLimits(
-                limits.store_links,
-                limits.store_calls,
-                limits.store_trust_ms,
-                limits.store_served,
-                limits.store_grace_ms,
+                limits.max_dependency_connections,
+                limits.max_dependency_calls,
+                limits.max_dependency_idle_ms,
+                limits.max_dependency_recent_requests,
+                limits.dependency_grace_ms,
             ),
             self._quiet,
         )
@@ -81,7 +81,9 @@
                 gevent.spawn(self._open, order.connection, self._address)
             elif isinstance(order, SendCall):
                 call = order.call
-                left = int(max(1.0, min(call.started_at + call.limit_ms - unix_ms(), self.limits.store_longest_ms)))
+                left = int(
+                    max(1.0, min(call.started_at + call.limit_ms - unix_ms(), self.limits.max_dependency_call_ms))
+                )
                 # If it can't be written the reader sees the connection's end, and so does the call.
                 self._links[order.connection][0].put(
                     b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body)
@@ -102,12 +104,12 @@
         if address is None:  # a site without a store: no call ever runs
             return self._carry(self.book.open_failed(wire))
         try:
-            sock = connect(address, self.limits.connect_ms)
+            sock = connect(address, self.limits.connect_timeout_ms)
         except OSError:  # no connection, no call: it never ran
             return self._carry(self.book.open_failed(wire))
         self.coordinator.counters.add("store.link")
-        outbox = Outbox(sock, self.limits.store_outbox, self.limits.send_ms)
-        reader = Reader(sock, self.limits.store_line)
+        outbox = Outbox(sock, self.limits.max_dependency_outbox_bytes, self.limits.send_timeout_ms)
+        reader = Reader(sock, self.limits.max_dependency_line_bytes)
         self._links[wire] = outbox, reader
         try:
             self._carry(self.book.opened(wire, unix_ms()))
@@ -145,7 +147,7 @@
 
     def _body(self, reader: Reader, size: bytes) -> bytes:
         # Guards memory against lengths that fill it, and runs against a reply of another length than told.
-        if not size.isdigit() or len(size) > 9 or int(size) > self.limits.store_reply:
+        if not size.isdigit() or len(size) > 9 or int(size) > self.limits.max_dependency_reply_bytes:
             raise MalformedReplyError(f"reply of {size[:20]!r} bytes")
         data = reader.exactly(int(size) + 2)
         if not data.endswith(b"\r\n"):
@@ -155,5 +157,5 @@
     def serve(self) -> None:
         """Time calls out, and close connections that have been idle for too long to be trusted."""
         while True:
-            gevent.sleep(self.limits.store_look_ms / 1000.0)
+            gevent.sleep(self.limits.dependency_check_ms / 1000.0)
             self._carry(self.book.expire(unix_ms()))
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -58,7 +58,7 @@
         self.up = False
         self._address = config.kernel
         self._routes = [json.dumps(name).encode() for name in config.class_names]
-        self.book = CommandLog(coordinator.tracker.is_wanted, config.limits.kernel_marks)
+        self.book = CommandLog(coordinator.tracker.is_wanted, config.limits.max_pending_engine_marks)
         self._booted: float | None = None
         self._link: Outbox | None = None
         self._heard = 0.0
@@ -98,7 +98,7 @@
 
     def latest(self, now: float) -> list[float]:
         """The freshest gauges, if fresh enough to mean anything."""
-        return self._values if now - self._values_at <= self.limits.gauge_age_ms else []
+        return self._values if now - self._values_at <= self.limits.max_gauge_age_ms else []
 
     def move(self, address: Address) -> None:
         """Go on at another address, once the old link was read to its end: nothing is in doubt then."""
@@ -108,7 +108,7 @@
         orders = self.book.move()
         if self._link is not None and any(isinstance(order, RequestMark) for order in orders):
             # Guards against an old kernel that does not answer the last mark.
-            gevent.spawn_later(self.limits.move_ms / 1000.0, self._link.close)
+            gevent.spawn_later(self.limits.engine_move_timeout_ms / 1000.0, self._link.close)
         self._carry(orders)
 
     def _carry(self, orders: list[LinkEffect]) -> None:
@@ -156,7 +156,7 @@
 
     def _connect(self) -> None:
         address = self._address
-        sock = connect(address, self.limits.connect_ms)
+        sock = connect(address, self.limits.connect_timeout_ms)
         if address != self._address:  # guards against staying at an address that a reload gave up meanwhile
             self.coordinator.counters.add("kernel.moved_meanwhile")
             sock.close()
@@ -164,8 +164,8 @@
         self.coordinator.counters.add("kernel.link")
         self._opened_at = unix_ms()
         self._started_here.clear()
-        self._link = link = Outbox(sock, self.limits.kernel_outbox, self.limits.send_ms)
-        reader = Reader(sock, self.limits.kernel_line)
+        self._link = link = Outbox(sock, self.limits.max_engine_outbox_bytes, self.limits.send_timeout_ms)
+        reader = Reader(sock, self.limits.max_engine_line_bytes)
         tasks = [gevent.spawn(self._watch, link, reader), gevent.spawn(self._settle_doubts)]
         try:
             self._carry(self.book.connected())
@@ -215,8 +215,8 @@
         still, and are not read yet, is not.
         """
         while True:
-            gevent.sleep(self.limits.kernel_silence_ms / 3000.0)
-            silent = self.book.pending_marks and unix_ms() - self._heard > self.limits.kernel_silence_ms
+            gevent.sleep(self.limits.engine_silence_timeout_ms / 3000.0)
+            silent = self.book.pending_marks and unix_ms() - self._heard > self.limits.engine_silence_timeout_ms
             if silent and not reader.waits():
                 self.coordinator.counters.add("kernel.silent")
                 link.close()
@@ -226,7 +226,7 @@
         # Only a kernel younger than all that was heard of it before is a new one. Guards against a pause of this
         # machine or a slow link, which make the same start look late: its age counts from our greeting.
         started = self._opened_at - age_ms
-        newest = max(self._heard, (self._booted or 0.0) + self.limits.same_boot_ms)
+        newest = max(self._heard, (self._booted or 0.0) + self.limits.same_engine_start_ms)
         if self._booted is not None and started > newest:
             self._forget_old_runs()
         self._booted, self.up = unix_ms() - age_ms, True
@@ -253,7 +253,7 @@
     def _settle_doubts(self) -> None:
         """Ask for proofs of what a break may have lost, until none of it is in doubt."""
         while True:
-            gevent.sleep(self.limits.doubt_ms / 1000.0)
+            gevent.sleep(self.limits.unconfirmed_check_ms / 1000.0)
             self._carry(self.book.request_doubt_mark())
 
     def _unnumbered(self, notice: dict[str, Any]) -> None:
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -68,18 +68,20 @@
         """`key` is the address's in the configuration; `give_up` tells whether waiting for it has become idle."""
         self.name, self.coordinator, self.most, self.link = name, coordinator, most, link
         self.links: set[ConnectionType] = set()
-        self.unsent = OutboxBudget(coordinator.limits.outboxes_bytes)
+        self.unsent = OutboxBudget(coordinator.limits.max_total_outbox_bytes)
         self.idle_ms = 0.0  # the module's wish; 0 leaves it to the clients
         self._unfinished: dict[ConnectionType, tuple[int, float]] = {}  # messages read, time without more
-        self._socket = bind_in_time(key, address, 0, True, coordinator.limits.bind_ms, coordinator.limits, give_up)
+        self._socket = bind_in_time(
+            key, address, 0, True, coordinator.limits.bind_timeout_ms, coordinator.limits, give_up
+        )
         self._server = Acceptor(self._socket, self._serve)
         self._server.make_room = self._close_idlest
         # Guards descriptors against a crowd that is accepted before room was made for it.
-        self._server.max_accept = coordinator.limits.accept_at_once
+        self._server.max_accept = coordinator.limits.max_accepts_per_turn
 
     def start(self) -> None:
         """Listen. Not before: a second process that is refused its start would take connections and drop them."""
-        self._socket.listen(self.coordinator.limits.backlog)
+        self._socket.listen(self.coordinator.limits.accept_backlog)
         self._server.start()
         gevent.spawn(run_for_good, f"{self.name}.look", self._look, self.coordinator.counters)
 
@@ -103,7 +105,7 @@
 
     def _queued(self, sock: socket.socket) -> Iterator[tuple[socket.socket, Any]]:
         """All that waits to be accepted. One that fails, or a want of descriptors, leaves no other unheard."""
-        for _ in range(2 * self.coordinator.limits.backlog):
+        for _ in range(2 * self.coordinator.limits.accept_backlog):
             try:
                 yield sock.accept()
             except BlockingIOError:
@@ -114,7 +116,7 @@
                 if error.errno not in NO_ROOM or not self._close_idlest():
                     return
                 # The descriptor is free once the one that was closed has lingered.
-                gevent.sleep(self.coordinator.limits.crossing_ms / 1000.0 + NO_ROOM_PAUSE_S)
+                gevent.sleep(self.coordinator.limits.close_linger_ms / 1000.0 + NO_ROOM_PAUSE_S)
 
     def drain(self) -> None:
         """Ask every client to send nothing new."""
@@ -140,7 +142,7 @@
         Counted in looks, so that a pause of the machine ends nobody's time.
         """
         while True:
-            gevent.sleep(self.coordinator.limits.idle_look_ms / 1000.0)
+            gevent.sleep(self.coordinator.limits.idle_check_ms / 1000.0)
             now, before, self._unfinished = unix_ms(), self._unfinished, {}
             for link in list(self.links):
                 if self.idle_ms > 0 and now - link.used > self.idle_ms and self._free(link):
@@ -153,8 +155,8 @@
         just come is read first.
         """
         limits = self.coordinator.limits
-        waited_ms = waited_ms + limits.idle_look_ms if messages == link.messages else 0.0
-        if waited_ms >= limits.message_ms and not link.reader.waits():
+        waited_ms = waited_ms + limits.idle_check_ms if messages == link.messages else 0.0
+        if waited_ms >= limits.message_timeout_ms and not link.reader.waits():
             self.coordinator.counters.add(f"in.unfinished.{self.name}")
             link.reader.stop()
         else:
@@ -171,7 +173,7 @@
         while link.owes() and not link.outbox.closed:
             gevent.sleep(0.02)
         link.outbox.finish()
-        link.outbox.drained(self.coordinator.limits.send_ms / 1000.0)
+        link.outbox.drained(self.coordinator.limits.send_timeout_ms / 1000.0)
 
     @staticmethod
     def _free(link: ConnectionType) -> bool:
@@ -235,7 +237,7 @@
                 raise AddressInUseError(
                     f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}"
                 ) from None
-        gevent.sleep(limits.bind_again_ms / 1000.0)
+        gevent.sleep(limits.bind_retry_ms / 1000.0)
 
 
 def bound(address: Address, backlog: int, shared: bool) -> socket.socket:
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -67,18 +67,18 @@
                 at = began + self.limits.reconnect_ms
             elif self._report():
                 self.coordinator.counters.add("roster.report")
-                at = began + self.limits.report_every_ms
+                at = began + self.limits.registry_report_interval_ms
             else:
                 self.coordinator.counters.add("roster.failed")
-                at = unix_ms() + self.limits.report_again_ms
+                at = unix_ms() + self.limits.registry_retry_ms
             self._moved.wait(max(0.01, (at - unix_ms()) / 1000.0))
 
     def _report(self) -> bool:
         """One report. Guards against a kept connection that was closed or hangs: a new one has its try at once."""
         duty = "off" if self.coordinator.draining else "on"
-        if self._sock is not None and self._try(duty, self.limits.report_kept_ms):
+        if self._sock is not None and self._try(duty, self.limits.registry_reused_connection_timeout_ms):
             return True
-        return self._try(duty, self.limits.report_ms)
+        return self._try(duty, self.limits.registry_new_connection_timeout_ms)
 
     def _try(self, duty: str, limit_ms: float) -> bool:
         try:
@@ -90,9 +90,9 @@
 
     def _send(self, duty: str) -> bool:
         if self._sock is None:
-            self._sock = connect(self._address, self.limits.connect_ms)
+            self._sock = connect(self._address, self.limits.connect_timeout_ms)
         self._sock.sendall(report(self.config.name, duty))
-        reply, left = ReportReply(), self.limits.report_reply
+        reply, left = ReportReply(), self.limits.max_registry_reply_bytes
         while not reply.done:
             data = self._sock.recv(4096)
             left -= len(data)
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -54,7 +54,7 @@
         self.silent = config.settings.signal is Signal.NONE
         self.serial = 0  # of the connections
         self.classes = {name: n for n, name in enumerate(config.class_names)}
-        most = self.limits.connections * 3 // 4 if config.ajp.listen else self.limits.connections
+        most = self.limits.max_connections * 3 // 4 if config.ajp.listen else self.limits.max_connections
         super().__init__(
             "thrift", "listen", config.listen, coordinator, most, lambda sock: ThriftConnection(self, sock), give_up
         )
@@ -75,8 +75,8 @@
             f"thrift-{front.serial}",
             sock,
             front.limits,
-            front.limits.outbox_bytes,
-            front.limits.frame_bytes,
+            front.limits.max_outbox_bytes,
+            front.limits.max_frame_bytes,
             front.unsent,
             front.conclude,
         )
@@ -102,7 +102,7 @@
         try:
             while self._takes():
                 size = int.from_bytes(self.reader.exactly(4), "big")
-                if not 0 < size <= self.front.limits.frame_bytes:  # guards against a length that fills memory
+                if not 0 < size <= self.front.limits.max_frame_bytes:  # guards against a length that fills memory
                     raise MalformedMessageError(f"frame of {size} bytes")
                 frame, before = self.reader.exactly(size), self.bad
                 if not self._takes():  # it came while we closed, and could still be read
@@ -111,7 +111,7 @@
                 self._frame(frame)
                 if self.bad == before:
                     self.bad = 0
-                elif self.bad >= self.front.limits.bad_most:  # guards the core's time against a flood
+                elif self.bad >= self.front.limits.max_consecutive_rejected:  # guards the core's time against a flood
                     raise MalformedMessageError("too many messages that could not be taken")
                 self.reader.breathe()
         except PeerFinishedSendingError:  # guards clients that close one direction: all that was read is still answered
@@ -161,7 +161,7 @@
         except MalformedMessageError as error:
             self.coordinator.counters.add("in.bad_request.thrift")
             return self._except("invoke", seq, PROTOCOL_ERROR, str(error))
-        if len(self.open) >= self.front.limits.open_requests:
+        if len(self.open) >= self.front.limits.max_open_requests:
             self.coordinator.counters.add("in.too_many.thrift")
             self.bad += 1
             refusal = idl.Backoff(fields=self._fields({"backoff": "100"}))
@@ -181,7 +181,7 @@
             raise MalformedMessageError("unknown class in field method")
         if not 0 < len(rid) <= 64 or not rid.isascii() or not rid.isalnum():
             raise MalformedMessageError("field rid is missing or malformed")
-        if len(body) > self.front.limits.body_bytes:
+        if len(body) > self.front.limits.max_body_bytes:
             raise MalformedMessageError("body too long")
         now, wall = unix_ms(), wall_ms()
         # Guards against a stamp from the future or the far past, which no due time could be counted from.
@@ -212,7 +212,7 @@
 
     def _answer(self, seq: int, answer: Answer) -> None:
         self.used = unix_ms()
-        if answer.kind is AnswerKind.SERVED and len(answer.body) <= self.front.limits.result_bytes:
+        if answer.kind is AnswerKind.SERVED and len(answer.body) <= self.front.limits.max_result_bytes:
             result = idl.Front.invoke_result(success=idl.Answer(body=answer.body, fields=self._fields(), good=True))
         elif answer.kind is AnswerKind.REFUSED:
             more = {"backoff": str(max(1, round(answer.retry_after_ms)))} if answer.retry_after_ms > 0 else {}
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -91,16 +91,25 @@
         ]  # per class: served, refused, failed, since the start
         self.engine_run_counts = [0 for _ in settings.classes]  # per class: runs handed to the kernel
         self.process = ProcessLifecycle(
-            limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms, limits.crossing_ms
+            limits.stop_ms,
+            settings.drain_grace_ms,
+            limits.overdue_check_ms,
+            limits.flush_timeout_ms,
+            limits.close_linger_ms,
         )
         self.tracker = RequestTracker(
             RequestTerms(
                 [kind.client_timeout_ms for kind in settings.classes],
                 [kind.effect is not api.Effect.SAFE for kind in settings.classes],
-                limits.overdue_ms,
+                limits.overdue_grace_ms,
                 settings.max_retry_after_ms or 1000.0,
             ),
-            IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes),
+            IdempotencyKeyTable(
+                limits.max_idempotency_keys,
+                limits.idempotency_key_ms,
+                limits.max_waiting_repeats,
+                limits.max_result_bytes,
+            ),
             self.process,
         )
         self._lost_runs = LostRunDetector(limits.lost_run_ms)
@@ -220,9 +229,9 @@
             for action in self._decide(now, events):
                 self._act(action, now)
             if not self._wakes:  # guards against housekeeping that ends for good with one lost tick
-                self._wakes.append((now + self.limits.sweep_ms, 0))
+                self._wakes.append((now + self.limits.overdue_check_ms, 0))
         if now >= self._sweep_at:
-            self._sweep_at = now + self.limits.sweep_ms
+            self._sweep_at = now + self.limits.overdue_check_ms
             self._sweep(now)
 
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
--- a/myrtlespar/resource_limits.py
+++ b/myrtlespar/resource_limits.py
@@ -1,4 +1,4 @@
-"""Every limit of the real tile server (sizes, counts, times) in one value, handed down at start."""
+"""Every limit of the server process (sizes, counts, times) in one value, handed down at the start."""
 
 from __future__ import annotations
 
@@ -7,76 +7,88 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Sizes in bytes, times in milliseconds; the starting values fit the platform's page."""
+    """Limits of one server process; the defaults fit the platform's protocol.
 
-    stop_ms: float = 3000.0  # from the notice to drain to the kill
+    Names that end in `_bytes` are sizes in bytes, in `_ms` times in milliseconds; all others are counts.
+    """
 
-    body_bytes: int = 2048  # of a request
-    result_bytes: int = 4096  # of an answer
-    frame_bytes: int = 16384  # of one message of a client; more closes the connection
-    connections: int = 900  # clients' connections at a time, over all fronts
-    open_requests: int = 32  # on one connection
-    outbox_bytes: int = 65536  # unsent answers of one client's connection; more means it does not read
-    bind_ms: float = 15000.0  # for so long an address that is in use is tried again at the start
-    mgmt_bind_ms: float = 1000.0  # the operators' address: a living process beside this one may rightly hold it
-    bind_again_ms: float = 50.0  # between these tries
-    backlog: int = 512  # connections that wait to be accepted
-    outboxes_bytes: int = 1 << 24  # unsent answers of all clients' connections of a front
-    accept_at_once: int = 8  # connections accepted before their greenlets run
-    bad_most: int = 500  # messages running that can't be taken; then the connection ends
-    message_ms: float = 2000.0  # for a client's first message, and for each from its first byte to its last
-    send_buffer: int = 131072  # the system's, for one client's connection
-    kernel_outbox: int = 1 << 20  # unsent bytes of commands to the kernel
-    send_ms: float = 5000.0  # one client may block a send for so long
+    # The process: start, reload, drain, handover to a second process.
+    stop_ms: float = 3000.0  # from the notice to drain (SIGTERM) to SIGKILL
+    bind_timeout_ms: float = 15000.0  # an address in use is retried for so long at the start
+    admin_bind_timeout_ms: float = 1000.0  # shorter: another running process may rightly hold the admin address
+    bind_retry_ms: float = 50.0
+    flush_timeout_ms: float = 300.0  # at most, to send the last answers before the exit
+    # SIGKILL follows SIGTERM in a handover after the longest deadline, of which at most the first counts, plus the
+    # second.
+    handover_max_deadline_ms: float = 3000.0
+    handover_margin_ms: float = 700.0
+    reload_retry_ms: float = 50.0  # between attempts to read a faulty file, which may be half written
+    reload_timeout_ms: float = 3000.0  # for so long: the registry keeps an entry without a report as long
 
-    connect_ms: float = 1000.0
-    reconnect_ms: float = 50.0  # between tries to reach the kernel
-    kernel_silence_ms: float = 10000.0  # gauges unanswered for so long, a pause included: the link is dead
-    move_ms: float = 300.0  # to read an old kernel link to its end when a reload moves it
-    doubt_ms: float = 120.0  # a command that may be lost is repeated after so long without a notice
-    gauge_lead_ms: float = 4.0  # gauges are asked for so long before a tick
-    gauge_age_ms: float = 500.0  # older gauges are not passed on
-    store_links: int = 32  # connections to the store, each with one call at a time
-    store_calls: int = 2048  # calls in hand and waiting for a connection
-    store_trust_ms: float = 80.0  # a connection idle for longer may be forgotten by the store
-    store_served: int = 8  # latest requests of a connection, whose calls it may still answer again
-    store_outbox: int = 65536  # unsent bytes of one connection
-    store_look_ms: float = 20.0  # between looks for calls that are out of time
-    store_grace_ms: float = 60.0  # past a call's time until it is taken for timed out
-    # To the roster, which forgets 3 s after the last report it took. With these, a kept connection and the new one
-    # after it may both hang, and a third try still comes in time.
-    report_every_ms: float = 1000.0
-    report_kept_ms: float = 400.0  # one report may take so long on a connection that was kept
-    report_ms: float = 900.0  # and so long on a new one
-    report_again_ms: float = 200.0  # after one that failed
-    report_reply: int = 16384  # bytes of the answer to one report
+    # Clients' connections, over all listeners.
+    max_connections: int = 900
+    accept_backlog: int = 512  # connections that wait to be accepted
+    max_accepts_per_turn: int = 8  # connections accepted before their greenlets run
+    max_open_requests: int = 32  # on one connection
+    max_frame_bytes: int = 16384  # of one message of a client; a longer one closes the connection
+    max_body_bytes: int = 2048  # of a request
+    max_result_bytes: int = 4096  # of an answer
+    max_outbox_bytes: int = 65536  # unsent answers of one connection; more means that the client does not read
+    max_total_outbox_bytes: int = 1 << 24  # unsent answers of all connections of one listener
+    send_buffer_bytes: int = 131072  # the system's buffer of one connection
+    send_timeout_ms: float = 5000.0  # a peer may block one send for so long
+    max_consecutive_rejected: int = 500  # rejected messages in a row, after which the connection is closed
+    message_timeout_ms: float = 2000.0  # for a client's first message, and for each from its first byte to its last
+    idle_check_ms: float = 250.0  # between checks for idle connections
+    close_linger_ms: float = 50.0  # a request sent just as a connection closes may be on its way for so long
 
-    # The operators' page on replacing a process: SIGKILL follows SIGTERM after the longest deadline, counted as the
-    # first of these at most, and the second.
-    handover_cap_ms: float = 3000.0
-    handover_spare_ms: float = 700.0
-    reload_look_ms: float = 50.0  # between looks at a faulty file of a reload, which may not be written to its end yet
-    reload_ms: float = 3000.0  # for so long, the time that the roster's list holds without a report
+    # Requests and idempotency keys.
+    overdue_check_ms: float = 50.0  # between checks for overdue answers
+    overdue_grace_ms: float = 60.0  # past its due time an open request is failed, whatever else was decided
+    max_idempotency_keys: int = 4096
+    idempotency_key_ms: float = 60000.0  # a key is remembered for so long after the last attempt
+    max_waiting_repeats: int = 8  # repeats that wait for one run
 
-    kernel_line: int = 1 << 20
-    kernel_marks: int = 256  # gauges asked for and not yet answered
-    same_boot_ms: float = 100.0  # two readings of one start of the kernel differ by less
-    lost_run_ms: float = 1000.0  # twice the age of a gauge: the kernel has had fewer runs than are counted for so long
-    store_line: int = 256
-    store_longest_ms: float = 2.0**31 - 1  # that a call may state, whatever the settings' deadlines
-    store_reply: int = 1 << 18
-    idle_look_ms: float = 250.0  # between looks for idle connections
-    sweep_ms: float = 50.0  # between looks for answers that are overdue
-    flush_ms: float = 300.0  # at most, to send the last answers before the exit
-    crossing_ms: float = 50.0  # a request sent as a connection closes may still be on its way for so long
-    overdue_ms: float = 60.0  # past its due time a request still open is failed, whatever else was decided
-    keys: int = 4096  # idempotency keys remembered
-    key_ms: float = 60000.0  # for so long after the last try
-    followers: int = 8  # repeats waiting for one run
+    # All upstream connections.
+    connect_timeout_ms: float = 1000.0
+    reconnect_ms: float = 50.0  # between attempts to reach the execution engine
 
-    ajp_packet: int = 8192
-    ajp_outbox: int = 1 << 19  # unsent bytes of one gateway's connection: a whole answer of a worker fits
-    ajp_header_ms: float = 2000.0  # to finish a request that has begun
-    ajp_reply_bytes: int = 262144  # of a worker's answer
-    worker_idle: int = 8  # idle connections kept to one AJP worker
-    worker_rest_ms: float = 2000.0  # an unreachable worker is left out for so long
+    # The execution engine.
+    engine_silence_timeout_ms: float = 10000.0  # gauges unanswered for so long, pauses included: the link is dead
+    engine_move_timeout_ms: float = 300.0  # to read an old link to its end when a reload moves it
+    unconfirmed_check_ms: float = 120.0  # between marks that show which commands a broken link has lost
+    max_engine_outbox_bytes: int = 1 << 20  # unsent commands
+    max_engine_line_bytes: int = 1 << 20
+    max_pending_engine_marks: int = 256  # gauges requested and not yet answered
+    same_engine_start_ms: float = 100.0  # two readings of one start of the engine differ by less
+    gauge_lead_ms: float = 4.0  # gauges are requested so long before a tick
+    max_gauge_age_ms: float = 500.0  # older gauges are not passed on
+    lost_run_ms: float = 1000.0  # twice the age of a gauge: the engine has had fewer runs than counted for so long
+
+    # The dependency.
+    max_dependency_connections: int = 32  # each with one call at a time
+    max_dependency_calls: int = 2048  # in flight or waiting for a connection
+    max_dependency_idle_ms: float = 80.0  # the dependency may have forgotten a connection that is idle for longer
+    max_dependency_recent_requests: int = 8  # of one connection, whose calls it may still answer again
+    max_dependency_outbox_bytes: int = 65536  # unsent bytes of one connection
+    max_dependency_line_bytes: int = 256
+    max_dependency_reply_bytes: int = 1 << 18
+    max_dependency_call_ms: float = 2.0**31 - 1  # that a call may state, whatever the deadlines in the settings
+    dependency_check_ms: float = 20.0  # between checks for calls that have timed out
+    dependency_grace_ms: float = 60.0  # past a call's time limit until it counts as timed out
+
+    # The service registry, which removes an entry 3 s after the last report it took. With these times a reused
+    # connection and the new one after it may both hang, and a third attempt still arrives in time.
+    registry_report_interval_ms: float = 1000.0
+    registry_reused_connection_timeout_ms: float = 400.0  # for one report on a connection used before
+    registry_new_connection_timeout_ms: float = 900.0  # for one report on a new connection
+    registry_retry_ms: float = 200.0  # after a report that failed
+    max_registry_reply_bytes: int = 16384  # of the answer to one report
+
+    # AJP: gateways' connections and AJP servers.
+    max_ajp_packet_bytes: int = 8192
+    max_ajp_outbox_bytes: int = 1 << 19  # unsent bytes of one gateway's connection: a complete backend answer fits
+    ajp_request_timeout_ms: float = 2000.0  # to finish a request that has begun
+    max_ajp_reply_bytes: int = 262144  # of an AJP server's answer
+    max_idle_backend_connections: int = 8  # kept for each AJP server
+    backend_retry_ms: float = 2000.0  # an unreachable AJP server is tried last for so long
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -79,7 +79,7 @@
         """
         nonlocal reloads
         reloads = mine = reloads + 1
-        named, until = "", unix_ms() + config.limits.reload_ms
+        named, until = "", unix_ms() + config.limits.reload_timeout_ms
         while True:
             try:
                 fresh = load()
@@ -91,7 +91,7 @@
                 ):
                     log.error("reload refused", error=str(error))
                 named = str(error)
-            gevent.sleep(config.limits.reload_look_ms / 1000.0)
+            gevent.sleep(config.limits.reload_retry_ms / 1000.0)
             if mine != reloads or unix_ms() > until:
                 return
         if ProcessAction.MOVE_LINKS not in coordinator.process.handle(ProcessEvent.RELOAD):
@@ -107,7 +107,9 @@
     def hand_over() -> None:
         """SIGTERM beside a second process: stop listening, tell clients, answer what was read, then exit."""
         longest = max(kind.client_timeout_ms for kind in config.settings.classes)
-        acts = coordinator.process.handover(unix_ms(), min(longest, limits.handover_cap_ms) + limits.handover_spare_ms)
+        acts = coordinator.process.handover(
+            unix_ms(), min(longest, limits.handover_max_deadline_ms) + limits.handover_margin_ms
+        )
         log.info("handing over", owed=coordinator.tracker.unanswered)
         if ProcessAction.CLOSE_LISTENERS in acts:
             for front in fronts:
@@ -200,7 +202,7 @@
                     succession.publish_keys()
                 # Guards the exit status against a client that does not read until the kill.
                 left_ms = max(0.0, coordinator.process.kill_at - unix_ms())
-                flush_s = min(limits.flush_ms, left_ms / 2) / 1000.0
+                flush_s = min(limits.flush_timeout_ms, left_ms / 2) / 1000.0
                 gevent.joinall([gevent.spawn(front.finish, flush_s) for front in fronts], flush_s)
                 stopped = ProcessAction.STOP in coordinator.process.handle(ProcessEvent.FLUSHED)
     coordinator.stop()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -57,8 +57,8 @@
         tmp_path,
         "myrtlespar.net.connections:Reader.begun",
         "args[0]._data",
-        "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
-        "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)",
+        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"  # the first look is the last one
+        "c.size_limits = lambda *args: dataclasses.replace(f(*args), idle_check_ms=2500.0)",
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -74,7 +74,7 @@
     config = load(configured(tmp_path, (ROOT / "deploy" / "ajp.toml").read_text()))
     assert config.ajp.listen == ("127.0.0.1", 8009)
     assert config.thrift_key == "idem"
-    assert [(rule.path, rule.to) for rule in config.ajp.maps][1] == ("/tiles/fetch", "viewers")
+    assert [(rule.path, rule.target) for rule in config.ajp.path_rules][1] == ("/tiles/fetch", "viewers")
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
     env = configured(tmp_path, "")
     path = tmp_path / "c.json"
     path.write_text(json.dumps({**json.loads(path.read_text()), "limits": limits}))
-    assert load(env).limits.connections == places
+    assert load(env).limits.max_connections == places
 
 
 def configured(tmp: Path, operator: str) -> dict[str, str]:
@@ -152,10 +152,10 @@
     tmp_path: Path, given: dict[str, Any], limits: dict[str, int]
 ) -> None:
     config = load({"BALANCER_CONFIG": write(tmp_path, **given, limits=limits)})
-    assert 4 <= config.limits.connections < limits["sockets"]
-    assert config.limits.store_links >= 1
+    assert 4 <= config.limits.max_connections < limits["sockets"]
+    assert config.limits.max_dependency_connections >= 1
     guarded = [n for n, kind in enumerate(config.settings.classes) if kind.window_ms]
-    assert not guarded or (config.limits.key_ms == 3000.0 and config.limits.keys >= 1)
+    assert not guarded or (config.limits.idempotency_key_ms == 3000.0 and config.limits.max_idempotency_keys >= 1)
     with server_process(tmp_path, given={**given, "limits": {**limits, "cores": 1.0}}) as running:
         name = config.class_names[-1]
         assert ThriftClient(running.ports[0]).ask(name, b"x", token="t")[0] == "success"
--- a/tests/test_outboxes.py
+++ b/tests/test_outboxes.py
@@ -42,8 +42,8 @@
         tmp_path,
         "myrtlespar.net.engine_client:EngineClient.move",
         "False",  # it holds nothing up: for `first` alone
-        "import dataclasses, myrtlespar.config as c; f = c._limits\n"
-        "c._limits = lambda *args: dataclasses.replace(f(*args), kernel_silence_ms=400.0)",
+        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
+        "c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)",
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
@@ -66,8 +66,8 @@
         gevent.sleep(0.7)
     return receive(self)
 links.Reader._receive = late
-import dataclasses, myrtlespar.config as c; f = c._limits
-c._limits = lambda *args: dataclasses.replace(f(*args), kernel_silence_ms=400.0)"""
+import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits
+c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)"""
     gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", slow_reader)
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
