--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -1,7 +1,7 @@
-"""The management address: one line a connection, answered by the pure `ops.management`.
+"""The admin server: one line a connection, answered by `myrtlespar.admin.commands`, which is pure.
 
-Its own listener and greenlets, bounded apart from the clients' fronts, so that a crowd of clients can't take
-its places, and a crowd of operators' connections can't take the clients'.
+It has a listener and greenlets of its own, and limits apart from those of the clients' listeners, so that neither
+many clients nor many operators' connections can use up the places of the others.
 """
 
 from __future__ import annotations
@@ -10,44 +10,64 @@
 from collections.abc import Callable
 from typing import Any
 
-import structlog
 from gevent import socket
 
 from myrtlespar.admin.commands import LINE_MOST, AdminCommands, MetricsSnapshot
 from myrtlespar.config import Address
-from myrtlespar.net.listener import Acceptor, bind_in_time
+from myrtlespar.net.binding import Acceptor, bind_with_retries
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 
-log = structlog.get_logger()
-
-MOST = 64  # management connections at a time; a newcomer past that ends the oldest one
-DISCARD_S = 0.2  # of the rest of an overlong line
-HOLD_S = 5.0  # a caller may take so long to send its whole line
+MAX_CONNECTIONS = 64  # a further one ends the oldest one
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted before their greenlets run
+ACCEPT_BACKLOG = 64  # connections that wait to be accepted
+LINE_TIMEOUT_S = 5.0  # for a caller to send its complete line
+DISCARD_TIMEOUT_S = 0.2  # for each read of the rest of an overlong line
+MAX_DISCARD_READS = 16
+DISCARD_READ_BYTES = 4096
 
 
 class AdminServer:
-    """Listens on `address` and answers each line within the time the event loop grants it."""
+    """Listens on the admin address and answers each line."""
 
     def __init__(
         self,
         address: Address,
         commands: AdminCommands,
         counters: Counters,
-        ready: Callable[[], bool],
-        figures: Callable[[], MetricsSnapshot],
+        is_ready: Callable[[], bool],
+        take_metrics: Callable[[], MetricsSnapshot],
         limits: ResourceLimits,
         give_up: Callable[[], bool],
     ) -> None:
-        self.commands, self.counters, self.ready, self.figures = commands, counters, ready, figures
-        self._open: dict[socket.socket, float] = {}  # connection: when it came
-        listener = bind_in_time("mgmt", address, 64, False, limits.admin_bind_timeout_ms, limits, give_up)
-        self._server = Acceptor(listener, self._serve)
-        self._server.max_accept = 16
+        """Bind the address and listen.
+
+        Args:
+            address: Where to listen.
+            commands: Answers the lines.
+            counters: Counts what happens.
+            is_ready: Tells whether this server takes requests.
+            take_metrics: Returns the current metrics.
+            limits: The process's limits.
+            give_up: Tells whether waiting for the address has become pointless.
+
+        Raises:
+            AddressInUseError: The address could not be bound in time.
+        """
+        self._commands = commands
+        self._counters = counters
+        self._is_ready = is_ready
+        self._take_metrics = take_metrics
+        self._opened_at: dict[socket.socket, float] = {}  # of each open connection, in Unix milliseconds
+        listening_socket = bind_with_retries(
+            "mgmt", address, ACCEPT_BACKLOG, False, limits.admin_bind_timeout_ms, limits, give_up
+        )
+        self._server = Acceptor(listening_socket, self._serve)
+        self._server.max_accept = MAX_ACCEPTS_PER_TURN
 
     def start(self) -> None:
-        """Listen."""
+        """Accept connections."""
         self._server.start()
 
     @property
@@ -60,33 +80,39 @@
         self._server.close()
 
     def _serve(self, sock: socket.socket, _: Any) -> None:
-        if len(self._open) >= MOST:  # guards descriptors against callers that hold connections open
-            oldest = min(self._open, key=self._open.__getitem__)
-            self.counters.add("mgmt.evicted")
-            self._open.pop(oldest, None)
-            oldest.close()
-        self._open[sock] = unix_ms()
+        if len(self._opened_at) >= MAX_CONNECTIONS:
+            self._close_oldest()
+        self._opened_at[sock] = unix_ms()
         try:
-            raw = self._line(sock)
-            if raw is None:
-                return
-            reply, overlong = self.commands.handle_line(
-                raw, unix_ms(), self.ready(), self.figures() if raw.strip() == b"METRICS" else None
-            )
-            self.counters.add("mgmt.error" if reply.startswith(b"error") else "mgmt.done")
-            sock.sendall(reply)
-            if overlong:
-                _discard(sock)
+            self._answer_line(sock)
         except OSError:
-            self.counters.add("mgmt.broken")
+            self._counters.add("mgmt.broken")
         finally:
-            self._open.pop(sock, None)
+            self._opened_at.pop(sock, None)
             sock.close()
 
-    def _line(self, sock: socket.socket) -> bytes | None:
-        """One line, at most LINE_MOST + 1 bytes of it; None when the caller left or took too long."""
+    def _close_oldest(self) -> None:
+        """Close the oldest connection: callers that hold connections open may not use up the descriptors."""
+        oldest = min(self._opened_at, key=self._opened_at.__getitem__)
+        self._counters.add("mgmt.evicted")
+        self._opened_at.pop(oldest, None)
+        oldest.close()
+
+    def _answer_line(self, sock: socket.socket) -> None:
+        line = self._read_line(sock)
+        if line is None:
+            return
+        metrics = self._take_metrics() if line.strip() == b"METRICS" else None
+        reply, overlong = self._commands.handle_line(line, unix_ms(), self._is_ready(), metrics)
+        self._counters.add("mgmt.error" if reply.startswith(b"error") else "mgmt.done")
+        sock.sendall(reply)
+        if overlong:
+            _discard_rest(sock)
+
+    def _read_line(self, sock: socket.socket) -> bytes | None:
+        """Return one line, or LINE_MOST + 1 bytes of a longer one; None if the caller left or took too long."""
         data = b""
-        sock.settimeout(HOLD_S)
+        sock.settimeout(LINE_TIMEOUT_S)
         try:
             while b"\n" not in data and len(data) <= LINE_MOST:
                 chunk = sock.recv(LINE_MOST + 1 - len(data))
@@ -94,16 +120,16 @@
                     return data or None
                 data += chunk
         except TimeoutError:
-            self.counters.add("mgmt.slow")
+            self._counters.add("mgmt.slow")
             return None
         return data.partition(b"\n")[0] if b"\n" in data else data
 
 
-def _discard(sock: socket.socket) -> None:
-    """Read what is left of an overlong line for a short while, so that closing does not reset the reply."""
+def _discard_rest(sock: socket.socket) -> None:
+    """Read the rest of an overlong line for a short time: closing over unread bytes would reset the reply."""
     sock.shutdown(socket.SHUT_WR)
-    sock.settimeout(DISCARD_S)
+    sock.settimeout(DISCARD_TIMEOUT_S)
     with contextlib.suppress(OSError):
-        for _ in range(16):
-            if not sock.recv(4096):
+        for _ in range(MAX_DISCARD_READS):
+            if not sock.recv(DISCARD_READ_BYTES):
                 break
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -1,4 +1,4 @@
-"""The AJP back end: runs requests on AJP servers, chosen by route, load and factor."""
+"""Runs requests on AJP servers, chosen by session route, load and capacity."""
 
 from __future__ import annotations
 
@@ -11,172 +11,215 @@
 from myrtlespar.config import AjpBackendSettings, Config
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.net.codec import ajp as wire
-from myrtlespar.net.connections import ConnectionEndedError, Reader, connect
+from myrtlespar.net.codec import ajp as codec
+from myrtlespar.net.connections import connect
+from myrtlespar.net.socket_reader import ConnectionEndedError, SocketReader
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
+MIN_TIMEOUT_S = 0.001  # of a request that is due already
+FIRST_FAILURE_STATUS = 500  # answers with this status or a higher one are failures
 
 
 class BackendUnreachableError(MyrtlesparError):
-    """No server took the request: it never ran."""
+    """No AJP server could be connected to: the request never ran."""
 
 
 @dataclass(slots=True)
 class BackendConnection:
-    """A connection to a worker."""
+    """A connection to an AJP server."""
 
     sock: socket.socket
-    reader: Reader
+    reader: SocketReader
 
     def send(self, data: bytes) -> None:
-        """Send it all."""
+        """Send all of it.
+
+        Raises:
+            OSError: The connection broke.
+        """
         self.sock.sendall(data)
 
-    def next(self, most: int) -> bytes:
-        """The payload of the next packet."""
-        start = self.reader.exactly(4)
-        size = int.from_bytes(start[2:], "big")
-        if start[:2] != wire.TO_GATEWAY or not 0 < size <= most - 4:
-            raise wire.MalformedPacketError(f"packet starts with {start.hex()}")
-        return self.reader.exactly(size)
+    def read_packet(self, max_bytes: int) -> bytes:
+        """Return the payload of the next packet.
+
+        Raises:
+            ConnectionEndedError: The connection ended first.
+            MalformedPacketError: What came is no packet, or one longer than `max_bytes`.
+        """
+        head = self.reader.read_exactly(codec.PACKET_HEAD_BYTES)
+        size = int.from_bytes(head[2:], "big")
+        if head[:2] != codec.TO_GATEWAY or not 0 < size <= max_bytes - codec.PACKET_HEAD_BYTES:
+            raise codec.MalformedPacketError(f"packet starts with {head.hex()}")
+        return self.reader.read_exactly(size)
 
 
 @dataclass(slots=True)
 class AjpBackend:
-    """One AJP server, as seen from here."""
-
-    worker: AjpBackendSettings
-    busy: int = 0
-    rests_until: float = 0.0
+    """What is known of one AJP server.
+
+    Attributes:
+        settings: Its configuration.
+        in_flight: How many requests it runs for this process.
+        unreachable_until: It is tried last until then, in Unix milliseconds.
+        idle: Connections that carry no request.
+    """
+
+    settings: AjpBackendSettings
+    in_flight: int = 0
+    unreachable_until: float = 0.0
     idle: list[BackendConnection] = field(default_factory=list)
 
 
+@dataclass(slots=True)
+class BackendReply:
+    """A backend's answer, and whether its connection may carry another request."""
+
+    answer: Answer
+    reuse: bool
+
+
 class AjpBackendPool:
-    """The engine of one target: a worker, or a balancer over several."""
+    """The execution engine of one target: an AJP server, or a balancer over several."""
 
-    def __init__(self, config: Config, coordinator: RequestCoordinator, servers: list[AjpBackend]) -> None:
-        self.config, self.coordinator, self.limits, self.servers = config, coordinator, config.limits, servers
+    def __init__(self, config: Config, coordinator: RequestCoordinator, backends: list[AjpBackend]) -> None:
+        self._coordinator = coordinator
+        self._limits = config.limits
+        self._backends = backends
 
     def run(self, exchange: Exchange) -> None:
         """Start a request on one of the servers."""
         gevent.spawn(self._run, exchange)
 
     def resume(self, exchange: Exchange, reply: bytes) -> None:
-        """AJP servers make their calls themselves."""
+        """Do nothing: AJP servers make their calls themselves."""
 
     def _run(self, exchange: Exchange) -> None:
-        began = unix_ms()
-        outcome, answer = RunOutcome.ERROR, None
+        started_at = unix_ms()
+        outcome = RunOutcome.ERROR
+        answer = None
         try:
-            # Guards against a server that never answers: the due time ends the wait for it.
-            with gevent.Timeout(max(0.001, (exchange.due_at - began) / 1000.0)):
-                answer = self._try(exchange)
+            with gevent.Timeout(max(MIN_TIMEOUT_S, (exchange.due_at - started_at) / 1000.0)):
+                answer = self._run_on_first_reachable(exchange)
                 outcome = RunOutcome.OK if answer.kind is AnswerKind.SERVED else RunOutcome.ERROR
         except gevent.Timeout:
             answer = Answer(AnswerKind.FAILED, late=True)
-        except BackendUnreachableError:  # it never ran: a later try may
-            answer = Answer(AnswerKind.REFUSED, retry_after_ms=self.limits.backend_retry_ms)
-        except (OSError, ConnectionEndedError, wire.MalformedPacketError) as error:
+        except BackendUnreachableError:  # it never ran: a later attempt may
+            answer = Answer(AnswerKind.REFUSED, retry_after_ms=self._limits.backend_retry_ms)
+        except (OSError, ConnectionEndedError, codec.MalformedPacketError) as error:
             log.warning("worker", error=str(error), id=exchange.id)
-        self.coordinator.run_ended(exchange.id, outcome, unix_ms() - began, answer)
-
-    def _try(self, exchange: Exchange) -> Answer:
-        for server in self._order(exchange.route):
-            connection = self._connection(server)
-            if connection is None:  # it never ran there, so another server may have it
-                self.coordinator.counters.add("worker.unreachable")
-                server.rests_until = unix_ms() + self.limits.backend_retry_ms
+        self._coordinator.run_ended(exchange.id, outcome, unix_ms() - started_at, answer)
+
+    def _run_on_first_reachable(self, exchange: Exchange) -> Answer:
+        """Run a request on the first server that can be connected to; once sent, it is sent to no other."""
+        for backend in self._by_preference(exchange.route):
+            connection = self._acquire_connection(backend)
+            if connection is None:
+                self._coordinator.counters.add("worker.unreachable")
+                backend.unreachable_until = unix_ms() + self._limits.backend_retry_ms
                 continue
-            server.busy += 1
-            self.coordinator.counters.add("worker.sent")
-            keep = False
+            backend.in_flight += 1
+            self._coordinator.counters.add("worker.sent")
+            reuse = False
             try:
-                answer, keep = self._talk(connection, server.worker, exchange)
-                return answer
+                reply = self._forward(connection, backend.settings, exchange)
+                reuse = reply.reuse
+                return reply.answer
             finally:
-                server.busy -= 1
-                if keep and len(server.idle) < self.limits.max_idle_backend_connections:
-                    server.idle.append(connection)
+                backend.in_flight -= 1
+                if reuse and len(backend.idle) < self._limits.max_idle_backend_connections:
+                    backend.idle.append(connection)
                 else:
                     connection.sock.close()
         raise BackendUnreachableError("no AJP server can be reached")
 
-    def _order(self, route: str) -> list[AjpBackend]:
-        """The session's own server first, then the least loaded for its factor; resting ones last."""
+    def _by_preference(self, route: str) -> list[AjpBackend]:
+        """Return the session's own server first, then the least loaded for its capacity; unreachable ones last."""
         now = unix_ms()
         return sorted(
-            self.servers,
-            key=lambda one: (
-                one.rests_until > now,
-                not (route and one.worker.route == route),
-                (one.busy + 1) / one.worker.factor,
+            self._backends,
+            key=lambda backend: (
+                backend.unreachable_until > now,
+                not (route and backend.settings.route == route),
+                (backend.in_flight + 1) / backend.settings.factor,
             ),
         )
 
-    def _connection(self, server: AjpBackend) -> BackendConnection | None:
-        """An idle connection that answers a ping, or a new one."""
-        while server.idle:
-            kept = server.idle.pop()
-            try:  # guards against writing a request to a connection that its server has closed
-                with gevent.Timeout(self.limits.connect_timeout_ms / 1000.0, TimeoutError):
-                    kept.send(wire.packet(wire.TO_SERVLET, bytes([wire.CPING])))
-                    if kept.next(self.limits.max_ajp_packet_bytes)[0] == wire.CPONG:
-                        return kept
-            except (OSError, ConnectionEndedError, wire.MalformedPacketError):
-                pass
-            kept.sock.close()
+    def _acquire_connection(self, backend: AjpBackend) -> BackendConnection | None:
+        """Return an idle connection that answers a ping, or a new one; None if the server can't be reached."""
+        while backend.idle:
+            connection = backend.idle.pop()
+            if self._answers_ping(connection):
+                return connection
+            connection.sock.close()
         try:
-            sock = connect(server.worker.address, self.limits.connect_timeout_ms)
+            sock = connect(backend.settings.address, self._limits.connect_timeout_ms)
         except OSError:
             return None
-        return BackendConnection(sock, Reader(sock, self.limits.max_ajp_packet_bytes))
-
-    def _talk(
-        self, connection: BackendConnection, worker: AjpBackendSettings, exchange: Exchange
-    ) -> tuple[Answer, bool]:
-        body, most = exchange.body, self.limits.max_ajp_packet_bytes
-        attributes = {"jvm_route": worker.route} if worker.route else {}
-        if exchange.query:
-            attributes["query_string"] = exchange.query
-        if worker.secret:
-            attributes["secret"] = worker.secret
-        rows = (*exchange.headers, ("content-length", str(len(body))))
-        request = wire.ForwardRequest(exchange.method, exchange.uri, headers=rows, attributes=attributes)
-        connection.send(wire.write_forward(request, most))
-        room, sent = wire.body_room(most), 0
+        return BackendConnection(sock, SocketReader(sock, self._limits.max_ajp_packet_bytes))
+
+    def _answers_ping(self, connection: BackendConnection) -> bool:
+        """Return whether a ping is answered: its server may have closed an idle connection."""
+        try:
+            with gevent.Timeout(self._limits.connect_timeout_ms / 1000.0, TimeoutError):
+                connection.send(codec.encode_packet(codec.TO_SERVLET, bytes([codec.CPING])))
+                return connection.read_packet(self._limits.max_ajp_packet_bytes)[0] == codec.CPONG
+        except (OSError, ConnectionEndedError, codec.MalformedPacketError):
+            return False
+
+    def _forward(self, connection: BackendConnection, settings: AjpBackendSettings, exchange: Exchange) -> BackendReply:
+        """Send a request over a connection and read the answer."""
+        body = exchange.body
+        max_bytes = self._limits.max_ajp_packet_bytes
+        chunk_bytes = codec.max_body_chunk_bytes(max_bytes)
+        connection.send(codec.encode_forward_request(_forward_request(settings, exchange), max_bytes))
+        sent_bytes = 0
         if body:
-            connection.send(wire.write_chunk(body[:room]))
-            sent = room
-        status, out = 0, bytearray()
-        headers: wire.Headers = ()
+            connection.send(codec.encode_body_chunk(body[:chunk_bytes]))
+            sent_bytes = chunk_bytes
+        status = 0
+        headers: codec.Headers = ()
+        result = bytearray()
         while True:
-            payload = connection.next(most)
-            if payload[0] == wire.HEADERS:
-                status, headers = wire.read_headers(payload)
-            elif payload[0] == wire.BODY:
-                at = wire.PayloadReader(payload[1:])
-                out += at.take(at.number())
-                if len(out) > self.limits.max_ajp_reply_bytes:  # guards memory against an answer without end
-                    raise wire.MalformedPacketError("answer too long")
-            elif payload[0] == wire.GET_BODY:
-                connection.send(wire.write_chunk(body[sent : sent + room]))
-                sent += room
-            elif payload[0] == wire.END:
+            payload = connection.read_packet(max_bytes)
+            kind = payload[0]
+            if kind == codec.HEADERS:
+                status, headers = codec.decode_send_headers(payload)
+            elif kind == codec.BODY:
+                result += codec.decode_reply_chunk(payload)
+                if len(result) > self._limits.max_ajp_reply_bytes:
+                    raise codec.MalformedPacketError("answer too long")
+            elif kind == codec.GET_BODY:
+                connection.send(codec.encode_body_chunk(body[sent_bytes : sent_bytes + chunk_bytes]))
+                sent_bytes += chunk_bytes
+            elif kind == codec.END:
                 if not status:
-                    raise wire.MalformedPacketError("answer without headers")
-                kind = AnswerKind.SERVED if status < 500 else AnswerKind.FAILED
-                return Answer(kind, bytes(out), status=status, headers=headers), payload[1:2] == b"\x01"
-            elif payload[0] != wire.CPONG:
-                raise wire.MalformedPacketError(f"packet of kind {payload[0]}")
-
-
-def engines(config: Config, coordinator: RequestCoordinator) -> dict[str, AjpBackendPool]:
-    """One engine for each worker and each balancer; they share what is known of a server."""
-    servers = {worker.name: AjpBackend(worker) for worker in config.ajp.backends}
-    out = {name: AjpBackendPool(config, coordinator, [server]) for name, server in servers.items()}
+                    raise codec.MalformedPacketError("answer without headers")
+                answer_kind = AnswerKind.SERVED if status < FIRST_FAILURE_STATUS else AnswerKind.FAILED
+                answer = Answer(answer_kind, bytes(result), status=status, headers=headers)
+                return BackendReply(answer, reuse=payload[1:2] == b"\x01")
+            elif kind != codec.CPONG:
+                raise codec.MalformedPacketError(f"packet of kind {kind}")
+
+
+def _forward_request(settings: AjpBackendSettings, exchange: Exchange) -> codec.ForwardRequest:
+    attributes = {}
+    if settings.route:
+        attributes["jvm_route"] = settings.route
+    if exchange.query:
+        attributes["query_string"] = exchange.query
+    if settings.secret:
+        attributes["secret"] = settings.secret
+    headers = (*exchange.headers, ("content-length", str(len(exchange.body))))
+    return codec.ForwardRequest(exchange.method, exchange.uri, headers=headers, attributes=attributes)
+
+
+def create_backend_pools(config: Config, coordinator: RequestCoordinator) -> dict[str, AjpBackendPool]:
+    """Return a pool for each AJP server and each balancer, by name; they share what is known of a server."""
+    backends = {settings.name: AjpBackend(settings) for settings in config.ajp.backends}
+    pools = {name: AjpBackendPool(config, coordinator, [backend]) for name, backend in backends.items()}
     for name, members in config.ajp.balancers.items():
-        out[name] = AjpBackendPool(config, coordinator, [servers[member] for member in members])
-    return out
+        pools[name] = AjpBackendPool(config, coordinator, [backends[member] for member in members])
+    return pools
--- /dev/null
+++ b/myrtlespar/net/ajp_requests.py
@@ -0,0 +1,60 @@
+"""Turns a Forward Request of a gateway into an `Exchange`."""
+
+from __future__ import annotations
+
+import re
+import zlib
+from collections.abc import Callable
+
+from myrtlespar.config import PathRule
+from myrtlespar.exchange import Answer, Exchange
+from myrtlespar.net.codec.ajp import ForwardRequest
+from myrtlespar.runtime.clock import unix_ms
+
+SESSION_ROUTE = re.compile(r"jsessionid=[^;,\s]*?\.([A-Za-z0-9_-]+)(?:$|[;,\s?/])", re.I)
+HOP_BY_HOP_HEADERS = ("connection", "transfer-encoding", "content-length", "keep-alive")
+MAX_KEY_CHARS = 200
+
+
+def create_exchange(
+    request_id: str,
+    request: ForwardRequest,
+    rule: PathRule,
+    body: bytes,
+    key_header: str,
+    deliver: Callable[[Exchange, Answer], None],
+) -> Exchange:
+    """Return the request as the coordinator takes it.
+
+    Args:
+        request_id: Its id, new for each request.
+        request: The gateway's request.
+        rule: The rule for its path.
+        body: Its complete body.
+        key_header: Name of the header with the idempotency key; empty if none holds it.
+        deliver: Takes the answer.
+    """
+    exchange = Exchange(request_id, "ajp", rule.class_index, body, unix_ms(), deliver)
+    exchange.memory_kb = rule.memory_kb
+    exchange.rank = rule.priority_weight
+    exchange.target = rule.target
+    exchange.sender = zlib.crc32(request.remote_addr.encode())
+    exchange.method = request.method
+    exchange.uri = request.uri
+    exchange.query = request_query(request)
+    exchange.headers = tuple(row for row in request.headers if row[0] not in HOP_BY_HOP_HEADERS)
+    exchange.route = session_route(request)
+    if key_header:
+        exchange.key = request.header(key_header)[:MAX_KEY_CHARS]
+    return exchange
+
+
+def request_query(request: ForwardRequest) -> str:
+    """Return the request's query, without the question mark."""
+    return request.attributes.get("query_string", "")
+
+
+def session_route(request: ForwardRequest) -> str:
+    """Return the route behind the dot of a session's id, from the path or a cookie; else the gateway's."""
+    found = SESSION_ROUTE.search(request.uri) or SESSION_ROUTE.search(request.header("cookie"))
+    return found.group(1) if found else request.attributes.get("jvm_route", "")
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -1,4 +1,4 @@
-"""What the connections of both fronts share: how one ends without leaving an answer behind."""
+"""What the client connections of both protocols have in common: how one ends without losing an answer."""
 
 from __future__ import annotations
 
@@ -6,78 +6,105 @@
 
 from gevent import socket
 
-from myrtlespar.net.connections import Outbox, OutboxBudget, Reader
+from myrtlespar.net.outbox import Outbox, OutboxBudget
+from myrtlespar.net.socket_reader import SocketReader
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.state_machines.client_connection import ConnectionAction, ConnectionEvent, ConnectionLifecycle
 
 
 class ClientConnection:
-    """One client's connection. A front reads its own messages from it and tells the state machine what happens."""
+    """One client's connection.
+
+    A subclass reads the messages of its protocol and reports to the state machine what happens.
+
+    Attributes:
+        outbox: Sends the answers.
+        reader: Reads from the socket.
+        lifecycle: The connection's state machine.
+        last_active_at: When a message last came or went, in Unix milliseconds.
+        messages_read: How many complete messages were read.
+        consecutive_rejected: How many messages in a row were rejected.
+    """
 
     def __init__(
         self,
         name: str,
         sock: socket.socket,
         limits: ResourceLimits,
-        outbox_bytes: int,
-        message_bytes: int,
-        unsent: OutboxBudget,
-        conclude: Callable[[ClientConnection], None],
+        max_outbox_bytes: int,
+        max_message_bytes: int,
+        outbox_budget: OutboxBudget,
+        finish_answers: Callable[[ClientConnection], None],
     ) -> None:
-        """`conclude` ends a connection of which no more is read, once it has what it is owed."""
+        """Take over an accepted socket.
+
+        Args:
+            name: The connection's name in traces.
+            sock: The accepted socket.
+            limits: The process's limits.
+            max_outbox_bytes: Unsent bytes it may hold.
+            max_message_bytes: Size of the longest message.
+            outbox_budget: Unsent bytes it may hold together with other connections.
+            finish_answers: Closes a connection of which no more is read, once its requests are answered.
+        """
         self.limits = limits
-        self.outbox = Outbox(sock, outbox_bytes, limits.send_timeout_ms, limits.close_linger_ms, unsent)
-        self.reader = Reader(sock, message_bytes)
-        self.conn = ConnectionLifecycle(name)
-        self.used = unix_ms()  # when a message last came or went
-        self.messages = 0  # whole ones read
-        self.bad = 0  # messages running that could not be taken
-        self._conclude = conclude
-
-    def owes(self) -> bool:
-        """Whether a request on it is not answered yet."""
+        self.outbox = Outbox(sock, max_outbox_bytes, limits.send_timeout_ms, limits.close_linger_ms, outbox_budget)
+        self.reader = SocketReader(sock, max_message_bytes)
+        self.lifecycle = ConnectionLifecycle(name)
+        self.last_active_at = unix_ms()
+        self.messages_read = 0
+        self.consecutive_rejected = 0
+        self._finish_answers = finish_answers
+
+    def has_open_requests(self) -> bool:
+        """Return whether a request on it is not answered yet."""
         raise NotImplementedError
 
     def read(self) -> None:
-        """Take messages until the connection ends; whoever still waits then is gone."""
+        """Handle messages until the connection ends; requests still open then are abandoned."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close it unless something is owed on it."""
-        self._be(ConnectionEvent.CLOSE)
+        """Close it unless a request on it is open."""
+        self._handle_event(ConnectionEvent.CLOSE)
 
     def end(self) -> None:
-        """Take nothing more; close it behind its last answer."""
-        self._be(ConnectionEvent.END)
-
-    def spoil(self) -> None:
-        """What came can't be read on: send what is owed, then close."""
-        self._be(ConnectionEvent.SPOILT)
-        self._conclude(self)
-        self._leave()
-
-    def _be(self, event: ConnectionEvent) -> None:
-        for do in self.conn.handle(event):
-            if do is ConnectionAction.FINISH:
+        """Read nothing more; close it behind its last answer."""
+        self._handle_event(ConnectionEvent.END)
+
+    def fail(self) -> None:
+        """Read nothing more after a fault; close it once its open requests are answered."""
+        self._stop_reading()
+        self._close_after_reading()
+
+    def _handle_event(self, event: ConnectionEvent) -> None:
+        for action in self.lifecycle.handle(event):
+            if action is ConnectionAction.FINISH:
                 self.outbox.finish()
             else:
-                self._abandon()
+                self._abandon_requests()
 
-    def _abandon(self) -> None:
-        """Nobody waits any longer for what was owed here."""
+    def _abandon_requests(self) -> None:
+        """Report that nobody waits any longer for the answers to the open requests."""
         raise NotImplementedError
 
-    def _takes(self) -> bool:
-        """Guards against running what crosses our close: its answer could not be sent, and its client sends it once
-        more elsewhere.
+    def _accepts_requests(self) -> bool:
+        """Return whether a message that comes may still be handled.
+
+        Its client retries elsewhere what crosses our close; were it run here too, its answer could not even be sent.
         """
-        return self.conn.accepts_requests and not self.outbox.ending and not self.outbox.closed
+        return self.lifecycle.accepts_requests and not self.outbox.finishing and not self.outbox.closed
+
+    def _stop_reading(self) -> None:
+        """Read nothing more, and wait until the open requests are answered."""
+        self._handle_event(ConnectionEvent.SPOILT)
+        self._finish_answers(self)
 
-    def _leave(self) -> None:
-        """No more is read: send the last answers, if we end it, and close."""
-        if self.outbox.ending:
-            self.outbox.drained(self.limits.send_timeout_ms / 1000.0)
+    def _close_after_reading(self) -> None:
+        """Send the last answers, if it is this side that ends the connection, and close."""
+        if self.outbox.finishing:
+            self.outbox.wait_sent(self.limits.send_timeout_ms / 1000.0)
             self.reader.discard()
         self.outbox.close()
-        self._be(ConnectionEvent.RESET)
+        self._handle_event(ConnectionEvent.RESET)
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -8,14 +8,30 @@
 
 from myrtlespar.errors import MyrtlesparError
 
-TO_SERVLET, TO_GATEWAY = b"\x12\x34", b"AB"
-FORWARD, BODY, HEADERS, END, GET_BODY, SHUTDOWN, PING, CPONG, CPING = 2, 3, 4, 5, 6, 7, 8, 9, 10
+# The first bytes of a packet, which tell its direction.
+TO_SERVLET = b"\x12\x34"
+TO_GATEWAY = b"AB"
+PACKET_HEAD_BYTES = 4
+DEFAULT_MAX_PACKET_BYTES = 8192
+
+# Codes of the messages.
+FORWARD = 2
+BODY = 3
+HEADERS = 4
+END = 5
+GET_BODY = 6
+SHUTDOWN = 7
+PING = 8
+CPONG = 9
+CPING = 10
+
 METHODS = (
     "OPTIONS GET HEAD POST PUT DELETE TRACE PROPFIND PROPPATCH MKCOL COPY MOVE LOCK UNLOCK ACL REPORT "
     "VERSION-CONTROL CHECKIN CHECKOUT UNCHECKOUT SEARCH MKWORKSPACE UPDATE LABEL MERGE "
     "BASELINE-CONTROL MKACTIVITY"
 ).split()
-STORED_METHOD = 0xFF
+STORED_METHOD = 0xFF  # code of a method that is named in an attribute
+# Well-known headers, in the order of their codes from 1 on.
 REQUEST_HEADERS = (
     "accept accept-charset accept-encoding accept-language authorization connection "
     "content-type content-length cookie cookie2 host pragma referer user-agent"
@@ -24,6 +40,8 @@
     "content-type content-language content-length date last-modified location set-cookie "
     "set-cookie2 servlet-engine status www-authenticate"
 ).split()
+HEADER_CODE_PREFIX = 0xA0  # high byte of a well-known header's code
+NO_TEXT = 0xFFFF  # the length of an absent text
 ATTRIBUTES = {
     1: "context",
     2: "servlet_path",
@@ -37,18 +55,32 @@
     12: "secret",
     13: "stored_method",
 }
-CODES = {name: code for code, name in ATTRIBUTES.items()}
-NAMED, KEY_SIZE, DONE = 10, 11, 0xFF
+ATTRIBUTE_CODES = {name: code for code, name in ATTRIBUTES.items()}
+NAMED_ATTRIBUTE = 10
+KEY_SIZE_ATTRIBUTE = 11
+LAST_ATTRIBUTE = 0xFF
+BODY_CHUNK_OVERHEAD_BYTES = 6  # of a packet with a part of a request's body
+REPLY_CHUNK_OVERHEAD_BYTES = 8  # of a packet with a part of an answer's body
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
 Headers = tuple[tuple[str, str], ...]
 
 
 class MalformedPacketError(MyrtlesparError):
-    """Bytes that are no AJP13 message."""
+    """Bytes that are no AJP13 message, or values that fit none."""
 
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """A request without its body."""
+    """A request without its body. Header names are in lower case; an attribute with a name of its own begins with @."""
 
     method: str = "GET"
     uri: str = "/"
@@ -62,175 +94,233 @@
     attributes: dict[str, str] = field(default_factory=dict)
 
     def header(self, name: str) -> str:
-        """The first header of this name, or nothing."""
+        """Return the first header of this name, or an empty text."""
         return next((value for key, value in self.headers if key == name), "")
 
 
 class PayloadReader:
-    """Reads the fields of one payload."""
+    """Reads the fields of one payload in their order.
+
+    Each method raises `MalformedPacketError` if the payload ends first or holds no such field.
+    """
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self._data = data
+        self._position = 0
 
     def take(self, size: int) -> bytes:
-        """So many bytes."""
-        if self.at + size > len(self.data):
+        """Return the next `size` bytes."""
+        end = self._position + size
+        if end > len(self._data):
             raise MalformedPacketError("cut short")
-        self.at += size
-        return self.data[self.at - size : self.at]
+        out = self._data[self._position : end]
+        self._position = end
+        return out
 
     def byte(self) -> int:
-        """One byte."""
+        """Return the next byte."""
         return self.take(1)[0]
 
     def number(self) -> int:
-        """Two bytes, the high one first."""
+        """Return the next two bytes as a number, the high byte first."""
         return int.from_bytes(self.take(2), "big")
 
     def text(self) -> str:
-        """A text with its length before and a zero behind; none is empty."""
+        """Return a text, which has its length in front and a zero byte behind; an absent one is empty."""
         size = self.number()
-        if size == 0xFFFF:
+        if size == NO_TEXT:
             return ""
         value = self.take(size).decode("latin-1")
         if self.byte() != 0:
             raise MalformedPacketError("text without its end")
         return value
 
-    def header(self, names: list[str]) -> tuple[str, str]:
-        """A header, its name as a code or a text."""
-        start = self.number()
-        if start >> 8 == 0xA0:
-            if not 0 < (start & 0xFF) <= len(names):
-                raise MalformedPacketError(f"header code {start:#x}")
-            return names[(start & 0xFF) - 1], self.text()
-        self.at -= 2
-        return self.text().lower(), self.text()
-
-
-def text(value: str | None) -> bytes:
-    """A text, or none."""
+    def header(self, well_known: list[str]) -> tuple[str, str]:
+        """Return the name and the value of a header; its name is a code of `well_known` or a text."""
+        code = self.number()
+        if code >> 8 == HEADER_CODE_PREFIX:
+            index = code & 0xFF
+            if not 0 < index <= len(well_known):
+                raise MalformedPacketError(f"header code {code:#x}")
+            return well_known[index - 1], self.text()
+        self._position -= 2
+        name = self.text().lower()
+        return name, self.text()
+
+
+def encode_text(value: str | None) -> bytes:
+    """Return the bytes of a text, or of an absent one."""
     if value is None:
-        return b"\xff\xff"
+        return struct.pack(">H", NO_TEXT)
     data = value.encode("latin-1", "replace")
     return struct.pack(">H", len(data)) + data + b"\0"
 
 
-def headers(rows: Headers, names: list[str]) -> bytes:
-    """A count and so many headers."""
-    out = struct.pack(">H", len(rows))
-    for name, value in rows:
+def encode_headers(headers: Headers, well_known: list[str]) -> bytes:
+    """Return the count of headers and the headers."""
+    out = struct.pack(">H", len(headers))
+    for name, value in headers:
         key = name.lower()
-        out += struct.pack(">H", 0xA001 + names.index(key)) if key in names else text(name)
-        out += text(value)
+        if key in well_known:
+            out += struct.pack(">BB", HEADER_CODE_PREFIX, well_known.index(key) + 1)
+        else:
+            out += encode_text(name)
+        out += encode_text(value)
     return out
 
 
-def packet(magic: bytes, payload: bytes, most: int = 8192) -> bytes:
-    """A whole packet."""
-    if len(payload) + 4 > most:
-        raise MalformedPacketError(f"packet of {len(payload) + 4} bytes")
-    return magic + struct.pack(">H", len(payload)) + payload
+def encode_packet(direction: bytes, payload: bytes, max_bytes: int = DEFAULT_MAX_PACKET_BYTES) -> bytes:
+    """Return a complete packet.
+
+    Raises:
+        MalformedPacketError: It would be longer than `max_bytes`.
+    """
+    size = len(payload) + PACKET_HEAD_BYTES
+    if size > max_bytes:
+        raise MalformedPacketError(f"packet of {size} bytes")
+    return direction + struct.pack(">H", len(payload)) + payload
 
 
-def read_forward(payload: bytes) -> ForwardRequest:
-    """A Forward Request, from its code on."""
-    at = PayloadReader(payload)
-    if at.byte() != FORWARD:
+def decode_forward_request(payload: bytes) -> ForwardRequest:
+    """Return the request in a Forward Request payload.
+
+    Raises:
+        MalformedPacketError: The payload is none.
+    """
+    reader = PayloadReader(payload)
+    if reader.byte() != FORWARD:
         raise MalformedPacketError("no Forward Request")
-    code = at.byte()
-    if not (1 <= code <= len(METHODS) or code == STORED_METHOD):
-        raise MalformedPacketError(f"method code {code}")
-    out = ForwardRequest("" if code == STORED_METHOD else METHODS[code - 1])
-    out.protocol, out.uri = at.text(), at.text()
-    out.remote_addr, out.remote_host, out.server_name = at.text(), at.text(), at.text()
-    out.port, out.ssl = at.number(), bool(at.byte())
-    out.headers = tuple(at.header(REQUEST_HEADERS) for _ in range(at.number()))
-    while (kind := at.byte()) != DONE:
-        if kind == KEY_SIZE:
-            at.number()
-        elif kind == NAMED:
-            name = at.text()
-            out.attributes[f"@{name}"] = at.text()
-        elif kind in ATTRIBUTES:
-            out.attributes[ATTRIBUTES[kind]] = at.text()
+    method_code = reader.byte()
+    if not (1 <= method_code <= len(METHODS) or method_code == STORED_METHOD):
+        raise MalformedPacketError(f"method code {method_code}")
+    request = ForwardRequest("" if method_code == STORED_METHOD else METHODS[method_code - 1])
+    request.protocol = reader.text()
+    request.uri = reader.text()
+    request.remote_addr = reader.text()
+    request.remote_host = reader.text()
+    request.server_name = reader.text()
+    request.port = reader.number()
+    request.ssl = bool(reader.byte())
+    request.headers = tuple(reader.header(REQUEST_HEADERS) for _ in range(reader.number()))
+    _decode_attributes(reader, request.attributes)
+    if method_code == STORED_METHOD:
+        request.method = request.attributes.get("stored_method", "")
+    return request
+
+
+def _decode_attributes(reader: PayloadReader, attributes: dict[str, str]) -> None:
+    while (code := reader.byte()) != LAST_ATTRIBUTE:
+        if code == KEY_SIZE_ATTRIBUTE:
+            reader.number()
+        elif code == NAMED_ATTRIBUTE:
+            name = reader.text()
+            attributes[f"@{name}"] = reader.text()
+        elif code in ATTRIBUTES:
+            attributes[ATTRIBUTES[code]] = reader.text()
         else:
-            raise MalformedPacketError(f"attribute code {kind}")
-    if code == STORED_METHOD:
-        out.method = out.attributes.get("stored_method", "")
-    return out
+            raise MalformedPacketError(f"attribute code {code}")
 
 
-def write_forward(request: ForwardRequest, most: int = 8192) -> bytes:
-    """A Forward Request as a whole packet."""
-    known = request.method in METHODS
+def encode_forward_request(request: ForwardRequest, max_bytes: int = DEFAULT_MAX_PACKET_BYTES) -> bytes:
+    """Return a Forward Request packet.
+
+    Raises:
+        MalformedPacketError: It would be longer than `max_bytes`.
+    """
+    has_code = request.method in METHODS
     attributes = dict(request.attributes)
-    if not known:
+    if not has_code:
         attributes["stored_method"] = request.method
-    out = bytes([FORWARD, METHODS.index(request.method) + 1 if known else STORED_METHOD])
-    out += text(request.protocol) + text(request.uri) + text(request.remote_addr)
-    out += text(request.remote_host or None) + text(request.server_name)
-    out += struct.pack(">HB", request.port, request.ssl) + headers(request.headers, REQUEST_HEADERS)
+    out = bytes([FORWARD, METHODS.index(request.method) + 1 if has_code else STORED_METHOD])
+    out += encode_text(request.protocol)
+    out += encode_text(request.uri)
+    out += encode_text(request.remote_addr)
+    out += encode_text(request.remote_host or None)
+    out += encode_text(request.server_name)
+    out += struct.pack(">HB", request.port, request.ssl)
+    out += encode_headers(request.headers, REQUEST_HEADERS)
     for name, value in attributes.items():
-        code = bytes([NAMED]) + text(name[1:]) if name.startswith("@") else bytes([CODES[name]])
-        out += code + text(value)
-    return packet(TO_SERVLET, out + bytes([DONE]), most)
+        if name.startswith("@"):
+            out += bytes([NAMED_ATTRIBUTE]) + encode_text(name[1:])
+        else:
+            out += bytes([ATTRIBUTE_CODES[name]])
+        out += encode_text(value)
+    return encode_packet(TO_SERVLET, out + bytes([LAST_ATTRIBUTE]), max_bytes)
+
 
+def encode_body_chunk(data: bytes) -> bytes:
+    """Return a packet with a part of a request's body; an empty part ends the body."""
+    return encode_packet(TO_SERVLET, struct.pack(">H", len(data)) + data if data else b"")
 
-def write_chunk(data: bytes) -> bytes:
-    """A part of a request's body; an empty one ends it."""
-    return packet(TO_SERVLET, struct.pack(">H", len(data)) + data if data else b"")
 
+def decode_body_chunk(payload: bytes) -> bytes:
+    """Return a part of a request's body; an empty one ends the body.
 
-def read_chunk(payload: bytes) -> bytes:
-    """A part of a request's body."""
+    Raises:
+        MalformedPacketError: The payload holds none.
+    """
     if not payload:
         return b""
-    at = PayloadReader(payload)
-    return at.take(at.number())
+    reader = PayloadReader(payload)
+    return reader.take(reader.number())
 
 
-def body_room(most: int) -> int:
-    """Bytes of a request's body that fit one packet."""
-    return most - 6
+def decode_reply_chunk(payload: bytes) -> bytes:
+    """Return the part of an answer's body in a Send Body Chunk payload.
 
+    Raises:
+        MalformedPacketError: The payload holds none.
+    """
+    reader = PayloadReader(payload[1:])
+    return reader.take(reader.number())
 
-def write_reply(status: int, rows: Headers, body: bytes, reuse: bool, most: int = 8192) -> Iterator[bytes]:
-    """Send Headers, the body in parts, End Response."""
-    room = most - 8
-    start_line = struct.pack(">BH", HEADERS, status) + text(REASONS.get(status, "Unknown"))
-    yield packet(TO_GATEWAY, start_line + headers(rows, REPLY_HEADERS), most)
-    for start in range(0, len(body), room):
-        part = body[start : start + room]
-        yield packet(TO_GATEWAY, bytes([BODY]) + struct.pack(">H", len(part)) + part + b"\0", most)
-    yield end(reuse)
 
+def max_body_chunk_bytes(max_packet_bytes: int) -> int:
+    """Return how many bytes of a request's body fit one packet."""
+    return max_packet_bytes - BODY_CHUNK_OVERHEAD_BYTES
 
-def end(reuse: bool) -> bytes:
-    """End Response."""
-    return packet(TO_GATEWAY, bytes([END, reuse]))
 
+def encode_reply(
+    status: int, headers: Headers, body: bytes, reuse: bool, max_bytes: int = DEFAULT_MAX_PACKET_BYTES
+) -> Iterator[bytes]:
+    """Yield the packets of a complete answer: Send Headers, the body in parts, End Response.
 
-def get_body(size: int) -> bytes:
-    """Get Body Chunk."""
-    return packet(TO_GATEWAY, struct.pack(">BH", GET_BODY, size))
+    Args:
+        status: The HTTP status.
+        headers: The headers.
+        body: The body.
+        reuse: Whether the connection may carry another request.
+        max_bytes: Size of the longest packet.
 
+    Raises:
+        MalformedPacketError: The headers do not fit a packet.
+    """
+    start_line = struct.pack(">BH", HEADERS, status) + encode_text(REASONS.get(status, "Unknown"))
+    yield encode_packet(TO_GATEWAY, start_line + encode_headers(headers, REPLY_HEADERS), max_bytes)
+    max_chunk_bytes = max_bytes - REPLY_CHUNK_OVERHEAD_BYTES
+    for start in range(0, len(body), max_chunk_bytes):
+        chunk = body[start : start + max_chunk_bytes]
+        yield encode_packet(TO_GATEWAY, bytes([BODY]) + struct.pack(">H", len(chunk)) + chunk + b"\0", max_bytes)
+    yield encode_end_response(reuse)
 
-def read_headers(payload: bytes) -> tuple[int, Headers]:
-    """Status and headers of a Send Headers payload."""
-    at = PayloadReader(payload[1:])
-    status = at.number()
-    at.text()
-    return status, tuple(at.header(REPLY_HEADERS) for _ in range(at.number()))
 
+def encode_end_response(reuse: bool) -> bytes:
+    """Return an End Response packet; `reuse` tells whether the connection may carry another request."""
+    return encode_packet(TO_GATEWAY, bytes([END, reuse]))
 
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    403: "Forbidden",
-    404: "Not Found",
-    413: "Content Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
+
+def encode_get_body_chunk(size: int) -> bytes:
+    """Return a Get Body Chunk packet, which asks for `size` bytes at most."""
+    return encode_packet(TO_GATEWAY, struct.pack(">BH", GET_BODY, size))
+
+
+def decode_send_headers(payload: bytes) -> tuple[int, Headers]:
+    """Return the status and the headers in a Send Headers payload.
+
+    Raises:
+        MalformedPacketError: The payload is none.
+    """
+    reader = PayloadReader(payload[1:])
+    status = reader.number()
+    reader.text()  # the reason
+    return status, tuple(reader.header(REPLY_HEADERS) for _ in range(reader.number()))
--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -1,7 +1,8 @@
-"""Thrift's strict binary protocol: clients' messages, read with every length checked, and our answers.
+"""Thrift's strict binary protocol: the messages of clients, and the answers to them.
 
-The library's writer is used, its reader is not: a negative length made it crash the process, and a list of
-two thousand million elements without a size of their own kept it busy for minutes.
+Messages are read here, with every length checked, and written by the library. The library's reader is not used: a
+negative length crashed the process, and a list of two thousand million elements that take no bytes kept it busy for
+minutes.
 """
 
 from __future__ import annotations
@@ -19,90 +20,127 @@
 
 idl: Any = thriftpy2.load(str(Path(__file__).parent / "front.thrift"), module_name="front_thrift")
 METHODS = frozenset(idl.Front.thrift_services)
-ONE_WAY = frozenset({"abort"})  # nobody waits for an answer to these
-CALL, REPLY, EXCEPTION, ONEWAY = (
-    int(kind) for kind in (TMessageType.CALL, TMessageType.REPLY, TMessageType.EXCEPTION, TMessageType.ONEWAY)
-)
-UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7
-BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
+ONE_WAY_METHODS = frozenset({"abort"})  # nobody waits for an answer to these
+
+# Types of messages.
+CALL = int(TMessageType.CALL)
+REPLY = int(TMessageType.REPLY)
+EXCEPTION = int(TMessageType.EXCEPTION)
+ONEWAY = int(TMessageType.ONEWAY)
+
+# Kinds of application exceptions.
+UNKNOWN_METHOD = 1
+PROTOCOL_ERROR = 7
+
+# Types of values.
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
 NUMBERS = {
     kind: struct.Struct(shape)
     for kind, shape in ((BOOL, ">?"), (BYTE, ">b"), (DOUBLE, ">d"), (I16, ">h"), (I32, ">i"), (I64, ">q"))
 }
-HEAD, FIELD, PAIR = struct.Struct(">HxBi"), struct.Struct(">Bh"), struct.Struct(">BBi")
-SIZE = NUMBERS[I32].unpack_from
-DEPTH = 16  # of structs and containers in each other
+STRICT_VERSION = 0x8001
+MESSAGE_HEAD = struct.Struct(">HxBi")  # version, type, length of the name
+MAP_HEAD = struct.Struct(">BBi")  # type of the keys, type of the values, size
+LIST_HEAD = struct.Struct(">Bi")  # type of the elements, size
+UNPACK_SIZE_FROM = NUMBERS[I32].unpack_from
+MAX_DEPTH = 16  # of structs and containers in each other
 
 
 class MalformedMessageError(MyrtlesparError):
-    """A message that can't be read, or that asks for nothing we know."""
+    """A message that can't be read, or that asks for something unknown."""
 
 
 class MalformedCallError(MalformedMessageError):
     """A call whose head could be read, so that it can be answered, and whose arguments could not."""
 
-    def __init__(self, name: str, seq: int, text: str) -> None:
+    def __init__(self, name: str, sequence_number: int, text: str) -> None:
         super().__init__(text)
-        self.name, self.seq = name, seq
+        self.name = name
+        self.sequence_number = sequence_number
 
 
 class ThriftMessage(NamedTuple):
-    """One message; `args` holds type and value of each field of a known method."""
+    """One message.
+
+    Attributes:
+        name: The method's name.
+        kind: The message's type, such as `CALL`.
+        sequence_number: What links an answer to its call.
+        args: Type and value of each field, by the field's number; None if the method is unknown.
+    """
 
     name: str
     kind: int
-    seq: int
+    sequence_number: int
     args: dict[int, tuple[int, Any]] | None
 
     def get(self, field: int, kind: int, default: Any) -> Any:
-        """A field's value; one of another type counts as absent, as Thrift has it."""
+        """Return a field's value, or the default if it is absent or, which Thrift treats alike, of another type."""
         found = (self.args or {}).get(field)
         return found[1] if found and found[0] == kind else default
 
 
 def decode(frame: bytes) -> ThriftMessage:
-    """A frame's message."""
-    at = _Cursor(frame)
-    version, kind, size = HEAD.unpack(at.take(8))
-    if version != 0x8001:
+    """Return the message in a frame.
+
+    Raises:
+        MalformedCallError: It is a call whose arguments can't be read.
+        MalformedMessageError: It can't be read, or not be answered.
+    """
+    reader = _FrameReader(frame)
+    version, kind, name_length = MESSAGE_HEAD.unpack(reader.take(MESSAGE_HEAD.size))
+    if version != STRICT_VERSION:
         raise MalformedMessageError("not strict binary Thrift")
-    name = at.take(size).decode("ascii", "replace")
-    seq: int = NUMBERS[I32].unpack(at.take(4))[0]
+    name = reader.take(name_length).decode("ascii", "replace")
+    sequence_number: int = NUMBERS[I32].unpack(reader.take(4))[0]
     try:
-        return ThriftMessage(name, kind, seq, at.struct(DEPTH) if name in METHODS else None)
+        return ThriftMessage(name, kind, sequence_number, reader.struct(MAX_DEPTH) if name in METHODS else None)
     except KeyError as error:
-        raise _unreadable(name, kind, seq, f"type {error} is unknown") from None
+        raise _malformed(name, kind, sequence_number, f"type {error} is unknown") from None
     except MalformedMessageError as error:
-        raise _unreadable(name, kind, seq, str(error)) from None
+        raise _malformed(name, kind, sequence_number, str(error)) from None
+
 
+def _malformed(name: str, kind: int, sequence_number: int, text: str) -> MalformedMessageError:
+    if kind == CALL and name in METHODS - ONE_WAY_METHODS:
+        return MalformedCallError(name, sequence_number, text)
+    return MalformedMessageError(text)
 
-def _unreadable(name: str, kind: int, seq: int, text: str) -> MalformedMessageError:
-    return (
-        MalformedCallError(name, seq, text)
-        if kind == CALL and name in METHODS - ONE_WAY
-        else MalformedMessageError(text)
-    )
 
+class _FrameReader:
+    """Reads values from a frame in their order, with every length checked.
 
-class _Cursor:
-    """Reads values from a frame."""
+    Its methods raise `MalformedMessageError` for a value that does not fit the frame, and `KeyError` for one of an
+    unknown type.
+    """
 
-    __slots__ = ("at", "data")
+    __slots__ = ("_data", "_position")
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self._data = data
+        self._position = 0
 
     def take(self, size: int) -> bytes:
-        """So many bytes. Guards against lengths that are negative or reach past the frame."""
-        end = self.at + size
-        if size < 0 or end > len(self.data):
+        """Return the next `size` bytes."""
+        end = self._position + size
+        if size < 0 or end > len(self._data):
             raise MalformedMessageError(f"length {size} does not fit the message")
-        out = self.data[self.at : end]
-        self.at = end
+        out = self._data[self._position : end]
+        self._position = end
         return out
 
     def struct(self, depth: int) -> dict[int, tuple[int, Any]]:
-        """All fields."""
+        """Return type and value of each field of a struct, by the field's number."""
         fields: dict[int, tuple[int, Any]] = {}
         while (kind := self.take(1)[0]) != 0:
             field = NUMBERS[I16].unpack(self.take(2))[0]
@@ -110,7 +148,7 @@
         return fields
 
     def value(self, kind: int, depth: int) -> Any:
-        """One value. Guards the stack against values nested too deep."""
+        """Return one value; structs and containers may be nested `depth` deep."""
         if kind == STRING:
             return self.take(NUMBERS[I32].unpack(self.take(4))[0])
         if kind in NUMBERS:
@@ -121,48 +159,55 @@
         if kind == STRUCT:
             return self.struct(depth)
         if kind == MAP:
-            keys, values, size = PAIR.unpack(self.take(6))
-            self._fits(size)
-            if keys == values == STRING:
-                return self._texts(size)
-            rows = [(self.value(keys, depth - 1), self.value(values, depth - 1)) for _ in range(size)]
-            return {key: value for key, value in rows if isinstance(key, bytes)}
+            return self._map(depth)
         if kind in (SET, LIST):
-            of, size = struct.unpack(">Bi", self.take(5))
-            self._fits(size)
-            return [self.value(of, depth - 1) for _ in range(size)]
+            element_kind, size = LIST_HEAD.unpack(self.take(LIST_HEAD.size))
+            self._check_size(size)
+            return [self.value(element_kind, depth - 1) for _ in range(size)]
         raise KeyError(kind)
 
+    def _map(self, depth: int) -> dict[bytes, Any]:
+        """Return the entries of a map whose keys are texts."""
+        key_kind, value_kind, size = MAP_HEAD.unpack(self.take(MAP_HEAD.size))
+        self._check_size(size)
+        if key_kind == value_kind == STRING:
+            return self._texts(size)
+        entries = [(self.value(key_kind, depth - 1), self.value(value_kind, depth - 1)) for _ in range(size)]
+        return {key: value for key, value in entries if isinstance(key, bytes)}
+
     def _texts(self, size: int) -> dict[bytes, bytes]:
-        """Pairs of strings: every request carries some, so they are read without a call for each."""
-        data, at, end, words = self.data, self.at, len(self.data), list[bytes]()
+        """Return the entries of a map of texts: each request has one, so it is read without a call for each text."""
+        data = self._data
+        position = self._position
+        end = len(data)
+        texts: list[bytes] = []
         for _ in range(2 * size):
-            start = at + 4
-            length = SIZE(data, at)[0] if start <= end else -1
-            at = start + length
-            if length < 0 or at > end:
+            start = position + 4
+            length = UNPACK_SIZE_FROM(data, position)[0] if start <= end else -1
+            position = start + length
+            if length < 0 or position > end:
                 raise MalformedMessageError(f"length {length} does not fit the message")
-            words.append(data[start:at])
-        self.at = at
-        return dict(zip(words[::2], words[1::2], strict=True))
+            texts.append(data[start:position])
+        self._position = position
+        return dict(zip(texts[::2], texts[1::2], strict=True))
 
-    def _fits(self, size: int) -> None:
-        """Guards the core's time: every element takes a byte at least."""
-        if not 0 <= size <= len(self.data) - self.at:
+    def _check_size(self, size: int) -> None:
+        """Reject a container with more elements than there are bytes: reading it would take the processor's time."""
+        if not 0 <= size <= len(self._data) - self._position:
             raise MalformedMessageError(f"{size} elements do not fit the message")
 
 
-def encode(name: str, kind: int, seq: int, body: Any) -> bytes:
-    """A whole frame."""
+def encode(name: str, kind: int, sequence_number: int, body: Any) -> bytes:
+    """Return a complete frame; `body` is a struct of the interface."""
     buffer = TCyMemoryBuffer()
-    out = TCyBinaryProtocol(buffer, strict_write=True)
-    out.write_message_begin(name, kind, seq)
-    out.write_struct(body)
-    out.write_message_end()
+    protocol = TCyBinaryProtocol(buffer, strict_write=True)
+    protocol.write_message_begin(name, kind, sequence_number)
+    protocol.write_struct(body)
+    protocol.write_message_end()
     data: bytes = buffer.getvalue()
     return len(data).to_bytes(4, "big") + data
 
 
-def exception(name: str, seq: int, kind: int, text: str) -> bytes:
-    """An application exception, whole."""
-    return encode(name, EXCEPTION, seq, TApplicationException(kind, text))
+def encode_exception(name: str, sequence_number: int, kind: int, text: str) -> bytes:
+    """Return the complete frame of an application exception."""
+    return encode(name, EXCEPTION, sequence_number, TApplicationException(kind, text))
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -1,20 +1,24 @@
-"""Calls to the scene store: one at a time on each of a few connections, each end mapped to what it proves."""
+"""Calls to the dependency that runs need, over a few connections with one call at a time on each."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import gevent
 import structlog
 
 from myrtlespar.config import Address, Config
-from myrtlespar.errors import MyrtlesparError
-from myrtlespar.net.connections import ConnectionEndedError, Outbox, Reader, connect
-from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.net.codec import dependency as codec
+from myrtlespar.net.connections import connect
+from myrtlespar.net.outbox import Outbox
+from myrtlespar.net.socket_reader import ConnectionEndedError, SocketReader
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.state_machines.dependency_calls import (
     CallEffect,
     CallLimits,
     CloseConnection,
+    DependencyCall,
     DependencyCalls,
     DependencyConnection,
     OpenConnection,
@@ -22,29 +26,28 @@
 )
 
 log = structlog.get_logger()
-# BUSY and VOID prove that the call never ran; ERR and LATE prove nothing.
-ENDS = {
-    b"OK": RunOutcome.OK,
-    b"BUSY": RunOutcome.REJECTED,
-    b"ERR": RunOutcome.ERROR,
-    b"LATE": RunOutcome.TIMED_OUT,
-    b"VOID": RunOutcome.MOOT,
-}
+MIN_TIME_LIMIT_MS = 1.0
+MAX_FAULT_CHARS = 200
+
 
+@dataclass(frozen=True, slots=True)
+class DependencySocket:
+    """How an open connection is written and read."""
 
-class MalformedReplyError(MyrtlesparError):
-    """The store sent what can't be read: nothing more on this connection means anything."""
+    outbox: Outbox
+    reader: SocketReader
 
 
 class DependencyClient:
-    """The dependency that runs call."""
+    """Makes calls; which connection carries which call is decided by `DependencyCalls`."""
 
     def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
-        self.coordinator, self.limits = coordinator, config.limits
-        self._address = config.store
-        self._links: dict[DependencyConnection, tuple[Outbox, Reader]] = {}
         limits = config.limits
-        self.book = DependencyCalls(
+        self._coordinator = coordinator
+        self._limits = limits
+        self._address = config.store
+        self._sockets: dict[DependencyConnection, DependencySocket] = {}
+        self._calls = DependencyCalls(
             CallLimits(
                 limits.max_dependency_connections,
                 limits.max_dependency_calls,
@@ -52,110 +55,99 @@
                 limits.max_dependency_recent_requests,
                 limits.dependency_grace_ms,
             ),
-            self._quiet,
+            self._has_nothing_unread,
         )
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
-        """Make a call. A second call for one request takes the place of the first."""
-        self._carry(self.book.start_call(id, limit_ms, body, unix_ms()))
+        """Make a call for a request; it replaces an earlier call for the same request."""
+        self._carry_out(self._calls.start_call(id, limit_ms, body, unix_ms()))
 
     def drop(self, id: str) -> None:
-        """Give up a call that nobody needs."""
-        if id in self.book.calls:
-            self.coordinator.counters.add("store.drop")
-            self._carry(self.book.cancel(id))
+        """Cancel a request's call."""
+        if id in self._calls.calls:
+            self._coordinator.counters.add("store.drop")
+            self._carry_out(self._calls.cancel(id))
 
     def move(self, address: Address | None) -> None:
-        """New calls go to another address; calls in hand end where they are."""
+        """Make new calls at another address; calls in flight end where they are."""
         if address != self._address:
             self._address = address
-            self._carry(self.book.change_address())
-
-    def _quiet(self, wire: DependencyConnection) -> bool:
-        return not self._links[wire][1].pending()
-
-    def _carry(self, orders: list[CallEffect]) -> None:
-        """Carry out what the book says."""
-        for order in orders:
-            if isinstance(order, OpenConnection):
-                gevent.spawn(self._open, order.connection, self._address)
-            elif isinstance(order, SendCall):
-                call = order.call
-                left = int(
-                    max(1.0, min(call.started_at + call.limit_ms - unix_ms(), self.limits.max_dependency_call_ms))
-                )
-                # If it can't be written the reader sees the connection's end, and so does the call.
-                self._links[order.connection][0].put(
-                    b"CALL %s %d %d\r\n%s\r\n" % (call.id.encode(), left, len(call.body), call.body)
-                )
-            elif isinstance(order, CloseConnection):
-                outbox = self._links[order.connection][0]
-                if order.cancelled_request:
-                    outbox.put(b"DROP %s\r\n" % order.cancelled_request.encode())
+            self._carry_out(self._calls.change_address())
+
+    def serve(self) -> None:
+        """Time calls out, and close connections that have been idle for too long; never return."""
+        while True:
+            gevent.sleep(self._limits.dependency_check_ms / 1000.0)
+            self._carry_out(self._calls.expire(unix_ms()))
+
+    def _has_nothing_unread(self, connection: DependencyConnection) -> bool:
+        return not self._sockets[connection].reader.has_unread()
+
+    def _carry_out(self, effects: list[CallEffect]) -> None:
+        for effect in effects:
+            if isinstance(effect, OpenConnection):
+                gevent.spawn(self._open, effect.connection, self._address)
+            elif isinstance(effect, SendCall):
+                self._send_call(effect.connection, effect.call)
+            elif isinstance(effect, CloseConnection):
+                outbox = self._sockets[effect.connection].outbox
+                if effect.cancelled_request:
+                    outbox.put(codec.encode_cancel(effect.cancelled_request))
                 outbox.close()
             else:
-                self.coordinator.call_ended(
-                    order.call.id, order.outcome, unix_ms() - order.call.started_at, order.reply
-                )
+                call = effect.call
+                self._coordinator.call_ended(call.id, effect.outcome, unix_ms() - call.started_at, effect.reply)
+
+    def _send_call(self, connection: DependencyConnection, call: DependencyCall) -> None:
+        """Send a call; if it can't be written, the reader sees the connection's end, and the call ends with it."""
+        left_ms = min(call.started_at + call.limit_ms - unix_ms(), self._limits.max_dependency_call_ms)
+        time_limit_ms = int(max(MIN_TIME_LIMIT_MS, left_ms))
+        self._sockets[connection].outbox.put(codec.encode_call(call.id, time_limit_ms, call.body))
 
     # One greenlet a connection.
 
-    def _open(self, wire: DependencyConnection, address: Address | None) -> None:
-        if address is None:  # a site without a store: no call ever runs
-            return self._carry(self.book.open_failed(wire))
+    def _open(self, connection: DependencyConnection, address: Address | None) -> None:
+        """Open a connection and read replies until it ends."""
+        if address is None:  # a configuration without a dependency: no call ever runs
+            self._carry_out(self._calls.open_failed(connection))
+            return
         try:
-            sock = connect(address, self.limits.connect_timeout_ms)
-        except OSError:  # no connection, no call: it never ran
-            return self._carry(self.book.open_failed(wire))
-        self.coordinator.counters.add("store.link")
-        outbox = Outbox(sock, self.limits.max_dependency_outbox_bytes, self.limits.send_timeout_ms)
-        reader = Reader(sock, self.limits.max_dependency_line_bytes)
-        self._links[wire] = outbox, reader
+            sock = connect(address, self._limits.connect_timeout_ms)
+        except OSError:  # without a connection the call never ran
+            self._carry_out(self._calls.open_failed(connection))
+            return
+        self._coordinator.counters.add("store.link")
+        outbox = Outbox(sock, self._limits.max_dependency_outbox_bytes, self._limits.send_timeout_ms)
+        reader = SocketReader(sock, self._limits.max_dependency_line_bytes)
+        self._sockets[connection] = DependencySocket(outbox, reader)
         try:
-            self._carry(self.book.opened(wire, unix_ms()))
+            self._carry_out(self._calls.opened(connection, unix_ms()))
             while True:
-                self._reply(wire, reader)
+                self._read_reply(connection, reader)
         except ConnectionEndedError as error:
-            self._broken(wire, "reset", str(error))
-        except MalformedReplyError as error:
-            self._broken(wire, "spoilt", str(error)[:200])
+            self._report_broken_call(connection, "reset", str(error))
+        except codec.MalformedReplyError as error:
+            self._report_broken_call(connection, "spoilt", str(error)[:MAX_FAULT_CHARS])
         finally:
             outbox.close()
             sock.close()
-            del self._links[wire]
-            self._carry(self.book.connection_lost(wire))
-
-    def _broken(self, wire: DependencyConnection, how: str, error: str) -> None:
-        if wire.call is not None and self.coordinator.counters.rare(f"store.{how}"):
-            log.info(
-                "store broke a call", how=how, error=error, id=wire.call.id, rested_ms=round(wire.idle_ms_before_call)
-            )
-
-    def _reply(self, wire: DependencyConnection, reader: Reader) -> None:
-        """Read one reply. Those to others, such as second copies, are passed over."""
-        text = reader.line()
-        words = text.removesuffix(b"\r").split(b" ")
-        end = ENDS.get(words[1]) if len(words) == (3 if words[1:2] == [b"OK"] else 2) else None
-        if end is None or not text.endswith(b"\r"):
-            raise MalformedReplyError(f"line {text[:80]!r}")
-        body = self._body(reader, words[2]) if end is RunOutcome.OK else b""
-        orders = self.book.reply_received(wire, words[0].decode("latin-1"), end, body, unix_ms())
-        if orders is None:
-            self.coordinator.counters.add("store.stray")
+            del self._sockets[connection]
+            self._carry_out(self._calls.connection_lost(connection))
+
+    def _report_broken_call(self, connection: DependencyConnection, how: str, error: str) -> None:
+        call = connection.call
+        if call is not None and self._coordinator.counters.rare(f"store.{how}"):
+            idle_ms = round(connection.idle_ms_before_call)
+            log.info("store broke a call", how=how, error=error, id=call.id, rested_ms=idle_ms)
+
+    def _read_reply(self, connection: DependencyConnection, reader: SocketReader) -> None:
+        """Read one reply. Replies to other calls, such as second copies, are ignored."""
+        head = codec.decode_reply_head(reader.read_line(), self._limits.max_dependency_reply_bytes)
+        body = b""
+        if head.body_bytes is not None:
+            body = codec.decode_reply_body(reader.read_exactly(head.body_bytes + len(codec.LINE_END)))
+        effects = self._calls.reply_received(connection, head.request_id, head.outcome, body, unix_ms())
+        if effects is None:
+            self._coordinator.counters.add("store.stray")
         else:
-            self._carry(orders)
-
-    def _body(self, reader: Reader, size: bytes) -> bytes:
-        # Guards memory against lengths that fill it, and runs against a reply of another length than told.
-        if not size.isdigit() or len(size) > 9 or int(size) > self.limits.max_dependency_reply_bytes:
-            raise MalformedReplyError(f"reply of {size[:20]!r} bytes")
-        data = reader.exactly(int(size) + 2)
-        if not data.endswith(b"\r\n"):
-            raise MalformedReplyError("reply of another length than told")
-        return data[:-2]
-
-    def serve(self) -> None:
-        """Time calls out, and close connections that have been idle for too long to be trusted."""
-        while True:
-            gevent.sleep(self.limits.dependency_check_ms / 1000.0)
-            self._carry(self.book.expire(unix_ms()))
+            self._carry_out(effects)
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -1,88 +1,72 @@
-"""Reports to the roster, by which client proxies find this server."""
+"""Reports to the service registry, through which client proxies find this server."""
 
 from __future__ import annotations
 
-import json
-from urllib.parse import quote
-
 import gevent
 import httptools
-import structlog
 from gevent import socket
 from gevent.event import Event
 
 from myrtlespar.config import Address, Config
+from myrtlespar.net.codec.registry import ReplyParser, encode_report
 from myrtlespar.net.connections import connect
 from myrtlespar.net.engine_client import EngineClient
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 
-log = structlog.get_logger()
-
-
-class ReportReply:
-    """Parses one answer."""
-
-    def __init__(self) -> None:
-        self.done = False
-        self.parser = httptools.HttpResponseParser(self)
-
-    def on_message_complete(self) -> None:
-        """Called by the parser."""
-        self.done = True
-
-
-def report(name: str, duty: str) -> bytes:
-    """One call, whole."""
-    body = json.dumps({"duty": duty}, separators=(",", ":"))
-    return (
-        f"PUT /roster/{quote(name, safe='')} HTTP/1.1\r\nHost: roster\r\nContent-Type: application/json\r\n"
-        f"Content-Length: {len(body)}\r\n\r\n{body}"
-    ).encode()
+MAX_READ_BYTES = 4096  # at a time
+MIN_PAUSE_S = 0.01
+STATUS_ACCEPTED = 204
 
 
 class RegistryClient:
-    """One greenlet that reports well inside the time after which the roster forgets."""
+    """Reports often enough that the registry does not remove this server's entry."""
 
-    def __init__(self, config: Config, coordinator: RequestCoordinator, kernel: EngineClient) -> None:
-        self.config, self.coordinator, self.kernel, self.limits = config, coordinator, kernel, config.limits
+    def __init__(self, config: Config, coordinator: RequestCoordinator, engine: EngineClient) -> None:
+        self._name = config.name
+        self._coordinator = coordinator
+        self._engine = engine
+        self._limits = config.limits
         self._sock: socket.socket | None = None
         self._address = config.roster
         self._moved = Event()
 
     def move(self, address: Address) -> None:
-        """Report to another address from now on; a report on its way ends where it is."""
+        """Report to another address from now on; a report in flight ends where it is."""
         if address != self._address:
             self._address = address
             self._moved.set()
 
     def serve(self) -> None:
-        """Report for good. What failed is tried again soon: the list forgets us 3 s after the last report it took."""
+        """Report at an interval, and soon again after a failure; never return."""
         while True:
-            began = unix_ms()
+            started_at = unix_ms()
             if self._moved.is_set():
                 self._moved.clear()
                 self._close()
-            if not self.kernel.up:
-                at = began + self.limits.reconnect_ms
+            if not self._engine.is_up:
+                next_at = started_at + self._limits.reconnect_ms
             elif self._report():
-                self.coordinator.counters.add("roster.report")
-                at = began + self.limits.registry_report_interval_ms
+                self._coordinator.counters.add("roster.report")
+                next_at = started_at + self._limits.registry_report_interval_ms
             else:
-                self.coordinator.counters.add("roster.failed")
-                at = unix_ms() + self.limits.registry_retry_ms
-            self._moved.wait(max(0.01, (at - unix_ms()) / 1000.0))
+                self._coordinator.counters.add("roster.failed")
+                next_at = unix_ms() + self._limits.registry_retry_ms
+            self._moved.wait(max(MIN_PAUSE_S, (next_at - unix_ms()) / 1000.0))
 
     def _report(self) -> bool:
-        """One report. Guards against a kept connection that was closed or hangs: a new one has its try at once."""
-        duty = "off" if self.coordinator.draining else "on"
-        if self._sock is not None and self._try(duty, self.limits.registry_reused_connection_timeout_ms):
+        """Send one report and return whether it was accepted.
+
+        A connection used before may have been closed or hang, so its failure is followed by an attempt on a new one.
+        """
+        duty = "off" if self._coordinator.draining else "on"
+        if self._sock is not None and self._attempt(duty, self._limits.registry_reused_connection_timeout_ms):
             return True
-        return self._try(duty, self.limits.registry_new_connection_timeout_ms)
+        return self._attempt(duty, self._limits.registry_new_connection_timeout_ms)
 
-    def _try(self, duty: str, limit_ms: float) -> bool:
+    def _attempt(self, duty: str, timeout_ms: float) -> bool:
         try:
-            with gevent.Timeout(limit_ms / 1000.0, TimeoutError):
+            with gevent.Timeout(timeout_ms / 1000.0, TimeoutError):
                 return self._send(duty)
         except (OSError, httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._close()
@@ -90,18 +74,19 @@
 
     def _send(self, duty: str) -> bool:
         if self._sock is None:
-            self._sock = connect(self._address, self.limits.connect_timeout_ms)
-        self._sock.sendall(report(self.config.name, duty))
-        reply, left = ReportReply(), self.limits.max_registry_reply_bytes
-        while not reply.done:
-            data = self._sock.recv(4096)
-            left -= len(data)
-            if not data or left < 0:  # guards all else against an answer that never ends
+            self._sock = connect(self._address, self._limits.connect_timeout_ms)
+        self._sock.sendall(encode_report(self._name, duty))
+        reply = ReplyParser()
+        bytes_left = self._limits.max_registry_reply_bytes
+        while not reply.is_complete:
+            data = self._sock.recv(MAX_READ_BYTES)
+            bytes_left -= len(data)
+            if not data or bytes_left < 0:  # an answer may not go on without end
                 raise ConnectionResetError
-            reply.parser.feed_data(data)
-        if not reply.parser.should_keep_alive():
+            reply.feed(data)
+        if not reply.keeps_connection:
             self._close()
-        return int(reply.parser.get_status_code()) == 204
+        return reply.status == STATUS_ACCEPTED
 
     def _close(self) -> None:
         if self._sock is not None:
--- /dev/null
+++ b/myrtlespar/net/socket_reader.py
@@ -0,0 +1,140 @@
+"""Buffered reading of exact sizes and of lines from a socket."""
+
+from __future__ import annotations
+
+import contextlib
+import select
+
+import gevent
+from gevent import socket
+
+from myrtlespar.errors import MyrtlesparError
+from myrtlespar.net.connections import TRANSIENT_ERROR_PAUSE_S, TRANSIENT_ERRORS
+
+MAX_READ_BYTES = 16384  # at a time
+MAX_READS_PER_TURN = 16  # before other greenlets run
+MAX_LINES_PER_TURN = 64  # before other greenlets run
+
+
+class ConnectionEndedError(MyrtlesparError):
+    """The connection ended or broke, or the peer sent what can't be read."""
+
+
+class PeerFinishedSendingError(ConnectionEndedError):
+    """The peer sends nothing more. It may still read."""
+
+
+class ReadingStoppedError(MyrtlesparError):
+    """Reading was stopped because the peer did not finish a message in time."""
+
+
+class SocketReader:
+    """Reads exact sizes and lines from a socket.
+
+    A read that finds data does not switch greenlets, so a peer that sends faster than it is read could keep all
+    others waiting. Hence the reader pauses after some reads and some lines.
+    """
+
+    def __init__(self, sock: socket.socket, max_line_bytes: int) -> None:
+        self._sock = sock
+        self._max_line_bytes = max_line_bytes
+        self._data = bytearray()
+        self._stopped = False
+        self._reads_in_turn = 0
+        self._lines_in_turn = 0
+        self._poll = select.poll()
+        self._poll.register(sock.fileno(), select.POLLIN)
+
+    def read_exactly(self, size: int) -> bytes:
+        """Return `size` bytes.
+
+        Raises:
+            ConnectionEndedError: The connection ended first.
+            ReadingStoppedError: `stop` was called first.
+        """
+        while len(self._data) < size:
+            self._fill()
+        out = bytes(self._data[:size])
+        del self._data[:size]
+        return out
+
+    def read_line(self) -> bytes:
+        """Return the bytes up to the next LF, without it.
+
+        Raises:
+            ConnectionEndedError: The connection ended first, or the line is too long.
+            ReadingStoppedError: `stop` was called first.
+        """
+        self._lines_in_turn += 1
+        if self._lines_in_turn >= MAX_LINES_PER_TURN:
+            self._lines_in_turn = 0
+            gevent.sleep(0)
+        start = 0
+        while (end := self._data.find(b"\n", start)) < 0:
+            start = len(self._data)
+            if start > self._max_line_bytes:
+                raise ConnectionEndedError("line too long")
+            self._fill()
+        out = bytes(self._data[:end])
+        del self._data[: end + 1]
+        return out
+
+    def stop(self) -> None:
+        """Read no more: a read in progress ends with `ReadingStoppedError`."""
+        self._stopped = True
+        with contextlib.suppress(OSError):
+            self._sock.shutdown(socket.SHUT_RD)
+
+    def discard(self) -> None:
+        """Drop what comes until the peer ends the connection or the socket is shut down."""
+        try:
+            while self._receive():
+                pass
+        except OSError:
+            pass
+
+    def has_unread(self) -> bool:
+        """Return whether something has come that nobody has asked for yet: bytes, or the connection's end."""
+        return self.has_buffered() or self.is_readable()
+
+    def is_readable(self) -> bool:
+        """Return whether the socket has something to read, or its end."""
+        return bool(self._poll.poll(0))
+
+    def has_buffered(self) -> bool:
+        """Return whether bytes were read from the socket that nobody has asked for yet."""
+        return bool(self._data)
+
+    def yield_if_buffered(self) -> None:
+        """Let other greenlets run if more has been read already."""
+        if self._data:
+            gevent.sleep(0)
+
+    def _fill(self) -> None:
+        try:
+            data = self._receive()
+        except OSError as error:  # also a read that was ended by `stop`
+            if not self._stopped:
+                raise ConnectionEndedError(str(error)) from None
+        if self._stopped:
+            raise ReadingStoppedError("nothing, or part of a message, in all the time for one")
+        if not data:
+            raise PeerFinishedSendingError("end of stream")
+        self._data += data
+
+    def _receive(self) -> bytes:
+        """Return what has come, once something has; nothing at the end of the connection.
+
+        It is retried when the system is short of buffers for a moment.
+        """
+        self._reads_in_turn += 1
+        if self._reads_in_turn >= MAX_READS_PER_TURN:
+            self._reads_in_turn = 0
+            gevent.sleep(0)
+        while True:
+            try:
+                return bytes(self._sock.recv(MAX_READ_BYTES))
+            except OSError as error:
+                if self._stopped or error.errno not in TRANSIENT_ERRORS:
+                    raise
+            gevent.sleep(TRANSIENT_ERROR_PAUSE_S)
--- /dev/null
+++ b/myrtlespar/net/thrift_requests.py
@@ -0,0 +1,101 @@
+"""Turns the fields of a Thrift request into an `Exchange`, with every field checked."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from hashlib import blake2b
+from typing import Any
+
+from myrtlespar.config import Config
+from myrtlespar.exchange import Answer, Exchange
+from myrtlespar.net.codec.thrift import MalformedMessageError
+from myrtlespar.policy.messages import Effect
+from myrtlespar.runtime.clock import unix_ms, wall_ms
+from myrtlespar.runtime.counters import Counters
+
+TOKEN_FIELD = "token"  # shared by all attempts of one request of a class with keys
+MAX_KEY_CHARS = 200
+MAX_REQUEST_ID_CHARS = 64
+MAX_CLOCK_DIFFERENCE_MS = 3.6e6  # between the client's stamp and our clock
+MAX_MEMORY_KB = 2000.0
+DEFAULT_MEMORY_KB = 20.0
+MAX_SENDER = 1e9
+BODY_DIGEST_BYTES = 8
+
+
+class ThriftRequestReader:
+    """Reads the requests of all Thrift connections."""
+
+    def __init__(self, config: Config, counters: Counters) -> None:
+        self._classes = config.settings.classes
+        self._class_indexes = {name: index for index, name in enumerate(config.class_names)}
+        self._key_field = config.thrift_key
+        self._max_body_bytes = config.limits.max_body_bytes
+        self._counters = counters
+
+    def read(self, fields: dict[bytes, Any], body: bytes, deliver: Callable[[Exchange, Answer], None]) -> Exchange:
+        """Return the request that these fields and this body describe.
+
+        Args:
+            fields: The fields of the call.
+            body: The body, as it came.
+            deliver: Takes the answer.
+
+        Raises:
+            MalformedMessageError: A field is missing, malformed or out of range, or the body is too long.
+        """
+        class_index = self._class_indexes.get(_text(fields, "method"))
+        request_id = _text(fields, "rid")
+        if class_index is None:
+            raise MalformedMessageError("unknown class in field method")
+        if not 0 < len(request_id) <= MAX_REQUEST_ID_CHARS or not request_id.isascii() or not request_id.isalnum():
+            raise MalformedMessageError("field rid is missing or malformed")
+        if len(body) > self._max_body_bytes:
+            raise MalformedMessageError("body too long")
+        now = unix_ms()
+        wall = wall_ms()
+        # No due time can be counted from a stamp in the future or in the far past.
+        earliest = wall - MAX_CLOCK_DIFFERENCE_MS
+        stamp = _number(fields, "t0", wall, earliest, wall + MAX_CLOCK_DIFFERENCE_MS)
+        exchange = Exchange(request_id, "thrift", class_index, body, now - max(0.0, wall - stamp), deliver)
+        exchange.memory_kb = _number(fields, "mem", DEFAULT_MEMORY_KB, 0.0, MAX_MEMORY_KB)
+        exchange.rank = _number(fields, "prio", 0.0, 0.0, 1.0)
+        exchange.sender = int(_number(fields, "peer", 0, 0, MAX_SENDER))
+        exchange.is_retry = _text(fields, "again") == "1"
+        exchange.key = self._idempotency_key(fields, class_index, exchange)
+        return exchange
+
+    def _idempotency_key(self, fields: dict[bytes, Any], class_index: int, exchange: Exchange) -> str:
+        """Return what links the attempts of one request: the platform's token, or the operator's field."""
+        if self._classes[class_index].effect is not Effect.KEYED:
+            return _text(fields, self._key_field)[:MAX_KEY_CHARS] if self._key_field else ""
+        token = _text(fields, TOKEN_FIELD)
+        if len(token) > MAX_KEY_CHARS:  # cut short, two of them could be one
+            raise MalformedMessageError(f"field {TOKEN_FIELD} is too long")
+        if not token:
+            if exchange.is_retry:  # it could run a second time what an earlier attempt ran here
+                self._counters.add("in.no_token.thrift")
+                raise MalformedMessageError(f"field {TOKEN_FIELD} is missing in a further try")
+            return ""
+        # A request with this token but another body is another request: it neither gets the result of this one nor
+        # keeps it from running.
+        return f"{token} {blake2b(exchange.body, digest_size=BODY_DIGEST_BYTES).hexdigest()}"
+
+
+def _text(fields: dict[bytes, Any], name: str) -> str:
+    value = fields.get(name.encode(), b"")
+    try:
+        return str(value, "utf-8")  # classes are named as in the settings, in any language
+    except (TypeError, UnicodeDecodeError):
+        raise MalformedMessageError(f"field {name} is no text") from None
+
+
+def _number(fields: dict[bytes, Any], name: str, default: float, low: float, high: float) -> float:
+    text = _text(fields, name)
+    try:
+        value = float(text) if text else default
+    except ValueError:
+        raise MalformedMessageError(f"field {name} is no number") from None
+    if not low <= value <= high:
+        raise MalformedMessageError(f"field {name} is out of range")
+    return value
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -15,11 +15,11 @@
 from myrtlespar.handover.driver import KeyHandover
 from myrtlespar.handover.folder import HandoverFolder
 from myrtlespar.net.admin_server import AdminServer
-from myrtlespar.net.ajp_backends import engines
+from myrtlespar.net.ajp_backends import create_backend_pools
 from myrtlespar.net.ajp_front import AjpFront
+from myrtlespar.net.binding import AddressInUseError
 from myrtlespar.net.dependency_client import DependencyClient
 from myrtlespar.net.engine_client import EngineClient
-from myrtlespar.net.listener import AddressInUseError
 from myrtlespar.net.registry_client import RegistryClient
 from myrtlespar.net.thrift_front import ThriftFront
 from myrtlespar.request_coordinator import RequestCoordinator
@@ -49,7 +49,7 @@
     kernel, store = EngineClient(config, coordinator), DependencyClient(config, coordinator)
     roster = RegistryClient(config, coordinator, kernel)
     coordinator.engines[""], coordinator.gauges, coordinator.dependency = kernel, kernel, store
-    coordinator.engines.update(engines(config, coordinator))
+    coordinator.engines.update(create_backend_pools(config, coordinator))
     try:
         fronts: list[ThriftFront | AjpFront] = [ThriftFront(config, coordinator, early_signals.told_to_leave)]
         if config.ajp.listen:
@@ -62,7 +62,7 @@
 
     def close_idle(after_ms: float) -> None:
         for front in fronts:
-            front.idle_ms = after_ms
+            front.idle_timeout_ms = after_ms
 
     def drain() -> None:
         if not coordinator.draining:
@@ -140,7 +140,7 @@
                 config.mgmt,
                 coordinator.admin,
                 counters,
-                lambda: kernel.up and not coordinator.draining,
+                lambda: kernel.is_up and not coordinator.draining,
                 figures,
                 limits,
                 early_signals.told_to_leave,
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,6 +13,7 @@
 from myrtlespar.fakes import FakeEngine, ThriftClient, server_process, settings, until
 from myrtlespar.net.codec.thrift import encode, idl
 from myrtlespar.net.thrift_front import ThriftConnection
+from myrtlespar.net.thrift_requests import ThriftRequestReader
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.counters import Counters
 from tests.gates import Gate
@@ -55,7 +56,7 @@
 def test_a_request_whose_end_just_came_is_taken_though_its_time_is_over(tmp_path: Path) -> None:
     gate = Gate(
         tmp_path,
-        "myrtlespar.net.connections:Reader.begun",
+        "myrtlespar.net.socket_reader:SocketReader.has_buffered",
         "args[0]._data",
         "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"  # the first look is the last one
         "c.size_limits = lambda *args: dataclasses.replace(f(*args), idle_check_ms=2500.0)",
@@ -77,23 +78,32 @@
     """As when a client that reads nothing has filled its outbox: its bytes can still be read then."""
     taken: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
+        limits = ResourceLimits()
+        request_classes = [SimpleNamespace(effect=None)]
+        config: Any = SimpleNamespace(
+            class_names=("order",),
+            thrift_key="",
+            limits=limits,
+            settings=SimpleNamespace(classes=request_classes),
+        )
         front: Any = SimpleNamespace(
-            limits=ResourceLimits(),
-            serial=0,
-            unsent=None,
-            silent=False,
-            classes={"order": 0},
-            conclude=lambda link: None,
-            config=SimpleNamespace(thrift_key="", settings=SimpleNamespace(classes=[SimpleNamespace(effect=None)])),
-            coordinator=SimpleNamespace(counters=Counters(), value=1.0, submit=taken.append, gone=taken.append),
+            limits=limits,
+            connections_opened=0,
+            outbox_budget=None,
+            hides_advertised_value=False,
+            request_reader=ThriftRequestReader(config, Counters()),
+            finish_answers=lambda connection: None,
+            coordinator=SimpleNamespace(
+                counters=Counters(), advertised_value=1.0, submit=taken.append, caller_gone=taken.append
+            ),
         )
         with server.accept()[0] as sock:
-            link = ThriftConnection(front, sock)
+            connection = ThriftConnection(front, sock)
             args = idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"behind")
             client.sendall(encode("invoke", 1, 1, args) * 2)
             client.shutdown(socket.SHUT_WR)
-            getattr(link.outbox, how)()
-            link.read()
+            getattr(connection.outbox, how)()
+            connection.read()
     assert not taken
 
 
@@ -165,7 +175,7 @@
     tmp_path: Path, why: str
 ) -> None:
     """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
-    gate = Gate(tmp_path, "myrtlespar.net.connections:Outbox.finish")
+    gate = Gate(tmp_path, "myrtlespar.net.outbox:Outbox.finish")
     with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_outboxes.py
+++ b/tests/test_outboxes.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from myrtlespar.fakes import ThriftClient, server_process, until
-from myrtlespar.net.connections import Outbox, OutboxBudget
+from myrtlespar.net.outbox import Outbox, OutboxBudget
 from tests.gates import Gate
 
 
@@ -21,16 +21,16 @@
     for _ in range(1000):
         for outbox in outboxes:
             outbox.put(message)
-        assert 0 <= budget.used <= budget.most
+        assert 0 <= budget.used_bytes <= budget.max_bytes
     gevent.sleep(0)
     assert all(outbox.closed for outbox in outboxes)
-    assert budget.used == 0
+    assert budget.used_bytes == 0
     reader_and_writer = socket.socketpair()
     fast = Outbox(reader_and_writer[0], 65_536, 5000.0, budget=budget)
     for _ in range(100):
         assert fast.put(message)
         assert len(reader_and_writer[1].recv(4096, socket.MSG_WAITALL)) == 4096
-    assert budget.used == 0
+    assert budget.used_bytes == 0
     assert not fast.closed
 
 
@@ -59,13 +59,13 @@
 
 def test_a_kernel_whose_answers_wait_to_be_read_is_not_taken_for_silent(tmp_path: Path) -> None:
     """The same, forced: the reader is always later than the watch."""
-    slow_reader = """import gevent, myrtlespar.net.connections as links
-receive = links.Reader._receive
+    slow_reader = """import gevent, myrtlespar.net.socket_reader as readers
+receive = readers.SocketReader._receive
 def late(self):
-    if self._most > 100_000:  # the kernel's
+    if self._max_line_bytes > 100_000:  # the engine's
         gevent.sleep(0.7)
     return receive(self)
-links.Reader._receive = late
+readers.SocketReader._receive = late
 import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits
 c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)"""
     gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", slow_reader)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -39,7 +39,7 @@
 
 
 def test_a_fault_with_one_message_ends_its_connection_behind_what_is_owed(tmp_path: Path) -> None:
-    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
+    start = planted(tmp_path, "net.thrift_front", "ThriftConnection", "_handle_frame", "b'boom' in args[1]")
     with server_process(tmp_path, start=start) as running:
         other, client = ThriftClient(running.ports[0]), ThriftClient(running.ports[0])
         owed = client.send("order", b"ms=400 calls=1")
