--- a/myrtlespar/net/codec/__init__.py
+++ b/myrtlespar/net/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages and back, pure."""
+"""Pure translation between the bytes of each protocol and the messages that the rest of the program knows."""
--- /dev/null
+++ b/tests/conftest.py
@@ -0,0 +1,60 @@
+"""Fixtures that several test files use."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from myrtlespar.fakes import (
+    FakeAjpServer,
+    ServerProcess,
+    ThriftClient,
+    server_process,
+    until,
+)
+from myrtlespar.fakes.scripted_engine import ScriptedEngine
+from tests.ajp_operator_file import AJP_OPERATOR_FILE
+from tests.request_classes import KEYED_SETTINGS
+
+
+@pytest.fixture
+def server(tmp_path: Path) -> Iterator[ServerProcess]:
+    """A server process with a fake of each upstream."""
+    with server_process(tmp_path) as running:
+        yield running
+
+
+@pytest.fixture
+def scripted(tmp_path: Path) -> Iterator[tuple[ServerProcess, ScriptedEngine, ThriftClient]]:
+    """A server process whose engine does only what the test says, that engine, and one client."""
+    engine = ScriptedEngine()
+    with server_process(tmp_path, kernel=engine, given=KEYED_SETTINGS) as running:
+        until(engine.hear)  # that it is up
+        until(lambda: running.event("kernel up"))
+        yield running, engine, ThriftClient(running.ports[0])
+
+
+@pytest.fixture
+def ajp_server(tmp_path: Path) -> Iterator[ServerProcess]:
+    """A server process with an AJP listener."""
+    with server_process(tmp_path, operator=AJP_OPERATOR_FILE) as running:
+        yield running
+
+
+@pytest.fixture
+def ajp_servers(tmp_path: Path) -> Iterator[tuple[ServerProcess, FakeAjpServer, FakeAjpServer]]:
+    """A server process whose orders run on one of two AJP servers, and these."""
+    one = FakeAjpServer("one")
+    two = FakeAjpServer("two")
+    rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n' for w in (one, two))
+    operator = (
+        AJP_OPERATOR_FILE.replace('class = "order"', 'class = "order"\nto = "pair"')
+        + rows
+        + ('[[balancer]]\nname = "pair"\nmembers = ["one", "two"]\n')
+    )
+    with server_process(tmp_path, operator=operator) as running:
+        yield running, one, two
+    one.down()
+    two.down()
--- a/tests/sites.py
+++ b/tests/request_classes.py
@@ -1,4 +1,4 @@
-"""Settings of other customers, for tests on the real program."""
+"""Settings with other request classes, for tests on the real program."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from myrtlespar.fakes import settings
 
 
-def classes(*rows: tuple[str, str, float]) -> dict[str, Any]:
-    """Settings with these classes: name, effect, time to give up; a window of 3 s."""
+def class_settings(*rows: tuple[str, str, float]) -> dict[str, Any]:
+    """Return settings with these classes, each given as name, effect and client timeout in ms; a window of 3 s."""
     return settings(
         classes=[
             {
@@ -24,4 +24,4 @@
     )
 
 
-GUARDED = {"settings": classes(("tide", "free", 4000.0), ("booking", "guarded", 4000.0))}
+KEYED_SETTINGS = {"settings": class_settings(("tide", "free", 4000.0), ("booking", "guarded", 4000.0))}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""What the program is told: configuration, operator's file, settings of other customers."""
+"""Reading the configuration: faults are named in one line, valid files are accepted."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 from myrtlespar.config import ConfigError, load
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, settings
-from tests.sites import GUARDED, classes
+from tests.request_classes import KEYED_SETTINGS, class_settings
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
         ({"sockets": 384, "memory_mb": 25}, 128),
     ],
 )
-def test_places_follow_descriptors_and_memory(tmp_path: Path, limits: dict[str, int], places: int) -> None:
+def test_connections_follow_descriptors_and_memory(tmp_path: Path, limits: dict[str, int], places: int) -> None:
     env = configured(tmp_path, "")
     path = tmp_path / "c.json"
     path.write_text(json.dumps({**json.loads(path.read_text()), "limits": limits}))
@@ -139,18 +139,16 @@
 @pytest.mark.parametrize(
     ("given", "limits"),
     [
-        (GUARDED, {"memory_mb": 192, "sockets": 1024}),
+        (KEYED_SETTINGS, {"memory_mb": 192, "sockets": 1024}),
         ({}, {"memory_mb": 8, "sockets": 24}),
         (
             {"settings": settings(projects=None, clients=None, servers=None, permissions=None, new_key=[1])},
             {"memory_mb": 64, "sockets": 512},
         ),
-        ({"settings": classes(('één "klasse"', "guarded", 90.0))}, {"memory_mb": 30, "sockets": 64}),
+        ({"settings": class_settings(('één "klasse"', "guarded", 90.0))}, {"memory_mb": 30, "sockets": 64}),
     ],
 )
-def test_valid_settings_of_others_never_lead_to_a_refusal(
-    tmp_path: Path, given: dict[str, Any], limits: dict[str, int]
-) -> None:
+def test_valid_settings_are_never_rejected(tmp_path: Path, given: dict[str, Any], limits: dict[str, int]) -> None:
     config = load({"BALANCER_CONFIG": write(tmp_path, **given, limits=limits)})
     assert 4 <= config.limits.max_connections < limits["sockets"]
     assert config.limits.max_dependency_connections >= 1
--- a/tests/test_closing.py
+++ b/tests/test_connection_close.py
@@ -1,7 +1,7 @@
-"""What comes in the moment in which the program closes a connection. docs/race-conditions.md lists the crossings."""
+"""What comes in the moment in which the server closes a connection (see docs/race-conditions.md)."""
+
+from __future__ import annotations
 
-import json
-import signal
 import socket
 import threading
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 import pytest
 
-from myrtlespar.fakes import FakeEngine, ThriftClient, server_process, settings, until
+from myrtlespar.fakes import ThriftClient, server_process, settings, until
 from myrtlespar.net.codec.thrift import encode, idl
 from myrtlespar.net.thrift_front import ThriftConnection
 from myrtlespar.net.thrift_requests import ThriftRequestReader
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("why", ["room", "flush"])
-def test_a_request_that_comes_between_our_look_and_our_close_runs_once_where_it_is_sent_again(
+def test_a_request_that_comes_between_our_check_and_our_close_runs_once_where_it_is_sent_again(
     tmp_path: Path, why: str
 ) -> None:
     """Its client sends it once more on another connection; read behind the close and run, it would run twice."""
@@ -58,7 +58,8 @@
         tmp_path,
         "myrtlespar.net.socket_reader:SocketReader.has_buffered",
         "args[0]._data",
-        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"  # the first look is the last one
+        # The first check is the last one.
+        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
         "c.size_limits = lambda *args: dataclasses.replace(f(*args), idle_check_ms=2500.0)",
     )
     with server_process(tmp_path, start=gate.start) as running:
@@ -107,37 +108,6 @@
     assert not taken
 
 
-def test_a_move_while_the_old_kernel_is_being_reached_does_not_end_there(tmp_path: Path) -> None:
-    """The old address accepts and says nothing, as a kernel does that starts later."""
-    (tmp_path / "held.py").write_text("""import json, os, runpy, sys
-sys.path.insert(0, os.getcwd())
-import myrtlespar.net.engine_client as kernel
-from gevent.event import Event
-moved, connect, move = Event(), kernel.connect, kernel.EngineClient.move
-def held(*args):
-    sock = connect(*args)
-    print(json.dumps({"event": "connected"}), flush=True)
-    moved.wait()
-    return sock
-def told(*args):
-    move(*args)
-    moved.set()
-kernel.connect, kernel.EngineClient.move = held, told
-sys.argv[:] = ["myrtlespar"]
-runpy.run_module("myrtlespar", run_name="__main__")
-""")
-    with server_process(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
-        until(lambda: running.event("connected"))
-        old, running.kernel = running.kernel, FakeEngine()
-        running.config["kernel"] = running.kernel.address
-        running.path.write_text(json.dumps(running.config))
-        running.process.send_signal(signal.SIGHUP)
-        assert ThriftClient(running.ports[0]).ask("order", b"at the new address")[0] == "success"
-        assert not old.commands
-        assert running.stop() == 0
-        old.down()
-
-
 def test_more_answers_than_the_last_moment_has_room_for_are_begun_in_time(tmp_path: Path) -> None:
     """Each answer takes 5 ms to hand over, as with a small share of a core; the kill comes on time."""
     (tmp_path / "slow.py").write_text("""import os, runpy, sys, time
--- /dev/null
+++ b/tests/test_coordinator_turns.py
@@ -0,0 +1,48 @@
+"""When the request coordinator runs, and what it does when the policy fails."""
+
+from __future__ import annotations
+
+import time
+
+import pytest
+
+from myrtlespar.exchange import Answer, AnswerKind, Exchange
+from myrtlespar.fakes import settings
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.policy.settings import read_settings
+from myrtlespar.request_coordinator import RequestCoordinator
+from myrtlespar.resource_limits import ResourceLimits
+from myrtlespar.runtime.counters import Counters
+from myrtlespar.state_machines.attempts import AttemptState
+
+
+@pytest.mark.parametrize(
+    ("asked", "wake", "turn"),
+    [(False, 1040.0, 1000.0), (False, 1003.0, 999.0), (True, 1003.0, 1000.0), (True, 990.0, 990.0)],
+)
+def test_the_coordinator_runs_no_earlier_than_something_is_due(asked: bool, wake: float, turn: float) -> None:
+    coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
+    coordinator._sweep_at = 1000.0
+    coordinator._wakes = [(wake, 0)]
+    coordinator._asked = asked
+    assert coordinator._next_turn() == turn
+
+
+def test_a_fault_of_the_policy_leaves_no_request_without_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
+    answers = []
+
+    def broken(now: float, events: object) -> None:
+        raise ValueError("odd state")
+
+    monkeypatch.setattr(coordinator.policy, "handle", broken)
+    arrived = time.time() * 1000 - 4500
+    late = Exchange("a", "thrift", 2, b"", arrived, lambda _, answer: answers.append(answer.kind))
+    assert coordinator.submit(late)
+    coordinator._turn()
+    assert answers == [AnswerKind.FAILED]
+    assert coordinator.tracker.unanswered == 0
+    assert coordinator.counters.report()["core.fault"] == 1
+    coordinator.run_ended("a", RunOutcome.OK, 1.0, Answer(AnswerKind.SERVED))
+    assert len(answers) == 1
+    assert late.state == AttemptState.OVER
--- /dev/null
+++ b/tests/test_drain.py
@@ -0,0 +1,97 @@
+"""Draining: every client is notified, every request answered, and the process ends with status 0."""
+
+from __future__ import annotations
+
+import contextlib
+import signal
+import socket
+import time
+from pathlib import Path
+
+import pytest
+
+from myrtlespar.fakes import (
+    ServerProcess,
+    ThriftClient,
+    server_process,
+    until,
+)
+from myrtlespar.net.codec.thrift import encode, idl
+from tests.request_classes import class_settings
+
+
+def test_drain_notifies_clients_answers_all_and_exits_clean(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
+    seqs = [client.send("render", b"ms=700") for _ in range(10)]
+    until(lambda: server.kernel.starts)
+    server.process.terminate()
+    until(lambda: client.told == ["shutdown"])
+    late = ThriftClient(server.ports[0])
+    early = late.send("fetch", b"in grace")
+    time.sleep(1.1)
+    beyond = late.send("fetch", b"past grace")
+    assert late.answer(early)[0] in ("success", "refused")
+    assert late.answer(beyond)[0] == "refused"
+    assert b"past grace" not in server.kernel.by_body
+    assert all(client.answer(seq)[0] in ("success", "refused", "failed") for seq in seqs)
+    assert server.process.wait(20) == 0
+    assert client.ended.wait(20)
+    assert late.ended.wait(20)
+    assert client.told == late.told == ["shutdown"]
+    assert until(lambda: server.event("counters"))["answer.refused.thrift"] >= 1
+
+
+@pytest.mark.parametrize("engine", ["down", "silent", "late"])
+def test_a_notice_before_the_engine_is_up_answers_all_and_ends_clean(tmp_path: Path, engine: str) -> None:
+    with server_process(tmp_path, late_kernel=True, given={"stop_ms": 1500}) as running:
+        if engine == "down":
+            running.kernel.down()
+        client = ThriftClient(running.ports[0])
+        seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
+        assert client.answer(client.say("ping", full=False))  # read behind them
+        running.process.terminate()
+        until(lambda: client.told)
+        if engine == "late":
+            running.kernel.up.set()
+        kinds = [client.answer(seq)[0] for seq in seqs]
+        assert kinds == ["success"] * 2 if engine == "late" else set(kinds) <= {"failed", "refused"}
+        assert running.process.wait(20) == 0
+        assert set(client.count.values()) == {1}
+
+
+def test_what_is_taken_last_from_the_queue_is_notified_and_answered(tmp_path: Path) -> None:
+    """Connections made while the process stands still lie in the accept queue as it closes its listener."""
+    with server_process(tmp_path, mgmt=True) as running:
+        running.process.send_signal(signal.SIGSTOP)
+        clients = [ThriftClient(running.ports[0]) for _ in range(12)]
+        seqs = [client.send("order", b"ms=100") for client in clients]
+        running.process.terminate()
+        running.process.send_signal(signal.SIGCONT)
+        assert all(client.answer(seq)[0] == "success" for client, seq in zip(clients, seqs, strict=True))
+        assert all(client.ended.wait(20) and client.told == ["shutdown"] for client in clients)
+        assert running.process.wait(20) == 0
+
+
+@pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
+def test_signals_through_the_whole_drain_leave_status_0_beside_a_client_that_does_not_read(
+    tmp_path: Path, again: signal.Signals
+) -> None:
+    with server_process(
+        tmp_path, given={"stop_ms": 700, "settings": class_settings(("slow", "free", 9000.0))}
+    ) as running:
+        client = ThriftClient(running.ports[0])
+        seq = client.send("slow", b"ms=60000")
+        until(lambda: running.kernel.starts)
+        deaf = socket.create_connection(("127.0.0.1", running.ports[0]))
+        ping = encode("ping", 1, 1, idl.Front.ping_args(full=False))
+        with contextlib.suppress(OSError):
+            deaf.settimeout(0.5)
+            for _ in range(40):
+                deaf.sendall(ping * 500)
+        running.process.terminate()
+        until(lambda: client.told)
+        while running.process.poll() is None:  # at every moment of it, its end included
+            running.process.send_signal(again)
+        assert running.process.returncode == 0
+        assert client.answer(seq)[0] == "failed"
+        assert client.count[seq] == 1
--- /dev/null
+++ b/tests/test_engine_link.py
@@ -0,0 +1,201 @@
+"""The link to the execution engine: it breaks, moves, falls silent, or leads to a new engine."""
+
+from __future__ import annotations
+
+import json
+import signal
+import socket
+import time
+from pathlib import Path
+
+import pytest
+
+from myrtlespar.fakes import (
+    FakeEngine,
+    ServerProcess,
+    ThriftClient,
+    server_process,
+    until,
+)
+from tests.gates import Gate
+
+
+def test_a_broken_engine_link_loses_no_run_and_starts_no_order_twice(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
+    order = client.send("order", b"ms=300 calls=1")
+    read = client.send("render", b"ms=300 calls=1")
+    until(lambda: len(server.kernel.replies) == 2)
+    server.kernel.cut(server.kernel.link)
+    assert client.answer(order)[0] == client.answer(read)[0] == "success"
+    assert server.kernel.by_body[b"ms=300 calls=1"] == 2
+    assert server.kernel.commands[0]["no"] == 0
+    opens = [row["no"] for row in server.kernel.commands if row["t"] == "OPEN"]
+    assert len(opens) >= 2
+    assert opens[-1] == 2
+
+
+class LosingEngine(FakeEngine):
+    """Loses every command that it reads while it is deaf, and remembers its type."""
+
+    def __init__(self) -> None:
+        self.lost: list[str] = []
+        super().__init__()
+
+    def serve(self, link: socket.socket) -> None:
+        for line in link.makefile("rb"):
+            command = json.loads(line)
+            with self.lock:
+                if self.deaf:
+                    self.lost.append(command["t"])
+                    continue
+                self.commands.append(command)
+                getattr(self, command["t"].lower())(link, command)
+
+
+@pytest.mark.parametrize(("method", "kind", "runs"), [("render", "success", 1), ("order", "failed", 0)])
+def test_what_was_lost_with_the_link_is_sent_again_only_where_a_second_run_is_harmless(
+    tmp_path: Path, method: str, kind: str, runs: int
+) -> None:
+    engine = LosingEngine()
+    with server_process(tmp_path, kernel=engine) as server:
+        until(lambda: server.event("kernel up"))
+        client = ThriftClient(server.ports[0])
+        with engine.lock:  # no command is being handled
+            engine.deaf = True
+        seq = client.send(method, b"lost")
+        until(lambda: "SCHED" in engine.lost)
+        with engine.lock:
+            engine.deaf = False
+            engine.cut(engine.link)
+        assert client.answer(seq)[0] == kind
+        assert engine.by_body[b"lost"] == runs
+
+
+@pytest.mark.parametrize("body", [b"ms=1", b"ms=500"])
+def test_an_order_whose_link_broke_after_its_start_runs_once(server: ServerProcess, body: bytes) -> None:
+    client = ThriftClient(server.ports[0])
+    server.kernel.mute = True  # reads and runs, but nothing it writes arrives
+    seq = client.send("order", body)
+    until(lambda: server.kernel.by_body[body])
+    server.kernel.mute = False
+    server.kernel.cut(server.kernel.link)
+    assert client.answer(seq)[0] == "success"
+    time.sleep(0.3)  # well past the time after which it would be sent again: that nothing happens takes time
+    assert server.kernel.by_body[body] == 1
+
+
+def test_a_notice_lost_on_the_way_is_asked_for_again(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
+    server.kernel.mute = True
+    lost = client.send("order", b"ms=1")
+    until(lambda: server.kernel.notices)
+    server.kernel.mute = False
+    assert client.ask("fetch")[0] == client.answer(lost)[0] == "success"
+
+
+def test_an_engine_that_starts_anew_fails_its_old_runs_at_once(server: ServerProcess) -> None:
+    client = ThriftClient(server.ports[0])
+    seq = client.send("order", b"calls=1")
+    server.store.script = ["hang"]
+    until(lambda: server.kernel.starts)
+    server.kernel.born = time.time() + 5
+    server.kernel.notices = []
+    server.kernel.cut(server.kernel.link)
+    assert client.answer(seq)[0] == "failed"
+    assert client.ask("fetch", b"after")[0] == "success"
+
+
+def test_an_engine_that_comes_late_is_waited_for(tmp_path: Path) -> None:
+    with server_process(tmp_path, late_kernel=True) as running:
+        client = ThriftClient(running.ports[0])
+        assert client.answer(client.say("ping", full=False))[1].good
+        assert not running.roster.reports
+        running.kernel.up.set()
+        until(lambda: running.roster.reports)
+        assert client.ask("order")[0] == "success"
+
+
+def test_an_engine_that_is_gone_again_before_its_first_word_is_reached_again(tmp_path: Path) -> None:
+    engine = FakeEngine()
+    engine.leaves = 3
+    with server_process(tmp_path, kernel=engine) as running:
+        client = ThriftClient(running.ports[0])
+        assert client.ask("order", b"held meanwhile")[0] == "success"
+        assert not engine.leaves
+        assert engine.by_body[b"held meanwhile"] == 1
+        assert running.stop() == 0
+
+
+def test_a_move_while_the_old_engine_is_being_reached_does_not_end_there(tmp_path: Path) -> None:
+    """The old address accepts and says nothing, as an engine does that starts later."""
+    (tmp_path / "held.py").write_text("""import json, os, runpy, sys
+sys.path.insert(0, os.getcwd())
+import myrtlespar.net.engine_client as engine_client
+from gevent.event import Event
+moved, connect, move = Event(), engine_client.connect, engine_client.EngineClient.move
+def held(*args):
+    sock = connect(*args)
+    print(json.dumps({"event": "connected"}), flush=True)
+    moved.wait()
+    return sock
+def told(*args):
+    move(*args)
+    moved.set()
+engine_client.connect, engine_client.EngineClient.move = held, told
+sys.argv[:] = ["myrtlespar"]
+runpy.run_module("myrtlespar", run_name="__main__")
+""")
+    with server_process(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
+        until(lambda: running.event("connected"))
+        old = running.kernel
+        running.kernel = FakeEngine()
+        running.config["kernel"] = running.kernel.address
+        running.path.write_text(json.dumps(running.config))
+        running.process.send_signal(signal.SIGHUP)
+        assert ThriftClient(running.ports[0]).ask("order", b"at the new address")[0] == "success"
+        assert not old.commands
+        assert running.stop() == 0
+        old.down()
+
+
+def test_an_engine_whose_answers_came_while_the_process_stood_still_is_not_taken_for_silent(tmp_path: Path) -> None:
+    """The check may run before the reader.
+
+    It found no answer for as long as the pause, and ended a link that was well, with the orders on it.
+    """
+    gate = Gate(
+        tmp_path,
+        "myrtlespar.net.engine_client:EngineClient.move",
+        "False",  # it holds nothing up: for `first` alone
+        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
+        "c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)",
+    )
+    with server_process(tmp_path, start=gate.start) as running:
+        client = ThriftClient(running.ports[0])
+        for _ in range(6):
+            assert client.ask("fetch", b"ms=1")[0] == "success"
+            running.process.send_signal(signal.SIGSTOP)
+            time.sleep(0.7)  # the pause itself
+            running.process.send_signal(signal.SIGCONT)
+        assert client.ask("fetch", b"ms=1")[0] == "success"
+        until(lambda: running.event("kernel up"))
+        assert [row["t"] for row in running.kernel.commands].count("OPEN") == 1
+
+
+def test_an_engine_whose_answers_wait_to_be_read_is_not_taken_for_silent(tmp_path: Path) -> None:
+    """The same, forced: the reader is always later than the watch."""
+    slow_reader = """import gevent, myrtlespar.net.socket_reader as readers
+receive = readers.SocketReader._receive
+def late(self):
+    if self._max_line_bytes > 100_000:  # the engine's
+        gevent.sleep(0.7)
+    return receive(self)
+readers.SocketReader._receive = late
+import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits
+c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)"""
+    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", slow_reader)
+    with server_process(tmp_path, start=gate.start) as running:
+        client = ThriftClient(running.ports[0])
+        assert client.ask("order", b"ms=1")[0] == "success"
+        assert client.ask("render", b"ms=1")[0] == "success"
+        assert [row["t"] for row in running.kernel.commands].count("OPEN") == 1
--- a/tests/test_settings_of_others.py
+++ b/tests/test_generated_settings.py
@@ -1,4 +1,4 @@
-"""Any settings that the pages allow: the program starts, serves, reloads and drains, and keeps every rule."""
+"""Generated settings, of all kinds that are allowed: the program starts, serves, reloads and drains."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def optional(**values: st.SearchStrategy[Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """A table in which each of these may be there, null, or absent."""
+    """Return tables in which each of these may be there, null, or absent."""
     return st.fixed_dictionaries({}, optional={key: st.none() | value for key, value in values.items()})
 
 
 @st.composite
 def classes(draw: st.DrawFn) -> list[dict[str, Any]]:
-    """One class or dozens, of any effect."""
+    """Return one class or dozens, of any effect."""
     rows = []
     for name in draw(st.lists(names, min_size=1, max_size=draw(st.sampled_from([1, 3, 40])), unique=True)):
         client_timeout_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
@@ -52,7 +52,7 @@
 
 @st.composite
 def all_settings(draw: st.DrawFn) -> dict[str, Any]:
-    """A settings object: what the module can't do without, and any part of the rest."""
+    """Return a settings object: all that the policy requires, and any part of the rest."""
     rows = draw(classes())
     size = len(rows)
     shares = st.lists(optional(name=names, quota_rps=numbers, share=st.floats(0, 1)), max_size=4)
--- /dev/null
+++ b/tests/test_mixed_load.py
@@ -0,0 +1,62 @@
+"""Both listeners at full load, with retries and a drain."""
+
+from __future__ import annotations
+
+import threading
+import time
+
+from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, exactly
+
+
+def test_mixed_callers_at_full_load_see_no_duplicate_and_no_late_answer(ajp_server: ServerProcess) -> None:
+    """Both listeners at 100% of two cores: 50 ms a run, 40 requests a second; then the drain.
+
+    Some orders' gateways break in the middle of an answer or before it, and their retries come over Thrift.
+    """
+    due = {"order": 4.4, "fetch": 2.7, "render": 6.1}
+    late = []
+    kinds = []
+    lock = threading.Lock()
+    clients = [ThriftClient(ajp_server.ports[0]) for _ in range(2)]
+
+    def one(n: int) -> None:
+        name = ("order", "fetch", "render")[n % 3]
+        began = time.time()
+        body = f"ms=50 n={n}".encode()
+        key = f"key{n}"
+        if n % 2:
+            kind = clients[n % 4 // 2].ask(name, body, idem=key)[0]
+        else:
+            gateway = FakeGateway(ajp_server.ports[1])
+            gateway.forward("/" + name, body, Idempotency_Key=key)
+            if name == "order" and (n % 5 == 0 or n % 12 == 0):
+                if n % 5 == 0:
+                    exactly(gateway.sock, 1)  # it breaks mid-answer
+                else:
+                    time.sleep(0.01)  # or while the order is held or runs
+                gateway.sock.close()
+                began = time.time()
+                kind = clients[0].ask(name, body, idem=key, again="1")[0]
+            else:
+                kind = str(gateway.answer()[0])
+        with lock:
+            kinds.append(kind)
+            late.extend([n] if time.time() - began > due[name] + 0.15 else [])
+
+    threads = []
+    for n in range(160):
+        threads.append(threading.Thread(target=one, args=(n,)))
+        threads[-1].start()
+        time.sleep(0.025)
+        if n == 140:
+            ajp_server.process.terminate()
+    for thread in threads:
+        thread.join(30)
+    orders = {body: count for body, count in ajp_server.kernel.by_body.items() if int(body.split(b"n=")[1]) % 3 == 0}
+    assert all(count == 1 for client in clients for count in client.count.values())
+    assert len(kinds) == 160
+    assert late == []
+    assert orders
+    assert [body for body, count in orders.items() if count > 1] == []
+    assert kinds.count("success") + kinds.count("200") >= 80
+    assert ajp_server.process.wait(20) == 0
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -26,7 +26,7 @@
 from myrtlespar.handover.keys_file import HandoverRejectedError, KnownKey, decode, encode, known_keys
 from myrtlespar.net.connections import connect
 from tests.gates import Gate
-from tests.sites import GUARDED
+from tests.request_classes import KEYED_SETTINGS
 from tests.test_standard_streams import free_port, reach
 
 
@@ -88,7 +88,7 @@
     shared = tmp_path / "shared"
     shared.mkdir()
     left(shared)
-    with server_process(tmp_path, mgmt=True, shared=shared, given=GUARDED) as running:
+    with server_process(tmp_path, mgmt=True, shared=shared, given=KEYED_SETTINGS) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("tide", b"calls=1")[0] == "success"
 
@@ -139,13 +139,15 @@
     port = free_port()
     (tmp_path / "old").mkdir()
     (tmp_path / "new").mkdir()
-    with server_process(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
+    with server_process(
+        tmp_path / "old", mgmt=True, shared=tmp_path, given=KEYED_SETTINGS, listen=f"127.0.0.1:{port}"
+    ) as old:
         assert ThriftClient(port).ask("booking", b"seat 1", token="t")[0] == "success"
         with server_process(
             tmp_path / "new",
             mgmt=True,
             shared=tmp_path,
-            given={**GUARDED, "kernel": old.kernel.address},
+            given={**KEYED_SETTINGS, "kernel": old.kernel.address},
             listen=f"127.0.0.1:{port}",
             start=gate.start,
             wait=False,
