--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -58,9 +58,9 @@
     client.sock.sendall(data)
     assert client.answer(open_one)[0] == "success"
     assert client.ended.wait(20)
-    # A call that stands under a number of its own is told; nothing else is, as no request stands behind it.
-    told = {9: "exception"} if b"invoke" in data and len(data) <= 4 + 16384 else {}
-    assert {seq: answer[0] for seq, answer in client.answers.items()} == {open_one: "success", **told}
+    # A call with a sequence number of its own is answered; nothing else is, as no request stands behind it.
+    exceptions = {9: "exception"} if b"invoke" in data and len(data) <= 4 + 16384 else {}
+    assert {seq: answer[0] for seq, answer in client.answers.items()} == {open_one: "success", **exceptions}
     assert set(client.count.values()) == {1}
     assert ThriftClient(server.ports[0]).ask("fetch")[0] == "success"
 
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -33,13 +33,13 @@
     assert len(server.store.calls) == calls
 
 
-@pytest.mark.parametrize("spoilt", ["noise", "endless", "short", "huge", "cut"])
-def test_a_malformed_reply_ends_its_own_call_only(server: ServerProcess, spoilt: str) -> None:
+@pytest.mark.parametrize("malformed", ["noise", "endless", "short", "huge", "cut"])
+def test_a_malformed_reply_ends_its_own_call_only(server: ServerProcess, malformed: str) -> None:
     client = ThriftClient(server.ports[0])
     server.store.script = ["slow"]
     slow = client.send("order", b"calls=1 slow")
     until(lambda: server.store.calls)
-    server.store.script = [spoilt, spoilt]
+    server.store.script = [malformed, malformed]
     assert client.ask("order", b"calls=1")[0] == "failed"  # it may have had its effect
     assert client.ask("render", b"calls=1")[0] == "success"  # a read's call is made again
     assert client.answer(slow)[0] == "success"
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -138,10 +138,10 @@
     print(json.dumps({"event": "connected"}), flush=True)
     moved.wait()
     return sock
-def told(*args):
+def moved_now(*args):
     move(*args)
     moved.set()
-engine_client.connect, engine_client.EngineClient.move = held, told
+engine_client.connect, engine_client.EngineClient.move = held, moved_now
 sys.argv[:] = ["myrtlespar"]
 runpy.run_module("myrtlespar", run_name="__main__")
 """)
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -42,25 +42,25 @@
     ids=["no numbers", "endless", "huge", "lists", "null"],
 )
 def test_gauges_that_are_no_numbers_change_no_decision(tmp_path: Path, gauges: str) -> None:
-    class Odd(FakeEngine):
+    class OddGaugesEngine(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             if command["mark"].startswith("gauges"):
                 link.sendall(b'{"t":"INFO","mark":"%s","v":%s}\n' % (command["mark"].encode(), gauges.encode()))
             else:
                 super().sysinfo(link, command)
 
-    with server_process(tmp_path, kernel=Odd()) as running:
+    with server_process(tmp_path, kernel=OddGaugesEngine()) as running:
         client = ThriftClient(running.ports[0])
         until(lambda: sum(row["t"] == "SYSINFO" for row in running.kernel.commands) > 3)
         assert [client.ask("order", b"calls=1")[0] for _ in range(5)] == ["success"] * 5
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [{"time_ms": "NaN"}, {"time_ms": HUGE}, {"time_ms": "null"}, {"status": '"ODD"'}, {"b64": '"%%%%"'}, {"b64": "7"}],
     ids=["time is none", "time is huge", "time is null", "status", "not base64", "no text"],
 )
-def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, spoilt: dict[str, str]) -> None:
+def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, malformed: dict[str, str]) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         engine = running.kernel
@@ -74,7 +74,7 @@
             "status": '"PASS"',
             "time_ms": "5",
             "b64": f'"{base64.b64encode(b"x").decode()}"',
-            **spoilt,
+            **malformed,
         }
         engine.notices.append({})
         assert engine.link
@@ -89,13 +89,13 @@
 def test_a_configuration_that_does_not_allow_gauges_is_served(tmp_path: Path, gauges: list[str]) -> None:
     """The marks that prove a link to be in step are requests for gauges: refused, nothing was ever sent on it."""
 
-    class Closed(FakeEngine):
+    class GaugesRejectingEngine(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             self.tell(link, {"t": "EINVAL", "status": "SYSINFO", "rid": ""})
 
     given = settings()
     given["family_info"]["gauges"] = gauges
-    with server_process(tmp_path, kernel=Closed(), given={"settings": given}) as running:
+    with server_process(tmp_path, kernel=GaugesRejectingEngine(), given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
         running.kernel.cut(running.kernel.link)
@@ -105,21 +105,21 @@
         assert client.ask("order", b"calls=1")[0] == "success"
 
 
-@pytest.mark.parametrize("spoilt", ["BOOTED", "INFO"])
-def test_a_greeting_or_mark_that_cannot_be_read_is_asked_for_again(tmp_path: Path, spoilt: str) -> None:
+@pytest.mark.parametrize("malformed", ["BOOTED", "INFO"])
+def test_a_greeting_or_mark_that_cannot_be_read_is_asked_for_again(tmp_path: Path, malformed: str) -> None:
     """The link waited for it for good, with the engine well and telling other things."""
 
-    class Spoiling(FakeEngine):
+    class MalformingEngine(FakeEngine):
         left = 2
 
         def tell(self, link: Any, row: dict[str, Any]) -> None:
-            if row["t"] == spoilt and self.left:
+            if row["t"] == malformed and self.left:
                 self.left -= 1
-                link.sendall(b'{"t":"' + spoilt.encode() + b'",}\n{"t":"DMESG","status":"x"}\n')
+                link.sendall(b'{"t":"' + malformed.encode() + b'",}\n{"t":"DMESG","status":"x"}\n')
             else:
                 super().tell(link, row)
 
-    with server_process(tmp_path, kernel=Spoiling()) as running:
+    with server_process(tmp_path, kernel=MalformingEngine()) as running:
         client = ThriftClient(running.ports[0])
         sent = time.time()
         assert client.ask("order", b"calls=1")[0] == "success"
@@ -127,10 +127,12 @@
         assert [row["t"] for row in running.kernel.commands].count("OPEN") == 3
 
 
-@pytest.mark.parametrize("odd", [b"remark\n", b"[1]\n", b'{"t":"DMESG","status":"x"}\n', b'{"t":"INFO","v":7}\n'])
-def test_an_unexpected_line_of_the_engine_changes_nothing(server: ServerProcess, odd: bytes) -> None:
+@pytest.mark.parametrize(
+    "unexpected", [b"remark\n", b"[1]\n", b'{"t":"DMESG","status":"x"}\n', b'{"t":"INFO","v":7}\n']
+)
+def test_an_unexpected_line_of_the_engine_changes_nothing(server: ServerProcess, unexpected: bytes) -> None:
     assert server.kernel.link
-    server.kernel.link.sendall(odd)
+    server.kernel.link.sendall(unexpected)
     assert ThriftClient(server.ports[0]).ask("order", b"calls=1")[0] == "success"
     assert len([row for row in server.kernel.commands if row["t"] == "OPEN"]) == 1
 
--- a/tests/test_engine_restarts.py
+++ b/tests/test_engine_restarts.py
@@ -63,7 +63,7 @@
 def test_a_greeting_that_is_slow_on_its_way_is_no_new_engine(tmp_path: Path) -> None:
     """An engine that started just before its link broke: its age, taken at the end of the way, made it look newer."""
 
-    class Slow(FakeEngine):
+    class SlowGreetingEngine(FakeEngine):
         delay_s = 0.0
 
         def tell(self, link: Any, row: dict[str, Any]) -> None:
@@ -71,7 +71,7 @@
                 time.sleep(self.delay_s)
             super().tell(link, row)
 
-    engine = Slow()
+    engine = SlowGreetingEngine()
     with server_process(tmp_path, kernel=engine) as running:
         until(lambda: running.event("kernel up"))
         client = ThriftClient(running.ports[0])
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -50,6 +50,7 @@
     return rows
 
 
+# Long, as it lists every setting with the values that it may have.
 @st.composite
 def all_settings(draw: st.DrawFn) -> dict[str, Any]:
     """Return a settings object: all that the policy requires, and any part of the rest."""
@@ -119,6 +120,7 @@
     }
 
 
+# Long, as one run of the process is followed from its first request to its exit: starting one is what takes time.
 @seed(20261202)
 @settings(
     max_examples=EXAMPLES,
--- a/tests/test_mixed_load.py
+++ b/tests/test_mixed_load.py
@@ -13,7 +13,8 @@
 
     Some orders' gateways break in the middle of an answer or before it, and their retries come over Thrift.
     """
-    due = {"order": 4.4, "fetch": 2.7, "render": 6.1}
+    # Long, as all that happens at the load belongs to one run of the process.
+    due_s = {"order": 4.4, "fetch": 2.7, "render": 6.1}
     late = []
     kinds = []
     lock = threading.Lock()
@@ -41,7 +42,7 @@
                 kind = str(gateway.answer()[0])
         with lock:
             kinds.append(kind)
-            late.extend([n] if time.time() - began > due[name] + 0.15 else [])
+            late.extend([n] if time.time() - began > due_s[name] + 0.15 else [])
 
     threads = []
     for n in range(160):
