--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -102,4 +102,4 @@
         except OSError as error:
             if self._coordinator.counters.count_and_sample("handover.unusable"):
                 log.error("hand-over folder unusable", error=str(error))
-            return FolderContent(None, unix_ms() < self._started_at + self._coordinator.limits.key_ms)
+            return FolderContent(None, unix_ms() < self._started_at + self._coordinator.limits.idempotency_key_ms)
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -55,16 +55,25 @@
         self.policy_healthy = True
         self.admin = AdminCommands()  # the pause that operators request on the management address
         self.process = ProcessLifecycle(
-            limits.stop_ms, settings.drain_grace_ms, limits.sweep_ms, limits.flush_ms, limits.crossing_ms
+            limits.stop_ms,
+            settings.drain_grace_ms,
+            limits.overdue_check_ms,
+            limits.flush_timeout_ms,
+            limits.close_linger_ms,
         )
         self.tracker = RequestTracker(
             RequestTerms(
                 [request_class.client_timeout_ms for request_class in settings.classes],
                 [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
-                limits.overdue_ms,
+                limits.overdue_grace_ms,
                 settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
             ),
-            IdempotencyKeyTable(limits.keys, limits.key_ms, limits.followers, limits.result_bytes),
+            IdempotencyKeyTable(
+                limits.max_idempotency_keys,
+                limits.idempotency_key_ms,
+                limits.max_waiting_repeats,
+                limits.max_result_bytes,
+            ),
             self.process,
         )
         self._inbox: list[api.Event | Exchange] = []  # for the next batch
@@ -201,9 +210,9 @@
             for action in self._decide(now, events):
                 self._apply(action, now)
             if self._ticks.is_empty:  # the policy must get a tick again, even after a fault that lost its request
-                self._ticks.add(now + self.limits.sweep_ms, 0)
+                self._ticks.add(now + self.limits.overdue_check_ms, 0)
         if now >= self._next_sweep_at:
-            self._next_sweep_at = now + self.limits.sweep_ms
+            self._next_sweep_at = now + self.limits.overdue_check_ms
             self._sweep(now)
 
     def _latest_gauges(self, now: float) -> list[float]:
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -15,7 +15,7 @@
 from myrtlespar.handover.driver import KeyHandover
 from myrtlespar.handover.folder import HandoverFolder
 from myrtlespar.net.admin_server import AdminServer
-from myrtlespar.net.ajp_backends import engines
+from myrtlespar.net.ajp_backends import create_backend_pools
 from myrtlespar.net.ajp_front import AjpFront
 from myrtlespar.net.dependency_client import DependencyClient
 from myrtlespar.net.engine_client import EngineClient
@@ -108,7 +108,7 @@
         self.coordinator.engines[""] = self.engine_client
         self.coordinator.gauges = self.engine_client
         self.coordinator.dependency = self.dependency_client
-        self.coordinator.engines.update(engines(self.config, self.coordinator))
+        self.coordinator.engines.update(create_backend_pools(self.config, self.coordinator))
 
     def _create_fronts(self, shutdown_requested: Callable[[], bool]) -> list[Front]:
         """Bind the addresses on which clients connect."""
@@ -143,7 +143,7 @@
 
     def _is_ready(self) -> bool:
         """Whether this process can serve new clients."""
-        return self.engine_client.up and not self.coordinator.draining
+        return self.engine_client.is_up and not self.coordinator.draining
 
     def _metrics(self) -> MetricsSnapshot:
         """The metrics of this process, with those of the fleet's part."""
@@ -153,7 +153,7 @@
     def _set_idle_timeout(self, timeout_ms: float) -> None:
         """Close client connections that are idle for this long; 0 leaves that to the clients."""
         for front in self.fronts:
-            front.idle_ms = timeout_ms
+            front.idle_timeout_ms = timeout_ms
 
 
 def _open_fleet(config: Config, coordinator: RequestCoordinator, counters: Counters) -> FleetNode:
--- a/myrtlespar/server/handover.py
+++ b/myrtlespar/server/handover.py
@@ -30,4 +30,4 @@
     """How long after SIGTERM the platform sends SIGKILL: the longest client timeout, capped, and a fixed reserve."""
     limits = application.config.limits
     longest_timeout_ms = max(request_class.client_timeout_ms for request_class in application.config.settings.classes)
-    return min(longest_timeout_ms, limits.handover_cap_ms) + limits.handover_spare_ms
+    return min(longest_timeout_ms, limits.handover_max_deadline_ms) + limits.handover_margin_ms
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -6,7 +6,7 @@
 import structlog
 
 from myrtlespar.config import Config, ConfigError, load
-from myrtlespar.net.listener import AddressInUseError
+from myrtlespar.net.binding import AddressInUseError
 from myrtlespar.runtime.log_output import LogOutput, log_to_standard_output, open_standard_descriptors, print_error
 from myrtlespar.runtime.startup_signals import StartupSignals
 from myrtlespar.server.application import Application
--- a/myrtlespar/server/reload.py
+++ b/myrtlespar/server/reload.py
@@ -40,14 +40,14 @@
         request = self._latest_request
         limits = self._application.config.limits
         reported_fault = ""
-        deadline = unix_ms() + limits.reload_ms
+        deadline = unix_ms() + limits.reload_timeout_ms
         while True:
             try:
                 return load()
             except ConfigError as error:
                 self._reject(str(error), reported_fault)
                 reported_fault = str(error)
-            gevent.sleep(limits.reload_look_ms / 1000.0)
+            gevent.sleep(limits.reload_retry_ms / 1000.0)
             if request != self._latest_request or unix_ms() > deadline:
                 return None
 
--- a/myrtlespar/server/shutdown.py
+++ b/myrtlespar/server/shutdown.py
@@ -64,4 +64,4 @@
         At most half of the time left before the kill, so that a client that does not read can't change the exit code.
         """
         left_ms = max(0.0, self._process.kill_at - unix_ms())
-        return min(self._application.config.limits.flush_ms, left_ms / 2) / 1000.0
+        return min(self._application.config.limits.flush_timeout_ms, left_ms / 2) / 1000.0
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -34,7 +34,7 @@
         "state_machines",
     },
     "handover": {"errors", "exchange", "request_coordinator", "runtime"},
-    "net.codec": {"errors", "membership", "quota"},
+    "net.codec": {"errors", "membership", "policy", "quota"},
     "net": {
         "admin",
         "config",
--- a/tests/test_closing.py
+++ b/tests/test_connection_close.py
@@ -1,7 +1,7 @@
-"""What comes in the moment in which the program closes a connection. docs/race-conditions.md lists the crossings."""
+"""What comes in the moment in which the server closes a connection (see docs/race-conditions.md)."""
+
+from __future__ import annotations
 
-import json
-import signal
 import socket
 import threading
 from pathlib import Path
@@ -10,9 +10,10 @@
 
 import pytest
 
-from myrtlespar.fakes import FakeEngine, ThriftClient, server_process, settings, until
+from myrtlespar.fakes import ThriftClient, server_process, settings, until
 from myrtlespar.net.codec.thrift import encode, idl
 from myrtlespar.net.thrift_front import ThriftConnection
+from myrtlespar.net.thrift_requests import ThriftRequestReader
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.counters import Counters
 from tests.gates import Gate
@@ -23,7 +24,7 @@
 
 
 @pytest.mark.parametrize("why", ["room", "flush"])
-def test_a_request_that_comes_between_our_look_and_our_close_runs_once_where_it_is_sent_again(
+def test_a_request_that_comes_between_our_check_and_our_close_runs_once_where_it_is_sent_again(
     tmp_path: Path, why: str
 ) -> None:
     """Its client sends it once more on another connection; read behind the close and run, it would run twice."""
@@ -55,10 +56,11 @@
 def test_a_request_whose_end_just_came_is_taken_though_its_time_is_over(tmp_path: Path) -> None:
     gate = Gate(
         tmp_path,
-        "myrtlespar.net.connections:Reader.begun",
+        "myrtlespar.net.socket_reader:SocketReader.has_buffered",
         "args[0]._data",
-        "import dataclasses, myrtlespar.config as c; f = c._limits\n"  # the first look is the last one
-        "c._limits = lambda *args: dataclasses.replace(f(*args), idle_look_ms=2500.0)",
+        # The first check is the last one.
+        "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
+        "c.size_limits = lambda *args: dataclasses.replace(f(*args), idle_check_ms=2500.0)",
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
@@ -77,57 +79,35 @@
     """As when a client that reads nothing has filled its outbox: its bytes can still be read then."""
     taken: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
+        limits = ResourceLimits()
+        request_classes = [SimpleNamespace(effect=None)]
+        config: Any = SimpleNamespace(
+            class_names=("order",),
+            thrift_key="",
+            limits=limits,
+            settings=SimpleNamespace(classes=request_classes),
+        )
         front: Any = SimpleNamespace(
-            limits=ResourceLimits(),
-            serial=0,
-            unsent=None,
-            silent=False,
-            classes={"order": 0},
-            conclude=lambda link: None,
-            config=SimpleNamespace(thrift_key="", settings=SimpleNamespace(classes=[SimpleNamespace(effect=None)])),
-            coordinator=SimpleNamespace(counters=Counters(), value=1.0, submit=taken.append, gone=taken.append),
+            limits=limits,
+            connections_opened=0,
+            outbox_budget=None,
+            hides_advertised_value=False,
+            request_reader=ThriftRequestReader(config, Counters()),
+            finish_answers=lambda connection: None,
+            coordinator=SimpleNamespace(
+                counters=Counters(), advertised_value=1.0, submit=taken.append, caller_gone=taken.append
+            ),
         )
         with server.accept()[0] as sock:
-            link = ThriftConnection(front, sock)
+            connection = ThriftConnection(front, sock)
             args = idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"behind")
             client.sendall(encode("invoke", 1, 1, args) * 2)
             client.shutdown(socket.SHUT_WR)
-            getattr(link.outbox, how)()
-            link.read()
+            getattr(connection.outbox, how)()
+            connection.read()
     assert not taken
 
 
-def test_a_move_while_the_old_kernel_is_being_reached_does_not_end_there(tmp_path: Path) -> None:
-    """The old address accepts and says nothing, as a kernel does that starts later."""
-    (tmp_path / "held.py").write_text("""import json, os, runpy, sys
-sys.path.insert(0, os.getcwd())
-import myrtlespar.net.engine_client as kernel
-from gevent.event import Event
-moved, connect, move = Event(), kernel.connect, kernel.EngineClient.move
-def held(*args):
-    sock = connect(*args)
-    print(json.dumps({"event": "connected"}), flush=True)
-    moved.wait()
-    return sock
-def told(*args):
-    move(*args)
-    moved.set()
-kernel.connect, kernel.EngineClient.move = held, told
-sys.argv[:] = ["myrtlespar"]
-runpy.run_module("myrtlespar", run_name="__main__")
-""")
-    with server_process(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
-        until(lambda: running.event("connected"))
-        old, running.kernel = running.kernel, FakeEngine()
-        running.config["kernel"] = running.kernel.address
-        running.path.write_text(json.dumps(running.config))
-        running.process.send_signal(signal.SIGHUP)
-        assert ThriftClient(running.ports[0]).ask("order", b"at the new address")[0] == "success"
-        assert not old.commands
-        assert running.stop() == 0
-        old.down()
-
-
 def test_more_answers_than_the_last_moment_has_room_for_are_begun_in_time(tmp_path: Path) -> None:
     """Each answer takes 5 ms to hand over, as with a small share of a core; the kill comes on time."""
     (tmp_path / "slow.py").write_text("""import os, runpy, sys, time
@@ -165,7 +145,7 @@
     tmp_path: Path, why: str
 ) -> None:
     """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
-    gate = Gate(tmp_path, "myrtlespar.net.connections:Outbox.finish")
+    gate = Gate(tmp_path, "myrtlespar.net.outbox:Outbox.finish")
     with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from tests.conftest import HandoverFolders
 from tests.gates import Gate
 from tests.ports import connect_when_listening, free_port
-from tests.sites import GUARDED
+from tests.request_classes import KEYED_SETTINGS
 
 KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
 MAX_REQUESTS_PER_THREAD = 2000  # of a load that is stopped much sooner
@@ -231,13 +231,15 @@
     port = free_port()
     (tmp_path / "old").mkdir()
     (tmp_path / "new").mkdir()
-    with server_process(tmp_path / "old", mgmt=True, shared=tmp_path, given=GUARDED, listen=f"127.0.0.1:{port}") as old:
+    with server_process(
+        tmp_path / "old", mgmt=True, shared=tmp_path, given=KEYED_SETTINGS, listen=f"127.0.0.1:{port}"
+    ) as old:
         assert ThriftClient(port).ask("booking", b"seat 1", token="t")[0] == "success"
         with server_process(
             tmp_path / "new",
             mgmt=True,
             shared=tmp_path,
-            given={**GUARDED, "kernel": old.kernel.address},
+            given={**KEYED_SETTINGS, "kernel": old.kernel.address},
             listen=f"127.0.0.1:{port}",
             start=gate.start,
             wait=False,
--- a/tests/test_handover_file.py
+++ b/tests/test_handover_file.py
@@ -17,7 +17,7 @@
 from myrtlespar.handover.folder import HandoverFolder
 from myrtlespar.handover.keys_file import HandoverRejectedError, KeyOutcome, decode, encode, key_outcomes
 from myrtlespar.handover.receiver import HandoverReceiver, HandoverState, ReceivedKeys
-from tests.sites import GUARDED
+from tests.request_classes import KEYED_SETTINGS
 
 
 def test_a_handover_file_is_accepted_or_rejected_as_a_whole() -> None:
@@ -142,7 +142,7 @@
     shared = tmp_path / "shared"
     shared.mkdir()
     break_folder(shared)
-    with server_process(tmp_path, mgmt=True, shared=shared, given=GUARDED) as running:
+    with server_process(tmp_path, mgmt=True, shared=shared, given=KEYED_SETTINGS) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("tide", b"calls=1")[0] == "success"
 
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -39,7 +39,7 @@
 
 
 def test_a_fault_in_one_message_ends_its_connection_after_the_pending_answers(tmp_path: Path) -> None:
-    start = program_that_fails(tmp_path, "net.thrift_front", "ThriftConnection", "_frame", "b'boom' in args[1]")
+    start = program_that_fails(tmp_path, "net.thrift_front", "ThriftConnection", "_handle_frame", "b'boom' in args[1]")
     with server_process(tmp_path, start=start) as running:
         other = ThriftClient(running.ports[0])
         client = ThriftClient(running.ports[0])
