--- a/myrtlespar/model_checker/fleet/mutants.py
+++ b/myrtlespar/model_checker/fleet/mutants.py
@@ -25,8 +25,8 @@
         _mutation(
             "boots are not compared",
             "member",
-            "elif rumour.precedence > entry.update.precedence:\n",
-            "elif rumour.precedence[1:] > entry.update.precedence[1:]:\n",
+            "if rumour.precedence > entry.update.precedence:\n",
+            "if rumour.precedence[1:] > entry.update.precedence[1:]:\n",
         ),
         _mutation(
             "refuted with the same counter",
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -130,11 +130,11 @@
             self.kept.setdefault(to, []).append((kind, message, sender))
             return
         if kind == "packet":
-            label = to, sender, message.no
+            label = to, sender, message.sequence_number
             if label in self.doubled:
                 again, self.doubled[label] = again and self.doubled[label], True
             before, known = member.view.hash, member.view.entries.get(sender)
-            old = known is not None and message.me.boot < known.boot
+            old = known is not None and message.sender.incarnation < known.boot
             effects = member.receive(self.now, message)
             if again and (
                 member.view.hash != before
@@ -289,7 +289,7 @@
         if kind in ("lose", "double", "hold"):
             what = min(self.queue, key=lambda row: row[:2])
             if kind == "double":
-                self.doubled[what[3], what[5], what[4].no] = False
+                self.doubled[what[3], what[5], what[4].sequence_number] = False
                 self.put(what[0] - self.now + fault[1], "again", what[3], (what[2], what[4], what[5]))
                 return
             self.queue.remove(what)
--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -45,7 +45,7 @@
         self.me, self.seeds, self.dice = MemberUpdate(name, site, address, boot, 0, ALIVE), list(seeds), dice
         self.known: dict[str, MemberUpdate] = {}
         self.heard: dict[str, float] = {}
-        self.standings = QuorumTracker(name, electorate, now)
+        self.quorum = QuorumTracker(name, electorate, now)
         self._no = 0
         self._at = now + dice.random() * BEAT_MS
 
@@ -105,7 +105,7 @@
         self.known[rumour.name] = rumour
         return [
             MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.incarnation, 0, ""),
-            *self.standings.tell(rumour.name, rumour.state in HERE, now),
+            *self.quorum.tell(rumour.name, rumour.state in HERE, now),
         ]
 
     def _sync(self) -> ViewSync:
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -167,7 +167,7 @@
         self.deeds.append(FaultAction(now, "up", name))
         if name in self.observers:
             self.beliefs.append(ObservedBelief(now, name, "begin"))
-            for scope, tally in getattr(getattr(machine, "standings", None), "scopes", {}).items():
+            for scope, tally in getattr(getattr(machine, "quorum", None), "scopes", {}).items():
                 self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.now))
         self._carry(node, machine.start(now) if join else [])
 
