--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -15,8 +15,8 @@
 from myrtlespar.fleet.settings import FleetSettings, read_fleet
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import CountEvent, MemberChanged, MemberState, QuorumChanged
-from myrtlespar.membership.quorum import FLEET, QuorumStatus, step_fault
-from myrtlespar.membership.reachability import broken
+from myrtlespar.membership.quorum import QuorumStatus, voter_set_change_error
+from myrtlespar.membership.reachability import broken_links
 from myrtlespar.net.peer_transport import PeerAddressInUseError, PeerTransport, monotonic_ms
 from myrtlespar.runtime.counters import Counters
 
@@ -50,7 +50,7 @@
             from myrtlespar.fleet.limits_driver import LimitsDriver
 
             self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of)
-        for scope in self.voter_set_version.even():
+        for scope in self.voter_set_version.even_scopes():
             log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
 
     def _make(self, now: float) -> Member:
@@ -76,8 +76,8 @@
             Random(self.seed),
             now,
         )
-        for scope, tally in member.quorum.scopes.items():
-            self._changed(QuorumChanged(scope, tally.now, tally.now))
+        for scope, count in member.quorum.scopes.items():
+            self._changed(QuorumChanged(scope, count.status, count.status))
         if self.limits is not None:
             self.limits.start(boot)
         return member
@@ -95,7 +95,7 @@
                 at=time.time() * 1000,
             )
             if self.limits is not None and self.peers.member is not None:
-                self.limits.here(frozenset(self.peers.member.view.all))
+                self.limits.here(frozenset(self.peers.member.view.present))
         elif isinstance(effect, QuorumChanged):
             log.info(
                 "fleet standing",
@@ -134,7 +134,7 @@
         fresh = read.roll
         if fresh == self.voter_set_version:
             return
-        fault = step_fault(self.voter_set_version, fresh)
+        fault = voter_set_change_error(self.voter_set_version, fresh)
         if fault:
             self.counters.add("fleet.roll_refused")
             log.error("fleet reload refused", error=f"electorate.{fault}")
@@ -176,24 +176,24 @@
                     "address": own.advertise,
                     "life": [member.self_update.incarnation, member.self_update.refutation],
                     "hash": f"{member.view.hash:016x}",
-                    "roll": member.quorum.electorate.version,
-                    "health": member.probe_rounds.prober.health,
+                    "roll": member.quorum.voter_set.version,
+                    "health": member.prober.health,
                     "late_ms": round(self.peers.latest_late, 1),
                     "standing": {
                         scope or "fleet": {
-                            "is": tally.now.name.lower(),
-                            "for_ms": round(now - tally.since),
-                            "here": len(tally.here) + tally.mine,
-                            "of": len(tally.electors),
+                            "is": count.status.name.lower(),
+                            "for_ms": round(now - count.since),
+                            "here": len(count.others_present) + count.self_votes,
+                            "of": len(count.voters),
                         }
-                        for scope, tally in member.quorum.scopes.items()
+                        for scope, count in member.quorum.scopes.items()
                     },
                     "members": rows,
-                    "links": broken(member.reachability.rows),
+                    "links": broken_links(member.reachability.rows),
                     "unheard": member.reachability.one_way(member.view, now),
                     "differ": sorted(member.divergence.since),
                     "disagree": sorted(member.divergence.lasting),
-                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.probe_rounds.prober.rtt.items()},
+                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.prober.round_trips.items()},
                     "bytes": {"sent": self.peers.sent_bytes, "read": self.peers.read_bytes},
                     "counts": {
                         name: count
@@ -214,29 +214,29 @@
         for entry in member.view.entries.values():
             counts[MemberState(entry.update.state)] += 1
         counts[MemberState.ALIVE] += 1
-        oldest = max((now - entry.evidence for entry in member.view.entries.values() if entry.here), default=0.0)
+        oldest = max((now - entry.evidence for entry in member.view.entries.values() if entry.present), default=0.0)
         report = self.counters.report()
         out = ["# TYPE fleet_members gauge"]
         out += [f'fleet_members{{state="{state.name.lower()}"}} {count}' for state, count in counts.items()]
         out.append("# TYPE fleet_standing gauge")
         out += [
-            f'fleet_standing{{scope="{scope or "fleet"}"}} {int(tally.now)}'
-            for scope, tally in member.quorum.scopes.items()
+            f'fleet_standing{{scope="{scope or "fleet"}"}} {int(count.status)}'
+            for scope, count in member.quorum.scopes.items()
         ]
         gauges = {
             "oldest_evidence_seconds": oldest / 1000,
-            "local_health": member.probe_rounds.prober.health,
-            "broken_links": len(broken(member.reachability.rows)),
+            "local_health": member.prober.health,
+            "broken_links": len(broken_links(member.reachability.rows)),
             "disagreements": len(member.divergence.lasting),
-            "roll_version": member.quorum.electorate.version,
-            "majority": int(member.quorum.scopes[FLEET].now >= QuorumStatus.MAJORITY),
+            "roll_version": member.quorum.voter_set.version,
+            "majority": int(member.quorum.fleet.status >= QuorumStatus.MAJORITY),
         }
         for name, value in gauges.items():
             out += [f"# TYPE fleet_{name} gauge", f"fleet_{name} {value:g}"]
         out.append("# TYPE fleet_probe_round_trip_seconds gauge")
         out += [
             f'fleet_probe_round_trip_seconds{{site="{site}"}} {mean / 1000:.6f}'
-            for site, (mean, _) in sorted(member.probe_rounds.prober.rtt.items())
+            for site, (mean, _) in sorted(member.prober.round_trips.items())
         ]
         totals = {
             "suspicions_refuted": report.get("fleet.refuted", 0),
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.fleet_tests.ground_truth import GroundTruth, TruthInterval
-from myrtlespar.membership.messages import HERE, MemberState
-from myrtlespar.membership.quorum import FLEET, judge
+from myrtlespar.membership.messages import PRESENT_STATES, MemberState
+from myrtlespar.membership.quorum import FLEET, quorum_status
 from myrtlespar.membership.settings import MembershipSettings
 
 SLACK_MS = 250.0  # for processes that share cores, and for log lines on their way
@@ -140,8 +140,8 @@
         many = sum(moment.linked(a, other) for other in truth.members) * 2 >= n
         bound = (terms.detect_ms(n) if b not in moment.well and many else terms.standing_ms(n)) + slack
         spans = BeliefHistory.during(steps, start, end)
-        if spans and spans[0][1] in HERE and spans[0][0] <= start:
-            right = next((at for at, state, _ in spans if at > start and state not in HERE), None)
+        if spans and spans[0][1] in PRESENT_STATES and spans[0][0] <= start:
+            right = next((at for at, state, _ in spans if at > start and state not in PRESENT_STATES), None)
             if right is not None and b not in moment.well:
                 out.detect_ms.append(right - start)
         if end - start <= bound:
@@ -149,7 +149,7 @@
         out.judged("failure known")
         for number, (_, state, _) in enumerate(spans):
             until = spans[number + 1][0] if number + 1 < len(spans) else end
-            if state in HERE and until > start + bound:
+            if state in PRESENT_STATES and until > start + bound:
                 out.broken.append(
                     f"failure known: {a} believed {b} here at {until / 1000:.2f} s, gone since "
                     f"{start / 1000:.2f} s, bound {bound:.0f} ms"
@@ -171,15 +171,15 @@
     bound = terms.heal_ms(n) + slack
     for start, end in truth.spans(lambda m: m.linked(a, b)):
         spans = BeliefHistory.during(steps, start, end)
-        here = [at for at, state, _ in spans if state in HERE]
-        if here and start > 0 and not (spans[0][1] in HERE and spans[0][0] <= start):
+        here = [at for at, state, _ in spans if state in PRESENT_STATES]
+        if here and start > 0 and not (spans[0][1] in PRESENT_STATES and spans[0][0] <= start):
             out.known_ms.append(max(0.0, here[-1] - start) if len(here) == 1 else here[0] - start)
         if end - start <= bound:
             continue
         out.judged("presence known")
         for number, (_, state, _) in enumerate(spans):
             until = spans[number + 1][0] if number + 1 < len(spans) else end
-            if state not in HERE and until > start + bound:
+            if state not in PRESENT_STATES and until > start + bound:
                 out.broken.append(
                     f"presence known: {a} did not believe {b} here at {until / 1000:.2f} s, linked since "
                     f"{start / 1000:.2f} s, bound {bound:.0f} ms"
@@ -197,7 +197,7 @@
             continue
         if life < boot:
             out.broken.append(f"lives grow: {a} went from life {boot} of {b} back to {life} at {at / 1000:.2f} s")
-        if left == life and state in HERE:
+        if left == life and state in PRESENT_STATES:
             out.broken.append(f"lives grow: {a} believed {b} back after it left, at {at / 1000:.2f} s")
         boot = max(boot, life)
         if state == MemberState.LEFT:
@@ -211,7 +211,9 @@
         if deed.kind == "up" and deed.name == b and any(at <= deed.at for at in downs):
             since = max(at for at in downs if at <= deed.at)
             before = max((boot for at, _, boot in steps if at <= since), default=0)
-            known = next((at for at, state, boot in steps if at > since and state in HERE and boot > before), None)
+            known = next(
+                (at for at, state, boot in steps if at > since and state in PRESENT_STATES and boot > before), None
+            )
             if known is not None and all(m.linked(a, b) for m in truth.between(deed.at, max(known, deed.at))):
                 out.restart_ms.append(max(0.0, known - deed.at))
 
@@ -244,7 +246,7 @@
     bound = terms.standing_ms(n) + slack
     sets = {present(moment, a, electors) for moment in truth.moments if a in moment.well} - {None}
     for here in sorted(sets, key=sorted):  # type: ignore[arg-type]
-        wanted = judge(len(electors), len(here or ()) + int(a in electors), len(here or ()))
+        wanted = quorum_status(len(electors), len(here or ()) + int(a in electors), len(here or ()))
         for start, end in truth.spans(lambda m: a in m.well and present(m, a, electors) == here):  # noqa: B023
             spans = BeliefHistory.during(steps, start, end)
             if not spans:
--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Spreading by a bounded budget: what is new rides on every packet a few times, the least told first."""
+"""Dissemination of updates on outgoing packets: each is sent a bounded number of times, the least sent first."""
 
 from __future__ import annotations
 
@@ -7,129 +7,110 @@
 from dataclasses import dataclass
 from heapq import nsmallest
 
-from myrtlespar.membership.messages import MemberState, MemberUpdate, ReachabilityRow
+from myrtlespar.membership.messages import SUSPECT, MemberUpdate, ReachabilityRow
 from myrtlespar.membership.settings import MembershipSettings
 
-MOST = 512  # statements waiting to be told; the most told ones make room
-
-
-class TokenBucket:
-    """So many tokens a second, at most two seconds' worth saved up."""
-
-    def __init__(self, per_s: float, now: float) -> None:
-        self.per_ms, self.most = per_s / 1000.0, 2 * per_s
-        self.tokens, self.at = self.most, now
-
-    def take(self, now: float) -> bool:
-        """Whether there was one to spend."""
-        self.tokens = min(self.most, self.tokens + (now - self.at) * self.per_ms)
-        self.at = now
-        if self.tokens < 1:
-            return False
-        self.tokens -= 1
-        return True
+MAX_PENDING_UPDATES = 512  # beyond it the most sent one is dropped
 
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """One statement on its way."""
+    """One update that is being sent."""
 
-    rumour: MemberUpdate
+    update: MemberUpdate
     since: float
-    times: int = 0
+    times_sent: int = 0
 
 
 class Dissemination:
-    """Statements to tell, newest version of each subject only."""
-
-    def __init__(self, terms: MembershipSettings) -> None:
-        self.terms = terms
-        self._told: dict[str, PendingUpdate] = {}  # by subject, and accuser if there is one
-        self._rows: dict[str, tuple[int, ReachabilityRow]] = {}
-
-    def put(self, rumour: MemberUpdate, now: float) -> None:
-        """Tell this from now on, in place of what was told of the same member (an accuser's word stands by itself)."""
-        accused = rumour.state == MemberState.SUSPECT
-        label = f"{rumour.name}\0{rumour.accuser}" if accused else rumour.name
-        if not accused:
-            for other in [key for key in self._told if key.startswith(rumour.name + "\0")]:
-                del self._told[other]
-        elif rumour.name in self._told:
-            del self._told[rumour.name]
-        self._told[label] = PendingUpdate(rumour, now)
-        if len(self._told) > MOST:  # guards memory against a storm of changes
-            del self._told[max(self._told, key=lambda key: self._told[key].times)]
+    """Updates to send, only the newest about each member."""
+
+    def __init__(self, settings: MembershipSettings) -> None:
+        self.settings = settings
+        self._pending: dict[str, PendingUpdate] = {}  # by member, and accuser if there is one
+        self._rows: dict[str, tuple[int, ReachabilityRow]] = {}  # by reporter: times sent, row
+
+    def put(self, update: MemberUpdate, now: float) -> None:
+        """Send this from now on, in place of updates about the same member.
+
+        A suspicion replaces only that of the same accuser.
+        """
+        suspected = update.state == SUSPECT
+        label = f"{update.name}\0{update.accuser}" if suspected else update.name
+        if not suspected:
+            for other in [key for key in self._pending if key.startswith(update.name + "\0")]:
+                del self._pending[other]
+        elif update.name in self._pending:
+            del self._pending[update.name]
+        self._pending[label] = PendingUpdate(update, now)
+        if len(self._pending) > MAX_PENDING_UPDATES:  # bounds memory in a storm of changes
+            del self._pending[max(self._pending, key=lambda key: self._pending[key].times_sent)]
 
     def put_row(self, row: ReachabilityRow) -> None:
-        """Tell a reach row."""
+        """Send a reachability row from now on."""
         self._rows[row.reporter] = (0, row)
 
     def clear(self) -> None:
-        """Tell nothing of what waits."""
-        self._told.clear()
+        """Drop all that is pending."""
+        self._pending.clear()
         self._rows.clear()
 
     def __len__(self) -> int:
-        return len(self._told) + len(self._rows)
+        return len(self._pending) + len(self._rows)
 
-    def times(self, n: int) -> int:
-        """How often each statement is told by one member."""
-        return math.ceil(self.terms.repeat * math.log2(n + 1))
+    def max_times_sent(self, fleet_size: int) -> int:
+        """How often one member sends each update."""
+        return math.ceil(self.settings.repeat * math.log2(fleet_size + 1))
 
     def pick(
-        self, now: float, n: int, room: int, first: Iterable[MemberUpdate] = ()
+        self, now: float, fleet_size: int, max_bytes: int, first: Iterable[MemberUpdate] = ()
     ) -> tuple[tuple[MemberUpdate, ...], tuple[ReachabilityRow, ...]]:
-        """What rides on the next packet, `room` bytes of it at the most: `first`, then the least told, `carry` in
-        all, each told at most `times`.
+        """What the next packet carries, in at most `max_bytes`: `first`, then the least sent.
+
+        Returns at most `carry` updates and rows in all; each pending one is sent at most `max_times_sent` times.
         """
-        out = list(first)
-        room -= sum(weight(rumour) for rumour in out)
-        told = self._told
-        if told:
-            most = self.times(n)
-            for label in nsmallest(self.terms.carry - len(out), told, key=lambda label: told[label].times):
-                entry = told[label]
-                room -= weight(entry.rumour)
-                if room < 0:
-                    break
-                out.append(aged(entry.rumour, now - entry.since))
-                entry.times += 1
-                if entry.times >= most:
-                    del told[label]
+        updates = list(first)
+        max_bytes -= sum(update_size(update) for update in updates)
+        max_bytes = self._add_updates(updates, now, fleet_size, max_bytes)
         rows: tuple[ReachabilityRow, ...] = ()
-        if self._rows and len(out) < self.terms.carry:
-            by = min(self._rows, key=lambda key: self._rows[key][0])
-            count, row = self._rows[by]
-            if row_weight(row) <= room:
-                rows = (row,)
-                if count + 1 >= self.times(n):
-                    del self._rows[by]
-                else:
-                    self._rows[by] = (count + 1, row)
-        return tuple(out), rows
-
-
-def weight(rumour: MemberUpdate) -> int:
-    """Its bytes in a packet at the most: its texts, each with a length, and numbers of nine bytes."""
-    return 38 + len(rumour.name) + len(rumour.site) + len(rumour.address) + len(rumour.accuser)
-
-
-def row_weight(row: ReachabilityRow) -> int:
-    """The same of a reach row."""
+        if self._rows and len(updates) < self.settings.carry:
+            rows = self._pick_row(fleet_size, max_bytes)
+        return tuple(updates), rows
+
+    def _add_updates(self, updates: list[MemberUpdate], now: float, fleet_size: int, max_bytes: int) -> int:
+        pending = self._pending
+        if not pending:
+            return max_bytes
+        max_times_sent = self.max_times_sent(fleet_size)
+        free_slots = self.settings.carry - len(updates)
+        for label in nsmallest(free_slots, pending, key=lambda label: pending[label].times_sent):
+            entry = pending[label]
+            max_bytes -= update_size(entry.update)
+            if max_bytes < 0:
+                break
+            updates.append(entry.update.aged(now - entry.since))
+            entry.times_sent += 1
+            if entry.times_sent >= max_times_sent:
+                del pending[label]
+        return max_bytes
+
+    def _pick_row(self, fleet_size: int, max_bytes: int) -> tuple[ReachabilityRow, ...]:
+        reporter = min(self._rows, key=lambda key: self._rows[key][0])
+        times_sent, row = self._rows[reporter]
+        if row_size(row) > max_bytes:
+            return ()
+        if times_sent + 1 >= self.max_times_sent(fleet_size):
+            del self._rows[reporter]
+        else:
+            self._rows[reporter] = (times_sent + 1, row)
+        return (row,)
+
+
+def update_size(update: MemberUpdate) -> int:
+    """Upper bound of an update's bytes in a packet: its texts, each with a length, and numbers of nine bytes."""
+    return 38 + len(update.name) + len(update.site) + len(update.address) + len(update.accuser)
+
+
+def row_size(row: ReachabilityRow) -> int:
+    """Upper bound of a reachability row's bytes in a packet."""
     return 24 + len(row.reporter) + sum(len(name) + 4 for name, _ in row.unreachable)
-
-
-def aged(rumour: MemberUpdate, by_ms: float) -> MemberUpdate:
-    """The same with older evidence."""
-    if by_ms < 1:
-        return rumour
-    return MemberUpdate(
-        rumour.name,
-        rumour.site,
-        rumour.address,
-        rumour.incarnation,
-        rumour.refutation,
-        rumour.state,
-        min(rumour.age_ms + int(by_ms), 2**31),
-        rumour.accuser,
-    )
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -1,7 +1,8 @@
-"""What members say to one another, and what the machine asks its driver to do. Shapes only.
+"""Messages between members, and the effects that a member asks its driver to carry out. Data types only.
 
-The structs are msgspec's, so that the codec in `net/codec` needs no second set of types; names are at most 48
-characters, addresses at most 64 (the codec checks). Ages are whole milliseconds.
+The structs are msgspec's, so that the codec in `net/codec` needs no second set of types. The order of their fields
+and the tags are the wire format. Names are at most 48 characters, addresses at most 64 (the codec checks). Ages are
+whole milliseconds.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member, by gravity."""
+    """What is believed of a member; the graver state has the higher value."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,14 +22,20 @@
     LEFT = 3
 
 
-ALIVE, SUSPECT, FAILED, LEFT = MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT
-HERE = (ALIVE, SUSPECT)
-UpdatePrecedence = tuple[int, int, int]  # boot, counter, state: the greater one holds
+ALIVE = MemberState.ALIVE
+SUSPECT = MemberState.SUSPECT
+FAILED = MemberState.FAILED
+LEFT = MemberState.LEFT
+PRESENT_STATES = (ALIVE, SUSPECT)
+MAX_AGE_MS = 2**31
+UpdatePrecedence = tuple[int, int, int]  # incarnation, refutation, state: the greatest one is believed
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A statement about one member. `boot` (Unix ms of its start) and `counter` (raised by itself only, to refute)
-    are its life; `by` is who accuses it, with SUSPECT only; `age_ms` is how old the evidence is.
+    """A statement about one member.
+
+    `incarnation` is the Unix time of its start in ms; `refutation` is a counter that only the member itself raises, to
+    refute suspicions; `accuser` is who suspects it; `age_ms` is how old the evidence is.
     """
 
     name: str
@@ -42,14 +49,35 @@
 
     @property
     def precedence(self) -> UpdatePrecedence:
-        """What it weighs against another statement about the same member."""
+        """Which of two updates about one member is believed: the greater one."""
         return self.incarnation, self.refutation, self.state
 
+    def with_state(self, state: MemberState, age_ms: int, accuser: str) -> MemberUpdate:
+        """An update about the same incarnation and refutation with another state."""
+        return MemberUpdate(
+            self.name, self.site, self.address, self.incarnation, self.refutation, state, age_ms, accuser
+        )
+
+    def aged(self, by_ms: float) -> MemberUpdate:
+        """The same update with older evidence."""
+        if by_ms < 1:
+            return self
+        return MemberUpdate(
+            self.name,
+            self.site,
+            self.address,
+            self.incarnation,
+            self.refutation,
+            self.state,
+            min(self.age_ms + int(by_ms), MAX_AGE_MS),
+            self.accuser,
+        )
+
 
 class ReachabilityRow(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Members that `reporter` cannot reach directly although others can: (name, whether it still hears from them).
+    """Members that `reporter` cannot reach directly although others can.
 
-    `version` grows with each change.
+    `unreachable` holds (name, whether the reporter still receives packets from it); `version` grows with each change.
     """
 
     reporter: str
@@ -59,42 +87,44 @@
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
-    """Answer with `Ack(seq)`."""
+    """Direct probe: the receiver answers with an `Ack` of the same `probe_id`."""
 
-    seq: int
+    probe_id: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """`target` answered: the sender itself, or the member it was asked to ping."""
+    """`target` answered a probe: the sender itself, or the member it was asked to probe."""
 
-    seq: int
+    probe_id: int
     target: str
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
-    """Ping `name` at `address` for me."""
+    """Request to probe `name` at `address` for the sender."""
 
-    seq: int
+    probe_id: int
     name: str
     address: str
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """I pinged for you and heard nothing yet."""
+    """No answer yet to a probe made for the receiver."""
 
-    seq: int
+    probe_id: int
 
 
 class GossipPush(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
-    """Only what goes with every packet."""
+    """No body: the packet only carries updates."""
 
 
 Body = Ping | Ack | IndirectProbe | Nack | GossipPush
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One datagram. `no` numbers the sender's packets within its boot; `hash` is that of the sender's view, `roll`
-    the version of its electorate.
+    """One datagram.
+
+    `sequence_number` counts the sender's packets within its incarnation; `view_hash` and `voter_set_version` are those
+    of the sender.
     """
 
     fleet: str
@@ -108,7 +138,7 @@
 
 
 class ViewSync(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A whole view, over TCP; asked with one and answered with one."""
+    """A complete view, over TCP; the request and the reply are one each."""
 
     fleet: str
     sender: MemberUpdate
@@ -117,14 +147,14 @@
 
 
 class SendPacket(NamedTuple):
-    """Effect: one datagram."""
+    """Effect: send one datagram."""
 
     address: str
     packet: Packet
 
 
 class RequestSync(NamedTuple):
-    """Effect: send this over TCP and hand the reply to `Member.synced`."""
+    """Effect: send this over TCP and pass the reply to `Member.sync_received`."""
 
     address: str
     sync: ViewSync
@@ -145,7 +175,7 @@
 
 
 class QuorumChanged(NamedTuple):
-    """Effect: one's own standing in `scope` ('' is the fleet, else a site) changed."""
+    """Effect: the quorum status of `scope` ('' is the fleet, else a site) changed."""
 
     scope: str
     old_status: int
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -1,47 +1,77 @@
-"""What goes out: packets with what rides on them, and the effects of one turn in their order."""
+"""Outgoing packets with the updates they carry, and the effects of one call in their order."""
 
 from __future__ import annotations
 
-from myrtlespar.membership.dissemination import Dissemination, TokenBucket, weight
-from myrtlespar.membership.messages import ALIVE, Body, MembershipEffect, MemberUpdate, Packet, SendPacket
+from myrtlespar.membership.dissemination import Dissemination, update_size
+from myrtlespar.membership.messages import (
+    ALIVE,
+    Body,
+    CountEvent,
+    MembershipEffect,
+    MemberUpdate,
+    Packet,
+    SendPacket,
+)
 from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.token_bucket import TokenBucket
 from myrtlespar.membership.view import View
 
-DATAGRAM = 1200  # bytes of one at the most
-FRAME = 80  # of them, what frames a packet: magic, checksum, lengths, numbers and the body's own frame
+MAX_DATAGRAM_BYTES = 1200
+FRAME_BYTES = 80  # magic, checksum, lengths, numbers and the body's own frame
 
 
 class PacketOutbox:
-    """Numbers packets, puts news on them, and gathers effects until they are taken."""
+    """Numbers packets, adds updates to them, and gathers effects until they are taken."""
 
-    def __init__(self, fleet: str, me: MemberUpdate, terms: MembershipSettings, view: View, now: float) -> None:
-        self.fleet, self.me, self.view = fleet, me, view
-        self.roll = 0
-        self.spread = Dissemination(terms)
-        self.bucket = TokenBucket(terms.push_per_s, now)  # of packets that nothing but news calls for
-        self.out: list[MembershipEffect] = []
-        self._no = 0
+    def __init__(
+        self, fleet: str, self_update: MemberUpdate, settings: MembershipSettings, view: View, now: float
+    ) -> None:
+        self.fleet = fleet
+        self.self_update = self_update
+        self.view = view
+        self.voter_set_version = 0
+        self.dissemination = Dissemination(settings)
+        self.push_budget = TokenBucket(settings.push_per_s, now)  # of packets that only carry updates
+        self.effects: list[MembershipEffect] = []
+        self._sequence_number = 0
 
     @property
-    def size(self) -> int:
-        """Members believed here, oneself included."""
-        return len(self.view.all) + 1
+    def fleet_size(self) -> int:
+        """Members believed present, oneself included."""
+        return len(self.view.present) + 1
 
-    def send(self, now: float, address: str, body: Body, to: str = "", tell: bool = False) -> None:
-        """One packet; what is believed of its receiver goes first if it is bad (or `tell`), so that it can refute."""
+    def send(self, now: float, address: str, body: Body, receiver: str = "", include_receiver: bool = False) -> None:
+        """Send one packet.
+
+        What is believed of the receiver goes first if it is not alive (or with `include_receiver`), so that the
+        receiver can refute it.
+        """
         first: tuple[MemberUpdate, ...] = ()
-        entry = self.view.entries.get(to) if to else None
-        if entry is not None and (tell or entry.update.state != ALIVE):
+        entry = self.view.entries.get(receiver) if receiver else None
+        if entry is not None and (include_receiver or entry.update.state != ALIVE):
             first = (entry.update,)
-        named = len(getattr(body, "name", "")) + len(getattr(body, "address", "")) + len(getattr(body, "target", ""))
-        room = DATAGRAM - FRAME - len(self.fleet) - weight(self.me) - named
-        rumours, rows = self.spread.pick(now, self.size, room, first)
-        self._no += 1
-        self.out.append(
-            SendPacket(address, Packet(self.fleet, self._no, self.me, self.view.hash, self.roll, body, rumours, rows))
+        body_names = (getattr(body, "name", ""), getattr(body, "address", ""), getattr(body, "target", ""))
+        fixed_bytes = FRAME_BYTES + len(self.fleet) + update_size(self.self_update) + sum(map(len, body_names))
+        updates, rows = self.dissemination.pick(now, self.fleet_size, MAX_DATAGRAM_BYTES - fixed_bytes, first)
+        self._sequence_number += 1
+        packet = Packet(
+            self.fleet,
+            self._sequence_number,
+            self.self_update,
+            self.view.hash,
+            self.voter_set_version,
+            body,
+            updates,
+            rows,
         )
+        self.effects.append(SendPacket(address, packet))
+
+    def count(self, counter: str, log_message: str = "") -> None:
+        """Add a `CountEvent` effect."""
+        self.effects.append(CountEvent(counter, log_message))
 
-    def done(self) -> list[MembershipEffect]:
+    def take_effects(self) -> list[MembershipEffect]:
         """The effects since the last call."""
-        out, self.out = self.out, []
-        return out
+        effects = self.effects
+        self.effects = []
+        return effects
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -1,122 +1,146 @@
-"""Rounds of probing: whom to ask, what its answer or silence means, and help for others' probes."""
+"""Probe rounds: whom to probe, what an answer or its absence means, and indirect probes made for others."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from random import Random
 
-from myrtlespar.membership.messages import Ack, CountEvent, IndirectProbe, MemberUpdate, Nack, Ping
+from myrtlespar.membership.messages import Ack, IndirectProbe, MemberUpdate, Nack, Ping
 from myrtlespar.membership.outbox import PacketOutbox
-from myrtlespar.membership.probing import Prober, Timers
+from myrtlespar.membership.probing import Probe, Prober
 from myrtlespar.membership.reachability import ReachabilityMatrix
 from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.timers import TimerKind, Timers
 from myrtlespar.membership.view import MemberEntry, View
 
+MAX_SITE_CHECKS = 8  # members of a site that are prioritized once one of it did not answer
+
 
 class ProbeRounds:
-    """`accuse` is called with what is believed of a member that no probe reached."""
+    """Runs the probes of one member; `accuse` is called with the known update of one that no probe reached."""
 
     def __init__(
         self,
         site: str,
-        terms: MembershipSettings,
-        dice: Random,
+        settings: MembershipSettings,
+        random: Random,
         view: View,
-        voice: PacketOutbox,
+        outbox: PacketOutbox,
         timers: Timers,
-        reach: ReachabilityMatrix,
+        reachability: ReachabilityMatrix,
+        prober: Prober,
         accuse: Callable[[float, MemberUpdate], None],
+        now: float,
     ) -> None:
-        self.site, self.terms, self.dice, self.view, self.voice = site, terms, dice, view, voice
-        self.timers, self.reach, self.accuse = timers, reach, accuse
-        self.prober = Prober(terms, dice)
-        self.proof_at = float("-inf")  # when anybody last answered a probe of ours, itself or through another
-
-    def nacked(self, seq: int) -> None:
-        """A helper lives, and heard nothing either."""
-        probe = self.prober.probes.get(seq)
-        if probe is not None:
-            probe.nacks += 1
+        self.site = site
+        self.settings = settings
+        self.random = random
+        self.view = view
+        self.outbox = outbox
+        self.timers = timers
+        self.reachability = reachability
+        self.prober = prober
+        self.accuse = accuse
+        self.last_answer_at = now  # when anybody last answered a probe of ours, directly or not
 
-    def period(self, now: float, _: str | int) -> None:
+    def begin_period(self, now: float) -> None:
         """Probe those whose turn it is."""
-        self.timers.put(now + self.terms.probe_ms * (0.9 + 0.2 * self.dice.random()), "period")
+        period_ms = self.settings.probe_ms * (0.9 + 0.2 * self.random.random())
+        self.timers.put(now + period_ms, TimerKind.PROBE_PERIOD)
         for name in self.prober.targets(self.view):
             entry = self.view.entries[name]
-            entry.probed, rumour = now, entry.update
-            seq = self.prober.begin(name, rumour.site, now)
-            probe = self.prober.probes[seq]
-            self.timers.put(probe.direct_by, "direct", seq)
-            self.timers.put(probe.reply_by, "reply", seq)
-            self.voice.send(now, rumour.address, Ping(seq), name)
-
-    def direct(self, now: float, seq: str | int) -> None:
-        """No direct answer in time: ask others; if it was for another, say so."""
-        probe = self.prober.probes.get(int(seq))
+            entry.probed = now
+            update = entry.update
+            probe_id = self.prober.begin(name, update.site, now)
+            self._start_timers(probe_id)
+            self.outbox.send(now, update.address, Ping(probe_id), name)
+
+    def direct_timeout(self, now: float, probe_id: int) -> None:
+        """No direct answer in time: request indirect probes, or notify the member that requested this one."""
+        probe = self.prober.probes.get(probe_id)
         if probe is None:
-            return None
-        if probe.origin:
-            return self.voice.send(now, probe.origin, Nack(probe.origin_seq))
+            return
+        if probe.requester:
+            self.outbox.send(now, probe.requester, Nack(probe.requester_probe_id))
+            return
         entry = self.view.entries.get(probe.target)
-        if entry is None or not entry.here:
-            return None
+        if entry is None or not entry.present:
+            return
+        address = entry.update.address
         helpers = self.prober.helpers(self.view, probe.target, entry.update.site, self.site)
-        probe.asked = len(helpers)
-        self.voice.send(now, entry.update.address, Ping(int(seq)), probe.target)  # the first one may just be lost
+        probe.helpers = len(helpers)
+        self.outbox.send(now, address, Ping(probe_id), probe.target)  # the first one may just be lost
         for name in helpers:
-            body = IndirectProbe(int(seq), probe.target, entry.update.address)
-            self.voice.send(now, self.view.entries[name].update.address, body, name)
-        return None
-
-    def reply(self, now: float, seq: str | int) -> None:
-        """No answer at all."""
-        probe = self.prober.end(int(seq))
-        if probe is None or probe.origin or probe.helped:
+            body = IndirectProbe(probe_id, probe.target, address)
+            self.outbox.send(now, self.view.entries[name].update.address, body, name)
+
+    def probe_timeout(self, now: float, probe_id: int) -> None:
+        """No answer at all: accuse the target and check the rest of its site soon."""
+        probe = self.prober.end(probe_id)
+        if probe is None or probe.requester or probe.answered_indirectly:
             return
-        if probe.asked > 1 and not probe.nacks:
-            self.prober.worse()  # not even those asked to help answered
+        if probe.helpers > 1 and not probe.nacks:
+            self.prober.worsen_health()  # no helper answered either
         entry = self.view.entries.get(probe.target)
-        if entry is None or not entry.here:
+        if entry is None or not entry.present:
             return
-        for name in self.view.sites[entry.update.site].some(self.dice, 8):  # what fails together is looked at at once
-            if now - self.view.entries[name].answered > self.terms.reply_ms:
-                self.prober.want(name)
+        for name in self.view.sites[entry.update.site].sample(self.random, MAX_SITE_CHECKS):
+            if now - self.view.entries[name].answered > self.settings.reply_ms:
+                self.prober.prioritize(name)
         self.accuse(now, entry.update)
 
-    def help(self, now: float, body: IndirectProbe, origin: str) -> None:
-        """Probe one for another member."""
+    def probe_for(self, now: float, request: IndirectProbe, requester: str) -> None:
+        """Probe a member for the one at address `requester`."""
         if self.prober.full():
-            return self.voice.out.append(CountEvent("relay_spared"))
-        known = self.view.entries.get(body.name)
-        seq = self.prober.begin(body.name, known.update.site if known else "", now, origin, body.seq)
-        self.timers.put(self.prober.probes[seq].direct_by, "direct", seq)
-        self.timers.put(self.prober.probes[seq].reply_by, "reply", seq)
-        self.voice.send(now, body.address, Ping(seq), body.name)
-        return None
-
-    def acked(self, now: float, body: Ack, entry: MemberEntry) -> None:
-        """An answer, of the sender or of one it probed for us. A late one still proves that it lives."""
-        probe, name = self.prober.probes.get(body.seq), entry.update.name
-        if body.target == name:
-            self.proof_at = now
-            self.view.proven(name, now)
-            self.reach.direct(self.view, entry)
-            if probe is not None and probe.target == name:
-                self.prober.end(body.seq)
-                self.prober.measure(entry.update.site, now - probe.sent)
-                if probe.origin:
-                    return self.voice.send(now, probe.origin, Ack(probe.origin_seq, name))
-                self.prober.better()
-            return None
-        target = self.view.entries.get(body.target)
-        if probe is None or target is None or probe.target != body.target or probe.helped or probe.origin:
-            return None
-        probe.helped = True
-        self.prober.busy.discard(body.target)
-        self.prober.better()
-        self.proof_at = now
-        self.view.proven(body.target, now)
-        if self.reach.helped(self.view, target, now):
-            self.prober.want(body.target)
-            return None
-        return None
+            self.outbox.count("relay_spared")
+            return
+        known = self.view.entries.get(request.name)
+        site = known.update.site if known is not None else ""
+        probe_id = self.prober.begin(request.name, site, now, requester, request.probe_id)
+        self._start_timers(probe_id)
+        self.outbox.send(now, request.address, Ping(probe_id), request.name)
+
+    def acknowledged(self, now: float, ack: Ack, sender: MemberEntry) -> None:
+        """The sender answered, or one that it probed for us. Also a late answer proves that it is alive."""
+        probe = self.prober.probes.get(ack.probe_id)
+        if ack.target == sender.update.name:
+            self._acknowledged_directly(now, ack.probe_id, probe, sender)
+        elif probe is not None and probe.target == ack.target:
+            self._acknowledged_indirectly(now, probe)
+
+    def not_acknowledged(self, probe_id: int) -> None:
+        """A helper is alive, and got no answer either."""
+        probe = self.prober.probes.get(probe_id)
+        if probe is not None:
+            probe.nacks += 1
+
+    def _acknowledged_directly(self, now: float, probe_id: int, probe: Probe | None, sender: MemberEntry) -> None:
+        name = sender.update.name
+        self.last_answer_at = now
+        self.view.mark_answered(name, now)
+        self.reachability.answered_directly(self.view, sender)
+        if probe is None or probe.target != name:
+            return
+        self.prober.end(probe_id)
+        self.prober.record_round_trip(sender.update.site, now - probe.sent)
+        if probe.requester:
+            self.outbox.send(now, probe.requester, Ack(probe.requester_probe_id, name))
+            return
+        self.prober.improve_health()
+
+    def _acknowledged_indirectly(self, now: float, probe: Probe) -> None:
+        target = self.view.entries.get(probe.target)
+        if target is None or probe.answered_indirectly or probe.requester:
+            return
+        probe.answered_indirectly = True
+        self.prober.busy.discard(probe.target)
+        self.prober.improve_health()
+        self.last_answer_at = now
+        self.view.mark_answered(probe.target, now)
+        if self.reachability.answered_indirectly(self.view, target, now):
+            self.prober.prioritize(probe.target)
+
+    def _start_timers(self, probe_id: int) -> None:
+        probe = self.prober.probes[probe_id]
+        self.timers.put(probe.direct_deadline, TimerKind.DIRECT_TIMEOUT, probe_id)
+        self.timers.put(probe.deadline, TimerKind.PROBE_TIMEOUT, probe_id)
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -1,4 +1,4 @@
-"""Standing of oneself against a versioned electorate, for the fleet and for each site, kept up by counting."""
+"""Quorum status of a member: how many of a versioned set of voters it believes present, fleet-wide and by site."""
 
 from __future__ import annotations
 
@@ -9,129 +9,144 @@
 from myrtlespar.membership.messages import QuorumChanged
 
 FLEET = ""  # the scope that is the whole fleet; every other scope is a site's name
+MAX_NAMES_IN_ERROR = 6
 
 
 class QuorumStatus(IntEnum):
-    """How much of an electorate one member believes present, itself included where it is an elector."""
+    """How many voters a member believes present, itself included if it is a voter.
 
-    ALONE = 0  # no other elector
+    The names are shown to operators and stand in logs.
+    """
+
+    ALONE = 0  # no other voter
     MINORITY = 1  # some, but not more than half
     MAJORITY = 2  # more than half, not all
     WHOLE = 3  # all
 
 
-# What each part of the program does in each standing of the fleet. One table, printed in docs/membership.md.
-ACTS: Mapping[str, tuple[str, str, str, str]] = {
+# What each part of the program does at each quorum status of the fleet. The table is printed in docs/membership.md.
+BEHAVIOUR_BY_STATUS: Mapping[str, tuple[str, str, str, str]] = {
     #  part                         alone                   minority                majority        whole
     "reads and renders": ("go on", "go on", "go on", "go on"),
     "orders": ("go on, one server's promise", "go on, one server's promise", "go on", "go on"),
     "probing, spreading": ("look for seeds and failed", "go on, look for failed", "go on, look for failed", "go on"),
-    "what must agree (roll changes)": ("stops", "stops", "goes on", "goes on"),
+    "what must agree (voter set changes)": ("stops", "stops", "goes on", "goes on"),
     "health, roster report": ("as the policy says", "as the policy says", "as the policy says", "as the policy says"),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """The versioned roll: by site, the names that count. With an empty one no majority is ever claimed."""
+    """The versioned set of voters, by site. With an empty one no majority is ever claimed."""
 
     version: int
     sites: Mapping[str, tuple[str, ...]]
 
     @property
     def names(self) -> frozenset[str]:
-        """All electors."""
-        return frozenset(name for row in self.sites.values() for name in row)
+        """All voters."""
+        return frozenset(name for voters in self.sites.values() for name in voters)
+
+    def even_scopes(self) -> list[str]:
+        """Scopes with an even number of voters, where a split may leave no majority ('' is the fleet)."""
+        sites = [site for site, voters in self.sites.items() if len(voters) % 2 == 0]
+        return ([FLEET] if len(self.names) % 2 == 0 else []) + sites
 
-    def even(self) -> list[str]:
-        """Scopes whose even number lets a split leave no majority ('' is the fleet)."""
-        out = [site for site, row in self.sites.items() if len(row) % 2 == 0]
-        return ([FLEET] if len(self.names) % 2 == 0 else []) + out
 
+def voter_set_change_error(old: VoterSet, new: VoterSet) -> str:
+    """Why a voter set can't follow another; empty if it can.
 
-def step_fault(old: VoterSet, new: VoterSet) -> str:
-    """Why a roll can't follow another: only a later version that differs by one member can, as then any majority of
-    the one and any of the other share a member. Empty if it can.
+    Only a later version that differs by one voter can, as then any majority of the one and any of the other share a
+    voter.
     """
     if new.version <= old.version:
         return f"version {new.version} does not follow {old.version}"
-    apart = sorted(old.names ^ new.names)
-    if len(apart) > 1:
-        return f"version {new.version} differs by more than one member: {' '.join(apart[:6])}"
+    difference = sorted(old.names ^ new.names)
+    if len(difference) > 1:
+        return f"version {new.version} differs by more than one member: {' '.join(difference[:MAX_NAMES_IN_ERROR])}"
     return ""
 
 
-def judge(total: int, present: int, other: int) -> QuorumStatus:
-    """The standing where `present` of `total` electors are believed here, `other` of them not oneself."""
+def quorum_status(total: int, present: int, others: int) -> QuorumStatus:
+    """The status where `present` of `total` voters are believed present, `others` of them not oneself."""
     if present == total and total:
         return QuorumStatus.WHOLE
     if 2 * present > total:
         return QuorumStatus.MAJORITY
-    return QuorumStatus.MINORITY if other else QuorumStatus.ALONE
+    return QuorumStatus.MINORITY if others else QuorumStatus.ALONE
 
 
 @dataclass(slots=True)
 class VoteCount:
-    """Counts for one scope."""
+    """The voters of one scope and those believed present."""
 
-    electors: frozenset[str]
-    mine: int  # 1 if oneself is one of them
-    here: set[str] = field(default_factory=set)
-    now: QuorumStatus = QuorumStatus.ALONE
-    since: float = 0.0
+    voters: frozenset[str]
+    self_votes: int  # 1 if oneself is one of them
+    others_present: set[str] = field(default_factory=set)
+    status: QuorumStatus = QuorumStatus.ALONE
+    since: float = 0.0  # of the status, ms
 
-    def look(self) -> QuorumStatus:
-        """The standing by the counts."""
-        return judge(len(self.electors), len(self.here) + self.mine, len(self.here))
+    def counted_status(self, isolated: bool) -> QuorumStatus:
+        """The status that follows from the counts; an isolated member counts no other voter."""
+        others = 0 if isolated else len(self.others_present)
+        return quorum_status(len(self.voters), others + self.self_votes, others)
 
 
 class QuorumTracker:
-    """All scopes of one member; `tell` says who came and went, changes come out in order."""
+    """Keeps the vote counts of all scopes of one member; returns the changes of status in order."""
 
-    def __init__(self, me: str, electorate: VoterSet, now: float) -> None:
-        self.me, self.electorate = me, electorate
-        self.isolated = False  # nobody has answered us for long: whatever is believed, we speak for ourselves only
+    def __init__(self, self_id: str, voter_set: VoterSet, now: float) -> None:
+        self.self_id = self_id
+        self.voter_set = voter_set
+        self.isolated = False  # nobody has answered us for long
         self.scopes: dict[str, VoteCount] = {}
-        self._of: dict[str, list[str]] = {}
-        self.adopt(electorate, now)
-
-    def adopt(self, electorate: VoterSet, now: float) -> None:
-        """Take a roll over; who is here must be told anew."""
-        self.electorate = electorate
-        rows = {FLEET: electorate.names, **{site: frozenset(row) for site, row in electorate.sites.items()}}
-        self.scopes = {scope: VoteCount(names, int(self.me in names), since=now) for scope, names in rows.items()}
-        self._of = {}
-        for scope, names in rows.items():
-            for name in names:
-                self._of.setdefault(name, []).append(scope)
-        for scope, tally in self.scopes.items():
-            self._look(scope, tally, now)
+        self._scopes_of: dict[str, list[str]] = {}
+        self.adopt(voter_set, now)
+
+    def adopt(self, voter_set: VoterSet, now: float) -> None:
+        """Adopt a voter set; the caller then calls `set_present` for all present members."""
+        self.voter_set = voter_set
+        voters_by_scope = {FLEET: voter_set.names}
+        for site, names in voter_set.sites.items():
+            voters_by_scope[site] = frozenset(names)
+        self.scopes = {}
+        self._scopes_of = {}
+        for scope, voters in voters_by_scope.items():
+            self.scopes[scope] = VoteCount(voters, int(self.self_id in voters), since=now)
+            for name in voters:
+                self._scopes_of.setdefault(name, []).append(scope)
+        for scope, count in self.scopes.items():
+            self._update(scope, count, now)
 
     @property
     def fleet(self) -> VoteCount:
-        """The whole fleet's."""
+        """The vote count of the whole fleet."""
         return self.scopes[FLEET]
 
-    def tell(self, name: str, here: bool, now: float) -> list[QuorumChanged]:
-        """One member came or went; the changes of standing that follow."""
-        out: list[QuorumChanged] = []
-        for scope in self._of.get(name, ()):
-            tally = self.scopes[scope]
-            (tally.here.add if here else tally.here.discard)(name)
-            out += self._look(scope, tally, now)
-        return out
-
-    def isolate(self, isolated: bool, now: float) -> list[QuorumChanged]:
-        """Whether anybody answers us; the changes that follow."""
+    def set_present(self, name: str, present: bool, now: float) -> list[QuorumChanged]:
+        """One member came or went; returns the changes of status that follow."""
+        changes: list[QuorumChanged] = []
+        for scope in self._scopes_of.get(name, ()):
+            count = self.scopes[scope]
+            if present:
+                count.others_present.add(name)
+            else:
+                count.others_present.discard(name)
+            changes += self._update(scope, count, now)
+        return changes
+
+    def set_isolated(self, isolated: bool, now: float) -> list[QuorumChanged]:
+        """Whether nobody has answered us for long; returns the changes of status that follow."""
         if isolated == self.isolated:
             return []
         self.isolated = isolated
-        return [change for scope, tally in self.scopes.items() for change in self._look(scope, tally, now)]
+        return [change for scope, count in self.scopes.items() for change in self._update(scope, count, now)]
 
-    def _look(self, scope: str, tally: VoteCount, now: float) -> list[QuorumChanged]:
-        after = judge(len(tally.electors), tally.mine, 0) if self.isolated else tally.look()
-        if after == tally.now:
+    def _update(self, scope: str, count: VoteCount, now: float) -> list[QuorumChanged]:
+        status = count.counted_status(self.isolated)
+        if status == count.status:
             return []
-        change = QuorumChanged(scope, tally.now, after)
-        tally.now, tally.since = after, now
+        change = QuorumChanged(scope, count.status, status)
+        count.status = status
+        count.since = now
         return [change]
--- /dev/null
+++ b/myrtlespar/membership/self_state.py
@@ -0,0 +1,64 @@
+"""One's own incarnation and state, and the refutation of what others wrongly say of it."""
+
+from __future__ import annotations
+
+from myrtlespar.membership.messages import ALIVE, FAILED, LEFT, SUSPECT, MemberState, MemberUpdate
+from myrtlespar.membership.outbox import PacketOutbox
+from myrtlespar.membership.probing import Prober
+from myrtlespar.membership.reachability import ReachabilityMatrix
+from myrtlespar.membership.token_bucket import TokenBucket
+from myrtlespar.membership.view import View
+
+MAX_REFUTATIONS_PER_S = 5
+
+
+class SelfState:
+    """Publishes one's own update and replaces it with a greater one to refute."""
+
+    def __init__(
+        self, view: View, outbox: PacketOutbox, reachability: ReachabilityMatrix, prober: Prober, now: float
+    ) -> None:
+        self.view = view
+        self.outbox = outbox
+        self.reachability = reachability
+        self.prober = prober
+        self.leaving = False
+        self._refutation_budget = TokenBucket(MAX_REFUTATIONS_PER_S, now)
+
+    @property
+    def update(self) -> MemberUpdate:
+        """What this member says of itself."""
+        return self.outbox.self_update
+
+    def leave(self, now: float) -> None:
+        """Publish that this member left; nothing is refuted any more."""
+        self.leaving = True
+        self._set(now, self.update.incarnation, self.update.refutation, LEFT)
+
+    def refute(self, now: float, update: MemberUpdate) -> bool:
+        """Refute an update of another about this member if it takes precedence over our own; true if it did.
+
+        It may be about an incarnation later than ours, left by an earlier process whose clock was ahead.
+        """
+        if self.leaving or update.precedence <= self.update.precedence:
+            return False
+        if not self._refutation_budget.take(now):
+            self.outbox.count("namesake", "another member answers to this name")
+            return False
+        if update.state in (SUSPECT, FAILED) and update.incarnation == self.update.incarnation:
+            self.prober.worsen_health()
+            self.outbox.count("accused")
+        if update.incarnation > self.update.incarnation:
+            # its packets had sequence numbers of their own: ours need a new incarnation
+            self._set(now, update.incarnation + 1, 0, ALIVE)
+        else:
+            self._set(now, update.incarnation, update.refutation + 1, ALIVE)
+        return True
+
+    def _set(self, now: float, incarnation: int, refutation: int, state: MemberState) -> None:
+        known = self.update
+        update = MemberUpdate(known.name, known.site, known.address, incarnation, refutation, state)
+        self.outbox.self_update = update
+        self.view.set_self(update.precedence)
+        self.reachability.incarnation = incarnation
+        self.outbox.dissemination.put(update, now)
--- /dev/null
+++ b/myrtlespar/membership/update_merger.py
@@ -0,0 +1,178 @@
+"""Merges what others say of members into the view: the update that takes precedence is kept."""
+
+from __future__ import annotations
+
+from random import Random
+
+from myrtlespar.membership.gossip import GossipPusher
+from myrtlespar.membership.messages import (
+    ALIVE,
+    FAILED,
+    LEFT,
+    PRESENT_STATES,
+    SUSPECT,
+    GossipPush,
+    MemberChanged,
+    MemberUpdate,
+    Ping,
+)
+from myrtlespar.membership.outbox import PacketOutbox
+from myrtlespar.membership.probing import Prober
+from myrtlespar.membership.quorum import QuorumTracker
+from myrtlespar.membership.reachability import ReachabilityMatrix, ViewDivergence
+from myrtlespar.membership.self_state import SelfState
+from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.suspicion import SuspicionTable
+from myrtlespar.membership.timers import TimerKey
+from myrtlespar.membership.view import MAX_MEMBERS, MemberEntry, View
+
+
+class UpdateMerger:
+    """Applies updates to the view, the suspicions, the quorum status and the reachability rows."""
+
+    def __init__(
+        self,
+        settings: MembershipSettings,
+        random: Random,
+        view: View,
+        outbox: PacketOutbox,
+        prober: Prober,
+        self_state: SelfState,
+        suspicions: SuspicionTable,
+        reachability: ReachabilityMatrix,
+        divergence: ViewDivergence,
+        quorum: QuorumTracker,
+        gossip: GossipPusher,
+    ) -> None:
+        self.settings = settings
+        self.random = random
+        self.view = view
+        self.outbox = outbox
+        self.prober = prober
+        self.self_state = self_state
+        self.suspicions = suspicions
+        self.reachability = reachability
+        self.divergence = divergence
+        self.quorum = quorum
+        self.gossip = gossip
+
+    def merge(self, now: float, update: MemberUpdate, direct: bool = False, from_sync: bool = False) -> None:
+        """Apply an update if it takes precedence over what is believed, or count a further accuser.
+
+        `direct` says that it is the sender's own; `from_sync` that it came with a complete view, so that a member new
+        to us is not gossiped on.
+        """
+        if update.name == self.view.self_id:
+            if self.self_state.refute(now, update):
+                self.gossip.schedule(now)
+            return
+        entry = self.view.entries.get(update.name)
+        if entry is None:
+            self._merge_unknown(now, update, direct, from_sync)
+            return
+        known = entry.update
+        if update.precedence > known.precedence:
+            self._merge_greater(now, update, entry)
+            return
+        if update.state != SUSPECT or update.precedence != known.precedence:
+            return
+        if self.suspicions.add_accuser(update, self.outbox.fleet_size):
+            self.outbox.dissemination.put(update, now)
+            self.gossip.schedule(now)
+
+    def accuse(self, now: float, known: MemberUpdate) -> None:
+        """Suspect a member that no probe of ours reached."""
+        self.merge(now, known.with_state(SUSPECT, 0, self.view.self_id))
+
+    def end_suspicion(self, now: float, key: TimerKey) -> None:
+        """A suspicion's timer is due: declare the member failed, unless it still answers us."""
+        name = str(key)
+        suspicion = self.suspicions.by_name.get(name)
+        if suspicion is None:
+            return
+        if suspicion.deadline > now:
+            self.suspicions.postpone(name, suspicion, suspicion.deadline)
+            return
+        entry = self.view.entries[name]
+        if entry.answered > suspicion.started and now - entry.answered <= self.settings.reply_ms:
+            # it answers us: it refutes the suspicion once it has been notified of it
+            self.suspicions.postpone(name, suspicion, now + self.settings.probe_ms)
+            self.outbox.send(now, entry.update.address, GossipPush(), name)
+            return
+        self._accept(now, entry.update.with_state(FAILED, 0, self.view.self_id), entry, True)
+
+    def _merge_unknown(self, now: float, update: MemberUpdate, direct: bool, from_sync: bool) -> None:
+        # old evidence may be about a member that was forgotten here long ago
+        stale = not direct and update.age_ms > self.settings.forget_ms / 2
+        if stale or len(self.view.entries) >= MAX_MEMBERS:
+            self.outbox.count("unproven" if stale else "full")
+            return
+        self._accept(now, update, None, not from_sync)
+
+    def _merge_greater(self, now: float, update: MemberUpdate, entry: MemberEntry) -> None:
+        if update.state == FAILED and entry.present:
+            checked = self._check_failure(now, update, entry)
+            if checked is None or checked.precedence <= entry.update.precedence:
+                return
+            update = checked
+        self._accept(now, update, entry, True)
+
+    def _check_failure(self, now: float, update: MemberUpdate, entry: MemberEntry) -> MemberUpdate | None:
+        """Check a failure that another declared of a member that is present to us.
+
+        Returns None if the member answered us since, a suspicion if it was not suspected here for some time (so that
+        it can refute to us too), else the update. This prevents that one which was itself cut off or stopped fails
+        healthy members.
+        """
+        if entry.answered > now - update.age_ms:
+            self.outbox.count("outdated")
+            return None
+        suspicion = self.suspicions.by_name.get(update.name)
+        if suspicion is not None and now - suspicion.started >= self.settings.suspect_min_ms / 2:
+            return update
+        return update.with_state(SUSPECT, update.age_ms, update.accuser)
+
+    def _accept(self, now: float, update: MemberUpdate, entry: MemberEntry | None, disseminate: bool) -> None:
+        name = update.name
+        previous = entry.update if entry is not None else None
+        self._count_return(update, previous)
+        self.view.put(update, now)
+        suspicion = self.suspicions.by_name.pop(name, None)
+        if update.state == SUSPECT:
+            self.suspicions.begin(update, previous, suspicion, self.outbox.fleet_size, now)
+        if update.state != ALIVE and update.accuser != self.view.self_id:
+            self._maybe_verify(now, update)
+        new_incarnation = previous is not None and previous.incarnation != update.incarnation
+        if update.state in (FAILED, LEFT) or new_incarnation:
+            self.reachability.remove(self.view, name)
+            self.divergence.end(name)
+        if previous is None or previous.state != update.state or new_incarnation:
+            self._publish_change(now, update, previous)
+        if disseminate:
+            self.outbox.dissemination.put(update, now)
+            self.gossip.schedule(now)
+
+    def _count_return(self, update: MemberUpdate, previous: MemberUpdate | None) -> None:
+        if previous is None or update.state != ALIVE or previous.incarnation != update.incarnation:
+            return
+        if previous.state == SUSPECT:
+            self.outbox.count("refuted")
+        elif previous.state == FAILED:
+            self.outbox.count("returned")
+
+    def _maybe_verify(self, now: float, update: MemberUpdate) -> None:
+        """Check a suspicion or failure ourselves, as about `verify` members do; a ping carries the accusation."""
+        if self.random.random() >= self.settings.verify / self.outbox.fleet_size:
+            return
+        if update.state == SUSPECT:
+            self.prober.prioritize(update.name)
+        elif update.state == FAILED and self.outbox.push_budget.take(now):
+            # not tracked as a probe: an answer would only prove what the refutation says
+            self.outbox.send(now, update.address, Ping(self.prober.next_probe_id()), update.name)
+
+    def _publish_change(self, now: float, update: MemberUpdate, previous: MemberUpdate | None) -> None:
+        state = update.state
+        old_state = None if previous is None else previous.state
+        change = MemberChanged(update.name, old_state, state, update.incarnation, update.refutation, update.accuser)
+        self.outbox.effects.append(change)
+        self.outbox.effects += self.quorum.set_present(update.name, state in PRESENT_STATES, now)
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -1,16 +1,25 @@
-"""What one member believes of all: the greatest statement about each name, with the age of the evidence."""
+"""What one member believes of all others: the update about each that takes precedence, with the age of the evidence."""
 
 from __future__ import annotations
 
 import hashlib
-from collections.abc import Container, Iterator, Sequence
+from collections.abc import Container, Sequence
 from dataclasses import dataclass
 from random import Random
 
-from myrtlespar.membership.messages import HERE, MemberState, MemberUpdate, ReachabilityRow, UpdatePrecedence
+from myrtlespar.membership.messages import (
+    FAILED,
+    PRESENT_STATES,
+    MemberState,
+    MemberUpdate,
+    ReachabilityRow,
+    UpdatePrecedence,
+)
+from myrtlespar.membership.sampled_set import SampledSet
 
-MOST = 16384  # members kept in one view; more are counted and left out
-WINDOW = 1024  # of a sender's packets: one told twice, or older than this many, is dropped
+MAX_MEMBERS = 16384  # in one view; more are counted and left out
+REPLAY_WINDOW = 1024  # packets; one received twice, or older than this many, is dropped
+PROBE_CANDIDATES = 3
 
 
 @dataclass(slots=True)
@@ -20,178 +29,156 @@
     update: MemberUpdate
     since: float  # when it came to this state here
     evidence: float  # when the freshest evidence of this state was made
-    heard: float = float("-inf")  # last packet from itself
-    answered: float = float("-inf")  # last answer of itself to a probe of ours, both ways proven
-    probed: float = float("-inf")  # our last probe of it began
-    boot: int = 0  # of its packets
-    top: int = 0  # highest number of its packets
-    seen: int = 0  # the WINDOW before it, as bits
-    missed: int = 0  # direct probes in a row that went unanswered while helpers' were not
-    missing: float = 0.0  # since when
+    heard: float = float("-inf")  # last packet from the member itself
+    answered: float = float("-inf")  # its last answer to a probe of ours
+    probed: float = float("-inf")  # start of our last probe of it
+    packet_incarnation: int = 0  # of its packets
+    highest_sequence_number: int = 0  # of its packets
+    received_packets: int = 0  # bit n: the packet n before the highest one was received
+    missed_probes: int = 0  # direct probes in a row that only indirect ones saved
+    missed_since: float = 0.0  # of the first of these
 
     @property
-    def here(self) -> bool:
+    def present(self) -> bool:
         """Alive or suspect."""
-        return self.update.state in HERE
+        return self.update.state in PRESENT_STATES
 
-    def fresh(self, boot: int, no: int) -> bool:
-        """Whether a packet is new: not replayed, not of an earlier boot. It is marked as seen."""
-        if boot != self.boot:
-            if boot < self.boot:
+    def accept_packet(self, incarnation: int, sequence_number: int) -> bool:
+        """Mark a packet as received; false if it is a replay, too old, or of an earlier incarnation."""
+        if incarnation != self.packet_incarnation:
+            if incarnation < self.packet_incarnation:
                 return False
-            self.boot, self.top, self.seen = boot, no, 1
+            self.packet_incarnation = incarnation
+            self.highest_sequence_number = sequence_number
+            self.received_packets = 1
             return True
-        if no > self.top:
-            self.seen = (self.seen << min(no - self.top, WINDOW) | 1) & (1 << WINDOW) - 1
-            self.top = no
+        ahead = sequence_number - self.highest_sequence_number
+        if ahead > 0:
+            shifted = self.received_packets << min(ahead, REPLAY_WINDOW)
+            self.received_packets = (shifted | 1) & (1 << REPLAY_WINDOW) - 1
+            self.highest_sequence_number = sequence_number
             return True
-        back = self.top - no
-        if back >= WINDOW or self.seen >> back & 1:
+        behind = -ahead
+        if behind >= REPLAY_WINDOW or self.received_packets >> behind & 1:
             return False
-        self.seen |= 1 << back
+        self.received_packets |= 1 << behind
         return True
 
 
-def stamp(name: str, key: UpdatePrecedence) -> int:
-    """One entry's share of a view's hash; suspicion is local and passing, so it counts as alive."""
-    state = MemberState.ALIVE if key[2] == MemberState.SUSPECT else key[2]
-    data = f"{name}\0{key[0]}\0{key[1]}\0{int(state)}".encode()
-    return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
+def entry_hash(name: str, precedence: UpdatePrecedence) -> int:
+    """One member's part of a view's hash; suspicion is local and passing, so it counts as alive."""
+    incarnation, refutation, state = precedence
+    if state == MemberState.SUSPECT:
+        state = MemberState.ALIVE
+    return _hash(f"{name}\0{incarnation}\0{refutation}\0{int(state)}")
 
 
-def row_stamp(row: ReachabilityRow | None) -> int:
-    """A reach row's share of a view's hash; one that names nothing counts as none."""
+def row_hash(row: ReachabilityRow | None) -> int:
+    """A reachability row's part of a view's hash; an empty one counts as none."""
     if row is None or not row.unreachable:
         return 0
-    data = f"{row.reporter}\0{row.incarnation}\0{row.version}".encode()
-    return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
-
-
-class SampledSet:
-    """Names to pick from by chance, each step in constant time."""
-
-    def __init__(self) -> None:
-        self._names: list[str] = []
-        self._at: dict[str, int] = {}
-
-    def add(self, name: str) -> None:
-        """Put it in, once."""
-        if name not in self._at:
-            self._at[name] = len(self._names)
-            self._names.append(name)
-
-    def discard(self, name: str) -> None:
-        """Take it out; the last one takes its place."""
-        at = self._at.pop(name, None)
-        if at is not None:
-            last = self._names.pop()
-            if last != name:
-                self._names[at], self._at[last] = last, at
-
-    def __len__(self) -> int:
-        return len(self._names)
-
-    def __contains__(self, name: object) -> bool:
-        return name in self._at
-
-    def __iter__(self) -> Iterator[str]:
-        return iter(self._names)
-
-    def some(self, dice: Random, count: int, without: frozenset[str] = frozenset()) -> list[str]:
-        """At most so many different ones."""
-        if count >= len(self._names):
-            return [name for name in self._names if name not in without]
-        out: list[str] = []
-        for _ in range(4 * count):  # bounded; a few picks fewer do no harm
-            name = self._names[int(dice.random() * len(self._names))]
-            if name not in without and name not in out:
-                out.append(name)
-                if len(out) == count:
-                    break
-        return out
+    return _hash(f"{row.reporter}\0{row.incarnation}\0{row.version}")
+
+
+def _hash(text: str) -> int:
+    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 class View:
-    """All members known to one, oneself included through `hash` only."""
+    """All other members known to one; oneself is part of `hash` only."""
 
-    def __init__(self, me: str) -> None:
-        self.me = me
+    def __init__(self, self_id: str) -> None:
+        self.self_id = self_id
         self.entries: dict[str, MemberEntry] = {}
         self.hash = 0
-        self.gone = SampledSet()  # the failed ones
-        self.all = SampledSet()  # those here
-        self.sites: dict[str, SampledSet] = {}  # the same by site
+        self.failed = SampledSet()
+        self.present = SampledSet()
+        self.sites: dict[str, SampledSet] = {}  # present members by site
         self.addresses: dict[str, str] = {}  # address: the name last known there
-        self.own: UpdatePrecedence | None = None
-
-    def set_self(self, key: UpdatePrecedence) -> None:
-        """One's own life is part of the hash."""
-        if self.own is not None:
-            self.hash ^= stamp(self.me, self.own)
-        self.own = key
-        self.hash ^= stamp(self.me, key)
-
-    def put(self, rumour: MemberUpdate, now: float) -> MemberEntry:
-        """Take a greater statement over."""
-        entry = self.entries.get(rumour.name)
+        self.own_precedence: UpdatePrecedence | None = None
+
+    def set_self(self, precedence: UpdatePrecedence) -> None:
+        """Replace one's own part of the hash."""
+        if self.own_precedence is not None:
+            self.hash ^= entry_hash(self.self_id, self.own_precedence)
+        self.own_precedence = precedence
+        self.hash ^= entry_hash(self.self_id, precedence)
+
+    def put(self, update: MemberUpdate, now: float) -> MemberEntry:
+        """Store an update that takes precedence over the known one."""
+        name = update.name
+        entry = self.entries.get(name)
         if entry is None:
-            entry = self.entries[rumour.name] = MemberEntry(rumour, now, now - rumour.age_ms)
+            entry = self.entries[name] = MemberEntry(update, now, now - update.age_ms)
         else:
-            self.hash ^= stamp(rumour.name, entry.update.precedence)
-            if entry.update.state != rumour.state:
-                entry.since = now
-            if entry.update.site != rumour.site:
-                self.sites[entry.update.site].discard(rumour.name)
-            if entry.update.address != rumour.address and self.addresses.get(entry.update.address) == rumour.name:
-                del self.addresses[entry.update.address]
-            entry.update, entry.evidence = rumour, now - rumour.age_ms
-        self.hash ^= stamp(rumour.name, rumour.precedence)
-        self.addresses[rumour.address] = rumour.name
-        self._file(rumour)
+            self._replace(entry, update, now)
+        self.hash ^= entry_hash(name, update.precedence)
+        self.addresses[update.address] = name
+        self._index(update)
         return entry
 
-    def fill(self, rumours: Sequence[MemberUpdate], now: float, hash: int) -> None:
-        """Begin with all of these alive, oneself left out; `hash` is that of all of them, oneself included. For models
-        of large fleets that have been together for long.
-        """
-        for rumour in rumours:
-            if rumour.name != self.me:
-                self.entries[rumour.name] = MemberEntry(rumour, now, now)
-                self.addresses[rumour.address] = rumour.name
-                self.all.add(rumour.name)
-                self.sites.setdefault(rumour.site, SampledSet()).add(rumour.name)
-        self.hash = hash
-
-    def _file(self, rumour: MemberUpdate) -> None:
-        name, site = rumour.name, self.sites.setdefault(rumour.site, SampledSet())
-        if rumour.state in HERE:
-            self.all.add(name)
+    def _replace(self, entry: MemberEntry, update: MemberUpdate, now: float) -> None:
+        known = entry.update
+        name = update.name
+        self.hash ^= entry_hash(name, known.precedence)
+        if known.state != update.state:
+            entry.since = now
+        if known.site != update.site:
+            self.sites[known.site].discard(name)
+        if known.address != update.address and self.addresses.get(known.address) == name:
+            del self.addresses[known.address]
+        entry.update = update
+        entry.evidence = now - update.age_ms
+
+    def _index(self, update: MemberUpdate) -> None:
+        name = update.name
+        site = self.sites.setdefault(update.site, SampledSet())
+        if update.state in PRESENT_STATES:
+            self.present.add(name)
             site.add(name)
         else:
-            self.all.discard(name)
+            self.present.discard(name)
             site.discard(name)
-        (self.gone.add if rumour.state == MemberState.FAILED else self.gone.discard)(name)
+        if update.state == FAILED:
+            self.failed.add(name)
+        else:
+            self.failed.discard(name)
+
+    def fill(self, updates: Sequence[MemberUpdate], now: float, view_hash: int) -> None:
+        """Start with all of these alive, oneself left out; for simulations of large fleets that joined long ago.
+
+        `view_hash` is the hash of a view of all of them, oneself included.
+        """
+        for update in updates:
+            if update.name != self.self_id:
+                self.entries[update.name] = MemberEntry(update, now, now)
+                self.addresses[update.address] = update.name
+                self._index(update)
+        self.hash = view_hash
 
     def drop(self, name: str) -> MemberEntry:
-        """Forget one."""
+        """Forget a member."""
         entry = self.entries.pop(name)
-        self.hash ^= stamp(name, entry.update.precedence)
+        self.hash ^= entry_hash(name, entry.update.precedence)
         if self.addresses.get(entry.update.address) == name:
             del self.addresses[entry.update.address]
-        for pool in (self.all, self.gone, *self.sites.values()):
-            pool.discard(name)
+        for names in (self.present, self.failed, *self.sites.values()):
+            names.discard(name)
         return entry
 
-    def proven(self, name: str, now: float) -> None:
-        """It answered us: it is probed last from now on."""
+    def mark_answered(self, name: str, now: float) -> None:
+        """A member answered a probe of ours."""
         entry = self.entries[name]
-        entry.answered = entry.evidence = now
+        entry.answered = now
+        entry.evidence = now
+
+    def next_to_probe(self, random: Random, busy: Container[str]) -> str | None:
+        """Of three present members sampled that are not in `busy`, the one least recently probed.
 
-    def stalest(self, dice: Random, busy: Container[str]) -> str | None:
-        """Of three picked by chance that are not being probed, the one least recently probed. Chance keeps the
-        members' turns apart: in one common order all would probe one member at once, and then none for long.
+        Sampling keeps the members' turns apart: in one common order all would probe one member at once, and then none
+        for long.
         """
-        some = [name for name in self.all.some(dice, 3) if name not in busy] or [
-            name for name in self.all if name not in busy
-        ][:3]
-        return min(some, key=lambda name: self.entries[name].probed) if some else None
+        candidates = [name for name in self.present.sample(random, PROBE_CANDIDATES) if name not in busy]
+        if not candidates:
+            candidates = [name for name in self.present if name not in busy][:PROBE_CANDIDATES]
+        return min(candidates, key=lambda name: self.entries[name].probed) if candidates else None
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -7,8 +7,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from myrtlespar.membership.messages import HERE, MemberState
-from myrtlespar.membership.quorum import FLEET, QuorumStatus, judge
+from myrtlespar.membership.messages import PRESENT_STATES, MemberState
+from myrtlespar.membership.quorum import QuorumStatus, quorum_status
 from myrtlespar.model_checker.fleet.world import FAULTS_MS, HOP_MS, NAMES, TERMS, WARM_MS, Fault, World, begin, faults
 
 STEPS_MOST = 20_000  # of one run; more is a machine that does not come to rest
@@ -62,7 +62,7 @@
 
 
 def calm(world: World) -> None:
-    """On by default until all that was promised must hold, and judge it. Cuts are judged at their end as well."""
+    """On by default until all that was promised must hold, and quorum_status it. Cuts are judged at their end as well."""
     n = len(NAMES)
     bound = TERMS.standing_ms(n)
     rest = max(bound, TERMS.heal_ms(n), TERMS.detect_ms(n)) + 300.0
@@ -117,7 +117,7 @@
         if None in others:
             continue
         here = sum(bool(one) for one in others)
-        wanted, has = judge(len(NAMES), here + 1, here), member.quorum.scopes[FLEET].now
+        wanted, has = quorum_status(len(NAMES), here + 1, here), member.quorum.fleet.status
         if has != wanted:
             world.fall("a standing is right in time", f"{name} has {has.name}, should have {wanted.name}")
         if has >= QuorumStatus.MAJORITY:
@@ -140,7 +140,7 @@
                 world.fall(
                     "all know who is there, in its present life", f"{name} has {entry and entry.update} of {other}"
                 )
-            if there is None and entry is not None and entry.update.state in HERE:
+            if there is None and entry is not None and entry.update.state in PRESENT_STATES:
                 world.fall("all know who is not there", f"{name} believes {other} here")
             if (
                 there is None
@@ -151,15 +151,15 @@
                 and len(world.faults) == 1
             ):
                 world.fall("a goodbye is heard", f"{name} has {other} as {entry.update.state}")
-        if member.suspicions:
-            world.fall("nothing is left behind", f"{name} still suspects {sorted(member.suspicions)}")
-        if len(member.outbox.spread) and len(member.view.all):
-            world.fall("spreading ends", f"{name} still tells {len(member.outbox.spread)}")
-        late = [p for p in member.probe_rounds.prober.probes.values() if p.reply_by < world.now - HOP_MS]
+        if member.suspicions.by_name:
+            world.fall("nothing is left behind", f"{name} still suspects {sorted(member.suspicions.by_name)}")
+        if len(member.outbox.dissemination) and len(member.view.present):
+            world.fall("spreading ends", f"{name} still tells {len(member.outbox.dissemination)}")
+        late = [p for p in member.prober.probes.values() if p.deadline < world.now - HOP_MS]
         if late:
             world.fall("nothing is left behind", f"{name} holds {len(late)} probes past their time")
-        if member.probe_rounds.prober.health and len(member.view.all):
-            world.fall("who is well trusts itself again", f"{name} has health {member.probe_rounds.prober.health}")
+        if member.prober.health and len(member.view.present):
+            world.fall("who is well trusts itself again", f"{name} has health {member.prober.health}")
         if any(row.unreachable for row in member.reachability.rows.values()):
             world.fall("whole links are named whole", f"{name} has {member.reachability.rows}")
     if len({member.view.hash for member in running.values()}) > 1:
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -134,7 +134,7 @@
             if label in self.doubled:
                 again, self.doubled[label] = again and self.doubled[label], True
             before, known = member.view.hash, member.view.entries.get(sender)
-            old = known is not None and message.sender.incarnation < known.boot
+            old = known is not None and message.sender.incarnation < known.packet_incarnation
             effects = member.receive(self.now, message)
             if again and (
                 member.view.hash != before
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -60,7 +60,7 @@
     ):
         raise MalformedPeerMessageError("number")
     body = packet.body
-    if not 0 <= getattr(body, "seq", 0) < NUMBER_MOST:
+    if not 0 <= getattr(body, "probe_id", 0) < NUMBER_MOST:
         raise MalformedPeerMessageError("number")
     for name in (getattr(body, "name", "x"), getattr(body, "target", "x")):
         if not is_valid_name(name):
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -20,7 +20,7 @@
 from gevent.server import StreamServer
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.membership.dissemination import TokenBucket
+from myrtlespar.membership.token_bucket import TokenBucket
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     CountEvent,
--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -10,7 +10,7 @@
 from myrtlespar.membership.messages import (
     ALIVE,
     FAILED,
-    HERE,
+    PRESENT_STATES,
     LEFT,
     GossipPush,
     MemberChanged,
@@ -85,7 +85,7 @@
         """Take over those not known yet; they must be heard themselves."""
         out: list[MembershipEffect] = []
         for rumour in (sync.sender, *sync.updates):
-            if rumour.name != self.me.name and rumour.name not in self.known and rumour.state in HERE:
+            if rumour.name != self.me.name and rumour.name not in self.known and rumour.state in PRESENT_STATES:
                 self.heard[rumour.name] = now
                 out += self._put(now, rumour)
         return out
@@ -105,7 +105,7 @@
         self.known[rumour.name] = rumour
         return [
             MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.incarnation, 0, ""),
-            *self.quorum.tell(rumour.name, rumour.state in HERE, now),
+            *self.quorum.set_present(rumour.name, rumour.state in PRESENT_STATES, now),
         ]
 
     def _sync(self) -> ViewSync:
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -25,7 +25,7 @@
 )
 from myrtlespar.membership.quorum import VoterSet
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.membership.view import stamp
+from myrtlespar.membership.view import entry_hash
 from myrtlespar.net.codec.peer import encode
 from myrtlespar.simulation.event_loop import EventLoop
 
@@ -130,12 +130,12 @@
         rumours = [machine.self_update for machine in machines]
         total = 0
         for rumour in rumours:
-            total ^= stamp(rumour.name, rumour.precedence)
+            total ^= entry_hash(rumour.name, rumour.precedence)
         for machine in machines:
             machine.view.fill(rumours, 0.0, total)
-            machine.outbox.spread.clear()
-            for name in machine.view.all:
-                machine.quorum.tell(name, True, 0.0)
+            machine.outbox.dissemination.clear()
+            for name in machine.view.present:
+                machine.quorum.set_present(name, True, 0.0)
 
     def play(self, steps: Sequence[ScriptStep], from_ms: float) -> None:
         """Lay a script's steps out; its time 0 is `from_ms`."""
@@ -168,7 +168,7 @@
         if name in self.observers:
             self.beliefs.append(ObservedBelief(now, name, "begin"))
             for scope, tally in getattr(getattr(machine, "quorum", None), "scopes", {}).items():
-                self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.now))
+                self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.status))
         self._carry(node, machine.start(now) if join else [])
 
     def _seeds(self, name: str) -> list[str]:
