--- a/myrtlespar/model_checker/fleet/__init__.py
+++ b/myrtlespar/model_checker/fleet/__init__.py
@@ -1,7 +1,8 @@
-"""The explorer's world of three members: the real machines under every schedule with a bounded number of faults.
+"""Model checker of membership: the real code of three members under all schedules with a bounded number of faults.
 
-A run follows one default order (packets arrive after one hop, first sent first); a *fault* departs from it at any
-step: a packet lost, doubled or held back, a member crashed and restarted (also with its clock set back), stopped,
-gone, a member or a pair cut off, one way or both. All runs with at most so many faults are visited, each through to
-the calm behind it. It says nothing of larger fleets, of more faults at a time, or of dice but the seeded ones.
+A run follows one default order (packets arrive after one hop, first sent first). A *fault* departs from it at any
+step: a packet lost, duplicated or delayed, a member crashed and restarted (also with its clock set back), stopped,
+leaving, a member or a pair cut off, one way or both. All runs with at most so many faults are explored, each until
+the network has been quiet for so long that all promises must hold. Larger fleets, more faults at a time and other
+random numbers than the seeded ones are not covered.
 """
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -1,4 +1,4 @@
-"""What `myrtlespar fleet check` does. Run as a module it looks for one planted bug in a process of its own."""
+"""What `myrtlespar fleet check` does. Run as a module it searches for one mutation in a process of its own."""
 
 from __future__ import annotations
 
@@ -11,69 +11,78 @@
 
 from myrtlespar.model_checker.mutants import Mutation, install_mutation
 
-LONGEST = 3  # faults of a counter-example
+MAX_COUNTEREXAMPLE_FAULTS = 3
 AREAS = {"members": "myrtlespar.model_checker.fleet", "limits": "myrtlespar.model_checker.quota"}
+STATUS_HOLDS = 0
+STATUS_VIOLATED = 1
+STATUS_NO_VERDICT = 3  # stopped by time
 
 
 def mutations(area: str) -> Mapping[str, Mutation]:
-    """The planted bugs of an area."""
+    """The mutations of an area."""
     found: Mapping[str, Mutation] = importlib.import_module(f"{AREAS[area]}.mutants").MUTATIONS
     return found
 
 
 def explorer(area: str) -> Any:
-    """Its explorer, a module with PLANS and `explore`; it loads the machines."""
+    """The explorer of an area: a module with PLANS and `explore`, which loads the code under test."""
     return importlib.import_module(f"{AREAS[area]}.explore")
 
 
 def explored(area: str, plans: list[str], jobs: int, seconds: float) -> int:
-    """Explore these plans one by one. 0: all held; 1: a promise fell; 3: stopped by time, which is no verdict."""
-    module, status = explorer(area), 0
+    """Explore these plans one by one, print the results and return the exit status."""
+    module = explorer(area)
+    status = STATUS_HOLDS
     for name in plans:
-        found = module.explore(name, jobs, seconds)
-        verdict = "fell" if found.fell else "holds" if found.whole else "no verdict"
+        result = module.explore(name, jobs, seconds)
+        verdict = "fell" if result.fell else "holds" if result.whole else "no verdict"
         print(
-            f"{area} {name:8} {found.runs:>9,} runs {found.steps:>13,} steps (longest run {found.longest:,}), up to "
-            f"{module.PLANS[name].deep} faults a run {found.seconds:7.1f} s  {verdict}",
+            f"{area} {name:8} {result.runs:>9,} runs {result.steps:>13,} steps (longest run {result.longest:,}), up to "
+            f"{module.PLANS[name].deep} faults a run {result.seconds:7.1f} s  {verdict}",
             flush=True,
         )
-        for line in found.fell:
+        for line in result.fell:
             print(f"  {line}")
-        for at, fault in found.path if found.fell else ():
-            print(f"  {at:7.0f} ms  {' '.join(str(word) for word in fault)}")
-        status = 1 if found.fell else status or (0 if found.whole else 3)
+        if result.fell:
+            for at, fault in result.path:
+                print(f"  {at:7.0f} ms  {' '.join(str(word) for word in fault)}")
+            status = STATUS_VIOLATED
+        elif not result.whole:
+            status = status or STATUS_NO_VERDICT
     return status
 
 
 def planted(area: str, jobs: int, seconds: float) -> int:
-    """Find every planted bug. A survivor is a hole in the explorer."""
+    """Search for every mutation; one that is not found is a gap of the explorer."""
 
-    def hunt(name: str) -> tuple[str, str]:
+    def search(name: str) -> tuple[str, str]:
         words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
         done = subprocess.run(words, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
 
-    found, among = 0, mutations(area)
+    found = 0
+    names = mutations(area)
     with ThreadPoolExecutor(jobs) as pool:
-        for name, text in pool.map(hunt, among):
+        for name, text in pool.map(search, names):
             found += text.startswith("found")
             print(f"{name:40} {text}", flush=True)
-    print(f"{found} of {len(among)} planted bugs found")
-    return 0 if found == len(among) else 1
+    print(f"{found} of {len(names)} planted bugs found")
+    return STATUS_HOLDS if found == len(names) else STATUS_VIOLATED
 
 
 def main() -> int:
-    """One hunt: print one line, found or survived."""
+    """Search for one mutation: print one line, found or survived."""
     area, name, seconds = sys.argv[1], sys.argv[2], float(sys.argv[3])
-    among = mutations(area)
-    install_mutation(name, among)
-    found = explorer(area).explore(among[name].scenario, 1, seconds)
-    if not found.fell:
-        print(f"survived {found.runs:,} runs{'' if found.whole else ', not all'}")
-        return 1
-    long = "too long" if len(found.path) > LONGEST else "found"
-    print(f"{long}: {found.fell[0].partition(':')[0]}, after {len(found.path)} faults, {found.runs:,} runs")
-    return 0
+    known = mutations(area)
+    install_mutation(name, known)
+    result = explorer(area).explore(known[name].scenario, 1, seconds)
+    if not result.fell:
+        print(f"survived {result.runs:,} runs{'' if result.whole else ', not all'}")
+        return STATUS_VIOLATED
+    outcome = "too long" if len(result.path) > MAX_COUNTEREXAMPLE_FAULTS else "found"
+    promise = result.fell[0].partition(":")[0]
+    print(f"{outcome}: {promise}, after {len(result.path)} faults, {result.runs:,} runs")
+    return STATUS_HOLDS
 
 
 if __name__ == "__main__":
