--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -23,8 +23,9 @@
 from myrtlespar.fleet_tests.runner import percentile
 from myrtlespar.membership.messages import MemberState
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.simulation.baseline import baseline
-from myrtlespar.simulation.fleet import SimulatedFleet, real
+from myrtlespar.simulation.baseline import heartbeat_factory
+from myrtlespar.simulation.fleet import SimulatedFleet
+from myrtlespar.simulation.member_factory import membership_factory
 from myrtlespar.simulation.runner import OBSERVERS
 
 LOSS = {"drop": 0.05, "jitter_ms": 50.0}
@@ -42,12 +43,16 @@
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
     fleet = SimulatedFleet(
-        sites, baseline() if plain else real(terms or MembershipSettings()), seed, observers, sizes=sizes
+        sites,
+        heartbeat_factory() if plain else membership_factory(terms or MembershipSettings()),
+        seed,
+        observers,
+        sizes=sizes,
     )
     if plain:
-        fleet.begin(400.0 + 2 * size)
+        fleet.start(400.0 + 2 * size)
     else:
-        fleet.begin_joined()
+        fleet.start_joined()
     fleet.run(4000.0)
     return fleet
 
@@ -57,7 +62,7 @@
     part, size, seed, seconds, plain = job
     began = time.monotonic()
     fleet = settled(size, seed, plain)
-    start, events = fleet.engine.now, fleet.engine.events
+    start, events = fleet.event_loop.now, fleet.event_loop.events
     before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": plain}
     if part == "kill":
@@ -76,27 +81,27 @@
         }
     elif part == "cut":
         a, rest = frozenset(fleet.sites["a"]), frozenset(fleet.sites["b"] + fleet.sites["c"])
-        fleet.faults.put(1, FaultRule(a, rest, cut=True))
+        fleet.network.faults.put(1, FaultRule(a, rest, cut=True))
         fleet.run(start + 10_000)
-        fleet.faults.drop(1)
-        healed = fleet.engine.now
-        while fleet.engine.now < healed + 120_000:
-            fleet.run(fleet.engine.now + 50)
-            if len({node.machine.view.hash for node in fleet.nodes.values()}) == 1:  # type: ignore[attr-defined]
+        fleet.network.faults.drop(1)
+        healed = fleet.event_loop.now
+        while fleet.event_loop.now < healed + 120_000:
+            fleet.run(fleet.event_loop.now + 50)
+            if len({node.member.view.hash for node in fleet.nodes.values()}) == 1:  # type: ignore[attr-defined]
                 break
-        out["agree_ms"] = round(fleet.engine.now - healed)
+        out["agree_ms"] = round(fleet.event_loop.now - healed)
     else:
         fleet.run(start + seconds * 1000)
-    span = (fleet.engine.now - start) / 1000
+    span = (fleet.event_loop.now - start) / 1000
     moved = [
         (node.sent_bytes - b, node.datagrams - d) for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
     ]
     out |= {
         "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
         "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
-        "virtual_s": round(fleet.engine.now / 1000, 1),
+        "virtual_s": round(fleet.event_loop.now / 1000, 1),
         "real_s": round(time.monotonic() - began, 1),
-        "events_per_s": round((fleet.engine.events - events) / max(1e-9, time.monotonic() - began)),
+        "events_per_s": round((fleet.event_loop.events - events) / max(1e-9, time.monotonic() - began)),
     }
     return out
 
@@ -106,19 +111,19 @@
     on, seed, seconds = job
     terms = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
-    fleet, dice = SimulatedFleet(sites, real(terms), seed, sizes=False), Random(seed)
-    fleet.begin()
+    fleet, dice = SimulatedFleet(sites, membership_factory(terms), seed, sizes=False), Random(seed)
+    fleet.start()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.faults.put(1, FaultRule(names, names, **LOSS))
+    fleet.network.faults.put(1, FaultRule(names, names, **LOSS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
         while at < 6000 + seconds * 1000:
             at += dice.uniform(300, 3000)
             length = dice.uniform(200, 6000)
-            fleet.engine.at(at, fleet.stop, name)
-            fleet.engine.at(at + length, fleet.go_on, name)
+            fleet.event_loop.at(at, fleet.stop, name)
+            fleet.event_loop.at(at + length, fleet.resume, name)
             at += length
     fleet.run(6000 + seconds * 1000)
     wrong = [b for b in fleet.beliefs if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick]
@@ -132,7 +137,7 @@
         "false_beliefs": len(wrong),
         "a_member_day": round(len(events) / days, 2),
         "member_days": round(days, 3),
-        "accused": fleet.notes.get("accused", 0),
+        "accused": fleet.counters.get("accused", 0),
     }
 
 
--- a/myrtlespar/simulation/__init__.py
+++ b/myrtlespar/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""The fleet's pure modules in virtual time: the same code as in the server, a modelled network, the same scripts.
+"""The fleet's pure modules in virtual time: the same code as in the server, a simulated network, the same scripts.
 
-Same script and seed, same run. It models delay, loss, cuts, pauses and crashes; no processor time and no bytes but
-those of the peer link, whose sizes are the codec's own.
+The same script and seed give the same run. Delay, loss, cuts, pauses and crashes are modelled; processor time is not,
+and of the bytes only those of the peer link, whose sizes are the codec's own.
 """
--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -1,5 +1,6 @@
-"""The plain baseline, kept as a switch of the emulator: everybody tells everybody that it lives, and who is silent for
-a fixed time is failed. No help, no doubt, no refutation; what a fleet costs and errs without `membership`.
+"""Heartbeats between all members with a fixed timeout: the baseline that membership is compared with.
+
+There are no indirect probes, suspicions or refutations.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 from myrtlespar.membership.messages import (
     ALIVE,
     FAILED,
-    PRESENT_STATES,
     LEFT,
+    PRESENT_STATES,
     GossipPush,
     MemberChanged,
     MembershipEffect,
@@ -22,102 +23,104 @@
     ViewSync,
 )
 from myrtlespar.membership.quorum import QuorumTracker, VoterSet
-from myrtlespar.simulation.fleet import Make
+from myrtlespar.simulation.member_factory import FLEET_NAME, FleetMember, MemberFactory, MemberStart
 
-BEAT_MS = 500.0
-SILENCE_MS = 1500.0
+HEARTBEAT_MS = 500.0
+TIMEOUT_MS = 1500.0
 
 
-class Heartbeat:
+class HeartbeatMember:
     """One member of the baseline."""
 
     def __init__(
-        self,
-        name: str,
-        site: str,
-        address: str,
-        boot: int,
-        dice: Random,
-        now: float,
-        seeds: Sequence[str],
-        electorate: VoterSet,
+        self, self_update: MemberUpdate, random: Random, now: float, seeds: Sequence[str], voter_set: VoterSet
     ) -> None:
-        self.me, self.seeds, self.dice = MemberUpdate(name, site, address, boot, 0, ALIVE), list(seeds), dice
+        self.self_update = self_update
+        self.seeds = list(seeds)
+        self.random = random
         self.known: dict[str, MemberUpdate] = {}
         self.heard: dict[str, float] = {}
-        self.quorum = QuorumTracker(name, electorate, now)
-        self._no = 0
-        self._at = now + dice.random() * BEAT_MS
+        self.quorum = QuorumTracker(self_update.name, voter_set, now)
+        self._sequence_number = 0
+        self._next_heartbeat_at = now + random.random() * HEARTBEAT_MS
 
     def start(self, now: float) -> list[MembershipEffect]:
-        """Ask the seeds who is there."""
-        return [RequestSync(seed, self._sync()) for seed in self.seeds if seed != self.me.address]
+        """Request the views of the seeds."""
+        return [RequestSync(seed, self._sync()) for seed in self.seeds if seed != self.self_update.address]
 
     def next_at(self) -> float:
-        """The next beat."""
-        return self._at
+        """When the next heartbeat is due (ms)."""
+        return self._next_heartbeat_at
 
     def tick(self, now: float) -> list[MembershipEffect]:
-        """A beat to all, and a look at who is silent."""
-        self._at = now + BEAT_MS * (0.95 + 0.1 * self.dice.random())
-        out = self._beat()
+        """Send a heartbeat to all, and declare those failed that were silent for too long."""
+        self._next_heartbeat_at = now + HEARTBEAT_MS * (0.95 + 0.1 * self.random.random())
+        effects = self._heartbeat()
         if not self.known:
-            out += self.start(now)
-        for name, at in self.heard.items():
-            rumour = self.known[name]
-            if rumour.state == ALIVE and now - at > SILENCE_MS:
-                out += self._put(now, MemberUpdate(name, rumour.site, rumour.address, rumour.incarnation, 0, FAILED))
-        return out
+            effects += self.start(now)
+        for name, heard_at in self.heard.items():
+            update = self.known[name]
+            if update.state == ALIVE and now - heard_at > TIMEOUT_MS:
+                failed = MemberUpdate(name, update.site, update.address, update.incarnation, 0, FAILED)
+                effects += self._put(now, failed)
+        return effects
 
     def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
-        """A beat of another."""
-        known = self.known.get(packet.sender.name)
-        if known is not None and packet.sender.incarnation < known.incarnation + (known.state == LEFT):
+        """Handle a heartbeat."""
+        sender = packet.sender
+        known = self.known.get(sender.name)
+        if known is not None and sender.incarnation < known.incarnation + (known.state == LEFT):
+            return []
+        self.heard[sender.name] = now
+        if known is not None and known.precedence == sender.precedence:
             return []
-        self.heard[packet.sender.name] = now
-        return self._put(now, packet.sender) if known is None or known.precedence != packet.sender.precedence else []
+        return self._put(now, sender)
 
     def sync_requested(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]:
-        """Who is there."""
+        """Answer another member's view with ours."""
         return self._sync(), self.sync_received(now, sync)
 
     def sync_received(self, now: float, sync: ViewSync) -> list[MembershipEffect]:
-        """Take over those not known yet; they must be heard themselves."""
-        out: list[MembershipEffect] = []
-        for rumour in (sync.sender, *sync.updates):
-            if rumour.name != self.me.name and rumour.name not in self.known and rumour.state in PRESENT_STATES:
-                self.heard[rumour.name] = now
-                out += self._put(now, rumour)
-        return out
+        """Add members not known yet; from then on they must send heartbeats themselves."""
+        effects: list[MembershipEffect] = []
+        for update in (sync.sender, *sync.updates):
+            new = update.name != self.self_update.name and update.name not in self.known
+            if new and update.state in PRESENT_STATES:
+                self.heard[update.name] = now
+                effects += self._put(now, update)
+        return effects
 
     def leave(self, now: float) -> list[MembershipEffect]:
-        """A last beat."""
-        self.me = MemberUpdate(self.me.name, self.me.site, self.me.address, self.me.incarnation, 0, LEFT)
-        return self._beat()
-
-    def _beat(self) -> list[MembershipEffect]:
-        self._no += 1
-        packet = Packet("emulated", self._no, self.me, 0, 1, GossipPush())
-        return [SendPacket(rumour.address, packet) for rumour in self.known.values()]
-
-    def _put(self, now: float, rumour: MemberUpdate) -> list[MembershipEffect]:
-        old = self.known.get(rumour.name)
-        self.known[rumour.name] = rumour
+        """Send a last heartbeat that says so."""
+        own = self.self_update
+        self.self_update = MemberUpdate(own.name, own.site, own.address, own.incarnation, 0, LEFT)
+        return self._heartbeat()
+
+    def _heartbeat(self) -> list[MembershipEffect]:
+        self._sequence_number += 1
+        packet = Packet(FLEET_NAME, self._sequence_number, self.self_update, 0, 1, GossipPush())
+        return [SendPacket(update.address, packet) for update in self.known.values()]
+
+    def _put(self, now: float, update: MemberUpdate) -> list[MembershipEffect]:
+        name = update.name
+        old = self.known.get(name)
+        self.known[name] = update
+        old_state = None if old is None else old.state
+        present = update.state in PRESENT_STATES
         return [
-            MemberChanged(rumour.name, None if old is None else old.state, rumour.state, rumour.incarnation, 0, ""),
-            *self.quorum.set_present(rumour.name, rumour.state in PRESENT_STATES, now),
+            MemberChanged(name, old_state, update.state, update.incarnation, 0, ""),
+            *self.quorum.set_present(name, present, now),
         ]
 
     def _sync(self) -> ViewSync:
-        return ViewSync("emulated", self.me, tuple(self.known.values()))
+        return ViewSync(FLEET_NAME, self.self_update, tuple(self.known.values()))
 
 
-def baseline() -> Make:
+def heartbeat_factory() -> MemberFactory:
     """Makes members of the baseline."""
 
-    def make(
-        name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str], roll: VoterSet
-    ) -> Heartbeat:
-        return Heartbeat(name, site, address, boot, dice, now, seeds, roll)
+    def make(start: MemberStart) -> FleetMember:
+        self_update = MemberUpdate(start.name, start.site, start.address, start.incarnation, 0, ALIVE)
+        return HeartbeatMember(self_update, start.random, start.now, start.seeds, start.voter_set)
 
     return make
--- a/myrtlespar/simulation/event_loop.py
+++ b/myrtlespar/simulation/event_loop.py
@@ -8,7 +8,7 @@
 
 
 class EventLoop:
-    """What happens when, in order of time and, at one time, in the order it was asked for."""
+    """Calls what is scheduled in order of time and, at one time, in the order of scheduling. Times are ms."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -16,16 +16,16 @@
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        """Do this then; not before now."""
+    def at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Call `callback` at `when`, or now if that has passed."""
         self._count += 1
-        heappush(self._heap, (when if when > self.now else self.now, self._count, what, args))
+        heappush(self._heap, (when if when > self.now else self.now, self._count, callback, args))
 
     def run(self, until: float) -> None:
-        """All that is due by `until` (ms)."""
+        """Call all that is due by `until` (ms)."""
         heap = self._heap
         while heap and heap[0][0] <= until:
-            self.now, _, what, args = heappop(heap)
+            self.now, _, callback, args = heappop(heap)
             self.events += 1
-            what(*args)
+            callback(*args)
         self.now = until
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -1,17 +1,14 @@
-"""A whole fleet of the real membership machines in virtual time, played by a fault script."""
+"""A whole fleet in virtual time: its processes and the messages between them."""
 
 from __future__ import annotations
 
 import hashlib
-from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Mapping, Sequence
 from random import Random
-from typing import Protocol
 
-from myrtlespar.fault_proxy.faults import ActiveFaults
+from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fleet_tests.ground_truth import FaultAction
 from myrtlespar.fleet_tests.invariants import ObservedBelief
-from myrtlespar.fleet_tests.script import ScriptStep
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     CountEvent,
@@ -23,62 +20,27 @@
     SendPacket,
     ViewSync,
 )
-from myrtlespar.membership.quorum import VoterSet
-from myrtlespar.membership.settings import MembershipSettings
+from myrtlespar.membership.quorum import QuorumTracker, VoterSet
 from myrtlespar.membership.view import entry_hash
 from myrtlespar.net.codec.peer import encode
 from myrtlespar.simulation.event_loop import EventLoop
+from myrtlespar.simulation.member_factory import FleetMember, MemberFactory, MemberStart
+from myrtlespar.simulation.network import SimulatedNetwork
+from myrtlespar.simulation.node import Message, MessageKind, SimulatedNode
 
-HOP_MS, HOP_JITTER_MS = 0.4, 0.4  # one way within a site or between near ones, as on loopback through the relay
-START_MS = 300.0  # from the start of a process to its first packet
-SEEDS = 3
-ALL_ELECTORS, ELECTORS = 300, 5  # a larger fleet has an electorate of so many a site, unless one is given
+FIRST_INCARNATION = 1_700_000_000_000
+LEAVE_MS = 300.0  # from leaving to the end of a process
+MAX_SEEDS = 3
+MAX_FLEET_ALL_VOTERS = 300  # members; in a larger fleet only some of each site are voters
+VOTERS_PER_SITE = 5
+MAX_WAITING_MESSAGES = 400  # about what a socket buffer holds
+IP_UDP_HEADER_BYTES = 28
+TCP_EXCHANGE_BYTES = 200  # headers, handshake and acknowledgements
 
 
-class Machine(Protocol):
-    """What runs in a node: `Member`, or the baseline."""
-
-    def start(self, now: float) -> list[MembershipEffect]: ...
-    def next_at(self) -> float: ...
-    def tick(self, now: float) -> list[MembershipEffect]: ...
-    def receive(self, now: float, packet: Packet) -> list[MembershipEffect]: ...
-    def sync_requested(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]: ...
-    def sync_received(self, now: float, sync: ViewSync) -> list[MembershipEffect]: ...
-    def leave(self, now: float) -> list[MembershipEffect]: ...
-
-
-@dataclass(slots=True)
-class SimulatedNode:
-    """One member's process."""
-
-    name: str
-    machine: Machine
-    up: bool = True
-    stopped: bool = False
-    waiting: list[tuple[str, Packet | ViewSync, str]] = field(default_factory=list)  # came while it was stopped
-    due: float = float("inf")
-    sent: int = 0
-    sent_bytes: int = 0
-    datagrams: int = 0  # sent and received
-
-
-Make = Callable[[str, str, str, int, Random, float, Sequence[str], VoterSet], Machine]
-
-
-def real(terms: MembershipSettings) -> Make:
-    """The membership machine itself."""
-
-    def make(
-        name: str, site: str, address: str, boot: int, dice: Random, now: float, seeds: Sequence[str], roll: VoterSet
-    ) -> Machine:
-        return Member(name, site, address, boot, "emulated", terms, roll, seeds, dice, now)
-
-    return make
-
-
-def address_of(n: int) -> str:
-    """Where member n is reached."""
-    return f"127.8.{n >> 8}.{n & 255}:7000"
+def address_of(number: int) -> str:
+    """The address of the member with this number."""
+    return f"127.8.{number >> 8}.{number & 255}:7000"
 
 
 class SimulatedFleet:
@@ -90,253 +52,222 @@
     def __init__(
         self,
         sites: Mapping[str, Sequence[str]],
-        make: Make,
+        factory: MemberFactory,
         seed: int,
         observers: Sequence[str] = (),
-        electorate: Mapping[str, Sequence[str]] | None = None,
+        voters: Mapping[str, Sequence[str]] | None = None,
         sizes: bool = True,
     ) -> None:
-        self.sites, self.make, self.seed, self.sizes = sites, make, seed, sizes
-        self.engine, self.faults, self.dice = EventLoop(), ActiveFaults(), Random(f"network {seed}")
-        self.site_of = {name: site for site, row in sites.items() for name in row}
+        self.sites = sites
+        self.factory = factory
+        self.seed = seed
+        self.sizes = sizes
+        self.event_loop = EventLoop()
+        self.network = SimulatedNetwork(seed)
+        self.site_of = {name: site for site, names in sites.items() for name in names}
         self.names = list(self.site_of)
-        self.address = {name: address_of(n + 1) for n, name in enumerate(self.names)}
+        self.address = {name: address_of(number) for number, name in enumerate(self.names, 1)}
         self.name_at = {address: name for name, address in self.address.items()}
-        roll = (
-            electorate
-            if electorate is not None
-            else {site: row[:ELECTORS] if len(self.names) > ALL_ELECTORS else row for site, row in sites.items()}
-        )
-        self.roll = VoterSet(1, {site: tuple(row) for site, row in roll.items()})
+        self.voter_set = _voter_set(sites if voters is None else voters, voters is None)
         self.observers = set(observers or self.names)
         self.nodes: dict[str, SimulatedNode] = {}
-        self.deeds: list[FaultAction] = []
+        self.actions: list[FaultAction] = []
         self.beliefs: list[ObservedBelief] = []
-        self.notes: dict[str, int] = {}
-        self.lost_before: dict[int, list[str]] = {}
+        self.counters: dict[str, int] = {}
         self._starts = 0
 
-    def begin(self, spread_ms: float = 400.0) -> None:
-        """Start all, in an order and at times drawn from the seed."""
-        dice = Random(f"starts {self.seed}")
+    def start(self, within_ms: float = 400.0) -> None:
+        """Start all members, in an order and at times drawn from the seed."""
+        random = Random(f"starts {self.seed}")
         for name in self.names:
-            self.engine.at(dice.random() * spread_ms, self.up, name)
+            self.event_loop.at(random.random() * within_ms, self.up, name)
 
-    def begin_joined(self) -> None:
-        """Start all as if they had been together for long: joining is not what is looked at in large fleets."""
+    def start_joined(self) -> None:
+        """Start all members as if they had joined long ago, for large fleets whose joining is not of interest."""
         for name in self.names:
             self.up(name, join=False)
-        machines = [node.machine for node in self.nodes.values() if isinstance(node.machine, Member)]
-        rumours = [machine.self_update for machine in machines]
-        total = 0
-        for rumour in rumours:
-            total ^= entry_hash(rumour.name, rumour.precedence)
-        for machine in machines:
-            machine.view.fill(rumours, 0.0, total)
-            machine.outbox.dissemination.clear()
-            for name in machine.view.present:
-                machine.quorum.set_present(name, True, 0.0)
-
-    def play(self, steps: Sequence[ScriptStep], from_ms: float) -> None:
-        """Lay a script's steps out; its time 0 is `from_ms`."""
-        for step in steps:
-            self.engine.at(from_ms + step.at_ms, self._step, step)
+        members = [node.member for node in self.nodes.values() if isinstance(node.member, Member)]
+        updates = [member.self_update for member in members]
+        view_hash = 0
+        for update in updates:
+            view_hash ^= entry_hash(update.name, update.precedence)
+        for member in members:
+            member.view.fill(updates, 0.0, view_hash)
+            member.outbox.dissemination.clear()
+            for name in member.view.present:
+                member.quorum.set_present(name, True, 0.0)
 
     def run(self, until: float) -> None:
-        """On to this time."""
-        self.engine.run(until)
+        """Run until this time (ms)."""
+        self.event_loop.run(until)
 
-    # What is done to members.
+    # Processes.
 
     def up(self, name: str, join: bool = True) -> None:
-        """A process of it starts."""
+        """Start a process of a member."""
         self._starts += 1
-        now, seeds = self.engine.now, [self.address[seed] for seed in self._seeds(name)]
-        digest = hashlib.blake2b(f"{self.seed} {name} {self._starts}".encode(), digest_size=8).digest()
-        machine = self.make(
-            name,
-            self.site_of[name],
-            self.address[name],
-            1_700_000_000_000 + int(now),
-            Random(int.from_bytes(digest, "big")),
-            now,
-            seeds,
-            self.roll,
+        now = self.event_loop.now
+        seed = hashlib.blake2b(f"{self.seed} {name} {self._starts}".encode(), digest_size=8).digest()
+        member = self.factory(
+            MemberStart(
+                name,
+                self.site_of[name],
+                self.address[name],
+                FIRST_INCARNATION + int(now),
+                Random(int.from_bytes(seed, "big")),
+                now,
+                [self.address[seed_name] for seed_name in self._seeds()],
+                self.voter_set,
+            )
         )
-        node = self.nodes[name] = SimulatedNode(name, machine)
-        self.deeds.append(FaultAction(now, "up", name))
+        node = self.nodes[name] = SimulatedNode(name, member)
+        self.record("up", name)
         if name in self.observers:
-            self.beliefs.append(ObservedBelief(now, name, "begin"))
-            for scope, tally in getattr(getattr(machine, "quorum", None), "scopes", {}).items():
-                self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.status))
-        self._carry(node, machine.start(now) if join else [])
-
-    def _seeds(self, name: str) -> list[str]:
-        """One fixed member of each site, and the first of all."""
-        return list(dict.fromkeys([row[0] for row in self.sites.values()][:SEEDS] + [self.names[0]]))
+            self._observe_start(name, member)
+        self._apply_effects(node, member.start(now) if join else [])
+
+    def _seeds(self) -> list[str]:
+        """The first member of some sites, and the first of all."""
+        return list(dict.fromkeys([names[0] for names in self.sites.values()][:MAX_SEEDS] + [self.names[0]]))
+
+    def _observe_start(self, name: str, member: FleetMember) -> None:
+        now = self.event_loop.now
+        self.beliefs.append(ObservedBelief(now, name, "begin"))
+        quorum: QuorumTracker | None = getattr(member, "quorum", None)
+        if quorum is None:
+            return
+        for scope, count in quorum.scopes.items():
+            self.beliefs.append(ObservedBelief(now, name, "standing", scope, count.status))
 
     def down(self, name: str, kind: str = "down") -> None:
-        """Its process is gone."""
+        """End a process at once."""
         node = self.nodes.get(name)
         if node is not None and node.up:
             node.up = False
-            self.deeds.append(FaultAction(self.engine.now, kind, name))
+            self.record(kind, name)
 
     def stop(self, name: str) -> None:
-        """SIGSTOP."""
+        """Stop a process, as by SIGSTOP."""
         node = self.nodes[name]
         if node.up and not node.stopped:
             node.stopped = True
-            self.deeds.append(FaultAction(self.engine.now, "pause", name))
+            self.record("pause", name)
 
-    def go_on(self, name: str) -> None:
-        """SIGCONT: what came meanwhile is read first, then the clock is looked at."""
+    def resume(self, name: str) -> None:
+        """Resume a process, as by SIGCONT: messages that came meanwhile are handled before its timers."""
         node = self.nodes[name]
         if not (node.up and node.stopped):
             return
         node.stopped = False
-        self.deeds.append(FaultAction(self.engine.now, "resume", name))
-        waiting, node.waiting = node.waiting, []
-        for kind, message, sender in waiting:
-            self._arrive(node, kind, message, sender)
-        self._tick(node.name, node)
+        self.record("resume", name)
+        waiting = node.waiting
+        node.waiting = []
+        for message in waiting:
+            self._arrive(node, message)
+        self._tick(node)
 
     def leave(self, name: str) -> None:
-        """SIGTERM: goodbye, and gone a little later."""
+        """Leave the fleet, as by SIGTERM, and end a little later."""
         node = self.nodes[name]
         if node.up:
-            self._carry(node, node.machine.leave(self.engine.now))
-            self.engine.at(self.engine.now + 300, self._left, name, node)
-            self.deeds.append(FaultAction(self.engine.now, "left", name))
+            self._apply_effects(node, node.member.leave(self.event_loop.now))
+            self.event_loop.at(self.event_loop.now + LEAVE_MS, self._end, node)
+            self.record("left", name)
 
-    def _left(self, name: str, node: SimulatedNode) -> None:
+    def _end(self, node: SimulatedNode) -> None:
         node.up = False
 
-    def _step(self, step: ScriptStep) -> None:
-        now = self.engine.now
-        if step.rule is not None:
-            if step.kind == "rule_on":
-                self.faults.put(step.number, step.rule)
-            else:
-                self.faults.drop(step.number)
-            self.deeds.append(FaultAction(now, step.kind, "", step.number, step.rule))
-            return
-        if step.kind == "lose":
-            self.lost_before[step.number] = [name for name in step.names if self.nodes[name].up]
-        names = self.lost_before.get(step.number, []) if step.kind == "back" else step.names
-        for name in names:
-            if step.kind in ("kill", "lose"):
-                self.down(name)
-            elif step.kind in ("start", "back"):
-                if not self.nodes[name].up:
-                    self.engine.at(now + START_MS, self.up, name)
-            elif step.kind == "pause":
-                self.stop(name)
-            elif step.kind == "resume":
-                self.go_on(name)
-            elif step.kind == "leave":
-                self.leave(name)
-            else:  # the new process waits for the old one's address, the old one goes without a word
-                self.down(name)
-                self.engine.at(now + 50, self.up, name)
-
-    # The network.
-
-    def _carry(self, node: SimulatedNode, effects: list[MembershipEffect]) -> None:
-        now = self.engine.now
+    def record(self, kind: str, name: str = "", rule_number: int = 0, rule: FaultRule | None = None) -> None:
+        """Record what was done to a member, or which rule of links began or ended."""
+        self.actions.append(FaultAction(self.event_loop.now, kind, name, rule_number, rule))
+
+    # Messages.
+
+    def _apply_effects(self, node: SimulatedNode, effects: list[MembershipEffect]) -> None:
         for effect in effects:
-            kind = type(effect)
-            if kind is SendPacket:
-                self._send(node, effect.address, effect.packet)  # type: ignore[union-attr]
-            elif kind is RequestSync:
-                self._ask(node, effect.address, effect.sync)  # type: ignore[union-attr]
-            elif kind is CountEvent:
-                self.notes[effect.counter] = self.notes.get(effect.counter, 0) + 1  # type: ignore[union-attr]
+            if isinstance(effect, SendPacket):
+                self._send_packet(node, effect)
+            elif isinstance(effect, RequestSync):
+                self._request_sync(node, effect)
+            elif isinstance(effect, CountEvent):
+                self.counters[effect.counter] = self.counters.get(effect.counter, 0) + 1
             elif node.name in self.observers:
-                if isinstance(effect, MemberChanged):
-                    self.beliefs.append(
-                        ObservedBelief(now, node.name, "member", effect.name, effect.new_state, effect.incarnation)
-                    )
-                elif isinstance(effect, QuorumChanged):
-                    self.beliefs.append(ObservedBelief(now, node.name, "standing", effect.scope, effect.new_status))
-        due = node.machine.next_at()
-        if due != node.due:
-            node.due = due
-            self.engine.at(due, self._tick, node.name, node)
-
-    def _send(self, node: SimulatedNode, address: str, packet: Packet) -> None:
+                self._observe(node.name, effect)
+        next_tick_at = node.member.next_at()
+        if next_tick_at != node.next_tick_at:
+            node.next_tick_at = next_tick_at
+            self.event_loop.at(next_tick_at, self._tick, node)
+
+    def _observe(self, name: str, effect: MemberChanged | QuorumChanged) -> None:
+        now = self.event_loop.now
+        if isinstance(effect, MemberChanged):
+            belief = ObservedBelief(now, name, "member", effect.name, effect.new_state, effect.incarnation)
+        else:
+            belief = ObservedBelief(now, name, "standing", effect.scope, effect.new_status)
+        self.beliefs.append(belief)
+
+    def _send_packet(self, node: SimulatedNode, effect: SendPacket) -> None:
         node.datagrams += 1
         if self.sizes:
-            node.sent_bytes += len(encode(packet)) + 28  # with the headers of IP and UDP
-        to = self.name_at.get(address)
-        if to is None:
-            return
-        link = self.faults.link(node.name, to)
-        if link.cut:
+            node.sent_bytes += len(encode(effect.packet)) + IP_UDP_HEADER_BYTES
+        receiver = self.name_at.get(effect.address)
+        if receiver is None:
             return
-        dice = self.dice
-        for delay in link.fate(dice):
-            self.engine.at(
-                self.engine.now + HOP_MS + HOP_JITTER_MS * dice.random() + delay,
-                self._deliver,
-                to,
-                "packet",
-                packet,
-                node.name,
-            )
-
-    def _ask(self, node: SimulatedNode, address: str, sync: ViewSync) -> None:
-        """TCP: nothing while cut or refused; a lost segment is sent again after 200 ms."""
-        to = self.name_at.get(address)
-        if to is None or self.faults.link(node.name, to).cut or self.faults.link(to, node.name).cut:
+        message = Message(MessageKind.PACKET, effect.packet, node.name)
+        for at in self.network.datagram_arrivals(self.event_loop.now, node.name, receiver):
+            self.event_loop.at(at, self._deliver, receiver, message)
+
+    def _request_sync(self, node: SimulatedNode, effect: RequestSync) -> None:
+        """Send a view over TCP; nothing happens while the link is cut or nobody listens."""
+        receiver = self.name_at.get(effect.address)
+        if receiver is None or self.network.is_cut(node.name, receiver) or self.network.is_cut(receiver, node.name):
             return
-        target = self.nodes.get(to)
+        target = self.nodes.get(receiver)
         if target is None or not target.up:
             return
+        self._send_sync(node, receiver, MessageKind.SYNC_REQUEST, effect.sync, round_trips=2)
+
+    def _send_sync(
+        self, node: SimulatedNode, receiver: str, kind: MessageKind, sync: ViewSync, round_trips: int
+    ) -> None:
         if self.sizes:
-            node.sent_bytes += len(encode(sync)) + 200
-        self.engine.at(self.engine.now + self._stream_ms(node.name, to, 2), self._deliver, to, "ask", sync, node.name)
-
-    def _stream_ms(self, a: str, b: str, trips: int) -> float:
-        total = 0.0
-        for way in ((a, b), (b, a)) * trips:
-            link = self.faults.link(*way)
-            total += HOP_MS + link.delay_ms + link.jitter_ms * self.dice.random()
-            for _ in range(8):
-                if self.dice.random() >= link.drop:
-                    break
-                total += 200.0
-        return total
-
-    def _deliver(self, to: str, kind: str, message: Packet | ViewSync, sender: str) -> None:
-        node = self.nodes.get(to)
+            node.sent_bytes += len(encode(sync)) + TCP_EXCHANGE_BYTES
+        at = self.event_loop.now + self.network.stream_ms(node.name, receiver, round_trips)
+        self.event_loop.at(at, self._deliver, receiver, Message(kind, sync, node.name))
+
+    def _deliver(self, receiver: str, message: Message) -> None:
+        node = self.nodes.get(receiver)
         if node is None or not node.up:
             return
         if node.stopped:
-            if len(node.waiting) < 400:  # about what a socket buffer holds
-                node.waiting.append((kind, message, sender))
+            if len(node.waiting) < MAX_WAITING_MESSAGES:
+                node.waiting.append(message)
             return
-        self._arrive(node, kind, message, sender)
+        self._arrive(node, message)
 
-    def _arrive(self, node: SimulatedNode, kind: str, message: Packet | ViewSync, sender: str) -> None:
-        now = self.engine.now
-        if isinstance(message, Packet):
+    def _arrive(self, node: SimulatedNode, message: Message) -> None:
+        now = self.event_loop.now
+        content = message.content
+        if isinstance(content, Packet):
             node.datagrams += 1
-            self._carry(node, node.machine.receive(now, message))
-        elif kind == "reply":
-            self._carry(node, node.machine.sync_received(now, message))
+            self._apply_effects(node, node.member.receive(now, content))
+        elif message.kind is MessageKind.SYNC_REPLY:
+            self._apply_effects(node, node.member.sync_received(now, content))
         else:
-            reply, effects = node.machine.sync_requested(now, message)
-            self._carry(node, effects)
-            if reply is not None and not self.faults.link(node.name, sender).cut:
-                if self.sizes:
-                    node.sent_bytes += len(encode(reply)) + 200
-                self.engine.at(
-                    now + self._stream_ms(node.name, sender, 1), self._deliver, sender, "reply", reply, node.name
-                )
-
-    def _tick(self, name: str, node: SimulatedNode) -> None:
-        now = self.engine.now
-        if not node.up or node.stopped or now < node.machine.next_at():
+            reply, effects = node.member.sync_requested(now, content)
+            self._apply_effects(node, effects)
+            if reply is not None and not self.network.is_cut(node.name, message.sender):
+                self._send_sync(node, message.sender, MessageKind.SYNC_REPLY, reply, round_trips=1)
+
+    def _tick(self, node: SimulatedNode) -> None:
+        now = self.event_loop.now
+        if not node.up or node.stopped or now < node.member.next_at():
             return
-        self._carry(node, node.machine.tick(now))
+        self._apply_effects(node, node.member.tick(now))
+
+
+def _voter_set(voters: Mapping[str, Sequence[str]], limited: bool) -> VoterSet:
+    """All of these as voters, or some of each site if `limited` and the fleet is large."""
+    members = sum(len(names) for names in voters.values())
+    max_voters = VOTERS_PER_SITE if limited and members > MAX_FLEET_ALL_VOTERS else None
+    return VoterSet(1, {site: tuple(names[:max_voters]) for site, names in voters.items()})
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -1,87 +1,118 @@
-"""Plays a fault script in the emulator and judges it with the judge of real processes."""
+"""Plays a fault script in the simulation and judges it with the judge of real processes."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
-from myrtlespar.fleet_tests.invariants import judge_members
+from myrtlespar.fleet_tests.invariants import InvariantReport, judge_members
 from myrtlespar.fleet_tests.runner import figures
 from myrtlespar.fleet_tests.script import Script
+from myrtlespar.membership.member import Member
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.simulation.baseline import baseline
-from myrtlespar.simulation.fleet import SimulatedFleet, real
+from myrtlespar.simulation.baseline import heartbeat_factory
+from myrtlespar.simulation.fleet import SimulatedFleet
+from myrtlespar.simulation.member_factory import membership_factory
+from myrtlespar.simulation.script_player import ScriptPlayer
 
 SETTLE_MS = 6000.0  # from the first start to the script's beginning
-PAIRED_MOST = 64  # members whose every pair is judged; in larger fleets so many observers are
+SETTLE_PER_MEMBER_MS = 12
+START_MS = 400.0  # members start within this
+START_PER_MEMBER_MS = 2
+MAX_PAIRED_MEMBERS = 64  # members whose every pair is judged; in larger fleets so many observers are
 OBSERVERS = 8
-JOINED_FROM = 300  # members; larger fleets begin joined
+MAX_JOINING_MEMBERS = 300  # larger fleets begin joined
 
 
-def play(script: Script, seed: int, terms: MembershipSettings | None = None, plain: bool = False) -> dict[str, Any]:
-    """Figures as `standins.fleet.play` gives them, and what the emulator alone knows: datagrams, bytes, speed.
+@dataclass(frozen=True, slots=True)
+class Traffic:
+    """What one node has sent, and sent and received."""
 
-    `plain` plays the baseline. In fleets of more than 64 some observers are judged, and no standings.
+    sent_bytes: int = 0
+    datagrams: int = 0
+
+
+def play(script: Script, seed: int, settings: MembershipSettings | None = None, plain: bool = False) -> dict[str, Any]:
+    """Figures as `fleet_tests.runner` gives them, with datagrams, bytes and speed of the simulation.
+
+    `plain` plays the heartbeat baseline. In fleets of more than 64 some observers are judged, and no quorum status.
     """
-    terms, sites, names = terms or MembershipSettings(), script.sites, list(script.members)
-    observers = names if len(names) <= PAIRED_MOST else watchers(script, sites)
-    joined = len(names) > JOINED_FROM and not plain
-    settle = SETTLE_MS + (0 if joined else 12 * len(names))
-    fleet = SimulatedFleet(sites, baseline() if plain else real(terms), seed, observers)
-    began = time.monotonic()
+    settings = settings or MembershipSettings()
+    members = len(script.members)
+    paired = members <= MAX_PAIRED_MEMBERS
+    observers = list(script.members) if paired else unaffected_members(script, script.sites)
+    joined = members > MAX_JOINING_MEMBERS and not plain
+    settle_ms = SETTLE_MS + (0 if joined else SETTLE_PER_MEMBER_MS * members)
+    factory = heartbeat_factory() if plain else membership_factory(settings)
+    fleet = SimulatedFleet(script.sites, factory, seed, observers)
+    started = time.monotonic()
     if joined:
-        fleet.begin_joined()
+        fleet.start_joined()
     else:
-        fleet.begin(400.0 + 2 * len(names))
-    fleet.play(script.steps, settle)
-    fleet.run(settle)
-    before = {name: (node.sent_bytes, node.datagrams) for name, node in fleet.nodes.items()}
-    fleet.run(settle + script.length_ms)
-    took, seconds = time.monotonic() - began, script.length_ms / 1000
-    deeds = fleet.deeds if len(names) <= PAIRED_MOST else _few(fleet.deeds)
-    truth = GroundTruth(names, deeds, settle + script.length_ms, terms.pause_ms())
-    verdict = judge_members(truth, fleet.beliefs, terms, sites if len(names) <= PAIRED_MOST else {}, observers)
-    moved = [
-        (node.sent_bytes - before.get(name, (0, 0))[0], node.datagrams - before.get(name, (0, 0))[1])
-        for name, node in fleet.nodes.items()
-    ]
+        fleet.start(START_MS + START_PER_MEMBER_MS * members)
+    ScriptPlayer(fleet).schedule(script.steps, settle_ms)
+    fleet.run(settle_ms)
+    before = _traffic(fleet)
+    end_ms = settle_ms + script.length_ms
+    fleet.run(end_ms)
+    seconds = time.monotonic() - started
+    actions = fleet.actions if paired else _merge_starts(fleet.actions)
+    truth = GroundTruth(list(script.members), actions, end_ms, settings.pause_ms())
+    verdict = judge_members(truth, fleet.beliefs, settings, script.sites if paired else {}, observers)
     return {
-        **figures(verdict, terms, len(names)),
-        "broken": verdict.broken,
-        "judged": ["members"],
-        "members": len(names),
-        "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / seconds, 1),
-        "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / seconds, 2),
-        "hashes": len(
-            {
-                view.hash
-                for node in fleet.nodes.values()
-                if node.up and (view := getattr(node.machine, "view", None)) is not None
-            }
-        ),
-        "events": fleet.engine.events,
-        "events_per_s": round(fleet.engine.events / max(took, 1e-9)),
-        "seconds": round(took, 2),
-        "counts": dict(sorted(fleet.notes.items())),
+        **_verdict_figures(verdict, settings, members),
+        **_fleet_figures(fleet, before, script.length_ms / 1000),
+        "events_per_s": round(fleet.event_loop.events / max(seconds, 1e-9)),
+        "seconds": round(seconds, 2),
+        "counts": dict(sorted(fleet.counters.items())),
     }
 
 
-def watchers(script: Script, sites: Mapping[str, Sequence[str]]) -> list[str]:
+def unaffected_members(script: Script, sites: Mapping[str, Sequence[str]]) -> list[str]:
     """Some members of each site that the script does nothing to by name."""
     named = {name for step in script.steps for name in step.names if len(step.names) == 1}
-    each = max(1, OBSERVERS // len(sites))
-    return [name for row in sites.values() for name in [n for n in row if n not in named][:each]]
-
-
-def _few(deeds: list[FaultAction]) -> list[FaultAction]:
-    """The starts of a large fleet as one moment, so that its truth has few."""
-    first: dict[str, bool] = {}
-    out = []
-    for deed in deeds:
-        if deed.kind == "up" and deed.name not in first:
-            first[deed.name] = True
-            deed = FaultAction(0.0, "up", deed.name)
-        out.append(deed)
-    return out
+    per_site = max(1, OBSERVERS // len(sites))
+    return [name for names in sites.values() for name in [name for name in names if name not in named][:per_site]]
+
+
+def _traffic(fleet: SimulatedFleet) -> dict[str, Traffic]:
+    return {name: Traffic(node.sent_bytes, node.datagrams) for name, node in fleet.nodes.items()}
+
+
+def _verdict_figures(verdict: InvariantReport, settings: MembershipSettings, members: int) -> dict[str, Any]:
+    return {
+        **figures(verdict, settings, members),
+        "broken": verdict.broken,
+        "judged": ["members"],
+        "members": members,
+    }
+
+
+def _fleet_figures(fleet: SimulatedFleet, before: Mapping[str, Traffic], seconds: float) -> dict[str, Any]:
+    """Traffic per member since `before`, the number of different views, and the events of the simulation."""
+    none = Traffic()
+    nodes = fleet.nodes.items()
+    sent_bytes = sum(node.sent_bytes - before.get(name, none).sent_bytes for name, node in nodes)
+    datagrams = sum(node.datagrams - before.get(name, none).datagrams for name, node in nodes)
+    running = [node.member for _, node in nodes if node.up]
+    return {
+        "bytes_per_s": round(sent_bytes / len(fleet.nodes) / seconds, 1),
+        "datagrams_per_s": round(datagrams / len(fleet.nodes) / seconds, 2),
+        "hashes": len({member.view.hash for member in running if isinstance(member, Member)}),
+        "events": fleet.event_loop.events,
+    }
+
+
+def _merge_starts(actions: list[FaultAction]) -> list[FaultAction]:
+    """Move the first starts of a large fleet to one moment, so that its ground truth has few moments."""
+    started: set[str] = set()
+    merged = []
+    for action in actions:
+        if action.kind == "up" and action.name not in started:
+            started.add(action.name)
+            action = FaultAction(0.0, "up", action.name)
+        merged.append(action)
+    return merged
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -12,8 +12,10 @@
 from myrtlespar.membership.messages import ALIVE, FAILED
 from myrtlespar.membership.quorum import QuorumStatus
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.simulation.fleet import SimulatedFleet, real
+from myrtlespar.simulation.fleet import SimulatedFleet
+from myrtlespar.simulation.member_factory import membership_factory
 from myrtlespar.simulation.runner import play
+from myrtlespar.simulation.script_player import ScriptPlayer
 from tests.membership_builders import SETTINGS
 
 KILL = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: 14\nevents: [{at_s: 1, kill: b2}]\n"
@@ -21,11 +23,11 @@
 
 def beliefs_of(script: str, seed: int = 1) -> tuple[SimulatedFleet, GroundTruth]:
     found = parse(script)
-    fleet = SimulatedFleet(found.sites, real(SETTINGS), seed, sizes=False)
-    fleet.begin()
-    fleet.play(found.steps, 6000)
+    fleet = SimulatedFleet(found.sites, membership_factory(SETTINGS), seed, sizes=False)
+    fleet.start()
+    ScriptPlayer(fleet).schedule(found.steps, 6000)
     fleet.run(6000 + found.length_ms)
-    return fleet, GroundTruth(found.members, fleet.deeds, 6000 + found.length_ms, SETTINGS.pause_ms())
+    return fleet, GroundTruth(found.members, fleet.actions, 6000 + found.length_ms, SETTINGS.pause_ms())
 
 
 @pytest.mark.parametrize(
