--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -102,7 +102,7 @@
         self._accept(now, entry.update.with_state(FAILED, 0, self.view.self_id), entry, True)
 
     def _merge_unknown(self, now: float, update: MemberUpdate, direct: bool, from_sync: bool) -> None:
-        # old evidence may be about a member that was forgotten here long ago
+        # old evidence may be about a member that we forgot long ago
         stale = not direct and update.age_ms > self.settings.forget_ms / 2
         if stale or len(self.view.entries) >= MAX_MEMBERS:
             self.outbox.count("unproven" if stale else "full")
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -27,7 +27,7 @@
     """One other member. Times are the driver's monotonic milliseconds."""
 
     update: MemberUpdate
-    since: float  # when it came to this state here
+    since: float  # when it came to this state in our view
     evidence: float  # when the freshest evidence of this state was made
     heard: float = float("-inf")  # last packet from the member itself
     answered: float = float("-inf")  # its last answer to a probe of ours
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -20,7 +20,6 @@
 from gevent.server import StreamServer
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.membership.token_bucket import TokenBucket
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     CountEvent,
@@ -31,6 +30,7 @@
     SendPacket,
     ViewSync,
 )
+from myrtlespar.membership.token_bucket import TokenBucket
 from myrtlespar.net.codec.peer import (
     BESIDE,
     HEAD,
