--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -72,7 +72,9 @@
 
 def main() -> int:
     """Search for one mutation: print one line, found or survived."""
-    area, name, seconds = sys.argv[1], sys.argv[2], float(sys.argv[3])
+    area = sys.argv[1]
+    name = sys.argv[2]
+    seconds = float(sys.argv[3])
     known = mutations(area)
     install_mutation(name, known)
     result = explorer(area).explore(known[name].scenario, 1, seconds)
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -28,7 +28,9 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 9)), max_size=60))
 def test_a_sampled_set_holds_what_a_set_holds(steps: list[tuple[bool, int]]) -> None:
-    sampled, plain, random = SampledSet(), set[str](), Random(0)
+    sampled = SampledSet()
+    plain: set[str] = set()
+    random = Random(0)
     for add, n in steps:
         (sampled.add if add else sampled.discard)(str(n))
         (plain.add if add else plain.discard)(str(n))
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -84,11 +84,12 @@
 @given(PACKETS, st.data())
 def test_corrupt_bytes_are_rejected(packet: Packet, data: st.DataObject) -> None:
     raw = peer.encode(packet)
-    at, to = data.draw(st.integers(0, len(raw) - 1)), data.draw(st.integers(0, 255))
-    spoilt = raw[:at] + bytes([to]) + raw[at + 1 :]
-    for one in (raw[:at], data.draw(st.binary(max_size=200)), *([spoilt] if spoilt != raw else [])):
+    position = data.draw(st.integers(0, len(raw) - 1))
+    value = data.draw(st.integers(0, 255))
+    corrupt = raw[:position] + bytes([value]) + raw[position + 1 :]
+    for candidate in (raw[:position], data.draw(st.binary(max_size=200)), *([corrupt] if corrupt != raw else [])):
         with pytest.raises(peer.MalformedPeerMessageError):
-            peer.decode(one)
+            peer.decode(candidate)
 
 
 @pytest.mark.parametrize(
