--- a/myrtlespar/simulation/node.py
+++ b/myrtlespar/simulation/node.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from myrtlespar.membership.messages import Packet, ViewSync
 from myrtlespar.simulation.member_factory import FleetMember
@@ -17,8 +18,7 @@
     SYNC_REPLY = "sync reply"
 
 
-@dataclass(frozen=True, slots=True)
-class Message:
+class Message(NamedTuple):
     """One message on its way."""
 
     kind: MessageKind
