--- a/myrtlespar/cli/limit_tables.py
+++ b/myrtlespar/cli/limit_tables.py
@@ -145,7 +145,7 @@
         found = read_fleet(file, "any")
     except ConfigError as error:
         return str(error)
-    members = found.grants.members_most or len(found.roll.names)
+    members = found.grants.members_most or len(found.voter_set.names)
     print(
         f"clocks may run fast or slow by {found.grants.drift:.1%}; grants {found.grants.grant_ms} ms, leases "
         f"{found.grants.lease_ms} ms, asks every {found.grants.ask_ms} ms"
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -20,7 +20,14 @@
 
 import grpc
 
-from myrtlespar.net.codec.etcd import DELETE, METHODS, PUT, TARGET_CREATE, TARGET_LEASE, TYPES
+from myrtlespar.net.codec.etcd import (
+    COMPARE_TARGET_CREATE,
+    COMPARE_TARGET_LEASE,
+    EVENT_DELETE,
+    EVENT_PUT,
+    METHODS,
+    TYPES,
+)
 
 LOOK_S = 0.02  # between looks for leases that ran out
 THREADS = 256  # each watcher and each keep-alive holds one
@@ -64,7 +71,7 @@
         )
         if lease:
             self.leases[lease].keys.add(key)
-        self._tell(PUT, self.keys[key])
+        self._tell(EVENT_PUT, self.keys[key])
 
     def delete(self, first: bytes, last: bytes) -> int:
         """All of a range."""
@@ -73,7 +80,7 @@
             row = self.keys.pop(key)
             if row.lease in self.leases:
                 self.leases[row.lease].keys.discard(key)
-            self._tell(DELETE, TYPES["KeyValue"](key=key, mod_revision=self.revision))
+            self._tell(EVENT_DELETE, TYPES["KeyValue"](key=key, mod_revision=self.revision))
         return len(gone)
 
     def end(self, lease: int) -> None:
@@ -160,9 +167,9 @@
 
     def _same(self, row: Any) -> bool:
         kept = self.state.keys.get(row.key)
-        if row.target == TARGET_CREATE:
+        if row.target == COMPARE_TARGET_CREATE:
             return bool((kept.create_revision if kept else 0) == row.create_revision)
-        if row.target == TARGET_LEASE:
+        if row.target == COMPARE_TARGET_LEASE:
             return bool(kept is not None and kept.lease == row.lease)
         return bool(kept is not None and kept.mod_revision == row.mod_revision)
 
--- a/myrtlespar/fleet/__init__.py
+++ b/myrtlespar/fleet/__init__.py
@@ -1,5 +1,7 @@
-"""The fleet parts of one process, wired: loaded only with MYRTLESPAR_FLEET set, and the only place that knows them
-all. Promises nothing of its own; see `membership`.
+"""Wiring of one process's fleet parts: membership, fleet limits and their links.
+
+Loaded only with MYRTLESPAR_FLEET set, and the only package that knows all of these parts. It makes no promises of its
+own; those of membership and of limits are stated in `membership` and `quota`.
 """
 
 from myrtlespar.fleet.node import FleetNode, open_fleet
--- /dev/null
+++ b/myrtlespar/fleet/budget_writer.py
@@ -0,0 +1,86 @@
+"""Persists a member's budget journal before anything that rests on it is sent.
+
+One greenlet writes; effects that arrive during a write share the next one. The file itself is written by a thread of
+gevent's pool, so that a slow disk never blocks the loop.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+import gevent
+import structlog
+from gevent.event import Event
+
+from myrtlespar.config import ConfigError
+from myrtlespar.net import budget_file
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import PersistThenSend
+from myrtlespar.runtime.counters import Counters
+
+log = structlog.get_logger()
+
+
+class BudgetWriter:
+    """The budget file of this member. Without a path nothing is read or written, and no queued effect is completed."""
+
+    def __init__(self, path: Path | None, counters: Counters) -> None:
+        """Read the file. ConfigError if it is corrupt or can't be read."""
+        self.path = path
+        self.counters = counters
+        self.rows: dict[tuple[str, int], int] = {}
+        self._queued: list[PersistThenSend] = []
+        self._queued_some = Event()
+        if path is not None:
+            self.rows = read_budgets(path)
+
+    def reload(self) -> None:
+        """Read again what a process before this one wrote until it gave up the address.
+
+        If that fails, no budget is served: the file is neither read nor written any more.
+        """
+        if self.path is None:
+            return
+        try:
+            self.rows = read_budgets(self.path)
+        except ConfigError as error:
+            log.error("fleet: no budget is vouched for", error=str(error))
+            self.path = None
+
+    def enqueue(self, effect: PersistThenSend) -> None:
+        """Persist the journal, then complete this effect."""
+        self._queued.append(effect)
+        self._queued_some.set()
+
+    def run(self, coordinator: LimitCoordinator, persisted: Callable[[PersistThenSend], None]) -> None:
+        """Write the coordinator's journal until it retires, and call `persisted` for each effect it then covers."""
+        assert self.path is not None
+        saved = dict(coordinator.budget_journal.rows)
+        while not coordinator.grant_holder.retired:
+            self._queued_some.wait()
+            self._queued_some.clear()
+            effects = self._queued
+            self._queued = []
+            rows = dict(coordinator.budget_journal.rows)
+            try:
+                if rows != saved:
+                    gevent.get_hub().threadpool.apply(budget_file.write, (self.path, rows))
+                    saved = rows
+            except OSError as error:  # what is not on the disk would not outlive us, so it is not answered for
+                self.counters.add("limits.unwritten", len(effects))
+                if self.counters.rare("limits.log.unwritten"):
+                    log.error("fleet: budgets can't be written down", error=str(error))
+                continue
+            for effect in effects:
+                persisted(effect)
+
+
+def read_budgets(path: Path) -> dict[tuple[str, int], int]:
+    """The rows of a budget file. ConfigError if it is corrupt or can't be read."""
+    try:
+        return budget_file.read(path)
+    except budget_file.CorruptBudgetFileError as why:
+        raise ConfigError(f"state: {why} is spoilt: what was spent can't be known") from None
+    except OSError as error:
+        raise ConfigError(f"state: cannot read {path}: {error.strerror}") from None
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -1,11 +1,10 @@
-"""Drives an agent's session at the engine: one request at a time, whatever is due first."""
+"""Runs a limit coordinator's session at the engine (etcd): one request at a time, whichever is due first."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 import gevent
-import structlog
 from gevent.event import Event
 
 from myrtlespar.fleet.settings import EngineSettings
@@ -13,60 +12,68 @@
 from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
 from myrtlespar.runtime.counters import Counters
 
-log = structlog.get_logger()
+MS_PER_S = 1000.0
 
 
 class LeaseSource:
-    """One greenlet. `now` is the clock that limits go by, `apply_effects` what the agent's effects are handed to."""
+    """One greenlet that obtains, keeps and gives back the leases of shards."""
 
     def __init__(
         self,
         settings: EngineSettings,
         fleet: str,
-        agent: LimitCoordinator,
+        coordinator: LimitCoordinator,
         now: Callable[[], float],
-        carry: Callable[[list[LimitEffect]], None],
+        apply_effects: Callable[[list[LimitEffect]], None],
         counters: Counters,
     ) -> None:
-        assert agent.session is not None
-        self.settings, self.coordinator, self.session = settings, agent, agent.session
-        self.now, self.apply_effects, self.counters = now, carry, counters
+        """`now` is the clock that limits go by, in ms; `apply_effects` carries out the coordinator's effects."""
+        assert coordinator.session is not None
+        self.coordinator = coordinator
+        self.session = coordinator.session
+        self.now = now
+        self.apply_effects = apply_effects
+        self.counters = counters
+        self.answered_at = float("-inf")  # time of the engine's last answer, on the clock of `now`
         self.etcd = EtcdClient(
             settings.address,
             f"/myrtlespar/{fleet}/ranges/",
-            agent.self_id[0],
+            coordinator.self_id[0],
             settings.ttl_s,
-            settings.timeout_ms / 1000.0,
-            self._freed,
-            self._failed,
+            settings.timeout_ms / MS_PER_S,
+            self._shard_freed,
+            self._request_failed,
         )
-        self.answered_at = float("-inf")
-        self._due = Event()
+        self._shard_free = Event()
 
     def run(self) -> None:
-        """Until the agent retires; then what is held is given back."""
+        """Serve the session until the coordinator retires, then revoke the lease."""
         self.etcd.watch()
         while not self.coordinator.grant_holder.retired:
-            request, effects = self.coordinator.next_engine_request(self.now())
-            self.apply_effects(effects)
-            if request is None:
-                self._due.wait(self.coordinator.settings.ask_ms / 2000.0)
-                self._due.clear()
-            else:
-                reply = self.etcd.carry(request)
-                self.counters.add(f"engine.{request.do.value}" if reply else "engine.unanswered")
-                self.apply_effects(self.coordinator.engine_replied(self.now(), request, reply))
-                if reply is None:
-                    gevent.sleep(self.coordinator.settings.ask_ms / 2000.0)
-                else:
-                    self.answered_at = self.now()
+            self._step(self.coordinator.settings.ask_ms / 2.0 / MS_PER_S)
         if self.session.lease:
             self.etcd.revoke(self.session.lease)
         self.etcd.close()
 
-    def _freed(self, rng: int) -> None:
-        self.session.freed(rng)
-        self._due.set()
+    def _step(self, pause_s: float) -> None:
+        """Send the request that is due, or wait for one; pause after a request without an answer."""
+        request, effects = self.coordinator.next_engine_request(self.now())
+        self.apply_effects(effects)
+        if request is None:
+            self._shard_free.wait(pause_s)
+            self._shard_free.clear()
+            return
+        reply = self.etcd.execute(request)
+        self.counters.add(f"engine.{request.do.value}" if reply else "engine.unanswered")
+        self.apply_effects(self.coordinator.engine_replied(self.now(), request, reply))
+        if reply is None:
+            gevent.sleep(pause_s)
+        else:
+            self.answered_at = self.now()
 
-    def _failed(self, code: str) -> None:
+    def _shard_freed(self, shard_id: int) -> None:
+        self.session.freed(shard_id)
+        self._shard_free.set()
+
+    def _request_failed(self, code: str) -> None:
         self.counters.add(f"engine.failed.{code}")
--- /dev/null
+++ b/myrtlespar/fleet/limits_port.py
@@ -0,0 +1,219 @@
+"""Admission under the fleet's limits: what the policy calls for each request (`policy.messages.FleetLimitsPort`).
+
+Nothing here waits or sends. A request is checked against the allowances that the limit coordinator holds at the
+moment; one that finds no capacity may be queued until there is some, or is rejected with a Retry-After time.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from random import Random
+from typing import Any
+
+from myrtlespar.fleet.settings import FleetSettings
+from myrtlespar.quota.admission_queue import AdmissionQueue
+from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.retry_budget import RetryBudget
+from myrtlespar.quota.settings import CountedWork, Limit, prefix
+from myrtlespar.runtime.counters import Counters
+
+MAX_QUEUED_PER_CALLER = 8  # a caller's connections carry this many unanswered requests, and other work beside them
+RETRY_AFTER_BEFORE_START_MS = 100.0  # while no coordinator has been started, nothing is admitted under a limit
+
+NamedLimits = list[tuple[str, Limit]]
+
+
+@dataclass(slots=True)
+class Shortage:
+    """The last request that found no capacity."""
+
+    request_id: str
+    keys: Sequence[str]
+    key: str  # the one without capacity
+    check: AdmissionCheck
+    caller: int
+
+
+class FleetLimitsAdmission:
+    """The policy's port to the fleet's limits. Until `start`, only requests that no limit applies to are admitted."""
+
+    def __init__(
+        self,
+        settings: FleetSettings,
+        classes: Sequence[str],
+        counters: Counters,
+        random: Random,
+        now: Callable[[], float],
+        key_of: Callable[[str], str],
+    ) -> None:
+        """`now` is the clock that limits go by, in ms; `key_of` gives a request's idempotency key."""
+        self.counters = counters
+        self.now = now
+        self.coordinator: LimitCoordinator | None = None
+        self.admission_queue: AdmissionQueue | None = None
+        self.call_queue: AdmissionQueue | None = None
+        self.retry_budget = RetryBudget(settings.repeats) if settings.repeats is not None else None
+        self.admitted: dict[str, int] = {}  # by limit
+        self.rejected: dict[str, int] = {}  # by limit
+        self.last_rejections: dict[str, dict[str, Any]] = {}  # by limit: a row of the LIMITS report
+        self._site = settings.site
+        self._random = random
+        self._key_of = key_of
+        self._request_limits = [limits_of(settings, name, CountedWork.RUNS) for name in classes]
+        self._call_limits = [limits_of(settings, name, CountedWork.CALLS) for name in classes]
+        self._waiting_calls: set[str] = set()  # requests whose call to the dependency found no capacity yet
+        self._last_shortage = Shortage("", [], "", ADMITTED, 0)
+
+    def start(self, coordinator: LimitCoordinator) -> None:
+        """Admit under this coordinator's allowances from now on."""
+        self.coordinator = coordinator
+        self.admission_queue = AdmissionQueue(coordinator)
+        self.call_queue = AdmissionQueue(coordinator)
+
+    def admit(self, id: str, cls: int, sender: int) -> float:
+        """Take capacity for a request under every limit that applies to it.
+
+        Returns 0 if it was admitted, otherwise the time in ms after which there may be capacity.
+        """
+        applying = self._request_limits[cls]
+        if not applying:
+            return 0.0
+        now = self.now()
+        queue = self.admission_queue
+        if queue is None:
+            return RETRY_AFTER_BEFORE_START_MS
+        keys = [self._key(name, limit, id, sender) for name, limit in applying]
+        key, check = queue.try_acquire(now, id, keys)
+        if key:
+            self._last_shortage = Shortage(id, keys, key, check, sender)
+            if queue.line[sender] >= MAX_QUEUED_PER_CALLER:
+                self.counters.add("limits.line_full")
+                return float("inf")
+            return check.after_ms
+        self._count_admitted(applying)
+        return 0.0
+
+    def enqueue(self, id: str, order: float) -> None:
+        """Queue the request that `admit` has just found no capacity for; the lowest `order` goes first."""
+        shortage = self._last_shortage
+        if self.admission_queue is not None and shortage.request_id == id:
+            self.counters.add("limits.held")
+            self.admission_queue.enqueue(id, order, shortage.keys, shortage.caller)
+
+    def reject(self, id: str, after_ms: float) -> float:
+        """Record a rejection for lack of capacity.
+
+        Returns the Retry-After time in ms, spread at random over the time behind `after_ms`.
+        """
+        shortage = self._last_shortage
+        if id == shortage.request_id:
+            after_ms = shortage.check.after_ms
+        if self.admission_queue is not None and self.coordinator is not None:
+            if id in self.admission_queue.waiting:  # it was queued as long as that was of use
+                self._record_queued_rejection(id, self.coordinator, self.admission_queue)
+            elif id == shortage.request_id and shortage.key:
+                self._record_rejection(shortage.key, shortage.check, self.coordinator, self.admission_queue)
+        return after_ms * (1 + self._random.random())
+
+    def take_ready(self) -> list[str]:
+        """Queued requests that may ask for capacity again now."""
+        queue = self.admission_queue
+        return queue.take_ready(self.now()) if queue is not None and queue.waiting else []
+
+    def next_ready_ms(self) -> float:
+        """Time in ms until the first queued request may have capacity; infinity if that is not known."""
+        queue = self.admission_queue
+        return queue.next_ready_ms(self.now()) if queue is not None and queue.waiting else float("inf")
+
+    def release(self, id: str) -> None:
+        """The request has ended, or will never ask again."""
+        self._waiting_calls.discard(id)
+        if self.admission_queue is not None:
+            self.admission_queue.release(id)
+
+    def admit_call(self, id: str, cls: int) -> bool:
+        """Take capacity for a request's call to the dependency under every limit on calls, if there is some."""
+        applying = self._call_limits[cls]
+        if not applying:
+            return True
+        if self.call_queue is None:
+            return False
+        now = self.now()
+        self.call_queue.release_due(now)
+        keys = [self._key(name, limit, id, 0) for name, limit in applying]
+        key, _ = self.call_queue.try_acquire(now, id, keys, id in self._waiting_calls)
+        if key:
+            if id not in self._waiting_calls:
+                self.counters.add("limits.call_waits")
+                self._waiting_calls.add(id)
+            return False
+        self._waiting_calls.discard(id)
+        self._count_admitted(applying)
+        return True
+
+    def release_call(self, id: str, after_ms: float) -> None:
+        """The call is over; the dependency may go on with it for `after_ms`."""
+        if self.call_queue is not None and after_ms > 0:
+            self.call_queue.release_after(self.now(), id, after_ms)
+        elif self.call_queue is not None:
+            self.call_queue.release(id)
+
+    def record_attempt(self, again: bool) -> bool:
+        """Record a first attempt or a retry (`again`). False: there is no budget for this retry."""
+        if self.retry_budget is None or self.retry_budget.record_attempt(again):
+            return True
+        self.counters.add("limits.repeat_refused")
+        return False
+
+    def may_retry(self) -> bool:
+        """Whether a caller that is rejected now may be left free to retry."""
+        if self.retry_budget is None or self.retry_budget.may_retry(self.now()):
+            return True
+        self.counters.add("limits.repeat_not_offered")
+        return False
+
+    def _key(self, name: str, limit: Limit, id: str, sender: int) -> str:
+        if not limit.by:
+            return name
+        if limit.by == "prefix":
+            return f"{name}/{prefix(self._key_of(id), limit.until)}"
+        return f"{name}/{sender if limit.by == 'peer' else self._site}"
+
+    def _count_admitted(self, applying: NamedLimits) -> None:
+        for name, _ in applying:
+            self.admitted[name] = self.admitted.get(name, 0) + 1
+
+    def _record_queued_rejection(self, id: str, coordinator: LimitCoordinator, queue: AdmissionQueue) -> None:
+        now = self.now()
+        keys = queue.waiting[id][1]
+        exhausted = next((key for key in keys if coordinator.available(now, key) <= 0), keys[0])
+        self._record_rejection(exhausted, coordinator.check_admission(now, exhausted, 0, True), coordinator, queue)
+
+    def _record_rejection(
+        self, key: str, check: AdmissionCheck, coordinator: LimitCoordinator, queue: AdmissionQueue
+    ) -> None:
+        name = key.partition("/")[0]
+        self.counters.add("limits.refused")
+        self.rejected[name] = self.rejected.get(name, 0) + 1
+        self.last_rejections[name] = {
+            "key": key,
+            "at": time.time() * 1000,
+            "allowance": check.allowance,
+            "used": check.used,
+            "granted": check.granted,
+            "keeper": coordinator.leader(key),
+            "granted_for_ms": round(check.left_ms),
+            "waiting": len(queue.waiting),
+        }
+
+
+def limits_of(settings: FleetSettings, class_name: str, work: CountedWork) -> NamedLimits:
+    """The limits that apply to a class of requests and count this kind of work."""
+    return [
+        (name, limit)
+        for name, limit in settings.limits.items()
+        if limit.cls in ("", class_name) and limit.counts is work
+    ]
--- /dev/null
+++ b/myrtlespar/fleet/limits_report.py
@@ -0,0 +1,131 @@
+"""What operators see of the fleet's limits in one process: the answer to LIMITS, and lines of METRICS.
+
+Keys of the JSON and names of the metrics are part of the operators' interface and differ from names in the code:
+`keeper` is a shard's leader, `range` a shard, `standing` an allowance that needs no grant, `refused` rejected.
+"""
+
+from __future__ import annotations
+
+import json
+from typing import TYPE_CHECKING, Any
+
+from myrtlespar.quota.limit_coordinator import LimitCoordinator, shard_of
+
+if TYPE_CHECKING:
+    from myrtlespar.fleet.limits_driver import LimitsDriver
+
+
+def limits_line(driver: LimitsDriver) -> bytes:
+    """The answer to LIMITS: one JSON line, ages and times in ms."""
+    coordinator = driver.coordinator
+    if coordinator is None:
+        return b'{"waiting": true}\n'
+    now = driver.now()
+    port = driver.port
+    shard_rows = _led_shard_rows(coordinator, now)
+    report = {
+        "name": driver.settings.name,
+        "version": coordinator.version,
+        "settled": coordinator.grant_holder.settled,
+        "engine_ms": _engine_age(driver, now),
+        "behind": coordinator.outdated_voters() if shard_rows else None,
+        "waiting": len(port.admission_queue.waiting) if port.admission_queue is not None else 0,
+        "repeats_left": None if port.retry_budget is None else round(port.retry_budget.remaining, 1),
+        "budgets": _budget_rows(coordinator),
+        "keys": _key_rows(coordinator, now),
+        "keeps": shard_rows,
+        "admitted": port.admitted,
+        "refused": port.rejected,
+        "why": port.last_rejections,
+        "counts": {name: count for name, count in driver.counters.report().items() if name.startswith("limits.")},
+    }
+    return json.dumps(report).encode() + b"\n"
+
+
+def metrics_lines(driver: LimitsDriver) -> list[str]:
+    """Lines of Prometheus text, by limit; the keys of one limit are summed."""
+    coordinator = driver.coordinator
+    if coordinator is None:
+        return []
+    sums = _sums_by_limit(driver, coordinator)
+    lines = []
+    for kind in ("granted", "standing", "used"):
+        lines.append(f"# TYPE fleet_limit_{kind} gauge")
+        lines += [f'fleet_limit_{kind}{{limit="{name}"}} {row[kind]}' for name, row in sums.items()]
+    for kind, counts in (("admitted", driver.port.admitted), ("refused", driver.port.rejected)):
+        lines.append(f"# TYPE fleet_limit_{kind}_total counter")
+        lines += [f'fleet_limit_{kind}_total{{limit="{name}"}} {counts.get(name, 0)}' for name in sums]
+    return lines
+
+
+def _engine_age(driver: LimitsDriver, now: float) -> int | str | None:
+    """Time since the engine's last answer in ms; None where no engine is set."""
+    if driver.lease_source is None:
+        return None
+    answered_at = driver.lease_source.answered_at
+    return round(now - answered_at) if answered_at > 0 else "never"
+
+
+def _key_rows(coordinator: LimitCoordinator, now: float) -> list[dict[str, Any]]:
+    return [
+        {
+            "key": key,
+            "limit": allowance.limit.amount,
+            "kind": allowance.limit.kind.value,
+            "of": allowance.limit.of.value,
+            "standing": allowance.standing,
+            "granted": allowance.granted(now),
+            "granted_for_ms": round(max(0.0, allowance.until - now)),
+            "used": allowance.meter.look(now),
+            "keeper": coordinator.leader(key),
+            "range": shard_of(key, coordinator.settings.ranges),
+        }
+        for key, allowance in sorted(coordinator.grant_holder.shares.items())
+    ]
+
+
+def _led_shard_rows(coordinator: LimitCoordinator, now: float) -> list[dict[str, Any]]:
+    """The shards that this member leads now."""
+    return [
+        {
+            "range": shard_id,
+            "epoch": shard.election.epoch,
+            "since_ms": round(now - shard.election.since),
+            "unknown": sorted(shard.ledger.unknown),
+            "out": {key: shard.ledger.outstanding(now, key) for key in shard.ledger.keys},
+        }
+        for shard_id, shard in enumerate(coordinator.shards)
+        if shard.ledger is not None and shard.election.has(now)
+    ]
+
+
+def _budget_rows(coordinator: LimitCoordinator) -> list[dict[str, Any]]:
+    return [
+        {
+            "key": key,
+            "period": period,
+            "limit": balance.limit.amount,
+            "got": balance.got - balance.back,
+            "spent": balance.spent,
+            "left": balance.left,
+            "keeper": coordinator.leader(key),
+        }
+        for (key, period), balance in sorted(coordinator.budget_account.pockets.items())
+    ]
+
+
+def _sums_by_limit(driver: LimitsDriver, coordinator: LimitCoordinator) -> dict[str, dict[str, int]]:
+    now = driver.now()
+    sums: dict[str, dict[str, int]] = {
+        name: {"granted": 0, "standing": 0, "used": 0} for name in driver.settings.limits
+    }
+    for (key, _), balance in coordinator.budget_account.pockets.items():
+        row = sums[key.partition("/")[0]]
+        row["granted"] += balance.got - balance.back
+        row["used"] += balance.spent
+    for key, allowance in coordinator.grant_holder.shares.items():
+        row = sums[key.partition("/")[0]]
+        row["granted"] += allowance.granted(now)
+        row["standing"] += allowance.standing
+        row["used"] += allowance.meter.look(now)
+    return sums
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -1,22 +1,21 @@
-"""One process's fleet parts: the peer link, the membership machine, what operators see of them."""
+"""One process's fleet parts: the peer transport, the membership machine and, where some are set, the fleet's limits."""
 
 from __future__ import annotations
 
 import importlib.util
-import json
 import time
 from collections.abc import Callable, Sequence
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import structlog
 
 from myrtlespar.config import Config, ConfigError
+from myrtlespar.fleet import member_report
 from myrtlespar.fleet.settings import FleetSettings, read_fleet
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import CountEvent, MemberChanged, MemberState, QuorumChanged
-from myrtlespar.membership.quorum import FLEET, QuorumStatus, step_fault
-from myrtlespar.membership.reachability import broken
+from myrtlespar.membership.quorum import QuorumStatus, VoterSet, step_fault
 from myrtlespar.net.peer_transport import PeerAddressInUseError, PeerTransport, monotonic_ms
 from myrtlespar.runtime.counters import Counters
 
@@ -27,7 +26,7 @@
 
 
 class FleetNode:
-    """What `serve` holds when the fleet is on."""
+    """What the server holds when the fleet is on."""
 
     def __init__(
         self,
@@ -38,10 +37,23 @@
         classes: Sequence[str] = (),
         key_of: Callable[[str], str] = lambda id: "",
     ) -> None:
-        self.settings, self.path, self.counters, self.seed = settings, path, counters, seed
-        self.voter_set_version = settings.roll
+        """`path` is the fleet's file, read again by `reload`; `key_of` gives a request's idempotency key.
+
+        ConfigError names a key that can't be followed in this process.
+        """
+        self.settings = settings
+        self.path = path
+        self.counters = counters
+        self.seed = seed
+        self.voter_set = settings.voter_set
         self.peers = PeerTransport(
-            settings.bind, settings.fleet, settings.name, settings.datagrams_per_s, counters, self._make, self._changed
+            settings.bind,
+            settings.fleet,
+            settings.name,
+            settings.datagrams_per_s,
+            counters,
+            self._join,
+            self._report_change,
         )
         self.limits: LimitsDriver | None = None
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
@@ -50,52 +62,98 @@
             from myrtlespar.fleet.limits_driver import LimitsDriver
 
             self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of)
-        for scope in self.voter_set_version.even():
+        for scope in self.voter_set.even():
             log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
 
-    def _make(self, now: float) -> Member:
-        own = self.settings
-        boot = int(time.time() * 1000) + own.wall_shift_ms
+    def leave(self) -> None:
+        """Begin the graceful shutdown: retire from limits and say goodbye to the members."""
+        if self.limits is not None:
+            self.limits.retire()
+        self.peers.leave()
+
+    def close(self) -> None:
+        """Close the sockets: the process ends."""
+        self.peers.close()
+
+    def reload(self) -> None:
+        """Read the fleet's file again.
+
+        A new voter set is adopted if it is one step from the old one, and so are new numbers of limits; all else needs
+        a restart. A fault changes nothing and is logged.
+        """
+        try:
+            fresh = read_fleet(self.path, self.settings.name)
+        except ConfigError as error:
+            log.error("fleet reload refused", error=str(error))
+            return
+        if self.limits is not None:
+            fault = self.limits.adopt(fresh)
+            if fault:
+                log.error("fleet reload refused", error=fault)
+                return
+        self._adopt_voter_set(fresh.voter_set)
+
+    def members(self) -> bytes:
+        """The answer to MEMBERS: one JSON line."""
+        member = self.peers.member
+        if member is None:
+            return member_report.waiting_line(self.settings)
+        return member_report.members_line(self.settings, member, self.peers, self.counters, monotonic_ms())
+
+    def metrics(self) -> list[str]:
+        """Lines of Prometheus text for METRICS."""
+        member = self.peers.member
+        if member is None:
+            return []
+        lines = member_report.metrics_lines(member, self.peers, self.counters, monotonic_ms())
+        if self.limits is not None:
+            lines += self.limits.metrics()
+        return lines
+
+    def _join(self, now: float) -> Member:
+        """Make the membership machine and start the limits: the address is ours from now on."""
+        settings = self.settings
+        incarnation = int(time.time() * 1000) + settings.wall_shift_ms
         log.info(
             "fleet: joining",
-            name=own.name,
-            site=own.site,
-            boot=boot,
-            roll=self.voter_set_version.version,
+            name=settings.name,
+            site=settings.site,
+            boot=incarnation,
+            roll=self.voter_set.version,
             at=time.time() * 1000,
         )
         member = Member(
-            own.name,
-            own.site,
-            own.advertise,
-            boot,
-            own.fleet,
-            own.membership,
-            self.voter_set_version,
-            own.seeds,
+            settings.name,
+            settings.site,
+            settings.advertise,
+            incarnation,
+            settings.fleet,
+            settings.membership,
+            self.voter_set,
+            settings.seeds,
             Random(self.seed),
             now,
         )
-        for scope, tally in member.quorum.scopes.items():
-            self._changed(QuorumChanged(scope, tally.now, tally.now))
+        for scope, votes in member.quorum.scopes.items():
+            self._report_change(QuorumChanged(scope, votes.now, votes.now))
         if self.limits is not None:
-            self.limits.start(boot)
+            self.limits.start(incarnation)
         return member
 
-    def _changed(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
-        """Every change of the view and of one's standing is a line of the log."""
+    def _report_change(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
+        """Log each change of the view and of the quorum status."""
         if isinstance(effect, MemberChanged):
             log.info(
                 "fleet member",
                 member=effect.name,
-                old=_state(effect.old_state),
-                new=_state(effect.new_state),
+                old=_state_name(effect.old_state),
+                new=_state_name(effect.new_state),
                 life=[effect.incarnation, effect.refutation],
                 by=effect.accuser,
                 at=time.time() * 1000,
             )
             if self.limits is not None and self.peers.member is not None:
-                self.limits.here(frozenset(self.peers.member.view.all))
+                self.limits.set_present_members(frozenset(self.peers.member.view.all))
         elif isinstance(effect, QuorumChanged):
             log.info(
                 "fleet standing",
@@ -107,162 +165,33 @@
         elif effect.log_message and self.counters.rare(f"fleet.log.{effect.counter}"):
             log.warning("fleet: " + effect.log_message)
 
-    def leave(self) -> None:
-        """The process was told to end."""
-        if self.limits is not None:
-            self.limits.retire()
-        self.peers.leave()
-
-    def close(self) -> None:
-        """The process ends."""
-        self.peers.close()
-
-    def reload(self) -> None:
-        """Take a new roll over, if it is one step from the old one, and new numbers of limits; all else needs a
-        restart. A fault changes nothing.
-        """
-        try:
-            read = read_fleet(self.path, self.settings.name)
-        except ConfigError as error:
-            log.error("fleet reload refused", error=str(error))
+    def _adopt_voter_set(self, fresh: VoterSet) -> None:
+        if fresh == self.voter_set:
             return
-        if self.limits is not None:
-            fault = self.limits.adopt(read)
-            if fault:
-                log.error("fleet reload refused", error=fault)
-                return
-        fresh = read.roll
-        if fresh == self.voter_set_version:
-            return
-        fault = step_fault(self.voter_set_version, fresh)
+        fault = step_fault(self.voter_set, fresh)
         if fault:
             self.counters.add("fleet.roll_refused")
             log.error("fleet reload refused", error=f"electorate.{fault}")
             return
-        self.voter_set_version = fresh
+        self.voter_set = fresh
         if self.peers.member is not None:
             for effect in self.peers.member.adopt_voter_set(fresh, monotonic_ms()):
-                self._changed(effect)  # type: ignore[arg-type]
+                self._report_change(effect)  # type: ignore[arg-type]
         log.info("fleet: roll taken over", roll=fresh.version)
 
-    # What operators see.
-
-    def members(self) -> bytes:
-        """The answer to MEMBERS: one JSON line, ages in milliseconds."""
-        member, now = self.peers.member, monotonic_ms()
-        own = self.settings
-        if member is None:
-            return json.dumps({"name": own.name, "site": own.site, "waiting": True}).encode() + b"\n"
-        rows: list[dict[str, Any]] = [
-            {
-                "name": name,
-                "site": entry.update.site,
-                "address": entry.update.address,
-                "state": MemberState(entry.update.state).name.lower(),
-                "life": [entry.update.incarnation, entry.update.refutation],
-                "for_ms": round(now - entry.since),
-                "evidence_ms": round(now - entry.evidence),
-                "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
-                "proven_ms": round(now - entry.answered) if entry.answered > 0 else None,
-            }
-            for name, entry in sorted(member.view.entries.items())
-        ]
-        return (
-            json.dumps(
-                {
-                    "name": own.name,
-                    "site": own.site,
-                    "fleet": own.fleet,
-                    "address": own.advertise,
-                    "life": [member.self_update.incarnation, member.self_update.refutation],
-                    "hash": f"{member.view.hash:016x}",
-                    "roll": member.quorum.electorate.version,
-                    "health": member.probe_rounds.prober.health,
-                    "late_ms": round(self.peers.latest_late, 1),
-                    "standing": {
-                        scope or "fleet": {
-                            "is": tally.now.name.lower(),
-                            "for_ms": round(now - tally.since),
-                            "here": len(tally.here) + tally.mine,
-                            "of": len(tally.electors),
-                        }
-                        for scope, tally in member.quorum.scopes.items()
-                    },
-                    "members": rows,
-                    "links": broken(member.reachability.rows),
-                    "unheard": member.reachability.one_way(member.view, now),
-                    "differ": sorted(member.divergence.since),
-                    "disagree": sorted(member.divergence.lasting),
-                    "rtt_ms": {site: round(mean, 2) for site, (mean, _) in member.probe_rounds.prober.rtt.items()},
-                    "bytes": {"sent": self.peers.sent_bytes, "read": self.peers.read_bytes},
-                    "counts": {
-                        name: count
-                        for name, count in self.counters.report().items()
-                        if name.startswith(("fleet.", "peers."))
-                    },
-                }
-            ).encode()
-            + b"\n"
-        )
-
-    def metrics(self) -> list[str]:
-        """Lines of Prometheus text for METRICS."""
-        member, now = self.peers.member, monotonic_ms()
-        if member is None:
-            return []
-        counts = {state: 0 for state in MemberState}
-        for entry in member.view.entries.values():
-            counts[MemberState(entry.update.state)] += 1
-        counts[MemberState.ALIVE] += 1
-        oldest = max((now - entry.evidence for entry in member.view.entries.values() if entry.here), default=0.0)
-        report = self.counters.report()
-        out = ["# TYPE fleet_members gauge"]
-        out += [f'fleet_members{{state="{state.name.lower()}"}} {count}' for state, count in counts.items()]
-        out.append("# TYPE fleet_standing gauge")
-        out += [
-            f'fleet_standing{{scope="{scope or "fleet"}"}} {int(tally.now)}'
-            for scope, tally in member.quorum.scopes.items()
-        ]
-        gauges = {
-            "oldest_evidence_seconds": oldest / 1000,
-            "local_health": member.probe_rounds.prober.health,
-            "broken_links": len(broken(member.reachability.rows)),
-            "disagreements": len(member.divergence.lasting),
-            "roll_version": member.quorum.electorate.version,
-            "majority": int(member.quorum.scopes[FLEET].now >= QuorumStatus.MAJORITY),
-        }
-        for name, value in gauges.items():
-            out += [f"# TYPE fleet_{name} gauge", f"fleet_{name} {value:g}"]
-        out.append("# TYPE fleet_probe_round_trip_seconds gauge")
-        out += [
-            f'fleet_probe_round_trip_seconds{{site="{site}"}} {mean / 1000:.6f}'
-            for site, (mean, _) in sorted(member.probe_rounds.prober.rtt.items())
-        ]
-        totals = {
-            "suspicions_refuted": report.get("fleet.refuted", 0),
-            "accused": report.get("fleet.accused", 0),
-            "late_turns": report.get("fleet.late", 0),
-            "sent_bytes": self.peers.sent_bytes,
-            "read_bytes": self.peers.read_bytes,
-            "spoilt": sum(count for name, count in report.items() if name.startswith("peers.spoilt")),
-        }
-        for name, total in totals.items():
-            out += [f"# TYPE fleet_{name}_total counter", f"fleet_{name}_total {total}"]
-        return out + (self.limits.metrics() if self.limits is not None else [])
-
 
-def _state(state: int | None) -> str | None:
+def _state_name(state: int | None) -> str | None:
     return None if state is None else MemberState(state).name.lower()
 
 
 def open_fleet(config: Config, counters: Counters, key_of: Callable[[str], str]) -> FleetNode:
-    """Read the file and take the address, before any client is taken. ConfigError names the faulty key."""
+    """Read the fleet's file and take the peer address, before any client is served. ConfigError names the key."""
     settings = read_fleet(config.fleet, config.name)
-    fleet = FleetNode(settings, config.fleet, counters, config.seed, config.class_names, key_of)
+    node = FleetNode(settings, config.fleet, counters, config.seed, config.class_names, key_of)
     try:
-        fleet.peers.open()
+        node.peers.open()
     except PeerAddressInUseError:
         raise ConfigError(f"bind: {settings.bind} is in use by another program") from None
     except OSError as error:
         raise ConfigError(f"bind: cannot listen on {settings.bind}: {error.strerror}") from None
-    return fleet
+    return node
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The fleet's YAML file: read, checked, and given defaults. Each fault is one line that names the key."""
+"""The fleet's YAML file: read, validated, and given defaults. Each fault is one line that names the key."""
 
 from __future__ import annotations
 
@@ -12,11 +12,18 @@
 from myrtlespar.config import ConfigError
 from myrtlespar.membership.quorum import VoterSet
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.net.codec.peer import is_valid_address, is_valid_name, split
+from myrtlespar.net.codec.peer import is_valid_address, is_valid_name, split_address
 from myrtlespar.quota.retry_budget import RetryBudgetSettings
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
 KEY = "MYRTLESPAR_FLEET"
+MIN_DATAGRAMS_PER_S = 10
+MAX_DATAGRAMS_PER_S = 1_000_000
+MAX_ENGINE_TTL_S = 600
+MIN_ENGINE_TIMEOUT_MS = 10
+MAX_LIMITS_VERSION = 2**40  # exclusive
+MAX_VOTER_SET_VERSION = 2**53  # exclusive
+MAX_LIMIT_NAME_LENGTH = 32
 
 
 class VoterSetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -27,7 +34,7 @@
 
 
 class EngineSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An engine that says who keeps what: its etcd v3 API. Its leases are whole seconds."""
+    """An engine with etcd's v3 API as the source of shard leases, whose length is in whole seconds."""
 
     address: str
     ttl_s: int = 2
@@ -35,7 +42,7 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file. `bind` is where this process listens (UDP and TCP), `advertise` where others reach it."""
+    """The complete file. `bind` is where this process listens (UDP and TCP), `advertise` where others reach it."""
 
     fleet: str
     site: str
@@ -51,23 +58,23 @@
     repeats: RetryBudgetSettings | None = None
     state: str = ""  # a folder that outlives the process, for budgets
     engine: EngineSettings | None = None  # in place of majority leases
-    datagrams_per_s: int = 2000  # more are dropped and counted, so that a flood can't take the core
-    clock_rate: float = 1.0  # fault_scenarios of a clock that runs fast or slow: what limits go by
-    wall_shift_ms: int = 0  # fault_scenarios of a wrong clock: added to the wall clock, which matters for lives only
+    datagrams_per_s: int = 2000  # more are dropped and counted, so that a flood can't take the processor
+    clock_rate: float = 1.0  # for tests of a clock that runs fast or slow: that of the limits
+    wall_shift_ms: int = 0  # for tests of a wrong clock: added to the wall clock, which sets incarnations only
 
     @property
-    def roll(self) -> VoterSet:
-        """The electorate; version 0 and empty where none is set, so that no majority is claimed."""
+    def voter_set(self) -> VoterSet:
+        """Who counts for majorities; version 0 and empty where none is set, so that no majority is claimed."""
         if self.electorate is None:
             return VoterSet(0, {})
-        return VoterSet(self.electorate.version, {s: tuple(row) for s, row in self.electorate.sites.items()})
+        return VoterSet(self.electorate.version, {site: tuple(names) for site, names in self.electorate.sites.items()})
 
 
-class _Loader(yaml.SafeLoader):
-    """Refuses a key that stands twice in one table."""
+class _UniqueKeyLoader(yaml.SafeLoader):
+    """Rejects a key that stands twice in one table."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict[Any, Any]:
-        """As the parent's, after the check."""
+        """Build the mapping as the parent class does. ConfigError if a key is duplicated."""
         seen = set()
         for key, _ in node.value:
             if key.value in seen:
@@ -79,27 +86,33 @@
 def read_fleet(path: str, own_name: str) -> FleetSettings:
     """The file's settings. ConfigError names the faulty key."""
     try:
-        raw = yaml.load(Path(path).read_text(), _Loader)
+        raw = yaml.load(Path(path).read_text(), _UniqueKeyLoader)
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{KEY}: cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
     except yaml.YAMLError as error:
         raise ConfigError(f"{KEY}: not YAML: " + " ".join(str(error).split())[:160]) from None
+    found = _convert(raw)
+    found = msgspec.structs.replace(found, name=found.name or own_name, advertise=found.advertise or found.bind)
+    _check(found)
+    return found
+
+
+def _convert(raw: Any) -> FleetSettings:
+    """The settings in parsed YAML. ConfigError names the key of a wrong type."""
+    path = ""
     try:
         rows = raw.get("limits") if isinstance(raw, dict) else None
         for name, row in rows.items() if isinstance(rows, dict) else ():  # one by one, so that a fault names its limit
             path = f"limits.{name}."
             msgspec.convert(row, Limit)
         path = ""
-        found = msgspec.convert(raw, FleetSettings)
+        return msgspec.convert(raw, FleetSettings)
     except msgspec.ValidationError as error:
-        raise ConfigError(path + _line(str(error))) from None
-    found = msgspec.structs.replace(found, name=found.name or own_name, advertise=found.advertise or found.bind)
-    _check(found)
-    return found
+        raise ConfigError(path + _key_first(str(error))) from None
 
 
-def _line(text: str) -> str:
-    """`Expected x - at `$.a.b`` and the like, key first."""
+def _key_first(text: str) -> str:
+    """A message of msgspec, such as "Expected x - at `$.a.b`", with the key first."""
     what, _, where = text.partition(" - at ")
     path = where.strip("`").removeprefix("$").lstrip(".")
     field = re.search(r"(missing required|unknown) field `([^`]*)`", what)
@@ -110,59 +123,84 @@
 
 
 def _check(found: FleetSettings) -> None:
+    """Validate values. ConfigError names the first key that is faulty."""
     for key, value in (("fleet", found.fleet), ("name", found.name), ("site", found.site)):
         if not is_valid_name(value):
             raise ConfigError(f"{key}: expected 1 to 48 printable characters without spaces, got {value!r}")
-    places = [
-        ("bind", found.bind),
-        ("advertise", found.advertise),
-        *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds)),
-    ]
-    for key, value in places:
-        if not is_valid_address(value):
-            raise ConfigError(f"{key}: expected A.B.C.D:PORT, got {value!r}")
-    if split(found.advertise)[0] == "0.0.0.0":
-        raise ConfigError(f"advertise: others can't reach {found.advertise}")
+    _check_addresses(found)
     fault = found.membership.fault()
     if fault:
         raise ConfigError(f"membership.{fault}")
-    if not 10 <= found.datagrams_per_s <= 1_000_000:
-        raise ConfigError(f"datagrams_per_s: expected a number from 10 to 1000000, got {found.datagrams_per_s}")
+    if not MIN_DATAGRAMS_PER_S <= found.datagrams_per_s <= MAX_DATAGRAMS_PER_S:
+        raise ConfigError(
+            f"datagrams_per_s: expected a number from {MIN_DATAGRAMS_PER_S} to {MAX_DATAGRAMS_PER_S}, "
+            f"got {found.datagrams_per_s}"
+        )
     if not 0.5 <= found.clock_rate <= 2:
         raise ConfigError(f"clock_rate: expected 0.5 to 2, got {found.clock_rate}")
     if found.electorate is not None:
-        _check_roll(found, found.electorate)
+        _check_voter_set(found, found.electorate)
     _check_limits(found)
 
 
+def _check_addresses(found: FleetSettings) -> None:
+    addresses = [
+        ("bind", found.bind),
+        ("advertise", found.advertise),
+        *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds)),
+    ]
+    for key, value in addresses:
+        if not is_valid_address(value):
+            raise ConfigError(f"{key}: expected A.B.C.D:PORT, got {value!r}")
+    if split_address(found.advertise)[0] == "0.0.0.0":
+        raise ConfigError(f"advertise: others can't reach {found.advertise}")
+
+
+def _check_engine(engine: EngineSettings) -> None:
+    if not is_valid_address(engine.address):
+        raise ConfigError(f"engine.address: expected A.B.C.D:PORT, got {engine.address!r}")
+    if not 1 <= engine.ttl_s <= MAX_ENGINE_TTL_S:
+        raise ConfigError(f"engine.ttl_s: expected 1 to {MAX_ENGINE_TTL_S}, got {engine.ttl_s}")
+    if not MIN_ENGINE_TIMEOUT_MS <= engine.timeout_ms <= 250 * engine.ttl_s:
+        raise ConfigError(
+            f"engine.timeout_ms: expected {MIN_ENGINE_TIMEOUT_MS} to a quarter of ttl_s, got {engine.timeout_ms}"
+        )
+
+
 def _check_limits(found: FleetSettings) -> None:
     fault = found.grants.fault()
     if fault:
         raise ConfigError(f"grants.{fault}")
     if found.engine is not None:
-        if not is_valid_address(found.engine.address):
-            raise ConfigError(f"engine.address: expected A.B.C.D:PORT, got {found.engine.address!r}")
-        if not 1 <= found.engine.ttl_s <= 600:
-            raise ConfigError(f"engine.ttl_s: expected 1 to 600, got {found.engine.ttl_s}")
-        if not 10 <= found.engine.timeout_ms <= 250 * found.engine.ttl_s:
-            raise ConfigError(f"engine.timeout_ms: expected 10 to a quarter of ttl_s, got {found.engine.timeout_ms}")
+        _check_engine(found.engine)
     if found.repeats is not None and found.repeats.fault():
         raise ConfigError(f"repeats.{found.repeats.fault()}")
-    members = sum(len(row) for row in found.electorate.sites.values()) if found.electorate else 0
+    members = sum(len(names) for names in found.electorate.sites.values()) if found.electorate else 0
     if 0 < found.grants.members_most < members:
         raise ConfigError(f"grants.members_most: the roll has {members} members, got {found.grants.members_most}")
-    if not 1 <= found.limits_version < 2**40:
+    if not 1 <= found.limits_version < MAX_LIMITS_VERSION:
         raise ConfigError(f"limits_version: expected a number from 1, got {found.limits_version}")
     for name, limit in found.limits.items():
-        if not is_valid_name(name) or "/" in name or len(name) > 32:
-            raise ConfigError(f"limits.{name}: expected a name of at most 32 characters without spaces and slashes")
-        fault = limit.fault()
-        if fault:
-            raise ConfigError(f"limits.{name}.{fault}")
-        if limit.per_day is not None and not found.state:
-            raise ConfigError(f"limits.{name}.per_day: needs state, a folder that outlives the process")
-        if limit.kind is not LimitKind.ADVISORY and not members:
-            raise ConfigError(f"limits.{name}.kind: {limit.kind.value} needs an electorate, as else nobody may grant")
+        _check_limit(name, limit, found.state, members)
+
+
+def _check_limit(name: str, limit: Limit, state: str, members: int) -> None:
+    if not is_valid_limit_name(name):
+        raise ConfigError(
+            f"limits.{name}: expected a name of at most {MAX_LIMIT_NAME_LENGTH} characters without spaces and slashes"
+        )
+    fault = limit.fault()
+    if fault:
+        raise ConfigError(f"limits.{name}.{fault}")
+    if limit.per_day is not None and not state:
+        raise ConfigError(f"limits.{name}.per_day: needs state, a folder that outlives the process")
+    if limit.kind is not LimitKind.ADVISORY and not members:
+        raise ConfigError(f"limits.{name}.kind: {limit.kind.value} needs an electorate, as else nobody may grant")
+
+
+def is_valid_limit_name(name: str) -> bool:
+    """A valid name without slashes, which separate a limit's name from its key's part, and of bounded length."""
+    return is_valid_name(name) and "/" not in name and len(name) <= MAX_LIMIT_NAME_LENGTH
 
 
 def limits_fault(old: FleetSettings, new: FleetSettings) -> str:
@@ -176,25 +214,32 @@
         name = min(set(new.limits) ^ set(old.limits))
         return f"limits.{name}: a limit comes or goes with a restart of all members"
     for name, limit in new.limits.items():
-        was = old.limits[name]
-        number = was.at_once if was.per_s is None else was.per_s
-        same = msgspec.structs.replace(limit, before=was.before, per_s=was.per_s, at_once=was.at_once)
-        if same != was or (limit.per_s is None) != (was.per_s is None):
-            return f"limits.{name}: only its number changes in service, all else with a restart of all members"
-        if (limit.per_s, limit.at_once) != (was.per_s, was.at_once) and limit.before != number:
-            return f"limits.{name}.before: {number:g} is in force, got {limit.before}"
-        if limit.before is not None and limit.before != number:
-            return f"limits.{name}.before: {number:g} is in force, got {limit.before:g}"
+        fault = _limit_fault(old.limits[name], limit)
+        if fault:
+            return f"limits.{name}{fault}"
     if (new.grants, new.repeats) != (old.grants, old.repeats):
         return "grants: changes with a restart"
     return ""
 
 
-def _check_roll(found: FleetSettings, roll: VoterSetSettings) -> None:
-    if not 1 <= roll.version < 2**53:
-        raise ConfigError(f"electorate.version: expected a number from 1, got {roll.version}")
+def _limit_fault(old: Limit, new: Limit) -> str:
+    """The same of one limit; the text continues its name."""
+    number = old.at_once if old.per_s is None else old.per_s
+    same = msgspec.structs.replace(new, before=old.before, per_s=old.per_s, at_once=old.at_once)
+    if same != old or (new.per_s is None) != (old.per_s is None):
+        return ": only its number changes in service, all else with a restart of all members"
+    if (new.per_s, new.at_once) != (old.per_s, old.at_once) and new.before != number:
+        return f".before: {number:g} is in force, got {new.before}"
+    if new.before is not None and new.before != number:
+        return f".before: {number:g} is in force, got {new.before:g}"
+    return ""
+
+
+def _check_voter_set(found: FleetSettings, voters: VoterSetSettings) -> None:
+    if not 1 <= voters.version < MAX_VOTER_SET_VERSION:
+        raise ConfigError(f"electorate.version: expected a number from 1, got {voters.version}")
     seen: dict[str, str] = {}
-    for site, names in roll.sites.items():
+    for site, names in voters.sites.items():
         for n, name in enumerate(names):
             if not is_valid_name(name) or not is_valid_name(site):
                 raise ConfigError(f"electorate.sites.{site}[{n}]: expected a name, got {name!r}")
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -1,6 +1,7 @@
-"""What an elector wrote down of budgets, in a file that outlives the process: `MPV1`, a CRC-32, then msgpack.
+"""The budget journal of a voter, in a file that outlives the process: `MPV1`, a CRC-32, then msgpack.
 
-Written whole beside the old one, synced, then renamed over it, so that a crash leaves one of the two.
+A new file is written completely beside the old one, synced, then renamed over it, so that a crash leaves one of the
+two.
 """
 
 from __future__ import annotations
@@ -15,40 +16,55 @@
 from myrtlespar.errors import MyrtlesparError
 
 MAGIC = b"MPV1"
-MOST = 64 << 20  # bytes
-Rows = Mapping[tuple[str, int], int]
+HEADER_BYTES = 8  # magic and checksum
+MAX_FILE_BYTES = 64 << 20
+
+BudgetRows = Mapping[tuple[str, int], int]  # by key and number of the period: the total that may have been handed out
 
 
 class CorruptBudgetFileError(MyrtlesparError):
-    """The file is not whole: what was promised can't be known."""
+    """The file is incomplete or damaged: what was promised can't be known."""
 
 
 def read(path: Path) -> dict[tuple[str, int], int]:
-    """All rows; none where there is no file. Torn: it is spoilt, and is to be refused whole. OSError as it comes."""
+    """All rows; none where there is no file.
+
+    CorruptBudgetFileError rejects a damaged file as a whole; other OSErrors come as they are.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return {}
-    if len(data) > MOST or data[:4] != MAGIC or zlib.crc32(data[8:]).to_bytes(4, "big") != data[4:8]:
+    body = data[HEADER_BYTES:]
+    if len(data) > MAX_FILE_BYTES or data[:4] != MAGIC or _checksum(body) != data[4:HEADER_BYTES]:
         raise CorruptBudgetFileError(str(path))
     try:
-        rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(data[8:], type=list[tuple[str, int, int]])
+        rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(body, type=list[tuple[str, int, int]])
     except msgspec.MsgspecError:
         raise CorruptBudgetFileError(str(path)) from None
-    return {(key, number): total for key, number, total in rows}
+    return {(key, period): total for key, period, total in rows}
 
 
-def write(path: Path, rows: Rows) -> None:
+def write(path: Path, rows: BudgetRows) -> None:
     """Replace the file; when this returns it is on the disk. OSError: it is not, the old one stays."""
-    body = msgspec.msgpack.encode([(key, number, total) for (key, number), total in rows.items()])
-    fresh = path.with_suffix(".new")
-    with fresh.open("wb") as file:
-        file.write(MAGIC + zlib.crc32(body).to_bytes(4, "big") + body)
+    body = msgspec.msgpack.encode([(key, period, total) for (key, period), total in rows.items()])
+    new_path = path.with_suffix(".new")
+    with new_path.open("wb") as file:
+        file.write(MAGIC + _checksum(body) + body)
         file.flush()
         os.fsync(file.fileno())
-    fresh.replace(path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    new_path.replace(path)
+    _sync_directory(path.parent)
+
+
+def _checksum(body: bytes) -> bytes:
+    return zlib.crc32(body).to_bytes(4, "big")
+
+
+def _sync_directory(path: Path) -> None:
+    """Make a renaming in this directory durable."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
--- a/myrtlespar/net/codec/etcd.py
+++ b/myrtlespar/net/codec/etcd.py
@@ -1,23 +1,28 @@
-"""The messages of etcd's published v3 API that this project uses, as protobuf types: KV Range, DeleteRange and Txn,
-Lease grant, keep-alive and revoke, Watch. Names and numbers are those of the API's documentation (rpc.proto,
-kv.proto); fields that are not used are left out, as protobuf passes over what it does not know.
+"""Messages of etcd's published v3 API that this project uses, as protobuf types.
+
+These are KV Range, DeleteRange and Txn, Lease grant, keep-alive and revoke, and Watch. Names and numbers are those of
+the API's documentation (rpc.proto, kv.proto); fields that are not used are left out, as protobuf skips unknown ones.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
-_TYPES = {"int64": 3, "uint64": 4, "int32": 5, "bool": 8, "string": 9, "bytes": 12}
-_ONE, _MANY, _NESTED = 1, 3, 11
-# message: fields as "number name type", "*" before a type that repeats, "|" before one of a choice
-_KV = {
+# Numbers of descriptor.proto: FieldDescriptorProto.Type and .Label.
+_SCALAR_TYPES = {"int64": 3, "uint64": 4, "int32": 5, "bool": 8, "string": 9, "bytes": 12}
+_TYPE_MESSAGE = 11
+_LABEL_OPTIONAL = 1
+_LABEL_REPEATED = 3
+
+# By message: fields as "number name type", "*" before a type that is repeated, "|" before one of a oneof.
+_KV_MESSAGES = {
     "KeyValue": "1 key bytes, 2 create_revision int64, 3 mod_revision int64, 4 version int64, 5 value bytes, "
     "6 lease int64",
     "Event": "1 type int32, 2 kv KeyValue",  # 0 put, 1 delete
 }
-_RPC = {
+_RPC_MESSAGES = {
     "ResponseHeader": "1 cluster_id uint64, 2 member_id uint64, 3 revision int64, 4 raft_term uint64",
     "RangeRequest": "1 key bytes, 2 range_end bytes, 3 limit int64",
     "RangeResponse": "1 header ResponseHeader, 2 kvs *KeyValue, 3 more bool, 4 count int64",
@@ -44,49 +49,73 @@
     "WatchRequest": "1 create_request |WatchCreateRequest",
     "WatchResponse": "1 header ResponseHeader, 2 watch_id int64, 3 created bool, 4 canceled bool, 11 events *Event",
 }
-TARGET_CREATE, TARGET_LEASE, EQUAL, PUT, DELETE = 1, 4, 0, 0, 1
-# method: path, request, response, whether both sides stream
+COMPARE_EQUAL = 0
+COMPARE_TARGET_CREATE = 1
+COMPARE_TARGET_LEASE = 4
+EVENT_PUT = 0
+EVENT_DELETE = 1
+
+
+class Method(NamedTuple):
+    """One call of the API."""
+
+    path: str
+    request: str  # name of the message
+    response: str  # name of the message
+    is_streaming: bool  # on both sides
+
+
 METHODS = {
-    "range": ("/etcdserverpb.KV/Range", "RangeRequest", "RangeResponse", False),
-    "delete": ("/etcdserverpb.KV/DeleteRange", "DeleteRangeRequest", "DeleteRangeResponse", False),
-    "txn": ("/etcdserverpb.KV/Txn", "TxnRequest", "TxnResponse", False),
-    "grant": ("/etcdserverpb.Lease/LeaseGrant", "LeaseGrantRequest", "LeaseGrantResponse", False),
-    "revoke": ("/etcdserverpb.Lease/LeaseRevoke", "LeaseRevokeRequest", "LeaseRevokeResponse", False),
-    "keep_alive": ("/etcdserverpb.Lease/LeaseKeepAlive", "LeaseKeepAliveRequest", "LeaseKeepAliveResponse", True),
-    "watch": ("/etcdserverpb.Watch/Watch", "WatchRequest", "WatchResponse", True),
+    "range": Method("/etcdserverpb.KV/Range", "RangeRequest", "RangeResponse", False),
+    "delete": Method("/etcdserverpb.KV/DeleteRange", "DeleteRangeRequest", "DeleteRangeResponse", False),
+    "txn": Method("/etcdserverpb.KV/Txn", "TxnRequest", "TxnResponse", False),
+    "grant": Method("/etcdserverpb.Lease/LeaseGrant", "LeaseGrantRequest", "LeaseGrantResponse", False),
+    "revoke": Method("/etcdserverpb.Lease/LeaseRevoke", "LeaseRevokeRequest", "LeaseRevokeResponse", False),
+    "keep_alive": Method("/etcdserverpb.Lease/LeaseKeepAlive", "LeaseKeepAliveRequest", "LeaseKeepAliveResponse", True),
+    "watch": Method("/etcdserverpb.Watch/Watch", "WatchRequest", "WatchResponse", True),
 }
 
 
-def _file(name: str, package: str, rows: dict[str, str], uses: list[str]) -> descriptor_pb2.FileDescriptorProto:
-    out = descriptor_pb2.FileDescriptorProto(name=name, package=package, syntax="proto3", dependency=uses)
-    for message, text in rows.items():
-        kind = out.message_type.add(name=message)
-        for part in text.split(", "):
-            number, field, word = part.split()
-            row = kind.field.add(name=field, number=int(number), label=_MANY if word[0] == "*" else _ONE)
-            if word[0] == "|":
-                if not kind.oneof_decl:
-                    kind.oneof_decl.add(name="choice")
-                row.oneof_index = 0
-            bare = word.lstrip("*|")
-            if bare in _TYPES:
-                row.type = _TYPES[bare]  # type: ignore[assignment]
-            else:
-                row.type = _NESTED  # type: ignore[assignment]
-                row.type_name = f".{'mvccpb' if bare in _KV else 'etcdserverpb'}.{bare}"
-    return out
-
-
-def _load() -> dict[str, Any]:
+def _file_descriptor(
+    name: str, package: str, messages: dict[str, str], dependencies: list[str]
+) -> descriptor_pb2.FileDescriptorProto:
+    file = descriptor_pb2.FileDescriptorProto(name=name, package=package, syntax="proto3", dependency=dependencies)
+    for message_name, fields in messages.items():
+        message = file.message_type.add(name=message_name)
+        for field in fields.split(", "):
+            _add_field(message, field)
+    return file
+
+
+def _add_field(message: descriptor_pb2.DescriptorProto, text: str) -> None:
+    """Add a field that is given as "number name type"."""
+    number, name, marked_type = text.split()
+    marker = marked_type[0]
+    type_name = marked_type.lstrip("*|")
+    label = _LABEL_REPEATED if marker == "*" else _LABEL_OPTIONAL
+    field = message.field.add(name=name, number=int(number), label=label)
+    if marker == "|":
+        if not message.oneof_decl:
+            message.oneof_decl.add(name="choice")
+        field.oneof_index = 0
+    if type_name in _SCALAR_TYPES:
+        field.type = _SCALAR_TYPES[type_name]  # type: ignore[assignment]
+    else:
+        field.type = _TYPE_MESSAGE  # type: ignore[assignment]
+        package = "mvccpb" if type_name in _KV_MESSAGES else "etcdserverpb"
+        field.type_name = f".{package}.{type_name}"
+
+
+def _load_types() -> dict[str, Any]:
     pool = descriptor_pool.DescriptorPool()
-    pool.Add(_file("kv.proto", "mvccpb", _KV, []))  # type: ignore[no-untyped-call]
-    pool.Add(_file("rpc.proto", "etcdserverpb", _RPC, ["kv.proto"]))  # type: ignore[no-untyped-call]
+    pool.Add(_file_descriptor("kv.proto", "mvccpb", _KV_MESSAGES, []))  # type: ignore[no-untyped-call]
+    pool.Add(_file_descriptor("rpc.proto", "etcdserverpb", _RPC_MESSAGES, ["kv.proto"]))  # type: ignore[no-untyped-call]
     find = pool.FindMessageTypeByName
     return {
         name: message_factory.GetMessageClass(find(f"{package}.{name}"))  # type: ignore[no-untyped-call]
-        for package, rows in (("mvccpb", _KV), ("etcdserverpb", _RPC))
-        for name in rows
+        for package, messages in (("mvccpb", _KV_MESSAGES), ("etcdserverpb", _RPC_MESSAGES))
+        for name in messages
     }
 
 
-TYPES: dict[str, Any] = _load()  # message classes by their names
+TYPES: dict[str, Any] = _load_types()  # message classes by their names
--- a/myrtlespar/net/codec/limits.py
+++ b/myrtlespar/net/codec/limits.py
@@ -1,22 +1,24 @@
-"""Bytes of what members say about limits: `MPQ`, a version, a CRC-32, then msgpack, in one datagram."""
+"""Bytes of what members send each other about limits: `MPQ`, a version, a CRC-32, then msgpack, in one datagram."""
 
 from __future__ import annotations
 
-import zlib
-
 import msgspec
 
 from myrtlespar.net.codec.peer import (
-    DATAGRAM_MOST,
-    HEAD,
-    NUMBER_MOST,
+    HEADER_BYTES,
+    MAX_DATAGRAM_BYTES,
+    NUMBER_LIMIT,
     MalformedPeerMessageError,
-    UnsupportedPeerVersionError,
+    decode_body,
+    frame,
     is_valid_name,
+    unframe,
 )
 from myrtlespar.quota.messages import (
     BudgetDrawRequest,
     BudgetDrawResponse,
+    BudgetReserveRequest,
+    BudgetReserveResponse,
     GrantRequest,
     GrantResponse,
     LeaseRequest,
@@ -26,13 +28,16 @@
 
 VERSION = 1
 MAGIC = b"MPQ" + bytes([VERSION])
-KEY_MOST = 64
-ROWS_MOST = 32
-AMOUNT_MOST = 10_000_000
+MAX_KEY_LENGTH = 64  # characters
+MAX_ROWS_PER_DATAGRAM = 32
+MAX_AMOUNT = 10_000_000
+
+BudgetMessage = BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse
+KeyAmounts = list[tuple[str, int]]
 
 
 class LimitDatagram(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One datagram: the fleet, who sends it, the boot of its life, and what it says."""
+    """One datagram: the fleet, the sender's name and incarnation, and its message."""
 
     fleet: str
     name: str
@@ -44,62 +49,59 @@
 _decoder: msgspec.msgpack.Decoder[LimitDatagram] = msgspec.msgpack.Decoder(LimitDatagram)
 
 
-def encode(letter: LimitDatagram) -> bytes:
+def encode(datagram: LimitDatagram) -> bytes:
     """Its bytes; the caller keeps it small enough for a datagram."""
-    body = _encoder.encode(letter)
-    return MAGIC + zlib.crc32(body).to_bytes(4, "big") + body
+    return frame(MAGIC, _encoder.encode(datagram))
 
 
 def decode(data: bytes) -> LimitDatagram:
-    """One datagram. Spoilt: it is none, or a value in it is out of range."""
-    if len(data) > DATAGRAM_MOST or len(data) < HEAD:
+    """One datagram. MalformedPeerMessageError if it is none, or a value in it is out of range."""
+    if len(data) > MAX_DATAGRAM_BYTES or len(data) < HEADER_BYTES:
         raise MalformedPeerMessageError("length")
-    if data[:3] != MAGIC[:3]:
-        raise MalformedPeerMessageError("no magic")
-    if data[3] != VERSION:
-        raise UnsupportedPeerVersionError("version")
-    body = data[HEAD:]
-    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
-        raise MalformedPeerMessageError("checksum")
-    try:
-        letter = _decoder.decode(body)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise MalformedPeerMessageError("shape") from None
-    _check(letter)
-    return letter
-
-
-def _check(letter: LimitDatagram) -> None:
-    message = letter.message
-    numbers = [letter.incarnation, message.shard_id]
-    if isinstance(message, GrantRequest | GrantResponse | LeaseRequest | LeaseVote):
-        numbers.append(message.sequence_number)
-    rows: list[tuple[str, int]] = []
-    if isinstance(message, GrantRequest):
-        rows = [(want.key, want.want) for want in message.demands]
-        numbers.append(message.version)
-        numbers += [number for want in message.demands for number in (want.acknowledged, want.in_flight, want.peak)]
-    elif isinstance(message, GrantResponse):
-        numbers += [message.epoch, message.duration_ms, message.settled_version]
-        rows = list(message.amounts)
-    elif isinstance(message, LeaseVote):
-        numbers += [message.highest_epoch, message.version]
-        rows = list(message.allowances)
-    elif isinstance(message, LeaseRequest):
-        numbers.append(message.epoch)
-    else:
-        rows, numbers = [(message.key, 0)], [letter.incarnation, message.shard_id, message.period, message.epoch]
-        if isinstance(message, BudgetDrawRequest):
-            numbers += [message.drawn_total, message.returned_total, message.wanted]
-        elif isinstance(message, BudgetDrawResponse):
-            numbers.append(message.drawn_total)
-        else:
-            numbers.append(message.reserved_total)
-    if len(rows) > ROWS_MOST:
+    datagram: LimitDatagram = decode_body(_decoder, unframe(MAGIC, data))
+    _check(datagram)
+    return datagram
+
+
+def _check(datagram: LimitDatagram) -> None:
+    message = datagram.message
+    rows, numbers = _contents(message)
+    if len(rows) > MAX_ROWS_PER_DATAGRAM:
         raise MalformedPeerMessageError("too many")
-    if not all(0 <= number < NUMBER_MOST for number in numbers):
+    if not all(0 <= number < NUMBER_LIMIT for number in (datagram.incarnation, message.shard_id, *numbers)):
         raise MalformedPeerMessageError("number")
-    if not all(0 < len(key) <= KEY_MOST and key.isprintable() and 0 <= amount <= AMOUNT_MOST for key, amount in rows):
+    if not all(_is_valid_row(key, amount) for key, amount in rows):
         raise MalformedPeerMessageError("row")
-    if not is_valid_name(letter.name) or not is_valid_name(letter.fleet):
+    if not is_valid_name(datagram.name) or not is_valid_name(datagram.fleet):
         raise MalformedPeerMessageError("name")
+
+
+def _is_valid_row(key: str, amount: int) -> bool:
+    return 0 < len(key) <= MAX_KEY_LENGTH and key.isprintable() and 0 <= amount <= MAX_AMOUNT
+
+
+def _contents(message: LimitMessage) -> tuple[KeyAmounts, list[int]]:
+    """Keys with their amounts, and all other numbers but the shard's, of a message."""
+    if isinstance(message, GrantRequest):
+        rows = [(demand.key, demand.want) for demand in message.demands]
+        numbers = [message.sequence_number, message.version]
+        for demand in message.demands:
+            numbers += [demand.acknowledged, demand.in_flight, demand.peak]
+        return rows, numbers
+    if isinstance(message, GrantResponse):
+        numbers = [message.sequence_number, message.epoch, message.duration_ms, message.settled_version]
+        return list(message.amounts), numbers
+    if isinstance(message, LeaseVote):
+        return list(message.allowances), [message.sequence_number, message.highest_epoch, message.version]
+    if isinstance(message, LeaseRequest):
+        return [], [message.sequence_number, message.epoch]
+    return [(message.key, 0)], _budget_numbers(message)
+
+
+def _budget_numbers(message: BudgetMessage) -> list[int]:
+    numbers = [message.period, message.epoch]
+    if isinstance(message, BudgetDrawRequest):
+        return [*numbers, message.drawn_total, message.returned_total, message.wanted]
+    if isinstance(message, BudgetDrawResponse):
+        return [*numbers, message.drawn_total]
+    return [*numbers, message.reserved_total]
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -1,149 +1,198 @@
 """The peer link's bytes: `MPF`, a version, a CRC-32, then msgpack. Every length and range is checked.
 
-A datagram is at most 1,200 bytes; what goes over TCP has a length of four bytes in front and is at most 2 MiB.
+A datagram is at most 1,200 bytes; what goes over TCP has a length of four bytes in front and is at most 2 MiB. The
+frame (magic, version, checksum) is shared by other protocols of the link, such as `codec.limits`.
 """
 
 from __future__ import annotations
 
 import re
 import zlib
+from collections.abc import Iterable
 from functools import lru_cache
 from typing import Any
 
 import msgspec
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.membership.messages import MemberState, MemberUpdate, Packet, ReachabilityRow, ViewSync
+from myrtlespar.membership.messages import (
+    Ack,
+    Body,
+    GossipPush,
+    IndirectProbe,
+    MemberState,
+    MemberUpdate,
+    Packet,
+    ReachabilityRow,
+    ViewSync,
+)
 
 VERSION = 1
 MAGIC = b"MPF" + bytes([VERSION])
-HEAD = 8  # magic, version, checksum
-DATAGRAM_MOST = 1200
-STREAM_MOST = 2 << 20
-NUMBER_MOST = 2**53
-RUMOURS_MOST, ROWS_MOST, CANNOT_MOST = 9, 1, 8  # of one datagram
-ENTRIES_MOST = 16384  # of one whole view
+NAME_CONFLICT_MAGIC = b"MPB" + bytes([VERSION])  # a second process of one name probes the first at its address
+MAGIC_BYTES = 3
+HEADER_BYTES = 8  # magic, version, checksum
+MAX_DATAGRAM_BYTES = 1200
+MAX_STREAM_BYTES = 2 << 20
+NUMBER_LIMIT = 2**53  # of all counters, exclusive
+HASH_LIMIT = 2**64  # exclusive
+MAX_AGE_MS = 2**31
+MAX_UPDATES_PER_DATAGRAM = 9
+MAX_ROWS_PER_DATAGRAM = 1
+MAX_UNREACHABLE_PER_ROW = 8
+MAX_ENTRIES_PER_SYNC = 16384
+CACHED_NAMES = 8192  # names and addresses whose check is remembered
 
 _encoder = msgspec.msgpack.Encoder()
-_packet: msgspec.msgpack.Decoder[Packet] = msgspec.msgpack.Decoder(Packet)
-_sync: msgspec.msgpack.Decoder[ViewSync] = msgspec.msgpack.Decoder(ViewSync)
+_packet_decoder: msgspec.msgpack.Decoder[Packet] = msgspec.msgpack.Decoder(Packet)
+_sync_decoder: msgspec.msgpack.Decoder[ViewSync] = msgspec.msgpack.Decoder(ViewSync)
 _NAME = re.compile(r"[!-~]{1,48}")
 _ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 
 
-BESIDE = b"MPB" + bytes([VERSION])  # a second process of one name asks the first at its address; the same is the answer
-
-
 class MalformedPeerMessageError(MyrtlesparError):
-    """Bytes that hold no message; the text says why in a word."""
+    """Bytes that hold no message; the text says why in a word or two."""
 
 
 class UnsupportedPeerVersionError(MalformedPeerMessageError):
-    """Whole, but of another version of the link."""
+    """A complete message, but of another version of the link."""
+
+
+def frame(magic: bytes, body: bytes) -> bytes:
+    """A body with its magic, version and checksum in front; `magic` ends with the version."""
+    return magic + zlib.crc32(body).to_bytes(4, "big") + body
+
+
+def unframe(magic: bytes, data: bytes) -> bytes:
+    """The body of a frame of at least HEADER_BYTES. MalformedPeerMessageError or UnsupportedPeerVersionError."""
+    if data[:MAGIC_BYTES] != magic[:MAGIC_BYTES]:
+        raise MalformedPeerMessageError("no magic")
+    if data[MAGIC_BYTES] != magic[MAGIC_BYTES]:
+        raise UnsupportedPeerVersionError("version")
+    body = data[HEADER_BYTES:]
+    if zlib.crc32(body).to_bytes(4, "big") != data[MAGIC_BYTES + 1 : HEADER_BYTES]:
+        raise MalformedPeerMessageError("checksum")
+    return body
+
+
+def decode_body(decoder: msgspec.msgpack.Decoder[Any], body: bytes) -> Any:
+    """The message in a body. MalformedPeerMessageError if it has another shape."""
+    try:
+        return decoder.decode(body)
+    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
+        raise MalformedPeerMessageError("shape") from None
 
 
 def encode(message: Packet | ViewSync) -> bytes:
     """The bytes of a message."""
-    body = _encoder.encode(message)
-    return MAGIC + zlib.crc32(body).to_bytes(4, "big") + body
+    return frame(MAGIC, _encoder.encode(message))
 
 
 def decode(data: bytes) -> Packet:
-    """One datagram. Spoilt: it is none, or a value in it is out of range."""
-    packet: Packet = _read(data, DATAGRAM_MOST, _packet)
-    if len(packet.updates) > RUMOURS_MOST or len(packet.reachability) > ROWS_MOST:
+    """The packet in a datagram. MalformedPeerMessageError if there is none, or a value in it is out of range."""
+    packet: Packet = _read(data, MAX_DATAGRAM_BYTES, _packet_decoder)
+    if len(packet.updates) > MAX_UPDATES_PER_DATAGRAM or len(packet.reachability) > MAX_ROWS_PER_DATAGRAM:
         raise MalformedPeerMessageError("too many")
     if not (
-        0 < packet.sequence_number < NUMBER_MOST
-        and 0 <= packet.view_hash < 2**64
-        and 0 <= packet.voter_set_version < NUMBER_MOST
+        0 < packet.sequence_number < NUMBER_LIMIT
+        and 0 <= packet.view_hash < HASH_LIMIT
+        and 0 <= packet.voter_set_version < NUMBER_LIMIT
     ):
         raise MalformedPeerMessageError("number")
     body = packet.body
-    if not 0 <= getattr(body, "seq", 0) < NUMBER_MOST:
-        raise MalformedPeerMessageError("number")
-    for name in (getattr(body, "name", "x"), getattr(body, "target", "x")):
-        if not is_valid_name(name):
-            raise MalformedPeerMessageError("name")
-    if not is_valid_address(getattr(body, "address", packet.sender.address)):
+    _check_body(body)
+    if not is_valid_address(body.address if isinstance(body, IndirectProbe) else packet.sender.address):
         raise MalformedPeerMessageError("address")
-    _check(packet.fleet, packet.sender, packet.updates, packet.reachability)
+    _check_contents(packet.fleet, packet.sender, packet.updates, packet.reachability)
     return packet
 
 
 def decode_sync(data: bytes) -> ViewSync:
-    """A whole view. Spoilt as above."""
-    sync: ViewSync = _read(data, STREAM_MOST, _sync)
-    if len(sync.updates) > ENTRIES_MOST or len(sync.reachability) > ENTRIES_MOST:
+    """A complete view. MalformedPeerMessageError as for `decode`."""
+    sync: ViewSync = _read(data, MAX_STREAM_BYTES, _sync_decoder)
+    if len(sync.updates) > MAX_ENTRIES_PER_SYNC or len(sync.reachability) > MAX_ENTRIES_PER_SYNC:
         raise MalformedPeerMessageError("too many")
-    _check(sync.fleet, sync.sender, sync.updates, sync.reachability)
+    _check_contents(sync.fleet, sync.sender, sync.updates, sync.reachability)
     return sync
 
 
-def _read(data: bytes, most: int, decoder: msgspec.msgpack.Decoder[Any]) -> Any:
-    if len(data) > most:
+def _read(data: bytes, max_bytes: int, decoder: msgspec.msgpack.Decoder[Any]) -> Any:
+    if len(data) > max_bytes:
         raise MalformedPeerMessageError("oversized")
-    if data[:3] != MAGIC[:3] or len(data) < HEAD:
+    if len(data) < HEADER_BYTES:
         raise MalformedPeerMessageError("no magic")
-    if data[3] != VERSION:
-        raise UnsupportedPeerVersionError("version")
-    body = data[HEAD:]
-    if zlib.crc32(body).to_bytes(4, "big") != data[4:HEAD]:
-        raise MalformedPeerMessageError("checksum")
-    try:
-        return decoder.decode(body)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise MalformedPeerMessageError("shape") from None
+    return decode_body(decoder, unframe(MAGIC, data))
 
 
-def _check(fleet: str, me: MemberUpdate, rumours: tuple[MemberUpdate, ...], rows: tuple[ReachabilityRow, ...]) -> None:
-    if not is_valid_name(fleet):
-        raise MalformedPeerMessageError("name")
-    for rumour in (me, *rumours):
-        if not (
-            is_valid_name(rumour.name)
-            and is_valid_name(rumour.site)
-            and (not rumour.accuser or is_valid_name(rumour.accuser))
-        ):
-            raise MalformedPeerMessageError("name")
-        if not is_valid_address(rumour.address):
-            raise MalformedPeerMessageError("address")
-        if not (
-            0 <= rumour.incarnation < NUMBER_MOST
-            and 0 <= rumour.refutation < NUMBER_MOST
-            and 0 <= rumour.age_ms <= 2**31
-            and 0 <= rumour.state <= MemberState.LEFT
-        ):
-            raise MalformedPeerMessageError("number")
+def _check_body(body: Body) -> None:
+    if isinstance(body, GossipPush):
+        return
+    if not 0 <= body.seq < NUMBER_LIMIT:
+        raise MalformedPeerMessageError("number")
+    if isinstance(body, Ack):
+        _check_names((body.target,))
+    elif isinstance(body, IndirectProbe):
+        _check_names((body.name,))
+
+
+def _check_contents(
+    fleet: str, sender: MemberUpdate, updates: tuple[MemberUpdate, ...], rows: tuple[ReachabilityRow, ...]
+) -> None:
+    _check_names((fleet,))
+    for update in (sender, *updates):
+        _check_update(update)
     for row in rows:
-        if len(row.unreachable) > CANNOT_MOST or not all(
-            is_valid_name(name) for name in (row.reporter, *(n for n, _ in row.unreachable))
-        ):
-            raise MalformedPeerMessageError("row")
-        if not (0 <= row.incarnation < NUMBER_MOST and 0 <= row.version < NUMBER_MOST):
-            raise MalformedPeerMessageError("number")
+        _check_row(row)
+
+
+def _check_names(names: Iterable[str]) -> None:
+    if not all(is_valid_name(name) for name in names):
+        raise MalformedPeerMessageError("name")
+
+
+def _check_update(update: MemberUpdate) -> None:
+    _check_names((update.name, update.site))
+    if update.accuser:
+        _check_names((update.accuser,))
+    if not is_valid_address(update.address):
+        raise MalformedPeerMessageError("address")
+    if not (
+        0 <= update.incarnation < NUMBER_LIMIT
+        and 0 <= update.refutation < NUMBER_LIMIT
+        and 0 <= update.age_ms <= MAX_AGE_MS
+        and 0 <= update.state <= MemberState.LEFT
+    ):
+        raise MalformedPeerMessageError("number")
+
+
+def _check_row(row: ReachabilityRow) -> None:
+    names = (row.reporter, *(name for name, _ in row.unreachable))
+    if len(row.unreachable) > MAX_UNREACHABLE_PER_ROW or not all(is_valid_name(name) for name in names):
+        raise MalformedPeerMessageError("row")
+    if not (0 <= row.incarnation < NUMBER_LIMIT and 0 <= row.version < NUMBER_LIMIT):
+        raise MalformedPeerMessageError("number")
 
 
-@lru_cache(maxsize=8192)
+@lru_cache(maxsize=CACHED_NAMES)
 def is_valid_name(name: str) -> bool:
     """Printable ASCII without spaces, 1 to 48 characters."""
     return _NAME.fullmatch(name) is not None
 
 
-@lru_cache(maxsize=8192)
+@lru_cache(maxsize=CACHED_NAMES)
 def is_valid_address(address: str) -> bool:
     """A.B.C.D:PORT, numbers only, as there is no DNS."""
     found = _ADDRESS.fullmatch(address)
     return found is not None and all(int(part) < 256 for part in found.groups()[:4]) and 0 < int(found[5]) < 65536
 
 
-@lru_cache(maxsize=8192)
-def split(address: str) -> tuple[str, int]:
-    """Host and port of a good address."""
+@lru_cache(maxsize=CACHED_NAMES)
+def split_address(address: str) -> tuple[str, int]:
+    """Host and port of a valid address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def beside(fleet: str, name: str) -> bytes:
-    """What a second process of a member says to the first, and hears from it."""
-    return BESIDE + f"{fleet} {name}".encode()
+def name_conflict_probe(fleet: str, name: str) -> bytes:
+    """What a second process of a member sends to the first, and gets back from it."""
+    return NAME_CONFLICT_MAGIC + f"{fleet} {name}".encode()
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -1,6 +1,7 @@
-"""A client of etcd's v3 API over grpcio, for leases of ranges. Calls block a thread of gevent's pool, never the loop.
+"""A client of etcd's v3 API over grpcio, for leases of shards.
 
-Each call has a deadline; whatever goes wrong is `None`, which says that nobody knows what became of it.
+Calls block a thread of gevent's pool, never the loop. Each call has a deadline; a call that fails in any way returns
+None, which says that nobody knows whether it took effect.
 """
 
 from __future__ import annotations
@@ -12,12 +13,29 @@
 import gevent
 import grpc
 
-from myrtlespar.net.codec.etcd import DELETE, EQUAL, METHODS, TARGET_CREATE, TARGET_LEASE, TYPES
+from myrtlespar.net.codec.etcd import (
+    COMPARE_EQUAL,
+    COMPARE_TARGET_CREATE,
+    COMPARE_TARGET_LEASE,
+    EVENT_DELETE,
+    METHODS,
+    TYPES,
+)
 from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
+MS_PER_S = 1000.0
+WATCH_RETRY_S = 0.2
+CHANNEL_OPTIONS = [
+    ("grpc.max_reconnect_backoff_ms", 500),
+    ("grpc.initial_reconnect_backoff_ms", 100),
+    ("grpc.enable_retries", 0),
+    ("grpc.keepalive_time_ms", 5000),
+    ("grpc.keepalive_timeout_ms", 2000),
+]
+
 
 class EtcdClient:
-    """One channel. `prefix` names the fleet's keys; `freed` is called in the loop with a range whose key is gone."""
+    """One channel to one endpoint."""
 
     def __init__(
         self,
@@ -26,120 +44,140 @@
         name: str,
         ttl_s: int,
         timeout_s: float,
-        freed: Callable[[int], None],
-        failed: Callable[[str], None],
+        shard_freed: Callable[[int], None],
+        request_failed: Callable[[str], None],
     ) -> None:
-        self.prefix, self.name, self.ttl_s, self.timeout_s = prefix, name, ttl_s, timeout_s
-        self.freed, self.failed = freed, failed
-        self.channel = grpc.insecure_channel(
-            address,
-            options=[
-                ("grpc.max_reconnect_backoff_ms", 500),
-                ("grpc.initial_reconnect_backoff_ms", 100),
-                ("grpc.enable_retries", 0),
-                ("grpc.keepalive_time_ms", 5000),
-                ("grpc.keepalive_timeout_ms", 2000),
-            ],
-        )
-        self._calls: dict[str, Any] = {}
-        for word, (path, request, response, streams) in METHODS.items():
-            make = self.channel.stream_stream if streams else self.channel.unary_unary
-            self._calls[word] = make(
-                path,
-                request_serializer=TYPES[request].SerializeToString,
-                response_deserializer=TYPES[response].FromString,
-            )
+        """`prefix` starts all keys of the fleet, `name` is the value of the keys that this member creates.
+
+        `shard_freed` is called in the loop with the number of a shard whose key was deleted; `request_failed` in a
+        thread with the status code of a call that failed.
+        """
+        self.prefix = prefix
+        self.name = name
+        self.ttl_s = ttl_s
+        self.timeout_s = timeout_s
+        self.shard_freed = shard_freed
+        self.request_failed = request_failed
+        self.channel = grpc.insecure_channel(address, options=CHANNEL_OPTIONS)
+        self._calls = self._make_calls()
         self._closing = False
         self._pool = gevent.get_hub().threadpool
-        self._hub_call = gevent.get_hub().loop.run_callback_threadsafe
+        self._call_in_loop = gevent.get_hub().loop.run_callback_threadsafe
 
-    def carry(self, request: EngineRequest) -> EngineReply | None:
-        """One request to its answer. Waits, in the calling greenlet only."""
-        reply: EngineReply | None = self._pool.apply(self._do, (request,))
+    def execute(self, request: EngineRequest) -> EngineReply | None:
+        """Carry out one request. Waits, in the calling greenlet only; None if the outcome is unknown."""
+        reply: EngineReply | None = self._pool.apply(self._execute, (request,))
         return reply
 
-    def _do(self, request: EngineRequest) -> EngineReply | None:
+    def revoke(self, lease: int) -> None:
+        """End the lease, if the engine can be reached: all keys that are attached to it are deleted at once."""
+        self._pool.apply(self._revoke, (lease,))
+
+    def watch(self) -> None:
+        """Follow deletions of the fleet's keys from now on, in a thread of its own, until closed."""
+        threading.Thread(target=self._watch, daemon=True).start()
+
+    def close(self) -> None:
+        """End the channel."""
+        self._closing = True
+        self.channel.close()
+
+    def _make_calls(self) -> dict[str, Any]:
+        calls: dict[str, Any] = {}
+        for name, method in METHODS.items():
+            make_call = self.channel.stream_stream if method.is_streaming else self.channel.unary_unary
+            calls[name] = make_call(
+                method.path,
+                request_serializer=TYPES[method.request].SerializeToString,
+                response_deserializer=TYPES[method.response].FromString,
+            )
+        return calls
+
+    def _execute(self, request: EngineRequest) -> EngineReply | None:
+        operations = {
+            EngineOperation.GRANT: self._grant_lease,
+            EngineOperation.KEEP: self._keep_lease_alive,
+            EngineOperation.TAKE: self._create_key,
+            EngineOperation.DROP: self._delete_key,
+        }
         try:
-            if request.do is EngineOperation.GRANT:
-                got = self._calls["grant"](TYPES["LeaseGrantRequest"](TTL=self.ttl_s), timeout=self.timeout_s)
-                return EngineReply(lease=got.ID, ttl_ms=got.TTL * 1000.0)
-            if request.do is EngineOperation.KEEP:
-                ask = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease)])
-                got = next(self._calls["keep_alive"](ask, timeout=self.timeout_s))
-                return EngineReply(ttl_ms=got.TTL * 1000.0)
-            return self._take(request) if request.do is EngineOperation.TAKE else self._drop(request)
+            return operations[request.do](request)
         except (grpc.RpcError, StopIteration) as error:
             code = error.code().name.lower() if isinstance(error, grpc.Call) else "ended"
-            if code == "not_found" and request.do is not EngineOperation.GRANT:  # the lease is gone
+            if code == "not_found" and request.do is not EngineOperation.GRANT:  # the lease has expired
                 return EngineReply(ttl_ms=0.0) if request.do is EngineOperation.KEEP else EngineReply()
-            self.failed(code)
+            self.request_failed(code)
             return None
 
-    def _key(self, rng: int) -> bytes:
-        return f"{self.prefix}{rng}".encode()
+    def _grant_lease(self, _: EngineRequest) -> EngineReply:
+        reply = self._calls["grant"](TYPES["LeaseGrantRequest"](TTL=self.ttl_s), timeout=self.timeout_s)
+        return EngineReply(lease=reply.ID, ttl_ms=reply.TTL * MS_PER_S)
 
-    def _take(self, request: EngineRequest) -> EngineReply:
-        """Make the key if there is none; if there is one, whose?"""
+    def _keep_lease_alive(self, request: EngineRequest) -> EngineReply:
+        stream = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease)])
+        reply = next(self._calls["keep_alive"](stream, timeout=self.timeout_s))
+        return EngineReply(ttl_ms=reply.TTL * MS_PER_S)
+
+    def _create_key(self, request: EngineRequest) -> EngineReply:
+        """Create the shard's key if there is none; the reply has an epoch if the key is attached to our lease."""
         key = self._key(request.rng)
-        txn = TYPES["TxnRequest"]()
-        txn.compare.add(result=EQUAL, target=TARGET_CREATE, key=key, create_revision=0)
-        put = txn.success.add().request_put
-        put.key, put.value, put.lease = key, self.name.encode(), request.lease
-        txn.failure.add().request_range.key = key
-        got = self._calls["txn"](txn, timeout=self.timeout_s)
-        if got.succeeded:
-            return EngineReply(epoch=got.header.revision)
-        for row in got.responses[0].response_range.kvs if got.responses else ():
-            if row.lease == request.lease:  # an earlier try whose answer was lost
+        transaction = TYPES["TxnRequest"]()
+        transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_CREATE, key=key, create_revision=0)
+        put = transaction.success.add().request_put
+        put.key = key
+        put.value = self.name.encode()
+        put.lease = request.lease
+        transaction.failure.add().request_range.key = key
+        reply = self._calls["txn"](transaction, timeout=self.timeout_s)
+        if reply.succeeded:
+            return EngineReply(epoch=reply.header.revision)
+        for row in reply.responses[0].response_range.kvs if reply.responses else ():
+            if row.lease == request.lease:  # an earlier attempt whose answer was lost
                 return EngineReply(epoch=row.create_revision)
         return EngineReply()
 
-    def _drop(self, request: EngineRequest) -> EngineReply:
-        txn, key = TYPES["TxnRequest"](), self._key(request.rng)
-        txn.compare.add(result=EQUAL, target=TARGET_LEASE, key=key, lease=request.lease)
-        txn.success.add().request_delete_range.key = key
-        self._calls["txn"](txn, timeout=self.timeout_s)
+    def _delete_key(self, request: EngineRequest) -> EngineReply:
+        """Delete the shard's key if it is attached to our lease."""
+        key = self._key(request.rng)
+        transaction = TYPES["TxnRequest"]()
+        transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_LEASE, key=key, lease=request.lease)
+        transaction.success.add().request_delete_range.key = key
+        self._calls["txn"](transaction, timeout=self.timeout_s)
         return EngineReply()
 
-    def revoke(self, lease: int) -> None:
-        """End the lease, if the engine can be reached: all that hangs on it is free at once."""
-
-        def end() -> None:
-            try:
-                self._calls["revoke"](TYPES["LeaseRevokeRequest"](ID=lease), timeout=self.timeout_s)
-            except grpc.RpcError as error:
-                self.failed(error.code().name.lower())
-
-        self._pool.apply(end)
+    def _key(self, shard_id: int) -> bytes:
+        return f"{self.prefix}{shard_id}".encode()
 
-    def watch(self) -> None:
-        """Follow deletions of the fleet's keys from now on, in a thread of its own, until closed."""
-        threading.Thread(target=self._watch, daemon=True).start()
+    def _revoke(self, lease: int) -> None:
+        try:
+            self._calls["revoke"](TYPES["LeaseRevokeRequest"](ID=lease), timeout=self.timeout_s)
+        except grpc.RpcError as error:
+            self.request_failed(error.code().name.lower())
 
     def _watch(self) -> None:
         first = self.prefix.encode()
-        last = first[:-1] + bytes([first[-1] + 1])
+        end = first[:-1] + bytes([first[-1] + 1])  # exclusive: the next prefix
         while not self._closing:
-            more = threading.Event()
-
-            def asks(more: threading.Event = more) -> Any:
-                ask = TYPES["WatchRequest"]()
-                ask.create_request.key, ask.create_request.range_end = first, last
-                yield ask
-                more.wait()  # keeps our side open as long as the stream
-
+            stream_ended = threading.Event()
             try:
-                for got in self._calls["watch"](asks()):
-                    for event in got.events:
-                        word = event.kv.key[len(first) :].decode("ascii", "replace")
-                        if event.type == DELETE and word.isdigit():
-                            self._hub_call(self.freed, int(word))
+                for reply in self._calls["watch"](_watch_requests(first, end, stream_ended)):
+                    for event in reply.events:
+                        self._key_changed(event, first)
             except grpc.RpcError:
                 pass
-            more.set()
-            threading.Event().wait(0.2)
-
-    def close(self) -> None:
-        """End the channel."""
-        self._closing = True
-        self.channel.close()
+            stream_ended.set()
+            threading.Event().wait(WATCH_RETRY_S)
+
+    def _key_changed(self, event: Any, prefix: bytes) -> None:
+        shard_id = event.kv.key[len(prefix) :].decode("ascii", "replace")
+        if event.type == EVENT_DELETE and shard_id.isdigit():
+            self._call_in_loop(self.shard_freed, int(shard_id))
+
+
+def _watch_requests(first: bytes, end: bytes, stream_ended: threading.Event) -> Any:
+    """Our side of a watch's stream: one request, then kept open as long as the stream lasts."""
+    request = TYPES["WatchRequest"]()
+    request.create_request.key = first
+    request.create_request.range_end = end
+    yield request
+    stream_ended.wait()
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -223,7 +223,7 @@
     coordinator.admin.extra_commands[b"MEMBERS"] = fleet.members
     if fleet.limits is not None:
         coordinator.admin.extra_commands[b"LIMITS"] = fleet.limits.report
-        coordinator.policy.fleet = fleet.limits
+        coordinator.policy.fleet = fleet.limits.port
     return fleet
 
 
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -16,7 +16,6 @@
 from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 
 import msgspec
@@ -36,7 +35,8 @@
 from myrtlespar.net import budget_file
 from myrtlespar.net.codec import limits as limits_codec
 from myrtlespar.net.codec import peer
-from myrtlespar.net.peer_transport import PeerTransport
+from myrtlespar.net.peer_datagrams import TrafficBytes
+from myrtlespar.net.peer_sync import read_sync, write_sync
 from myrtlespar.quota import messages as limits
 from myrtlespar.quota.budget import BudgetJournal
 from myrtlespar.runtime.log_output import log_to_standard_output
@@ -130,9 +130,9 @@
 
 def decode_probe(data: bytes) -> tuple[str, str]:
     """Fleet and name in the question of a second process of one name; the project itself compares whole datagrams."""
-    if not data.startswith(peer.BESIDE):
+    if not data.startswith(peer.NAME_CONFLICT_MAGIC):
         raise NotAcceptedError("no probe")
-    fleet, _, name = data.removeprefix(peer.BESIDE).decode().partition(" ")
+    fleet, _, name = data.removeprefix(peer.NAME_CONFLICT_MAGIC).decode().partition(" ")
     return fleet, name
 
 
@@ -142,7 +142,7 @@
     with reader:
         with writer:
             writer.sendall(data)
-        return PeerTransport._whole(typing.cast(PeerTransport, SimpleNamespace(read_bytes=0)), reader)
+        return read_sync(reader, TrafficBytes())
 
 
 def encode_exchange(sync: Any) -> bytes:
@@ -150,7 +150,7 @@
     reader, writer = socket.socketpair()
     with reader:
         with writer:
-            PeerTransport._write(typing.cast(PeerTransport, SimpleNamespace(sent_bytes=0)), writer, sync)
+            write_sync(writer, sync, TrafficBytes())
         return b"".join(iter(lambda: reader.recv(65536), b""))
 
 
@@ -281,7 +281,9 @@
     "peer datagram": StoredFormat(peer.decode, peer.encode, positional, (peer.MalformedPeerMessageError,)),
     "peer sync": StoredFormat(peer.decode_sync, peer.encode, positional, (peer.MalformedPeerMessageError,)),
     "peer exchange": StoredFormat(decode_exchange, encode_exchange, positional, (peer.MalformedPeerMessageError,)),
-    "peer probe": StoredFormat(decode_probe, lambda names: peer.beside(*names), positional, (NotAcceptedError,)),
+    "peer probe": StoredFormat(
+        decode_probe, lambda names: peer.name_conflict_probe(*names), positional, (NotAcceptedError,)
+    ),
     "limits message": StoredFormat(
         limits_codec.decode, limits_codec.encode, positional, (peer.MalformedPeerMessageError,)
     ),
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -35,7 +35,7 @@
 
 
 def asked(one: EtcdClient, do: EngineOperation, lease: int = 0, rng: int = 0) -> EngineReply:
-    reply = one.carry(EngineRequest(do, 0.0, lease, rng))
+    reply = one.execute(EngineRequest(do, 0.0, lease, rng))
     assert reply is not None
     return reply
 
@@ -86,7 +86,7 @@
 
 def test_an_engine_that_is_away_is_no_answer() -> None:
     one = EtcdClient("127.0.0.1:1", "/t/", "a", 2, 0.2, lambda rng: None, lambda code: None)
-    assert one.carry(EngineRequest(EngineOperation.GRANT, 0.0)) is None
+    assert one.execute(EngineRequest(EngineOperation.GRANT, 0.0)) is None
     one.close()
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,8 +22,8 @@
 from myrtlespar.model_checker.quota.explore import explore
 from myrtlespar.model_checker.quota.world import HAND, RATE, Setting, begin
 from myrtlespar.net import budget_file as vaultfile
-from myrtlespar.net.codec.limits import KEY_MOST, LimitDatagram, decode, encode
-from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessageError
+from myrtlespar.net.codec.limits import MAX_KEY_LENGTH, LimitDatagram, decode, encode
+from myrtlespar.net.codec.peer import MAX_DATAGRAM_BYTES, MalformedPeerMessageError
 from myrtlespar.quota.grant_ledger import divide
 from myrtlespar.quota.limit_coordinator import HOLDS_MOST, WANTS_MOST, leader_of
 from myrtlespar.quota.messages import GrantRequest, GrantResponse, KeyDemand, LeaseVote
@@ -125,7 +125,7 @@
 
 
 def test_every_message_about_limits_fits_a_datagram_and_comes_back_whole() -> None:
-    key, dice = "k" * KEY_MOST, Random(1)
+    key, dice = "k" * MAX_KEY_LENGTH, Random(1)
     most = (
         GrantRequest(3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
         GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
@@ -134,7 +134,7 @@
     for message in most:
         letter = LimitDatagram("f" * 48, "n" * 48, 2**45, message)
         data = encode(letter)
-        assert len(data) <= DATAGRAM_MOST
+        assert len(data) <= MAX_DATAGRAM_BYTES
         assert decode(data) == letter
         for _ in range(200):
             spoilt = bytearray(data)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -207,7 +207,7 @@
 @given(PACKETS)
 def test_packets_come_back_as_they_were(packet: Packet) -> None:
     data = peer.encode(packet)
-    if len(data) <= peer.DATAGRAM_MOST:
+    if len(data) <= peer.MAX_DATAGRAM_BYTES:
         assert peer.decode(data) == packet
 
 
@@ -255,7 +255,7 @@
     one.outbox.send(1.0, "127.0.0.1:1", IndirectProbe(2**40, "n" * 48, "127.255.255.255:65535"))
     sizes = [len(peer.encode(effect.packet)) for effect in one.outbox.done() if isinstance(effect, SendPacket)]
     assert len(sizes) == 1
-    assert 800 < sizes[0] <= peer.DATAGRAM_MOST
+    assert 800 < sizes[0] <= peer.MAX_DATAGRAM_BYTES
     assert peer.decode_sync(peer.encode(one.sync(2.0))) == ViewSync("f" * 48, one.self_update, ())
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,7 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlespar.fleet.limits_driver import HELD_MOST, LimitsDriver
+from myrtlespar.fleet.limits_driver import LimitsDriver
+from myrtlespar.fleet.limits_port import MAX_QUEUED_PER_CALLER
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.policy.messages import (
     Arrival,
@@ -246,7 +247,7 @@
     """A peer link that reaches nobody."""
 
     def __init__(self) -> None:
-        self.others: dict[bytes, object] = {}
+        self.handlers: dict[bytes, object] = {}
 
     def send(self, to: str, data: bytes) -> None:
         """Lost."""
@@ -259,13 +260,14 @@
         "limits: {x: {per_s: 1, standing: 1.0}}\nrepeats: {share: 0.5, burst: 2}"
     )
     counters = Counters()
-    limits = LimitsDriver(read_fleet(str(path), "a1"), ["order"], Nobody(), counters, 1)  # type: ignore[arg-type]
-    limits.start(1)
+    driver = LimitsDriver(read_fleet(str(path), "a1"), ["order"], Nobody(), counters, 1)  # type: ignore[arg-type]
+    driver.start(1)
+    limits = driver.port
     assert limits.coordinator is not None
     assert limits.admit("early", 0, 1) > 0
     limits.coordinator.grant_holder.began -= 5000
     assert limits.admit("0", 0, 1) == 0.0
-    for n in range(HELD_MOST):
+    for n in range(MAX_QUEUED_PER_CALLER):
         assert 0 < limits.admit(f"{n + 1}", 0, 1) < float("inf")
         limits.enqueue(f"{n + 1}", float(n))
     assert limits.admit("more", 0, 1) == float("inf")
@@ -278,4 +280,4 @@
     assert limits.next_ready_ms() < 2000
     assert [limits.record_attempt(True) for _ in range(3)] == [True, True, False]
     assert not limits.may_retry()
-    limits.retire()
+    driver.retire()
