--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -18,7 +18,7 @@
 import click
 
 from myrtlespar.fault_proxy.faults import FaultRule
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.limit_invariants import check_limits
 from myrtlespar.fleet_tests.load_generator import LoadGenerator
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
@@ -39,7 +39,7 @@
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
-            run.begin()
+            run.start()
             crowd = LoadGenerator(run)
             crowd.begin()
             began, behind = time.monotonic(), set[str]()
@@ -55,14 +55,14 @@
             lower = {"order-farms": {"per_s": 12.0, "before": 30.0}}
             wait(4)
             cut = FaultRule(frozenset(("a1", "a2", "b1", "b2")), frozenset(("c1", "c2")), False, True)
-            run.fabric.on(1, cut)
+            run.fault_proxy.on(1, cut)
             wait(5)
-            run.relimit([name for name in run.members if name != "c1"], 2, lower)
+            run.change_limits([name for name in run.members if name != "c1"], 2, lower)
             told = time.time() * 1000
             wait(12)
-            run.fabric.off(1)
+            run.fault_proxy.off(1)
             wait(14)
-            run.relimit(["c1"], 2, lower)
+            run.change_limits(["c1"], 2, lower)
             last = time.time() * 1000
             wait(24)
             crowd.finish()
@@ -73,7 +73,7 @@
             runs = [
                 (body, at, float("inf") if done is None else done)
                 for member in run.members.values()
-                for kernel in member.kernels
+                for kernel in member.engines
                 for body, at, done in kernel.runs
             ]
         finally:
@@ -81,7 +81,7 @@
     holds = last + terms.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
     broken, most = [], {}
     for label, amount, since in (("the greater number", 30.0, 0.0), ("the lower number", 12.0, holds)):
-        lines, figures = judge_limits(
+        lines, figures = check_limits(
             {"order-farms": Limit(per_s=amount)},
             [row for row in runs if row[1] >= since],
             terms,
@@ -93,7 +93,7 @@
         broken += [f"{label}: {line}" for line in lines]
         most[label] = figures["order-farms"]["most"]
     between = [row for row in runs if told + terms.lowered_ms(Limit(per_s=30.0)) <= row[1] < last]
-    figures = judge_limits({"x": Limit(per_s=12.0)}, between, terms, told, last, SLACK_MS, {})[1]
+    figures = check_limits({"x": Limit(per_s=12.0)}, between, terms, told, last, SLACK_MS, {})[1]
     if set(versions.values()) != {(2, True)}:
         broken.append(f"all go by version 2 in the end: {versions}")
     return {
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -19,7 +19,7 @@
 
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fleet_tests.invariants import SLACK_MS
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.limit_invariants import check_limits
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
@@ -33,7 +33,7 @@
     """Orders to one member at these rates (until when in seconds, a second), at times by chance."""
     dice, n, at = Random(seed), 0, 0.0
     many = 1 + int(max(rate for _, rate in rates) // 20)  # a connection carries a bounded number unanswered
-    clients = [ThriftClient(run.listen(name)[1], run.listen(name)[0]) for _ in range(many)]
+    clients = [ThriftClient(run.client_address(name)[1], run.client_address(name)[0]) for _ in range(many)]
     for until, rate in rates:
         while rate > 0 and n < 200_000:
             at += dice.expovariate(rate)
@@ -45,7 +45,7 @@
             try:
                 clients[n % many].send("order", body, peer="1")
             except OSError:  # it was idle for long, and was closed
-                clients[n % many] = ThriftClient(run.listen(name)[1], run.listen(name)[0])
+                clients[n % many] = ThriftClient(run.client_address(name)[1], run.client_address(name)[0])
                 clients[n % many].send("order", body, peer="1")
         at = until
         time.sleep(max(0.0, began + at - time.monotonic()))
@@ -61,7 +61,7 @@
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
-            run.begin()
+            run.start()
             time.sleep(3)
             names, demand = list(run.members), per_s * over
             rest = demand * (1 - SHARE) / (len(names) - 1)
@@ -89,17 +89,17 @@
             runs = [
                 (body, at, end or float("inf"))
                 for member in run.members.values()
-                for body, at, end in member.kernel.runs
+                for body, at, end in member.engine.runs
             ]
         finally:
             run.close()
     most = {
-        slack: judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack, {})[1]["order-farms"][
+        slack: check_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack, {})[1]["order-farms"][
             "most"
         ]
         for slack in (0.0, 25.0, 50.0, 100.0)
     }  # of the way from a decision to its kernel
-    broken, _ = judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, SLACK_MS, {})
+    broken, _ = check_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, SLACK_MS, {})
     seconds = [0] * 22
     for _, at, _ in runs:
         if 0 <= at - wall < 22_000:
--- a/myrtlespar/cli/fleet.py
+++ b/myrtlespar/cli/fleet.py
@@ -24,7 +24,7 @@
     """
     from pathlib import Path
 
-    from myrtlespar.fleet_tests.runner import closing, play
+    from myrtlespar.fleet_tests.runner import print_result, play
     from myrtlespar.fleet_tests.script import ScriptError, read
 
     try:
@@ -32,7 +32,7 @@
     except ScriptError as error:
         raise click.ClickException(str(error)) from None
     done = play(found, seed, Path(keep) if keep else None)
-    return closing(done, seed, Path(result) if result else None)
+    return print_result(done, seed, Path(result) if result else None)
 
 
 @fleet.command()
@@ -53,7 +53,7 @@
     """
     from pathlib import Path
 
-    from myrtlespar.fleet_tests.runner import closing
+    from myrtlespar.fleet_tests.runner import print_result
     from myrtlespar.fleet_tests.script import ScriptError, read
     from myrtlespar.simulation.runner import play
 
@@ -61,7 +61,7 @@
         found = read(Path(script), members)
     except ScriptError as error:
         raise click.ClickException(str(error)) from None
-    return closing(play(found, seed, plain=baseline), seed, Path(result) if result else None)
+    return print_result(play(found, seed, plain=baseline), seed, Path(result) if result else None)
 
 
 @fleet.command()
@@ -156,6 +156,6 @@
     """
     from pathlib import Path
 
-    from myrtlespar.fleet_tests.demo import trial as run_trial
+    from myrtlespar.fleet_tests.demo import run_demo as run_trial
 
     return run_trial(seed, Path(keep) if keep else None)
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -42,16 +42,16 @@
     reorder: float = 0.0
 
     @property
-    def firm(self) -> bool:
+    def is_reliable(self) -> bool:
         """Good enough for promises."""
         return not self.cut and self.drop <= FIRM_DROP and self.delay_ms + self.jitter_ms <= FIRM_MS
 
     @property
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         """Good enough that nobody who runs has to refute often."""
         return self.drop <= GOOD_DROP and self.delay_ms + self.jitter_ms <= GOOD_MS
 
-    def fate(self, dice: Random) -> list[float]:
+    def delays_ms(self, dice: Random) -> list[float]:
         """The delay of each copy that arrives; none if it is lost. One that is reordered comes after what was sent
         within 20 ms and all jitter of it.
         """
@@ -66,7 +66,7 @@
         return out
 
 
-PLAIN = LinkFaults()
+NO_FAULTS = LinkFaults()
 
 
 class ActiveFaults:
@@ -89,7 +89,7 @@
     def link(self, a: str, b: str) -> LinkFaults:
         """The directed link from a to b as it is now."""
         if not self.rules:
-            return PLAIN
+            return NO_FAULTS
         known = self._known.get((a, b))
         if known is None:
             known = self._known[a, b] = combine([rule for rule in self.rules.values() if rule.holds(a, b)])
@@ -111,7 +111,7 @@
     )
 
 
-def resolve(name: str, sites: Mapping[str, Sequence[str]]) -> frozenset[str] | None:
+def members_named(name: str, sites: Mapping[str, Sequence[str]]) -> frozenset[str] | None:
     """The members (or the service) that a name of the fault script means; None if it means nothing."""
     if name == "all":
         return frozenset(member for row in sites.values() for member in row)
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -111,7 +111,7 @@
                 self.counts["stranger"] += 1
                 continue
             name = self.members[sender - 1]
-            delays = self.faults.link(name, to).fate(self._roll(name, to))
+            delays = self.faults.link(name, to).delays_ms(self._roll(name, to))
             self.counts["datagrams" if delays else "lost"] += 1
             for delay in delays:
                 if delay:
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -8,8 +8,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.fleet_tests.invariants import ObservedBelief
-from myrtlespar.fleet_tests.runner import closing, play
+from myrtlespar.fleet_tests.invariants import Observation
+from myrtlespar.fleet_tests.runner import print_result, play
 from myrtlespar.fleet_tests.script import parse
 from myrtlespar.membership.messages import MemberState
 from myrtlespar.membership.quorum import FLEET, QuorumStatus
@@ -24,12 +24,12 @@
 """
 
 
-def trial(seed: int, keep: Path | None) -> int:
+def run_demo(seed: int, keep: Path | None) -> int:
     """Play it, print the beliefs. 0 only if every promise held."""
     script = parse(SCRIPT)
     done = play(script, seed, keep)
     if not done["judged"]:
-        return closing(done, seed, None)
+        return print_result(done, seed, None)
     console = Console()
     console.print(lines(done["beliefs"], script.members))
     console.print(
@@ -40,10 +40,10 @@
         console.print(
             f"{name} right after at worst {done[f'{name}_ms']['worst']} ms, promised " f"{done['bounds_ms'][bound]} ms"
         )
-    return closing(done, seed, None)
+    return print_result(done, seed, None)
 
 
-def lines(beliefs: list[ObservedBelief], members: tuple[str, ...]) -> Table:
+def lines(beliefs: list[Observation], members: tuple[str, ...]) -> Table:
     """One row a member: when it came to each standing, and whom it held for failed in between."""
     out = Table(title="What each believed when (seconds from the script's begin)")
     for title in ("member", "standing of the fleet", "failed to it"):
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ObservedBelief:
+class Observation:
     """What `observer` came to believe: kind is begin (a new process of it), member, or standing."""
 
     at: float
@@ -26,7 +26,7 @@
     kind: str
     subject: str = ""  # a member, or the scope of a standing
     state: int | None = None  # a State or Standing; None: forgotten
-    boot: int = 0
+    incarnation: int = 0
 
 
 @dataclass(slots=True)
@@ -49,10 +49,10 @@
 Steps = list[tuple[float, int | None, int]]  # time, state, boot
 
 
-class BeliefHistory:
+class ObservationHistory:
     """By observer and subject, over time."""
 
-    def __init__(self, beliefs: Iterable[ObservedBelief]) -> None:
+    def __init__(self, beliefs: Iterable[Observation]) -> None:
         self.of: dict[tuple[str, str], Steps] = {}
         self.standings: dict[tuple[str, str], Steps] = {}
         self.rows = sorted(beliefs, key=lambda belief: belief.at)
@@ -65,7 +65,7 @@
             else:
                 table = self.of if belief.kind == "member" else self.standings
                 table.setdefault((belief.observer, belief.subject), [(float("-inf"), None, 0)]).append(
-                    (belief.at, belief.state, belief.boot)
+                    (belief.at, belief.state, belief.incarnation)
                 )
 
     @staticmethod
@@ -75,16 +75,16 @@
         return before[-1:] + [step for step in steps if start < step[0] < end]
 
 
-def judge_members(
+def check_membership(
     truth: GroundTruth,
-    beliefs: Iterable[ObservedBelief],
+    beliefs: Iterable[Observation],
     terms: MembershipSettings,
     sites: Mapping[str, Sequence[str]],
     observers: Sequence[str] = (),
     settle_ms: float = SLACK_MS,
 ) -> InvariantReport:
     """All promises of membership; `observers` limits who is looked at (all, if empty)."""
-    out, seen, n = InvariantReport(), BeliefHistory(beliefs), len(truth.members)
+    out, seen, n = InvariantReport(), ObservationHistory(beliefs), len(truth.members)
     who = list(observers) or list(truth.members)
     _no_false_failure(out, truth, seen, terms, n, who, settle_ms)
     for a in who:
@@ -104,7 +104,7 @@
 def _no_false_failure(
     out: InvariantReport,
     truth: GroundTruth,
-    seen: BeliefHistory,
+    seen: ObservationHistory,
     terms: MembershipSettings,
     n: int,
     who: Sequence[str],
@@ -138,11 +138,11 @@
     for start, end in truth.spans(lambda m: m.apart(a, b) and (m.good or b not in m.well)):
         moment = truth.between(start, start)[-1]
         many = sum(moment.linked(a, other) for other in truth.members) * 2 >= n
-        bound = (terms.detect_ms(n) if b not in moment.well and many else terms.standing_ms(n)) + slack
-        spans = BeliefHistory.during(steps, start, end)
+        bound = (terms.detect_ms(n) if b not in moment.running and many else terms.standing_ms(n)) + slack
+        spans = ObservationHistory.during(steps, start, end)
         if spans and spans[0][1] in HERE and spans[0][0] <= start:
             right = next((at for at, state, _ in spans if at > start and state not in HERE), None)
-            if right is not None and b not in moment.well:
+            if right is not None and b not in moment.running:
                 out.detect_ms.append(right - start)
         if end - start <= bound:
             continue
@@ -170,7 +170,7 @@
     """Promise: who runs and is linked is believed here at the latest heal_ms(n) after that began."""
     bound = terms.heal_ms(n) + slack
     for start, end in truth.spans(lambda m: m.linked(a, b)):
-        spans = BeliefHistory.during(steps, start, end)
+        spans = ObservationHistory.during(steps, start, end)
         here = [at for at, state, _ in spans if state in HERE]
         if here and start > 0 and not (spans[0][1] in HERE and spans[0][0] <= start):
             out.known_ms.append(max(0.0, here[-1] - start) if len(here) == 1 else here[0] - start)
@@ -206,8 +206,8 @@
 
 def _restarts(out: InvariantReport, truth: GroundTruth, steps: Steps, a: str, b: str) -> None:
     """Figure: from a new process of b that serves until a, linked to it, knows its new life."""
-    downs = [deed.at for deed in truth.deeds if deed.name == b and deed.kind == "down"]
-    for deed in truth.deeds:
+    downs = [deed.at for deed in truth.actions if deed.name == b and deed.kind == "down"]
+    for deed in truth.actions:
         if deed.kind == "up" and deed.name == b and any(at <= deed.at for at in downs):
             since = max(at for at in downs if at <= deed.at)
             before = max((boot for at, _, boot in steps if at <= since), default=0)
@@ -242,11 +242,11 @@
 ) -> None:
     """Promise: a standing is right standing_ms(n) after the last change of who should be counted."""
     bound = terms.standing_ms(n) + slack
-    sets = {present(moment, a, electors) for moment in truth.moments if a in moment.well} - {None}
+    sets = {present(moment, a, electors) for moment in truth.intervals if a in moment.running} - {None}
     for here in sorted(sets, key=sorted):  # type: ignore[arg-type]
         wanted = judge(len(electors), len(here or ()) + int(a in electors), len(here or ()))
         for start, end in truth.spans(lambda m: a in m.well and present(m, a, electors) == here):  # noqa: B023
-            spans = BeliefHistory.during(steps, start, end)
+            spans = ObservationHistory.during(steps, start, end)
             if not spans:
                 continue
             wrong = [number for number, (_, state, _) in enumerate(spans) if state != wanted]
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -11,7 +11,7 @@
 Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
 
 
-def judge_limits(
+def check_limits(
     limits: Mapping[str, Limit],
     runs: Iterable[Run],
     terms: GrantSettings,
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -62,7 +62,7 @@
             now = time.monotonic()
             if now >= self._list_at:
                 self._list_at = now + LIST_S
-                self.listed = self.run.roster.listed() or self.listed
+                self.listed = self.run.registry.listed() or self.listed
             while not self.stop.is_set() and now >= self._next:
                 self._next += self.dice.expovariate(self.load.rate / self.load.proxies)
                 self._new()
@@ -109,7 +109,7 @@
             self.clients.pop(name)
             client = None
         if client is None:
-            host, port = self.run.listen(name)
+            host, port = self.run.client_address(name)
             try:
                 client = self.clients[name] = ThriftClient(port, host, 0.3)
             except OSError:
@@ -150,7 +150,7 @@
 
     def _again(self, request: LoadRequest, after_ms: float, outcome: str) -> None:
         over = time.time() * 1000 + after_ms > request.born + DUE_MS[request.cls]
-        if self.stop.is_set() or over or request.tries > self.load.most:
+        if self.stop.is_set() or over or request.tries > self.load.max_retries:
             return self._end(request, outcome)
         request.client, request.retry_at = None, time.monotonic() + after_ms / 1000
         return None
@@ -183,7 +183,7 @@
         return [request for proxy in self.proxies for request in proxy.done]
 
 
-def judge_orders(run: FleetRun, crowd: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
+def check_orders(run: FleetRun, crowd: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
     """Promises over what kernels and proxies saw: no request is answered twice; an order is started at most once,
     as its callers repeat only what was refused or never sent (bound: 0); what a member's kernel started, that member
     did not refuse (bound: 0); a member that serves all along answers by the due time.
@@ -191,7 +191,7 @@
     starts: Counter[bytes] = Counter()
     first: dict[tuple[str, bytes], float] = {}  # member and body: when it was started there
     for member in run.members.values():
-        for kernel in member.kernels:
+        for kernel in member.engines:
             starts.update(kernel.by_body)
             for body, at, _ in kernel.runs:
                 first[member.name, body] = min(at, first.get((member.name, body), at))
@@ -204,10 +204,10 @@
         for name, heard in zip(request.refused_by, request.refused_at, strict=True):
             if first.get((name, request.body), heard) < heard:
                 broken.append(f"orders: {name} ran {request.body.decode()} and refused it")
-    touched = {deed.name for deed in run.deeds if deed.kind in ("down", "pause", "left")}
+    touched = {deed.name for deed in run.actions if deed.kind in ("down", "pause", "left")}
     cut = any(
         (rule.cut and rule.second & {"store", "kernel"}) or rule.first & {"store", "kernel"}
-        for deed in run.deeds
+        for deed in run.actions
         if (rule := deed.rule) is not None
     )
     for request in requests:
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -26,7 +26,7 @@
 from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fault_proxy.relay import bind_host, relay_host, service_host
 from myrtlespar.fleet_tests.ground_truth import FaultAction
-from myrtlespar.fleet_tests.invariants import ObservedBelief
+from myrtlespar.fleet_tests.invariants import Observation
 from myrtlespar.fleet_tests.script import Script
 from myrtlespar.membership.messages import MemberState
 from myrtlespar.membership.quorum import FLEET, QuorumStatus
@@ -98,27 +98,27 @@
     """One member over all its processes."""
 
     def __init__(self, name: str, n: int, folder: Path) -> None:
-        self.name, self.n, self.folder = name, n, folder
-        self.kernel = FakeEngine()
-        self.kernels = [self.kernel]
+        self.name, self.number, self.folder = name, n, folder
+        self.engine = FakeEngine()
+        self.engines = [self.engine]
         self.process: subprocess.Popen[str] | None = None
-        self.waiting: subprocess.Popen[str] | None = None  # the second process of a replacement
+        self.successor: subprocess.Popen[str] | None = None  # the second process of a replacement
         self.log: list[dict[str, Any]] = []
-        self.stopped = False
-        self.codes: list[int] = []  # of processes that ended by themselves
-        self.second = False  # whether the process that counts as the member has the second management address
+        self.is_paused = False
+        self.exit_codes: list[int] = []  # of processes that ended by themselves
+        self.uses_second_admin_address = False  # whether the process that counts as the member has the second management address
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
-    def up(self) -> bool:
+    def is_running(self) -> bool:
         """Whether its process runs."""
         return self.process is not None and self.process.poll() is None
 
-    def count(self, event: str) -> int:
+    def count_events(self, event: str) -> int:
         """Lines of this kind so far."""
         return sum(row["event"] == event for row in self.log)
 
-    def last(self, event: str) -> dict[str, Any] | None:
+    def last_event(self, event: str) -> dict[str, Any] | None:
         """The newest line of this kind."""
         return next((row for row in reversed(self.log) if row["event"] == event), None)
 
@@ -140,36 +140,36 @@
         self.script, self.seed, self.folder, self.membership = script, seed, folder, membership or {}
         self.grants = grants or {}
         self.env, self.pin, self.own = env or {}, pin, own or {}
-        self.store, self.roster = FakeDependency(), FakeRegistry()
+        self.dependency, self.registry = FakeDependency(), FakeRegistry()
         self.members = {name: MemberProcess(name, n + 1, folder / name) for n, name in enumerate(script.members)}
-        self.deeds: list[FaultAction] = []
-        self.beliefs: list[ObservedBelief] = []
+        self.actions: list[FaultAction] = []
+        self.observations: list[Observation] = []
         self._lock = threading.Lock()
-        self.faults: list[str] = []  # what could not be played as the script says
+        self.unplayed: list[str] = []  # what could not be played as the script says
         self.replaced = 0
         self._lost: dict[int, list[str]] = {}
-        self.engine = EtcdProcess() if script.engine else None
-        services = {"store": self.store.port, "roster": self.roster.port}
-        self.fabric = FaultProxyProcess(
-            script.members, seed, services | ({"engine": self.engine.port} if self.engine else {})
+        self.etcd = EtcdProcess() if script.engine else None
+        services = {"store": self.dependency.port, "roster": self.registry.port}
+        self.fault_proxy = FaultProxyProcess(
+            script.members, seed, services | ({"engine": self.etcd.port} if self.etcd else {})
         )
-        self.port = self.fabric.port
+        self.port = self.fault_proxy.port
         for member in self.members.values():
-            self.fabric.ask(target=["kernel", member.name, member.kernel.port])
+            self.fault_proxy.ask(target=["kernel", member.name, member.engine.port])
             self._configure(member)
 
     # Where things are.
 
-    def listen(self, name: str) -> tuple[str, int]:
+    def client_address(self, name: str) -> tuple[str, int]:
         """Where client proxies reach a member."""
-        return bind_host(self.members[name].n), self.port + 1
+        return bind_host(self.members[name].number), self.port + 1
 
-    def mgmt(self, name: str) -> tuple[str, int]:
+    def admin_address(self, name: str) -> tuple[str, int]:
         """Where operators reach a member's serving process; the second of a replacement has an address of its own."""
-        return bind_host(self.members[name].n), self.port + 2 + self.members[name].second
+        return bind_host(self.members[name].number), self.port + 2 + self.members[name].uses_second_admin_address
 
     def _configure(self, member: MemberProcess) -> None:
-        n, port = member.n, self.port
+        n, port = member.number, self.port
         config = {
             "name": member.name,
             "listen": f"{bind_host(n)}:{port + 1}",
@@ -186,11 +186,11 @@
             "site": self.script.site_of(member.name),
             "bind": f"{bind_host(n)}:{port}",
             "advertise": f"{relay_host(n)}:{port}",
-            "seeds": [f"{relay_host(self.members[seed].n)}:{port}" for seed in seeds],
+            "seeds": [f"{relay_host(self.members[seed].number)}:{port}" for seed in seeds],
             "electorate": {"version": 1, "sites": {site: list(row) for site, row in self.script.sites.items()}},
             "state": str(member.folder),
             "limits": {name: msgspec.to_builtins(limit) for name, limit in self.script.limits.items()},
-            **({"engine": {"address": f"{service_host(n, 'engine')}:{port}"}} if self.engine else {}),
+            **({"engine": {"address": f"{service_host(n, 'engine')}:{port}"}} if self.etcd else {}),
             "grants": self.grants,
             "membership": self.membership,
             **self.own.get(member.name, {}),
@@ -201,9 +201,9 @@
 
     def spawn(self, member: MemberProcess, beside: bool = False) -> subprocess.Popen[str]:
         """Start a process of it: the only one, or `beside` the one that serves, with the other management address."""
-        mgmt = f"{bind_host(member.n)}:{self.port + 2 + (member.second != beside)}"
+        mgmt = f"{bind_host(member.number)}:{self.port + 2 + (member.uses_second_admin_address != beside)}"
         if not beside:
-            member.second = False
+            member.uses_second_admin_address = False
         env = {
             **os.environ,
             **self.env,
@@ -222,7 +222,7 @@
         )
         if self.pin:  # three members share a core
             cores = sorted(os.sched_getaffinity(0))
-            os.sched_setaffinity(process.pid, {cores[(member.n - 1) // 3 % len(cores)]})
+            os.sched_setaffinity(process.pid, {cores[(member.number - 1) // 3 % len(cores)]})
         threading.Thread(target=self._read, args=(member, process), daemon=True).start()
         return process
 
@@ -239,36 +239,36 @@
     def _hear(self, member: MemberProcess, row: dict[str, Any]) -> None:
         event, name = row["event"], member.name
         if event == JOINING:
-            belief = ObservedBelief(row["at"], name, "begin")
+            belief = Observation(row["at"], name, "begin")
         elif event == "fleet member":
             state = None if row["new"] is None else MemberState[row["new"].upper()]
-            belief = ObservedBelief(row["at"], name, "member", row["member"], state, row["life"][0])
+            belief = Observation(row["at"], name, "member", row["member"], state, row["life"][0])
         elif event == "fleet standing":
             scope = row["scope"]
-            belief = ObservedBelief(row["at"], name, "standing", scope or FLEET, QuorumStatus[row["new"].upper()])
+            belief = Observation(row["at"], name, "standing", scope or FLEET, QuorumStatus[row["new"].upper()])
         else:
             return
         with self._lock:
-            self.beliefs.append(belief)
+            self.observations.append(belief)
 
-    def did(self, kind: str, name: str = "", number: int = 0, rule: FaultRule | None = None, at: float = 0.0) -> None:
+    def record(self, kind: str, name: str = "", number: int = 0, rule: FaultRule | None = None, at: float = 0.0) -> None:
         """Record what was done just now, or at that Unix time in ms."""
         with self._lock:
-            self.deeds.append(FaultAction(at or time.time() * 1000, kind, name, number, rule))
+            self.actions.append(FaultAction(at or time.time() * 1000, kind, name, number, rule))
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start all, and wait until each sees all others. Raises where that takes too long."""
         for member in self.members.values():
             member.process = self.spawn(member)
         for member in self.members.values():
-            until(lambda: member.last("serving") or not member.up, "start")  # noqa: B023
-            if not member.up:
+            until(lambda: member.last_event("serving") or not member.is_running, "start")  # noqa: B023
+            if not member.is_running:
                 raise RuntimeError(f"{member.name} ended: {self._tail(member)}")
-            row = member.last(JOINING)  # not when we look: on a busy machine others see it long before
-            self.did("up", member.name, at=row["at"] if row else 0.0)
-        until(self.whole, "whole views")
+            row = member.last_event(JOINING)  # not when we look: on a busy machine others see it long before
+            self.record("up", member.name, at=row["at"] if row else 0.0)
+        until(self.is_complete, "whole views")
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether each member's standing is whole."""
         return all((row := self.standing(name)) is not None and row == "whole" for name in self.members)
 
@@ -283,19 +283,19 @@
             None,
         )
 
-    def up_again(self, member: MemberProcess) -> None:
+    def restart(self, member: MemberProcess) -> None:
         """Start a process of it and record when it serves."""
-        lines = member.count(JOINING)
-        member.process, member.stopped = self.spawn(member), False
+        lines = member.count_events(JOINING)
+        member.process, member.is_paused = self.spawn(member), False
         threading.Thread(target=self._await, args=(member, member.process, lines), daemon=True).start()
 
     def _await(self, member: MemberProcess, process: subprocess.Popen[str], lines: int) -> None:
         """A new process is up, as the fleet sees it, from its joining on."""
         end = time.monotonic() + WAIT_S
         while time.monotonic() < end and process.poll() is None and process is member.process:
-            if member.count(JOINING) > lines:
-                row = member.last(JOINING)
-                self.did("up", member.name, at=row["at"] if row else 0.0)
+            if member.count_events(JOINING) > lines:
+                row = member.last_event(JOINING)
+                self.record("up", member.name, at=row["at"] if row else 0.0)
                 return
             time.sleep(0.005)
 
@@ -306,25 +306,25 @@
     def kill(self, member: MemberProcess) -> None:
         """SIGKILL, to both processes where it is being replaced."""
         running = [
-            process for process in (member.waiting, member.process) if process is not None and process.poll() is None
+            process for process in (member.successor, member.process) if process is not None and process.poll() is None
         ]
         for process in running:
             process.kill()
         if running:
-            self.did("down", member.name)
+            self.record("down", member.name)
         for process in running:
             process.wait(WAIT_S)
-        member.waiting = None
+        member.successor = None
 
-    def send(self, member: MemberProcess, number: signal.Signals, kind: str) -> None:
+    def signal(self, member: MemberProcess, number: signal.Signals, kind: str) -> None:
         """A signal, recorded. What gives something back counts from before it, as it is believed at once."""
-        if member.process is not None and member.up:
+        if member.process is not None and member.is_running:
             at = time.time() * 1000 if kind == "resume" else 0.0
             member.process.send_signal(number)
-            member.stopped = kind == "pause" or (member.stopped and kind != "resume")
-            self.did(kind, member.name, at=at)
+            member.is_paused = kind == "pause" or (member.is_paused and kind != "resume")
+            self.record(kind, member.name, at=at)
 
-    def relimit(self, names: Sequence[str], version: int, numbers: dict[str, dict[str, Any]]) -> None:
+    def change_limits(self, names: Sequence[str], version: int, numbers: dict[str, dict[str, Any]]) -> None:
         """Change numbers of limits in these members' files, and tell their processes to read them (SIGHUP)."""
         for name in names:
             member = self.members[name]
@@ -334,13 +334,13 @@
             for limit, keys in numbers.items():
                 rows["limits"][limit].update(keys)
             path.write_text(yaml.safe_dump(rows))
-            if member.process is not None and member.up:
+            if member.process is not None and member.is_running:
                 member.process.send_signal(signal.SIGHUP)
 
     def replace(self, member: MemberProcess) -> None:
         """A second process beside it, then SIGTERM to the first once the second serves."""
-        old, lines = member.process, member.count("serving")
-        new = member.waiting = self.spawn(member, beside=True)
+        old, lines = member.process, member.count_events("serving")
+        new = member.successor = self.spawn(member, beside=True)
         threading.Thread(target=self._swap, args=(member, old, new, lines), daemon=True).start()
 
     def _swap(
@@ -348,46 +348,46 @@
     ) -> None:
         end = time.monotonic() + WAIT_S
         while time.monotonic() < end and new.poll() is None:
-            if member.count("serving") > lines:
+            if member.count_events("serving") > lines:
                 break
             time.sleep(0.01)
         if new.poll() is not None:
-            if member.waiting is new:  # nobody killed it
-                self.faults.append(f"replace: {member.name}'s second process ended: {self._tail(member)}")
+            if member.successor is new:  # nobody killed it
+                self.unplayed.append(f"replace: {member.name}'s second process ended: {self._tail(member)}")
             return
         if old is None or old.poll() is not None:
-            self.faults.append(f"replace: {member.name}'s first process was gone before the second served")
+            self.unplayed.append(f"replace: {member.name}'s first process was gone before the second served")
         else:
-            joined = member.count(JOINING)
+            joined = member.count_events(JOINING)
             old.terminate()
-            self.did("down", member.name)  # its link goes; the new one's comes at once
-            member.process, member.waiting, member.second = new, None, not member.second
+            self.record("down", member.name)  # its link goes; the new one's comes at once
+            member.process, member.successor, member.uses_second_admin_address = new, None, not member.uses_second_admin_address
             self._await(member, new, joined)
             with contextlib.suppress(subprocess.TimeoutExpired):
-                member.codes.append(old.wait(WAIT_S))
+                member.exit_codes.append(old.wait(WAIT_S))
                 self.replaced += 1
 
-    def lose(self, names: Sequence[str], number: int) -> None:
+    def lose_members(self, names: Sequence[str], number: int) -> None:
         """Members and their kernels are gone."""
-        self._lost[number] = [name for name in names if self.members[name].up]
+        self._lost[number] = [name for name in names if self.members[name].is_running]
         for name in self._lost[number]:
             self.kill(self.members[name])
-            self.members[name].kernel.down()
+            self.members[name].engine.down()
 
-    def back(self, number: int) -> None:
+    def return_members(self, number: int) -> None:
         """Those that were lost return cold."""
         for name in self._lost.get(number, []):
             member = self.members[name]
-            if not member.up:
-                member.kernel = FakeEngine()
-                member.kernels.append(member.kernel)
-                self.fabric.ask(target=["kernel", name, member.kernel.port])
-                self.up_again(member)
+            if not member.is_running:
+                member.engine = FakeEngine()
+                member.engines.append(member.engine)
+                self.fault_proxy.ask(target=["kernel", name, member.engine.port])
+                self.restart(member)
 
     def ask(self, name: str, word: bytes, timeout_s: float = 3.0) -> str:
         """One line to a member's management address, its whole answer; '' if it gives none."""
         data = b""
-        with contextlib.suppress(OSError), socket.create_connection(self.mgmt(name), timeout=timeout_s) as sock:
+        with contextlib.suppress(OSError), socket.create_connection(self.admin_address(name), timeout=timeout_s) as sock:
             sock.settimeout(timeout_s)
             sock.sendall(word + b"\n")
             while chunk := sock.recv(65536):
@@ -408,14 +408,14 @@
     def close(self) -> None:
         """End everything."""
         for member in self.members.values():
-            for process in (member.process, member.waiting):
+            for process in (member.process, member.successor):
                 if process is not None and process.poll() is None:
                     process.kill()
                     process.wait(WAIT_S)
-            for kernel in member.kernels:
+            for kernel in member.engines:
                 kernel.down()
-        self.fabric.close()
-        if self.engine is not None:
-            self.engine.close()
-        self.store.down()
-        self.roster.down()
+        self.fault_proxy.close()
+        if self.etcd is not None:
+            self.etcd.close()
+        self.dependency.down()
+        self.registry.down()
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -12,40 +12,40 @@
 from typing import Any
 
 from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
-from myrtlespar.fleet_tests.invariants import SLACK_MS, InvariantReport, judge_members
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
-from myrtlespar.fleet_tests.load_generator import LoadGenerator, judge_orders
+from myrtlespar.fleet_tests.invariants import SLACK_MS, InvariantReport, check_membership
+from myrtlespar.fleet_tests.limit_invariants import check_limits
+from myrtlespar.fleet_tests.load_generator import LoadGenerator, check_orders
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import Script, ScriptStep
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.quota.settings import GrantSettings
 
 
-def act(run: FleetRun, step: ScriptStep) -> None:
+def apply_step(run: FleetRun, step: ScriptStep) -> None:
     """Carry one step out."""
     if step.rule is not None:
         if step.kind == "rule_on":
-            run.fabric.on(step.number, step.rule)
-            return run.did(step.kind, "", step.number, step.rule)
-        run.did(step.kind, "", step.number, step.rule)  # before it is so: what heals is believed at once
-        return run.fabric.off(step.number)
+            run.fault_proxy.on(step.number, step.rule)
+            return run.record(step.kind, "", step.number, step.rule)
+        run.record(step.kind, "", step.number, step.rule)  # before it is so: what heals is believed at once
+        return run.fault_proxy.off(step.number)
     if step.kind == "lose":
-        return run.lose(step.names, step.number)
+        return run.lose_members(step.names, step.number)
     if step.kind == "back":
-        return run.back(step.number)
+        return run.return_members(step.number)
     for name in step.names:
         member = run.members[name]
         if step.kind == "kill":
             run.kill(member)
         elif step.kind == "start":
-            if not member.up:
-                run.up_again(member)
+            if not member.is_running:
+                run.restart(member)
         elif step.kind == "pause":
-            run.send(member, signal.SIGSTOP, "pause")
+            run.signal(member, signal.SIGSTOP, "pause")
         elif step.kind == "resume":
-            run.send(member, signal.SIGCONT, "resume")
+            run.signal(member, signal.SIGCONT, "resume")
         elif step.kind == "leave":
-            run.send(member, signal.SIGTERM, "left")
+            run.signal(member, signal.SIGTERM, "left")
         else:
             run.replace(member)
     return None
@@ -87,8 +87,8 @@
 def shifted(run: FleetRun, begin: float) -> tuple[list[FaultAction], list[Any]]:
     """Deeds and beliefs with the run's begin as time 0."""
     return (
-        [replace(deed, at=deed.at - begin) for deed in run.deeds],
-        [replace(belief, at=belief.at - begin) for belief in run.beliefs],
+        [replace(deed, at=deed.at - begin) for deed in run.actions],
+        [replace(belief, at=belief.at - begin) for belief in run.observations],
     )
 
 
@@ -105,7 +105,7 @@
         run = FleetRun(script, seed, folder, **more)
         try:
             try:
-                run.begin()
+                run.start()
             except (AssertionError, RuntimeError) as error:
                 return {
                     **figures(InvariantReport(), terms, len(script.members)),
@@ -120,26 +120,26 @@
             for step in script.steps:
                 if step.at_ms <= script.length_ms:
                     time.sleep(max(0.0, began + step.at_ms / 1000 - time.monotonic()))
-                    act(run, step)
-                    say(f"{step.at_ms / 1000:7.2f} s  {tell(step)}")
+                    apply_step(run, step)
+                    say(f"{step.at_ms / 1000:7.2f} s  {describe_step(step)}")
             time.sleep(max(0.0, began + script.length_ms / 1000 - time.monotonic()))
             end = time.time() * 1000 - begin
-            views = {name: run.view(name) for name, member in run.members.items() if member.up and not member.stopped}
+            views = {name: run.view(name) for name, member in run.members.items() if member.is_running and not member.is_paused}
             requests = crowd.finish() if script.load.rate else []
-            stats = run.fabric.ask(stats=True)
+            stats = run.fault_proxy.ask(stats=True)
             deeds, beliefs = shifted(run, begin)
             verdict = InvariantReport()
-            if "members" in script.judge:
+            if "members" in script.checks:
                 truth = GroundTruth(script.members, deeds, end, terms.pause_ms())
-                verdict = judge_members(truth, beliefs, terms, script.sites, (), slack_ms)
+                verdict = check_membership(truth, beliefs, terms, script.sites, (), slack_ms)
             over, limits = judge_runs(run, script, begin, end, slack_ms)
-            orders, outcomes = judge_orders(run, crowd, requests) if "orders" in script.judge else ([], {})
+            orders, outcomes = check_orders(run, crowd, requests) if "orders" in script.checks else ([], {})
             return {
                 **figures(verdict, terms, len(script.members)),
-                "broken": [*run.faults, *verdict.broken, *over, *orders],
+                "broken": [*run.unplayed, *verdict.broken, *over, *orders],
                 **({"limits": limits} if limits else {}),
                 "replaced": run.replaced,
-                "judged": list(script.judge),
+                "judged": list(script.checks),
                 "outcomes": outcomes,
                 "fabric": {key: value for key, value in stats.items() if key != "done"},
                 "hashes": len({view["hash"] for view in views.values() if view}),
@@ -155,18 +155,18 @@
     run: FleetRun, script: Script, begin: float, end: float, slack_ms: float
 ) -> tuple[list[str], dict[str, Any]]:
     """Fleet limits against what all kernels ran, if the script asks for it."""
-    if not script.limits or "limits" not in script.judge:
+    if not script.limits or "limits" not in script.checks:
         return [], {}
     runs, sites = [], {}
     for member in run.members.values():
-        for kernel in member.kernels:
+        for kernel in member.engines:
             for body, at, ended in list(kernel.runs):
                 runs.append((body, at, float("inf") if ended is None else ended))
                 sites[body] = script.site_of(member.name)
-    return judge_limits(script.limits, runs, GrantSettings(**run.grants), begin, begin + end, slack_ms, sites)
+    return check_limits(script.limits, runs, GrantSettings(**run.grants), begin, begin + end, slack_ms, sites)
 
 
-def tell(step: ScriptStep) -> str:
+def describe_step(step: ScriptStep) -> str:
     """A step in a few words."""
     if step.rule is None:
         return f"{step.kind} {' '.join(step.names)}"
@@ -179,7 +179,7 @@
     )
 
 
-def closing(result: dict[str, Any], seed: int, keep: Path | None) -> int:
+def print_result(result: dict[str, Any], seed: int, keep: Path | None) -> int:
     """Print broken promises and the one JSON line; the exit status."""
     for line in result["broken"]:
         print(f"BROKEN {line}")
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -11,7 +11,7 @@
 import yaml
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.fault_proxy.faults import SERVICES, FaultRule, resolve
+from myrtlespar.fault_proxy.faults import SERVICES, FaultRule, members_named
 from myrtlespar.net.codec.peer import is_valid_name
 from myrtlespar.quota.settings import Limit
 
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSettings:
-    """Requests a second of all proxies together, by class; each is tried again at most `most` times."""
+    """Requests a second of all proxies together, by class; each is tried again at most `max_retries` times."""
 
     rate: float = 0.0
     mix: Mapping[str, float] = field(default_factory=dict)
     proxies: int = 0
-    most: int = 0
+    max_retries: int = 0
     after_ms: float = 200.0
 
 
@@ -64,7 +64,7 @@
     length_ms: float
     steps: tuple[ScriptStep, ...]
     load: LoadSettings
-    judge: tuple[str, ...]
+    checks: tuple[str, ...]
     limits: Mapping[str, Limit] = field(default_factory=dict)
     engine: bool = False
 
@@ -267,7 +267,7 @@
 
 def _who(rows: _Rows, verb: str, sites: Mapping[str, tuple[str, ...]]) -> tuple[str, ...]:
     value = rows.rows[verb]
-    found = resolve(value, sites) if isinstance(value, str) and value not in SERVICES else None
+    found = members_named(value, sites) if isinstance(value, str) and value not in SERVICES else None
     if found is None:
         raise ScriptError(f"{rows.key(verb)}: no member or site is named {value!r}")
     return tuple(name for row in sites.values() for name in row if name in found)
@@ -277,7 +277,7 @@
     ends = rows.rows[verb]
     if not isinstance(ends, list) or len(ends) != 2:
         raise ScriptError(f"{rows.key(verb)}: expected two names, got {ends!r}"[:160])
-    found = [resolve(end, sites) if isinstance(end, str) else None for end in ends]
+    found = [members_named(end, sites) if isinstance(end, str) else None for end in ends]
     for n, names in enumerate(found):
         if names is None:
             raise ScriptError(f"{rows.key(verb)}[{n}]: no member, site or service is named {ends[n]!r}")
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -10,7 +10,7 @@
 
 from myrtlespar.fault_proxy.faults import ActiveFaults
 from myrtlespar.fleet_tests.ground_truth import FaultAction
-from myrtlespar.fleet_tests.invariants import ObservedBelief
+from myrtlespar.fleet_tests.invariants import Observation
 from myrtlespar.fleet_tests.script import ScriptStep
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
@@ -111,7 +111,7 @@
         self.observers = set(observers or self.names)
         self.nodes: dict[str, SimulatedNode] = {}
         self.deeds: list[FaultAction] = []
-        self.beliefs: list[ObservedBelief] = []
+        self.beliefs: list[Observation] = []
         self.notes: dict[str, int] = {}
         self.lost_before: dict[int, list[str]] = {}
         self._starts = 0
@@ -166,9 +166,9 @@
         node = self.nodes[name] = SimulatedNode(name, machine)
         self.deeds.append(FaultAction(now, "up", name))
         if name in self.observers:
-            self.beliefs.append(ObservedBelief(now, name, "begin"))
+            self.beliefs.append(Observation(now, name, "begin"))
             for scope, tally in getattr(getattr(machine, "standings", None), "scopes", {}).items():
-                self.beliefs.append(ObservedBelief(now, name, "standing", scope, tally.now))
+                self.beliefs.append(Observation(now, name, "standing", scope, tally.now))
         self._carry(node, machine.start(now) if join else [])
 
     def _seeds(self, name: str) -> list[str]:
@@ -255,10 +255,10 @@
             elif node.name in self.observers:
                 if isinstance(effect, MemberChanged):
                     self.beliefs.append(
-                        ObservedBelief(now, node.name, "member", effect.name, effect.new_state, effect.incarnation)
+                        Observation(now, node.name, "member", effect.name, effect.new_state, effect.incarnation)
                     )
                 elif isinstance(effect, QuorumChanged):
-                    self.beliefs.append(ObservedBelief(now, node.name, "standing", effect.scope, effect.new_status))
+                    self.beliefs.append(Observation(now, node.name, "standing", effect.scope, effect.new_status))
         due = node.machine.next_at()
         if due != node.due:
             node.due = due
@@ -275,7 +275,7 @@
         if link.cut:
             return
         dice = self.dice
-        for delay in link.fate(dice):
+        for delay in link.delays_ms(dice):
             self.engine.at(
                 self.engine.now + HOP_MS + HOP_JITTER_MS * dice.random() + delay,
                 self._deliver,
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
-from myrtlespar.fleet_tests.invariants import judge_members
+from myrtlespar.fleet_tests.invariants import check_membership
 from myrtlespar.fleet_tests.runner import figures
 from myrtlespar.fleet_tests.script import Script
 from myrtlespar.membership.settings import MembershipSettings
@@ -42,7 +42,7 @@
     took, seconds = time.monotonic() - began, script.length_ms / 1000
     deeds = fleet.deeds if len(names) <= PAIRED_MOST else _few(fleet.deeds)
     truth = GroundTruth(names, deeds, settle + script.length_ms, terms.pause_ms())
-    verdict = judge_members(truth, fleet.beliefs, terms, sites if len(names) <= PAIRED_MOST else {}, observers)
+    verdict = check_membership(truth, fleet.beliefs, terms, sites if len(names) <= PAIRED_MOST else {}, observers)
     moved = [
         (node.sent_bytes - before.get(name, (0, 0))[0], node.datagrams - before.get(name, (0, 0))[1])
         for name, node in fleet.nodes.items()
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -84,18 +84,18 @@
 
 
 def test_a_clock_set_back_or_forth_matters_for_lives_only(three: FleetRun) -> None:
-    three.begin()
+    three.start()
     member = three.members["a2"]
     seen = boot_of(three, "a1", "a2")
     for shift in (-3_600_000, 3_600_000, 0):
         path = member.folder / "fleet.yaml"
         path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), "wall_shift_ms": shift}))
         three.kill(member)
-        three.up_again(member)
+        three.restart(member)
         before = seen
         until(lambda: boot_of(three, "a1", "a2") > before and boot_of(three, "a3", "a2") > before, "the new life")  # noqa: B023
         until(lambda: states(three, "a1").get("a2") == "alive" and states(three, "a2").get("a1") == "alive", "alive")
-        until(three.whole, "whole again")
+        until(three.is_complete, "whole again")
         seen = boot_of(three, "a1", "a2")
 
 
@@ -105,7 +105,7 @@
 
 
 def test_what_is_spoilt_foreign_replayed_or_too_much_changes_nothing(three: FleetRun) -> None:
-    three.begin()
+    three.start()
     target = ("127.0.1.1", three.port)
     view = three.view("a1")
     assert view is not None
@@ -137,7 +137,7 @@
     assert after is not None
     assert boot_of(three, "a1", "a2") > 5
     assert [row["state"] for row in after["members"]] == ["alive", "alive"]
-    assert three.whole()
+    assert three.is_complete()
 
 
 def counted(run: FleetRun, name: str) -> int:
@@ -146,8 +146,8 @@
 
 
 def test_a_saturated_member_is_not_failed_and_fails_nobody(three: FleetRun) -> None:
-    three.begin()
-    host, port = three.listen("a1")
+    three.start()
+    host, port = three.client_address("a1")
     end = time.monotonic() + 5
 
     def burn() -> None:
@@ -170,12 +170,12 @@
         if row["event"] == "fleet member" and row["new"] == "failed"
     ]
     assert failed == []
-    assert three.whole()
+    assert three.is_complete()
 
 
 def test_status_and_figures_tell_the_view(three: FleetRun) -> None:
-    three.begin()
-    host, port = three.mgmt("a1")
+    three.start()
+    host, port = three.admin_address("a1")
     shown = subprocess.run(
         [sys.executable, "-m", "myrtlespar", "fleet", "status", f"{host}:{port}"],
         cwd=ROOT,
@@ -203,18 +203,18 @@
 
 
 def test_a_roll_changes_by_one_member_at_a_time(three: FleetRun) -> None:
-    three.begin()
+    three.start()
     member = three.members["a1"]
     path = member.folder / "fleet.yaml"
     rows = yaml.safe_load(path.read_text())
 
     def offer(version: int, names: list[str], event: str) -> dict[str, Any]:
-        seen = member.count(event)
+        seen = member.count_events(event)
         path.write_text(yaml.safe_dump({**rows, "electorate": {"version": version, "sites": {"a": names}}}))
         assert member.process is not None
         member.process.send_signal(1)  # SIGHUP
-        until(lambda: member.count(event) > seen, event)
-        return member.last(event) or {}
+        until(lambda: member.count_events(event) > seen, event)
+        return member.last_event(event) or {}
 
     assert "more than one" in offer(2, ["a1"], "fleet reload refused")["error"]
     assert "does not follow" in offer(1, ["a1", "a2"], "fleet reload refused")["error"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from myrtlespar.config import ConfigError
 from myrtlespar.fakes import ROOT
 from myrtlespar.fleet.settings import limits_fault, read_fleet
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.limit_invariants import check_limits
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import read
 from myrtlespar.model_checker.fleet.command import mutations
@@ -110,18 +110,18 @@
 def test_the_judge_sees_one_too_many_and_nothing_else() -> None:
     limits, terms = {"x": Limit(per_s=3.0, cls="order")}, GrantSettings()
     runs = [(b"order n=%d" % n, 1000.0 + at, 1010.0 + at) for n, at in enumerate((0, 10, 20, 1000, 1010, 1020))]
-    broken, figures = judge_limits(limits, runs, terms, 0.0, 3000.0, 0.0, {})
+    broken, figures = check_limits(limits, runs, terms, 0.0, 3000.0, 0.0, {})
     assert broken == []
     assert figures["x"]["most"] == 3
     assert figures["x"]["started"] == 6
-    broken, _ = judge_limits(limits, [*runs, (b"order n=9", 1005.0, 1006.0)], terms, 0.0, 3000.0, 0.0, {})
+    broken, _ = check_limits(limits, [*runs, (b"order n=9", 1005.0, 1006.0)], terms, 0.0, 3000.0, 0.0, {})
     assert len(broken) == 1
     assert "4 of x" in broken[0]
-    assert judge_limits(limits, [(b"render", 1000.0, 1.0)] * 9, terms, 0.0, 3000.0, 0.0, {})[0] == []
+    assert check_limits(limits, [(b"render", 1000.0, 1.0)] * 9, terms, 0.0, 3000.0, 0.0, {})[0] == []
     hand = {"y": Limit(at_once=2)}
     rows = [(b"render a", 0.0, 50.0), (b"render b", 10.0, 50.0), (b"render c", 50.0, 60.0)]
-    assert judge_limits(hand, rows, terms, 0.0, 100.0, 0.0, {})[0] == []
-    assert judge_limits(hand, [*rows, (b"render d", 20.0, 30.0)], terms, 0.0, 100.0, 0.0, {})[0] != []
+    assert check_limits(hand, rows, terms, 0.0, 100.0, 0.0, {})[0] == []
+    assert check_limits(hand, [*rows, (b"render d", 20.0, 30.0)], terms, 0.0, 100.0, 0.0, {})[0] != []
 
 
 def test_every_message_about_limits_fits_a_datagram_and_comes_back_whole() -> None:
@@ -278,10 +278,10 @@
 def test_the_judge_sees_a_budget_that_is_spent_twice() -> None:
     limits, day = {"x": Limit(per_day=3, cls="order")}, 86_400_000.0
     runs = [(b"order n=%d" % n, 5 * day + 1000.0 * n, 5 * day + 1000.0 * n + 5) for n in range(1, 4)]
-    assert judge_limits(limits, runs, GrantSettings(), 5 * day, 6 * day, 250.0, {})[0] == []
+    assert check_limits(limits, runs, GrantSettings(), 5 * day, 6 * day, 250.0, {})[0] == []
     for at, over in ((5 * day + 9e6, True), (6 * day + 9e6, False)):
         more = [*runs, (b"order n=9", at, at + 5)]
-        assert bool(judge_limits(limits, more, GrantSettings(), 5 * day, 7 * day, 250.0, {})[0]) is over
+        assert bool(check_limits(limits, more, GrantSettings(), 5 * day, 7 * day, 250.0, {})[0]) is over
 
 
 @pytest.mark.fleet
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.fleet_tests.ground_truth import GroundTruth
-from myrtlespar.fleet_tests.invariants import ObservedBelief, judge_members
+from myrtlespar.fleet_tests.invariants import Observation, check_membership
 from myrtlespar.fleet_tests.script import ScriptError, parse
 from myrtlespar.membership.dissemination import Dissemination
 from myrtlespar.membership.member import Member
@@ -340,10 +340,10 @@
     assert faults.link("a1", "b1").cut
     assert not faults.link("b1", "a1").cut
     assert faults.link("b1", "a1").drop == 0.5
-    assert not faults.link("b1", "a1").firm
+    assert not faults.link("b1", "a1").is_reliable
     faults.drop(1)
-    assert faults.link("b1", "a1").firm
-    assert faults.link("a1", "b1").fate(Random(1)) == []
+    assert faults.link("b1", "a1").is_reliable
+    assert faults.link("a1", "b1").delays_ms(Random(1)) == []
 
 
 # The judge can say no, and the emulator says the same each time.
@@ -364,18 +364,18 @@
 @pytest.mark.parametrize(
     ("lie", "rule"),
     [
-        (ObservedBelief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
-        (ObservedBelief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
-        (ObservedBelief(12_000, "a1", "member", "c1", None, 0), "presence known"),
-        (ObservedBelief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
-        (ObservedBelief(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
-        (ObservedBelief(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
+        (Observation(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
+        (Observation(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
+        (Observation(12_000, "a1", "member", "c1", None, 0), "presence known"),
+        (Observation(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
+        (Observation(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
+        (Observation(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
     ],
 )
-def test_the_judge_finds_a_lie(lie: ObservedBelief, rule: str) -> None:
+def test_the_judge_finds_a_lie(lie: Observation, rule: str) -> None:
     fleet, truth = beliefs_of(KILL)
-    assert judge_members(truth, fleet.beliefs, TERMS, fleet.sites).broken == []
-    found = judge_members(truth, [*fleet.beliefs, lie], TERMS, fleet.sites).broken
+    assert check_membership(truth, fleet.beliefs, TERMS, fleet.sites).broken == []
+    found = check_membership(truth, [*fleet.beliefs, lie], TERMS, fleet.sites).broken
     assert any(line.startswith(rule) for line in found), found
 
 
