--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -40,8 +40,8 @@
         run = FleetRun(script, seed, Path(tmp))
         try:
             run.start()
-            crowd = LoadGenerator(run)
-            crowd.begin()
+            load = LoadGenerator(run)
+            load.start()
             began, behind = time.monotonic(), set[str]()
 
             def wait(until_s: float) -> None:
@@ -65,7 +65,7 @@
             run.change_limits(["c1"], 2, lower)
             last = time.time() * 1000
             wait(24)
-            crowd.finish()
+            load.finish()
             end = time.time() * 1000
             versions = {
                 name: (run.limits(name).get("version"), run.limits(name).get("settled")) for name in run.members
--- a/myrtlespar/cli/__init__.py
+++ b/myrtlespar/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line, on click. Each command loads what it needs when it runs, so that serving loads no tool."""
+"""The command line, on click: one file a command. Each command imports what it needs when it runs.
+
+So serving loads no tool.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,14 @@
 import click
 
 from myrtlespar.cli.check import check
-from myrtlespar.cli.demo import trial
 from myrtlespar.cli.fleet import fleet
-from myrtlespar.cli.serve import import_files, serve, version
+from myrtlespar.cli.import_files import import_files
+from myrtlespar.cli.serve import serve
+from myrtlespar.cli.try_command import try_command
+from myrtlespar.cli.version import version
+
+EXIT_FAULTY_INPUT = 2
+EXIT_INTERRUPTED = 130
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -21,7 +29,7 @@
     """
 
 
-for command in (serve, trial, check, fleet, import_files, version):
+for command in (serve, try_command, check, fleet, import_files, version):
     cli.add_command(command)
 
 
@@ -31,7 +39,7 @@
         code = cli.main(prog_name="myrtlespar", standalone_mode=False)
     except click.ClickException as error:
         print(f"myrtlespar: {error.format_message()}", file=sys.stderr)
-        return 2
+        return EXIT_FAULTY_INPUT
     except click.Abort:
-        return 130
+        return EXIT_INTERRUPTED
     return code if isinstance(code, int) else 0
--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -1,4 +1,4 @@
-"""`myrtlespar check`: explore the machines, find planted bugs, replay counter-examples, check recorded traces."""
+"""`myrtlespar check`: explore the state machines, find planted bugs, replay counter-examples."""
 
 from __future__ import annotations
 
@@ -8,9 +8,14 @@
 
 import click
 
+from myrtlespar.cli.check_tables import tables
+from myrtlespar.cli.check_trace import trace
+
 CORES = os.cpu_count() or 1
+TWO_PROCESSES = "twins"  # the scenario of an old and a new process, explored apart from the others
 
 
+# Longer than 40 lines only by its options, each of which is a parameter.
 @click.group(invoke_without_command=True)
 @click.option("--quick", is_flag=True, help="All small scenarios, every state.")
 @click.option("--full", is_flag=True, help="The large scenario: 3 tries, 2 lives of the server, 2 breaks.")
@@ -64,35 +69,16 @@
         return command.planted(jobs, seconds, folder)
     if replay is not None:
         return command.replay(Path(replay), real, plant)
-    chosen = list(names) + ([*QUICK, "twins"] if quick else []) + (["large"] if full else [])
+    chosen = [*names, *((*QUICK, TWO_PROCESSES) if quick else ()), *(("large",) if full else ())]
     for name in chosen:
-        if name not in (*ALL, "twins"):
-            raise click.ClickException(f"--scenario: no scenario named {name!r}; there are {', '.join(ALL)}, twins")
+        if name not in (*ALL, TWO_PROCESSES):
+            raise click.ClickException(
+                f"--scenario: no scenario named {name!r}; there are {', '.join(ALL)}, {TWO_PROCESSES}"
+            )
     if not chosen:
         raise click.ClickException("check: say --quick, --full, --scenario, --planted, --replay, tables or trace")
     return command.explore_all(chosen, Bounds(seconds, states, memory_mb), jobs, folder, sys.stderr.isatty())
 
 
-@check.command()
-@click.argument("file", type=click.Path())
-def trace(file: str) -> int:
-    """Accept or reject a recorded run: the log of a server with `[trace] transitions = true`."""
-    from myrtlespar.model_checker.trace_checker import check_trace
-
-    return check_trace(Path(file))
-
-
-@check.command()
-@click.option("--verify", type=click.Path(), help="Fail if this file differs from what would be printed.")
-def tables(verify: str | None) -> int:
-    """Print the tables and diagrams of all machines, as Markdown."""
-    from myrtlespar.model_checker.diagrams import document
-
-    text = document()
-    if verify is None:
-        click.echo(text, nl=False)
-        return 0
-    path = Path(verify)
-    if not path.is_file() or path.read_text() != text:
-        raise click.ClickException(f"{verify}: differs from the code; write it anew with `myrtlespar check tables`")
-    return 0
+check.add_command(trace)
+check.add_command(tables)
--- /dev/null
+++ b/myrtlespar/cli/fleet/__init__.py
@@ -0,0 +1,22 @@
+"""`myrtlespar fleet`: fault scripts on real processes or in the simulation, and views of running members."""
+
+from __future__ import annotations
+
+import click
+
+from myrtlespar.cli.fleet.check import check
+from myrtlespar.cli.fleet.emulate import emulate
+from myrtlespar.cli.fleet.limits import limits
+from myrtlespar.cli.fleet.run import run
+from myrtlespar.cli.fleet.status import status
+from myrtlespar.cli.fleet.try_command import try_command
+from myrtlespar.cli.fleet.watch import watch
+
+
+@click.group()
+def fleet() -> None:
+    """Tile servers that know each other: rehearse faults, look at views."""
+
+
+for subcommand in (run, emulate, check, status, watch, limits, try_command):
+    fleet.add_command(subcommand)
--- /dev/null
+++ b/myrtlespar/cli/fleet/limit_bounds.py
@@ -0,0 +1,93 @@
+"""What a fleet file's limits promise, in numbers, for `myrtlespar fleet limits bound`."""
+
+from __future__ import annotations
+
+from myrtlespar.fleet.settings import FleetSettings, read_fleet
+from myrtlespar.quota.budget import AHEAD_S
+from myrtlespar.quota.settings import CountedUnit, CountedWork, GrantSettings, Limit, LimitKind
+
+Promise = tuple[str, str]  # what, and its number with the unit
+EXAMPLE_FIRST_ATTEMPTS = 1000
+
+
+def print_bounds(file: str) -> None:
+    """Print the promises of all limits of a file. ConfigError names the faulty key."""
+    settings = read_fleet(file, "any")
+    members = settings.grants.members_most or len(settings.voter_set.names)
+    grants = settings.grants
+    print(
+        f"clocks may run fast or slow by {grants.drift:.1%}; grants {grants.grant_ms} ms, leases "
+        f"{grants.lease_ms} ms, asks every {grants.ask_ms} ms"
+    )
+    for name, limit in settings.limits.items():
+        class_text = f", class {limit.cls}" if limit.cls else ""
+        part_text = f", one for each {limit.by}" if limit.by else ""
+        print(f"{name}: {limit.kind.value}{class_text}{part_text}")
+        for what, number in promises(limit, grants, members):
+            print(f"  {what}: {number}")
+    _print_retry_budget(settings, members)
+    _print_engine(settings)
+
+
+def promises(limit: Limit, terms: GrantSettings, members: int) -> list[Promise]:
+    """Each promise of one limit."""
+    if limit.of is CountedUnit.BUDGET:
+        return _budget_promises(limit)
+    work = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
+    unit = f"starts in any {limit.window_ms} ms" if limit.of is CountedUnit.RATE else f"{work} at once"
+    if limit.kind is LimitKind.ADVISORY:
+        return [("limit", f"{limit.amount} {unit}"), ("promise", "none: it is counted only")]
+    pool, each = terms.shares(limit, members)
+    return [
+        ("limit", f"{limit.amount} {unit}"),
+        ("over", _overshoot(limit, terms)),
+        ("granted by keepers", f"{pool}"),
+        ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
+        ("a part of k members cut off without a majority may use", f"k x {each}"),
+        ("demand that moves has what is due to it after", f"{terms.moved_ms(limit):.0f} ms"),
+        (
+            "after a keeper's death its keys are granted anew after",
+            f"{terms.rebuilt_ms(limit):.0f} ms, beside what membership takes to notice",
+        ),
+        ("a number that is lowered holds after", f"{terms.lowered_ms(limit):.0f} ms; never over the greater one"),
+        ("a new process uses its standing share after", f"{terms.silent_ms(limit):.0f} ms"),
+    ]
+
+
+def _overshoot(limit: Limit, terms: GrantSettings) -> str:
+    if limit.kind is LimitKind.STRICT:
+        return f"{terms.over(limit)}"
+    return f"{terms.over(limit)}, for at most {terms.over_ms(limit):.0f} ms after a keeper's change"
+
+
+def _budget_promises(limit: Limit) -> list[Promise]:
+    return [
+        ("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
+        ("over", "0, over restarts of any or all members whose state folders are kept"),
+        (
+            "lost with a keeper",
+            f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what was short",
+        ),
+        ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
+        ("without a majority", "what is drawn is spent, nothing more is drawn"),
+    ]
+
+
+def _print_retry_budget(settings: FleetSettings, members: int) -> None:
+    budget = settings.repeats
+    if budget is not None:
+        print(
+            f"repeats: at most {budget.share:g} x first tries + {budget.burst} x {members} = "
+            f"{budget.most(EXAMPLE_FIRST_ATTEMPTS, members):.0f} with {EXAMPLE_FIRST_ATTEMPTS} first tries, "
+            "whatever links fail"
+        )
+
+
+def _print_engine(settings: FleetSettings) -> None:
+    if settings.engine is not None:
+        grants = settings.grants
+        lease_ms = grants.used(grants.used(settings.engine.ttl_s * 1000))
+        print(
+            f"engine: keepers by leases of {settings.engine.ttl_s} s; without it a keeper goes on for at most "
+            f"{lease_ms:.0f} ms, grants for {grants.grant_ms} ms more"
+        )
--- /dev/null
+++ b/myrtlespar/cli/fleet/limit_tables.py
@@ -0,0 +1,127 @@
+"""Tables of fleet limits in use, for `myrtlespar fleet limits` and `limits explain`."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from rich.console import Console
+from rich.table import Table
+
+from myrtlespar.cli.fleet.member_tables import ask, duration
+
+NEVER_GRANTED_MS = -1e8  # a grant that lapsed longer ago than this never was
+
+
+@dataclass(slots=True)
+class KeySum:
+    """One key over all members."""
+
+    limit: int
+    granted: int = 0
+    standing: int = 0
+    used: int = 0
+
+
+def print_limits(addresses: Sequence[str]) -> int:
+    """Print one row for each key and member, then the sums; 1 if a member gave no answer."""
+    console = Console()
+    table = Table()
+    sums: dict[str, KeySum] = {}
+    status = 0
+    for title in ("key", "member", "limit", "kind", "standing", "granted", "for", "used", "keeper"):
+        table.add_column(title)
+    for address in addresses:
+        report = ask(address, word=b"LIMITS")
+        if isinstance(report, str):
+            console.print(report)
+            status = 1
+            continue
+        _add_keys(table, sums, report)
+        _print_notes(console, report)
+    console.print(table)
+    for key, row in sorted(sums.items()):
+        console.print(
+            f"{key}: {row.granted} granted + {row.standing} standing of {row.limit}, {row.used} used, "
+            f"{max(0, row.limit - row.used)} fallow"
+        )
+    return status
+
+
+def print_rejections(addresses: Sequence[str], name: str) -> int:
+    """Print the last rejection of a limit at each member; 1 if one gave no answer."""
+    console = Console()
+    status = 0
+    for address in addresses:
+        report = ask(address, word=b"LIMITS")
+        if isinstance(report, str):
+            console.print(report)
+            status = 1
+        else:
+            console.print(_rejection(report, name, address))
+    return status
+
+
+def _add_keys(table: Table, sums: dict[str, KeySum], report: Mapping[str, Any]) -> None:
+    for row in report.get("keys", []):
+        table.add_row(
+            row["key"],
+            report["name"],
+            f"{row['limit']} {row['of']}",
+            row["kind"],
+            str(row["standing"]),
+            str(row["granted"]),
+            duration(row["granted_for_ms"]),
+            str(row["used"]),
+            row["keeper"],
+        )
+        total = sums.setdefault(row["key"], KeySum(row["limit"]))
+        total.granted += row["granted"]
+        total.standing += row["standing"]
+        total.used += row["used"]
+
+
+def _print_notes(console: Console, report: Mapping[str, Any]) -> None:
+    """Print the shards that a member leads, voters with older limits, and budgets."""
+    name = report.get("name")
+    for shard in report.get("keeps", []):
+        unknown = f", waits out {' '.join(shard['unknown'])}" if shard["unknown"] else ""
+        console.print(
+            f"{name} keeps range {shard['range']}, epoch {shard['epoch']}, for {duration(shard['since_ms'])}{unknown}"
+        )
+    if report.get("behind"):
+        console.print(
+            f"{name}: not known to go by version {report['version']} of the limits: {' '.join(report['behind'])}"
+        )
+    for row in report.get("budgets", []):
+        left = "unknown" if row["left"] < 0 else f"{row['left']}"
+        console.print(
+            f"{name}: {row['key']}, period {row['period']}: {row['spent']} spent of "
+            f"{row['got']} drawn, {left} of {row['limit']} left to draw; kept by {row['keeper']}"
+        )
+
+
+def _rejection(report: Mapping[str, Any], name: str, address: str) -> str:
+    """The last rejection of a limit at one member, as a line."""
+    why = report.get("why", {}).get(name)
+    refused = report.get("refused", {}).get(name, 0)
+    admitted = report.get("admitted", {}).get(name, 0)
+    if why is None:
+        return f"{report.get('name', address)}: {name} has refused nothing, {admitted} let in"
+    return (
+        f"{report['name']}: {why['key']} refused {duration(time.time() * 1000 - why['at'])} ago: "
+        f"{why['used']} in use of {why['allowance']} that this member may use; {_grant(why)}. "
+        f"{refused} refused, {admitted} let in since the start"
+    )
+
+
+def _grant(why: Mapping[str, Any]) -> str:
+    """The grant that a rejection was based on."""
+    left_ms = why["granted_for_ms"]
+    if left_ms > 0:
+        return f"granted {why['granted']} by {why['keeper']}, for {duration(left_ms)} more"
+    if left_ms > NEVER_GRANTED_MS:
+        return f"no grant: the last one from {why['keeper']} lapsed {duration(-left_ms)} before"
+    return f"never had a grant; {why['keeper']} is to keep it"
--- a/myrtlespar/cli/limits.py
+++ b/myrtlespar/cli/fleet/limits.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet limits`: what the fleet's limits are at now, why one refused, and what a file promises."""
+"""`myrtlespar fleet limits`: the fleet's limits as they are now, why one rejected, and what a file promises."""
 
 from __future__ import annotations
 
@@ -13,32 +13,37 @@
     ctx.obj = addresses
     if ctx.invoked_subcommand is not None:
         return None
-    from myrtlespar.cli.limit_tables import shown
+    from myrtlespar.cli.fleet.limit_tables import print_limits
 
-    if not addresses:
-        raise click.ClickException("--at: at least one management address is wanted")
-    return shown(addresses)
+    _require_addresses(addresses)
+    return print_limits(addresses)
 
 
-@limits.command()
+@limits.command("explain")
 @click.argument("name")
 @click.pass_obj
 def explain(addresses: tuple[str, ...], name: str) -> int:
     """Why the last request under limit NAME was refused, at each member: which number, from whom, how old."""
-    from myrtlespar.cli.limit_tables import explained
+    from myrtlespar.cli.fleet.limit_tables import print_rejections
 
-    if not addresses:
-        raise click.ClickException("--at: at least one management address is wanted")
-    return explained(addresses, name)
+    _require_addresses(addresses)
+    return print_rejections(addresses, name)
 
 
-@limits.command()
+@limits.command("bound")
 @click.argument("file", type=click.Path())
 def bound(file: str) -> int:
     """The promises of a settings FILE in numbers, before it is used."""
-    from myrtlespar.cli.limit_tables import bounds
+    from myrtlespar.cli.fleet.limit_bounds import print_bounds
+    from myrtlespar.config import ConfigError
 
-    fault = bounds(file)
-    if fault:
-        raise click.ClickException(fault)
+    try:
+        print_bounds(file)
+    except ConfigError as error:
+        raise click.ClickException(str(error)) from None
     return 0
+
+
+def _require_addresses(addresses: tuple[str, ...]) -> None:
+    if not addresses:
+        raise click.ClickException("--at: at least one management address is wanted")
--- a/myrtlespar/cli/demo.py
+++ b/myrtlespar/cli/try_command.py
@@ -1,4 +1,4 @@
-"""`myrtlespar try`: the real server between its own stand-ins, a short mixed burst, and a verdict on the rules."""
+"""`myrtlespar try`: the real server between its own fakes, a short mixed load, and a verdict on the rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 @click.option("--requests", default=120, show_default=True, type=click.IntRange(3, 5000), help="How many, in all.")
 @click.option("--seed", default=7, show_default=True, help="For classes, pauses and lengths of runs.")
 @click.option("--keep", type=click.Path(), help="Write the server's log here, transitions included.")
-def trial(requests: int, seed: int, keep: str | None) -> int:
+def try_command(requests: int, seed: int, keep: str | None) -> int:
     """Serve a burst of real requests on loopback with nothing else at hand, and show what became of them.
 
     Starts the server with a kernel, store and roster of its own, sends requests over Thrift and AJP, gives it the
--- a/myrtlespar/fault_proxy/__init__.py
+++ b/myrtlespar/fault_proxy/__init__.py
@@ -1,3 +1,5 @@
-"""The network between real processes and its faults: `faults` says what becomes of a packet (pure, shared with the
-emulator), `relay` is the one process that all links of a fleet run through.
+"""The network between real processes under test, and its faults.
+
+`faults` says what happens to a packet (pure, shared with the simulation), `relay` is the one process that all links of
+a fleet run through.
 """
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -1,4 +1,4 @@
-"""What becomes of a packet on each directed link while faults are in force. Pure; the dice are handed in."""
+"""What happens to a packet on each directed link while faults are in force. Pure: the random source is handed in."""
 
 from __future__ import annotations
 
@@ -6,9 +6,12 @@
 from dataclasses import dataclass
 from random import Random
 
-SERVICES = ("store", "roster", "kernel", "engine")  # what members talk to beside one another
-FIRM_DROP, FIRM_MS = 0.2, 200.0  # a link that loses or delays more promises nothing either way
-GOOD_DROP, GOOD_MS = 0.1, 130.0  # up to these, members hardly suspect one another
+SERVICES = ("store", "roster", "kernel", "engine")  # what members talk to beside each other, in names of the script
+MAX_RELIABLE_DROP = 0.2  # nothing is promised about a link that loses or delays more than this
+MAX_RELIABLE_DELAY_MS = 200.0
+MAX_GOOD_DROP = 0.1  # up to these, members hardly ever suspect each other
+MAX_GOOD_DELAY_MS = 130.0
+REORDER_MS = 20.0  # a reordered packet comes after what was sent within this time, and after all jitter of that
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +28,11 @@
     duplicate: float = 0.0
     reorder: float = 0.0
 
-    def holds(self, a: str, b: str) -> bool:
-        """Whether it is in force from a to b."""
-        return (a in self.first and b in self.second) or (not self.one_way and b in self.first and a in self.second)
+    def applies(self, sender: str, recipient: str) -> bool:
+        """Whether it is in force from `sender` to `recipient`."""
+        forth = sender in self.first and recipient in self.second
+        back = not self.one_way and recipient in self.first and sender in self.second
+        return forth or back
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,81 +48,86 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Good enough for promises."""
-        return not self.cut and self.drop <= FIRM_DROP and self.delay_ms + self.jitter_ms <= FIRM_MS
+        """Whether the promises of membership cover it."""
+        return (
+            not self.cut and self.drop <= MAX_RELIABLE_DROP and self.delay_ms + self.jitter_ms <= MAX_RELIABLE_DELAY_MS
+        )
 
     @property
     def is_good(self) -> bool:
-        """Good enough that nobody who runs has to refute often."""
-        return self.drop <= GOOD_DROP and self.delay_ms + self.jitter_ms <= GOOD_MS
-
-    def delays_ms(self, dice: Random) -> list[float]:
-        """The delay of each copy that arrives; none if it is lost. One that is reordered comes after what was sent
-        within 20 ms and all jitter of it.
-        """
-        if self.cut or (self.drop and dice.random() < self.drop):
+        """Whether members that run hardly ever have to refute a suspicion."""
+        return self.drop <= MAX_GOOD_DROP and self.delay_ms + self.jitter_ms <= MAX_GOOD_DELAY_MS
+
+    def delays_ms(self, random: Random) -> list[float]:
+        """The delay of each copy of a packet that arrives; none if it is lost."""
+        if self.cut or (self.drop and random.random() < self.drop):
             return []
-        out = []
-        for _ in range(2 if self.duplicate and dice.random() < self.duplicate else 1):
-            delay = self.delay_ms + (self.jitter_ms * dice.random() if self.jitter_ms else 0.0)
-            if self.reorder and dice.random() < self.reorder:
-                delay += 20.0 + self.jitter_ms
-            out.append(delay)
-        return out
+        delays = []
+        for _ in range(2 if self.duplicate and random.random() < self.duplicate else 1):
+            delay = self.delay_ms + (self.jitter_ms * random.random() if self.jitter_ms else 0.0)
+            if self.reorder and random.random() < self.reorder:
+                delay += REORDER_MS + self.jitter_ms
+            delays.append(delay)
+        return delays
 
 
 NO_FAULTS = LinkFaults()
 
 
 class ActiveFaults:
-    """The rules in force, and what they make of each link."""
+    """The rules in force, by number, and what they make of each link."""
 
     def __init__(self) -> None:
         self.rules: dict[int, FaultRule] = {}
-        self._known: dict[tuple[str, str], LinkFaults] = {}
+        self._links: dict[tuple[str, str], LinkFaults] = {}  # computed since the last change
 
     def put(self, number: int, rule: FaultRule) -> None:
         """A rule comes into force."""
         self.rules[number] = rule
-        self._known.clear()
+        self._links.clear()
 
     def drop(self, number: int) -> None:
         """A rule ends."""
         self.rules.pop(number, None)
-        self._known.clear()
+        self._links.clear()
 
-    def link(self, a: str, b: str) -> LinkFaults:
-        """The directed link from a to b as it is now."""
+    def link(self, sender: str, recipient: str) -> LinkFaults:
+        """The directed link from `sender` to `recipient` as it is now."""
         if not self.rules:
             return NO_FAULTS
-        known = self._known.get((a, b))
-        if known is None:
-            known = self._known[a, b] = combine([rule for rule in self.rules.values() if rule.holds(a, b)])
-        return known
+        faults = self._links.get((sender, recipient))
+        if faults is None:
+            faults = combine([rule for rule in self.rules.values() if rule.applies(sender, recipient)])
+            self._links[sender, recipient] = faults
+        return faults
 
 
 def combine(rules: Sequence[FaultRule]) -> LinkFaults:
-    """Losses and copies by chance add up as independent ones, delays as they are."""
-    kept, single, ordered = 1.0, 1.0, 1.0
+    """The sum of rules on one link: probabilities combine as independent ones, delays add up."""
+    delivered = 1.0
+    not_duplicated = 1.0
+    in_order = 1.0
     for rule in rules:
-        kept, single, ordered = kept * (1 - rule.drop), single * (1 - rule.duplicate), ordered * (1 - rule.reorder)
+        delivered *= 1 - rule.drop
+        not_duplicated *= 1 - rule.duplicate
+        in_order *= 1 - rule.reorder
     return LinkFaults(
-        any(rule.cut for rule in rules),
-        1 - kept,
-        sum(rule.delay_ms for rule in rules),
-        sum(rule.jitter_ms for rule in rules),
-        1 - single,
-        1 - ordered,
+        cut=any(rule.cut for rule in rules),
+        drop=1 - delivered,
+        delay_ms=sum(rule.delay_ms for rule in rules),
+        jitter_ms=sum(rule.jitter_ms for rule in rules),
+        duplicate=1 - not_duplicated,
+        reorder=1 - in_order,
     )
 
 
 def members_named(name: str, sites: Mapping[str, Sequence[str]]) -> frozenset[str] | None:
-    """The members (or the service) that a name of the fault script means; None if it means nothing."""
+    """The members (or the service) that a name of the fault script stands for; None if it stands for nothing."""
     if name == "all":
-        return frozenset(member for row in sites.values() for member in row)
+        return frozenset(member for members in sites.values() for member in members)
     if name in SERVICES:
         return frozenset((name,))
     if name.startswith("site "):
-        row = sites.get(name[5:].strip())
-        return frozenset(row) if row is not None else None
-    return frozenset((name,)) if any(name in row for row in sites.values()) else None
+        site = sites.get(name.removeprefix("site ").strip())
+        return frozenset(site) if site is not None else None
+    return frozenset((name,)) if any(name in members for members in sites.values()) else None
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -1,11 +1,11 @@
 """The relay: one process without privileges that all links of a fleet on loopback run through.
 
 Member i binds 127.0.1.i and advertises 127.8.0.i, where the relay listens (UDP and TCP). The relay knows the sender
-by its source address and forwards from 127.8.0.sender, so each directed pair can be cut, slowed or spoilt by itself.
+by its source address and forwards from 127.8.0.sender, so each directed pair can be cut, slowed or degraded by itself.
 Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine).
 
 Control: JSON lines on standard input, each answered by one on standard output. The first names the members and the
-seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends it.
+seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends the process.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 import sys
 import zlib
 from collections import Counter
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -26,173 +27,213 @@
 
 from myrtlespar.fault_proxy.faults import SERVICES, ActiveFaults, FaultRule
 
-PORTS = range(20000, 32000, 4)  # below those that the system gives to callers
-CHUNK = 16384
-LOOK_S = 0.01  # between looks whether a cut is over, for a stream that waits
-LOST_MS = 200.0  # a lost segment of a stream comes this much later
+PORTS = range(20000, 32000, 4)  # below those that the system assigns to outgoing connections
+MAX_DATAGRAM_BYTES = 65536
+RECEIVE_BUFFER_BYTES = 1 << 20
+LISTEN_BACKLOG = 256
+CHUNK_BYTES = 16384  # of a stream, forwarded at a time
+CUT_POLL_S = 0.01  # how often a stalled stream checks whether the cut is over
+RETRANSMIT_MS = 200.0  # a lost segment of a stream comes this much later
+MAX_STREAM_DROP = 0.9  # so that a segment arrives at last
+STREAM_END_S = 0.5  # for what is on its way in one direction after the end of the other
 
 
-def bind_host(n: int) -> str:
-    """Where member n listens."""
-    return f"127.0.1.{n}"
+def bind_host(number: int) -> str:
+    """Where a member listens; members are numbered from 1."""
+    return f"127.0.1.{number}"
 
 
-def relay_host(n: int) -> str:
-    """Where others reach member n."""
-    return f"127.8.0.{n}"
+def relay_host(number: int) -> str:
+    """Where others reach a member."""
+    return f"127.8.0.{number}"
 
 
-def service_host(n: int, service: str) -> str:
-    """Where member n reaches a service."""
-    return f"127.9.{n}.{SERVICES.index(service) + 1}"
+def service_host(number: int, service: str) -> str:
+    """Where a member reaches a service."""
+    return f"127.9.{number}.{SERVICES.index(service) + 1}"
+
+
+@dataclass(frozen=True, slots=True)
+class StreamRoute:
+    """Both ends of an accepted connection, and how to go on from here."""
+
+    sender: str
+    recipient: str  # a member or a service
+    source_host: str
+    target: tuple[str, int]
 
 
 class FaultProxy:
-    """All sockets of the fabric, and the faults in force."""
+    """All sockets between the members, and the faults in force."""
 
     def __init__(self, members: list[str], seed: int) -> None:
-        self.number = {name: n + 1 for n, name in enumerate(members)}
-        self.members, self.seed = members, seed
+        self.members = members
+        self.seed = seed
+        self.numbers = {name: index + 1 for index, name in enumerate(members)}
         self.faults = ActiveFaults()
-        self.dice: dict[tuple[str, str], Random] = {}
         self.targets: dict[tuple[str, str], int] = {}  # service and member ('' for all): a port on 127.0.0.1
         self.counts: Counter[str] = Counter()
-        self.udp: dict[str, socket.socket] = {}
         self.port = 0
+        self._random: dict[tuple[str, str], Random] = {}
+        self._datagram_sockets: dict[str, socket.socket] = {}
 
     def open(self) -> int:
-        """Listen everywhere at one free port, which is returned."""
+        """Listen everywhere at one free port, which is returned. OSError if there is none."""
         first = os.getpid() * 7 % len(PORTS)
-        for n in range(len(PORTS)):
-            port = PORTS[(first + n) % len(PORTS)]
+        for offset in range(len(PORTS)):
+            port = PORTS[(first + offset) % len(PORTS)]
             if self._listen(port):
                 return port
-        raise OSError("no free port for the fabric")
+        raise OSError("no free port for the fault proxy")
+
+    def command(self, row: dict[str, Any]) -> dict[str, Any]:
+        """Carry out one line of the control; the answer."""
+        if "on" in row:
+            rule = dict(row["rule"])
+            rule["first"] = frozenset(rule["first"])
+            rule["second"] = frozenset(rule["second"])
+            self.faults.put(row["on"], FaultRule(**rule))
+        elif "off" in row:
+            self.faults.drop(row["off"])
+        elif "target" in row:
+            service, member, port = row["target"]
+            self.targets[service, member] = port
+        return {"done": True, **self.counts}
 
     def _listen(self, port: int) -> bool:
-        opened: list[Any] = []
+        """Bind all addresses at this port and start serving; false, with none bound, if one is in use."""
+        listeners: list[Any] = []
         try:
-            for name, n in self.number.items():
-                sock = self.udp[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                opened.append(sock)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-                sock.bind((relay_host(n), port))
-                for host in (relay_host(n), *(service_host(n, service) for service in SERVICES)):
+            for name, number in self.numbers.items():
+                self._bind_datagrams(name, (relay_host(number), port))
+                for host in (relay_host(number), *(service_host(number, service) for service in SERVICES)):
                     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-                    opened.append(listener)
+                    listeners.append(listener)
                     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                     listener.bind((host, port))
-                    listener.listen(256)
+                    listener.listen(LISTEN_BACKLOG)
         except OSError:
-            for one in opened:
-                one.close()
+            for opened in (*listeners, *self._datagram_sockets.values()):
+                opened.close()
+            self._datagram_sockets.clear()
             return False
         self.port = port
-        for listener in (one for one in opened if one.type & 0xF == socket.SOCK_STREAM):
-            StreamServer(listener, self._stream).start()
-        for name, sock in self.udp.items():
-            gevent.spawn(self._datagrams, name, sock)
+        for listener in listeners:
+            StreamServer(listener, self._serve_stream).start()
+        for name, sock in self._datagram_sockets.items():
+            gevent.spawn(self._serve_datagrams, name, sock)
         return True
 
-    def _roll(self, a: str, b: str) -> Random:
-        """Each directed pair has its own dice, so that one pair's traffic changes no other's."""
-        found = self.dice.get((a, b))
+    def _bind_datagrams(self, name: str, address: tuple[str, int]) -> None:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._datagram_sockets[name] = sock
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        sock.bind(address)
+
+    def _random_of(self, sender: str, recipient: str) -> Random:
+        """Each directed pair has its own random source, so that one pair's traffic changes no other's."""
+        found = self._random.get((sender, recipient))
         if found is None:
-            found = self.dice[a, b] = Random(zlib.crc32(f"{self.seed} {a} {b}".encode()))
+            found = Random(zlib.crc32(f"{self.seed} {sender} {recipient}".encode()))
+            self._random[sender, recipient] = found
         return found
 
-    def _datagrams(self, to: str, sock: socket.socket) -> None:
-        target = (bind_host(self.number[to]), self.port)
+    def _member_at(self, host: str) -> str | None:
+        """The member that sends from this address."""
+        parts = host.split(".")
+        number = int(parts[3])
+        if parts[:3] != ["127", "0", "1"] or not 0 < number <= len(self.members):
+            return None
+        return self.members[number - 1]
+
+    def _serve_datagrams(self, recipient: str, sock: socket.socket) -> None:
+        target = (bind_host(self.numbers[recipient]), self.port)
         while True:
-            data, (host, _) = sock.recvfrom(65536)
-            parts = host.split(".")
-            sender = int(parts[3])
-            if parts[:3] != ["127", "0", "1"] or not 0 < sender <= len(self.members):
+            data, (host, _) = sock.recvfrom(MAX_DATAGRAM_BYTES)
+            sender = self._member_at(host)
+            if sender is None:
                 self.counts["stranger"] += 1
                 continue
-            name = self.members[sender - 1]
-            delays = self.faults.link(name, to).delays_ms(self._roll(name, to))
+            delays = self.faults.link(sender, recipient).delays_ms(self._random_of(sender, recipient))
             self.counts["datagrams" if delays else "lost"] += 1
-            for delay in delays:
-                if delay:
-                    gevent.spawn_later(delay / 1000.0, self._forward, name, data, target)
+            for delay_ms in delays:
+                if delay_ms:
+                    gevent.spawn_later(delay_ms / 1000.0, self._forward, sender, data, target)
                 else:
-                    self._forward(name, data, target)
+                    self._forward(sender, data, target)
 
     def _forward(self, sender: str, data: bytes, target: tuple[str, int]) -> None:
         try:
-            self.udp[sender].sendto(data, target)
-        except OSError:  # nobody there: lost, as on a real network
+            self._datagram_sockets[sender].sendto(data, target)
+        except OSError:  # nobody listens there: lost, as on a real network
             self.counts["unsent"] += 1
 
-    def _stream(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        parts = sock.getsockname()[0].split(".")
-        if parts[1] == "9":
-            a, b = self.members[int(parts[2]) - 1], SERVICES[int(parts[3]) - 1]
-            source = "127.0.0.1"
-            target = ("127.0.0.1", self.targets.get((b, a), self.targets.get((b, ""), 0)))
-        else:
-            sender = int(peer[0].split(".")[3])
-            if not peer[0].startswith("127.0.1.") or not 0 < sender <= len(self.members):
-                self.counts["stranger"] += 1
-                sock.close()
-                return
-            a, b = self.members[sender - 1], self.members[int(parts[3]) - 1]
-            source, target = relay_host(sender), (bind_host(self.number[b]), self.port)
+    def _serve_stream(self, accepted: socket.socket, peer: tuple[str, int]) -> None:
+        route = self._route(accepted.getsockname()[0], peer[0])
+        if route is None:
+            self.counts["stranger"] += 1
+            accepted.close()
+            return
         self.counts["streams"] += 1
-        with sock, contextlib.suppress(OSError):
-            self._wait(a, b)
-            with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as out:
-                out.bind((source, 0))
-                out.connect(target)
-                pumps = [gevent.spawn(self._pump, a, b, sock, out), gevent.spawn(self._pump, b, a, out, sock)]
-                gevent.joinall(pumps, count=1)  # the end of one way ends both, after what was on its way
-                gevent.joinall(pumps, timeout=0.5)
+        with accepted, contextlib.suppress(OSError):
+            self._delay_segment(route.sender, route.recipient)
+            with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as onward:
+                onward.bind((route.source_host, 0))
+                onward.connect(route.target)
+                pumps = [
+                    gevent.spawn(self._pump, route.sender, route.recipient, accepted, onward),
+                    gevent.spawn(self._pump, route.recipient, route.sender, onward, accepted),
+                ]
+                gevent.joinall(pumps, count=1)  # the end of one direction ends both, after what was on its way
+                gevent.joinall(pumps, timeout=STREAM_END_S)
                 gevent.killall(pumps)
 
-    def _wait(self, a: str, b: str) -> None:
-        """A stream stalls while its link is cut, and is late as the link says."""
-        while self.faults.link(a, b).cut:
-            gevent.sleep(LOOK_S)
-        link, dice = self.faults.link(a, b), self._roll(a, b)
-        late = link.delay_ms + (link.jitter_ms * dice.random() if link.jitter_ms else 0.0)
-        while link.drop and dice.random() < min(link.drop, 0.9):
-            late += LOST_MS
-        if late:
-            gevent.sleep(late / 1000.0)
-
-    def _pump(self, a: str, b: str, read: socket.socket, write: socket.socket) -> None:
+    def _route(self, local_host: str, peer_host: str) -> StreamRoute | None:
+        """Where a connection accepted at `local_host` goes; None if no member made it."""
+        parts = local_host.split(".")
+        if parts[1] == "9":
+            member = self.members[int(parts[2]) - 1]
+            service = SERVICES[int(parts[3]) - 1]
+            port = self.targets.get((service, member), self.targets.get((service, ""), 0))
+            return StreamRoute(member, service, "127.0.0.1", ("127.0.0.1", port))
+        sender = self._member_at(peer_host)
+        if sender is None:
+            return None
+        recipient = self.members[int(parts[3]) - 1]
+        target = (bind_host(self.numbers[recipient]), self.port)
+        return StreamRoute(sender, recipient, relay_host(self.numbers[sender]), target)
+
+    def _delay_segment(self, sender: str, recipient: str) -> None:
+        """Stall while the link is cut, then wait as long as its faults delay a segment."""
+        while self.faults.link(sender, recipient).cut:
+            gevent.sleep(CUT_POLL_S)
+        link = self.faults.link(sender, recipient)
+        random = self._random_of(sender, recipient)
+        delay_ms = link.delay_ms + (link.jitter_ms * random.random() if link.jitter_ms else 0.0)
+        while link.drop and random.random() < min(link.drop, MAX_STREAM_DROP):
+            delay_ms += RETRANSMIT_MS
+        if delay_ms:
+            gevent.sleep(delay_ms / 1000.0)
+
+    def _pump(self, sender: str, recipient: str, read: socket.socket, write: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            while data := read.recv(CHUNK):
-                self._wait(a, b)
+            while data := read.recv(CHUNK_BYTES):
+                self._delay_segment(sender, recipient)
                 write.sendall(data)
-            self._wait(a, b)
+            self._delay_segment(sender, recipient)
             write.shutdown(socket.SHUT_WR)
 
-    def command(self, row: dict[str, Any]) -> dict[str, Any]:
-        """One line of the control."""
-        if "on" in row:
-            rule = dict(row["rule"])
-            rule["first"], rule["second"] = frozenset(rule["first"]), frozenset(rule["second"])
-            self.faults.put(row["on"], FaultRule(**rule))
-        elif "off" in row:
-            self.faults.drop(row["off"])
-        elif "target" in row:
-            service, member, port = row["target"]
-            self.targets[service, member] = port
-        return {"done": True, **self.counts}
-
 
 def main() -> int:
     """Serve until the control ends."""
     control = FileObjectThread(sys.stdin, "r")
     first = json.loads(control.readline())
-    relay = FaultProxy(first["members"], first["seed"])
+    proxy = FaultProxy(first["members"], first["seed"])
     for service, port in first.get("services", {}).items():
-        relay.targets[service, ""] = port
-    print(json.dumps({"port": relay.open()}), flush=True)
+        proxy.targets[service, ""] = port
+    print(json.dumps({"port": proxy.open()}), flush=True)
     for line in control:
-        print(json.dumps(relay.command(json.loads(line))), flush=True)
+        print(json.dumps(proxy.command(json.loads(line))), flush=True)
     return 0
 
 
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -12,7 +12,13 @@
 from myrtlespar.config import ConfigError
 from myrtlespar.membership.quorum import VoterSet
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.net.codec.peer import is_valid_address, is_valid_name, split_address
+from myrtlespar.net.codec.peer import (
+    MAX_LIMIT_NAME_LENGTH,
+    is_valid_address,
+    is_valid_limit_name,
+    is_valid_name,
+    split_address,
+)
 from myrtlespar.quota.retry_budget import RetryBudgetSettings
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
@@ -23,7 +29,6 @@
 MIN_ENGINE_TIMEOUT_MS = 10
 MAX_LIMITS_VERSION = 2**40  # exclusive
 MAX_VOTER_SET_VERSION = 2**53  # exclusive
-MAX_LIMIT_NAME_LENGTH = 32
 
 
 class VoterSetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -198,11 +203,6 @@
         raise ConfigError(f"limits.{name}.kind: {limit.kind.value} needs an electorate, as else nobody may grant")
 
 
-def is_valid_limit_name(name: str) -> bool:
-    """A valid name without slashes, which separate a limit's name from its key's part, and of bounded length."""
-    return is_valid_name(name) and "/" not in name and len(name) <= MAX_LIMIT_NAME_LENGTH
-
-
 def limits_fault(old: FleetSettings, new: FleetSettings) -> str:
     """Why the limits can't change so while in service: key and cause; empty if they can. Only numbers change."""
     if new.limits_version != old.limits_version + 1:
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -1,15 +1,14 @@
-"""`myrtlespar fleet try`: three sites of three through a cut and its healing, and what each believed when."""
+"""`myrtlespar fleet try`: three sites of three through a cut and its healing, and what each member observed when."""
 
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
 
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.fleet_tests.invariants import Observation
-from myrtlespar.fleet_tests.runner import print_result, play
+from myrtlespar.fleet_tests.observations import Observation
+from myrtlespar.fleet_tests.runner import play, print_result
 from myrtlespar.fleet_tests.script import parse
 from myrtlespar.membership.messages import MemberState
 from myrtlespar.membership.quorum import FLEET, QuorumStatus
@@ -25,43 +24,52 @@
 
 
 def run_demo(seed: int, keep: Path | None) -> int:
-    """Play it, print the beliefs. 0 only if every promise held."""
+    """Play the script and print what was observed. 0 only if every promise held."""
     script = parse(SCRIPT)
-    done = play(script, seed, keep)
-    if not done["judged"]:
-        return print_result(done, seed, None)
+    result = play(script, seed, keep)
+    if not result["judged"]:
+        return print_result(result, seed, None)
     console = Console()
-    console.print(lines(done["beliefs"], script.members))
+    console.print(observation_table(result["beliefs"], script.members))
     console.print(
-        f"requests: {', '.join(f'{count} {what}' for what, count in sorted(done['outcomes'].items()))}; "
-        f"{done['tries']} tries each"
+        f"requests: {', '.join(f'{count} {what}' for what, count in sorted(result['outcomes'].items()))}; "
+        f"{result['tries']} tries each"
     )
     for name, bound in (("standing", "standing"), ("known", "heal")):
         console.print(
-            f"{name} right after at worst {done[f'{name}_ms']['worst']} ms, promised " f"{done['bounds_ms'][bound]} ms"
+            f"{name} right after at worst {result[f'{name}_ms']['worst']} ms, promised "
+            f"{result['bounds_ms'][bound]} ms"
         )
-    return print_result(done, seed, None)
+    return print_result(result, seed, None)
 
 
-def lines(beliefs: list[Observation], members: tuple[str, ...]) -> Table:
-    """One row a member: when it came to each standing, and whom it held for failed in between."""
-    out = Table(title="What each believed when (seconds from the script's begin)")
+def observation_table(observations: list[Observation], members: tuple[str, ...]) -> Table:
+    """One row a member: when it came to each quorum status, and whom it held for failed in between."""
+    table = Table(title="What each believed when (seconds from the script's begin)")
     for title in ("member", "standing of the fleet", "failed to it"):
-        out.add_column(title)
+        table.add_column(title)
     for name in members:
-        mine = [b for b in beliefs if b.observer == name]
-        stands = [b for b in mine if b.kind == "standing" and b.subject == FLEET]
-        before = [b for b in stands if b.at <= 0][-1:]
-        shown = [
-            f"{max(0.0, b.at) / 1000:.2f} {QuorumStatus(b.state or 0).name.lower()}"
-            for b in before + [b for b in stands if b.at > 0]
-        ]
-        failed: dict[str, list[Any]] = {}
-        for belief in mine:
-            if belief.kind == "member" and belief.at > 0:
-                if belief.state == MemberState.FAILED:
-                    failed.setdefault(belief.subject, []).append(f"{belief.at / 1000:.2f}")
-                elif belief.state == MemberState.ALIVE and belief.subject in failed:
-                    failed[belief.subject].append(f"-{belief.at / 1000:.2f}")
-        out.add_row(name, ", ".join(shown), "  ".join(f"{who} {''.join(when)}" for who, when in sorted(failed.items())))
-    return out
+        own = [observation for observation in observations if observation.observer == name]
+        table.add_row(name, _quorum_text(own), _failures_text(own))
+    return table
+
+
+def _quorum_text(observations: list[Observation]) -> str:
+    """The quorum statuses of one observer, the last one before the begin included."""
+    statuses = [row for row in observations if row.kind == "standing" and row.subject == FLEET]
+    before = [row for row in statuses if row.at <= 0]
+    shown = before[-1:] + [row for row in statuses if row.at > 0]
+    return ", ".join(f"{max(0.0, row.at) / 1000:.2f} {QuorumStatus(row.state or 0).name.lower()}" for row in shown)
+
+
+def _failures_text(observations: list[Observation]) -> str:
+    """The members that one observer held for failed, with the times from and until."""
+    times: dict[str, list[str]] = {}
+    for row in observations:
+        if row.kind != "member" or row.at <= 0:
+            continue
+        if row.state == MemberState.FAILED:
+            times.setdefault(row.subject, []).append(f"{row.at / 1000:.2f}")
+        elif row.state == MemberState.ALIVE and row.subject in times:
+            times[row.subject].append(f"-{row.at / 1000:.2f}")
+    return "  ".join(f"{member} {''.join(when)}" for member, when in sorted(times.items()))
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -1,14 +1,18 @@
-"""What was true when: who ran, which links held. Built from what the starter (or the emulator) did, not from what
-members say. Times are milliseconds from the start of a run.
+"""What was true when: which members ran, and which links held.
+
+Built from what the launcher (or the simulation) did, not from what members say. Times are milliseconds from the start
+of a run.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_right
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule
+from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule, LinkFaults
+
+Matrix = list[list[bool]]  # between kinds of members
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,27 +28,32 @@
 
 @dataclass(slots=True)
 class TruthInterval:
-    """What held from `at` until the next moment. Members that the same rules name are one kind: links are those of
-    kinds, so that a moment of thousands of members is small.
+    """What held from `at` until the next interval.
+
+    Members that the same rules name are one kind: links are those of kinds, so that an interval of thousands of members
+    is small.
     """
 
     at: float
-    running: frozenset[str]  # members that ran and were not stopped
+    running: frozenset[str]  # members that ran and were not paused
     left: frozenset[str]
-    kind: Mapping[str, int]  # of each of `well`
-    size: list[int]  # members of each kind
-    reliable: list[list[bool]]  # between kinds: good both ways
+    kinds: Mapping[str, int]  # of each running member
+    counts: list[int]  # of members of each kind
+    reliable: Matrix  # both directions are within what is promised about
     all_links_good: bool  # no link that is not cut loses or delays so much that refutations are common
-    reachable: list[list[bool]]  # between kinds: some chain of links that are not cut leads from one to the other
+    reachable: Matrix  # some chain of links that are not cut leads from one to the other
 
     def linked(self, a: str, b: str) -> bool:
-        """Both run, and hear one another directly or through one other member, over firm links."""
+        """Both run, and hear each other directly or through one other member, over reliable links."""
         if a not in self.running or b not in self.running:
             return False
-        one, two = self.kind[a], self.kind[b]
-        return self.reliable[one][two] or any(
-            self.reliable[one][third] and self.reliable[third][two] and count > (third == one) + (third == two)
-            for third, count in enumerate(self.size)
+        kind_a = self.kinds[a]
+        kind_b = self.kinds[b]
+        return self.reliable[kind_a][kind_b] or any(
+            self.reliable[kind_a][middle]
+            and self.reliable[middle][kind_b]
+            and count > (middle == kind_a) + (middle == kind_b)  # a member that is neither a nor b
+            for middle, count in enumerate(self.counts)
         )
 
     def apart(self, a: str, b: str) -> bool:
@@ -53,99 +62,136 @@
             return False
         if b not in self.running:
             return True
-        one, two = self.kind[a], self.kind[b]
-        return not (self.reachable[one][two] and self.reachable[two][one])
+        kind_a = self.kinds[a]
+        kind_b = self.kinds[b]
+        return not (self.reachable[kind_a][kind_b] and self.reachable[kind_b][kind_a])
 
 
 class GroundTruth:
-    """The moments of one run."""
-
-    def __init__(self, members: Sequence[str], deeds: Iterable[FaultAction], end: float, short_ms: float) -> None:
-        """Stops (SIGSTOP) of at most `short_ms` count as none: nobody may notice them."""
-        self.members, self.end = tuple(members), end
-        self.actions = _without_short_stops(sorted(deeds, key=lambda deed: deed.at), short_ms)
-        self.intervals: list[TruthInterval] = []
-        self._build()
-        self._times = [moment.at for moment in self.intervals]
-
-    def _build(self) -> None:
-        up, stopped, left, faults = set[str](), set[str](), set[str](), ActiveFaults()
-        at = 0.0
-        for n, deed in enumerate(self.actions):
-            if deed.kind == "up":
-                up.add(deed.name)
-                left.discard(deed.name)
-                stopped.discard(deed.name)
-            elif deed.kind in ("down", "left"):
-                up.discard(deed.name)
-                stopped.discard(deed.name)
-                if deed.kind == "left":
-                    left.add(deed.name)
-            elif deed.kind == "pause":
-                stopped.add(deed.name)
-            elif deed.kind == "resume":
-                stopped.discard(deed.name)
-            elif deed.kind == "rule_on" and deed.rule is not None:
-                faults.put(deed.number, deed.rule)
-            else:
-                faults.drop(deed.number)
-            at = deed.at
-            if n + 1 == len(self.actions) or self.actions[n + 1].at > at:
-                self.intervals.append(self._moment(at, up - stopped, left, faults))
-
-    def _moment(self, at: float, well: set[str], left: set[str], faults: ActiveFaults) -> TruthInterval:
-        rules = list(faults.rules.values())
-        labels: dict[tuple[tuple[bool, bool], ...], int] = {}
-        kind = {
-            name: labels.setdefault(tuple((name in r.first, name in r.second) for r in rules), len(labels))
-            for name in sorted(well)
-        }
-        size, some = [0] * len(labels), [""] * len(labels)
-        for name, number in kind.items():
-            size[number] += 1
-            some[number] = name
-        kinds = range(len(labels))
-        # A rule holds between two members by what it says of their kinds, also within one kind.
-        links = [[faults.link(some[one], some[two]) for two in kinds] for one in kinds]
-        firm = [[links[one][two].is_reliable and links[two][one].is_reliable for two in kinds] for one in kinds]
-        way = [[not links[one][two].cut and (one != two or size[one] > 1) for two in kinds] for one in kinds]
-        for mid in kinds:
-            for one in kinds:
-                if way[one][mid]:
-                    for two in kinds:
-                        way[one][two] = way[one][two] or way[mid][two]
-        good = all(link.cut or link.is_good for row in links for link in row)
-        return TruthInterval(at, frozenset(well), frozenset(left), kind, size, firm, good, way)
-
-    def spans(self, holds: object) -> list[tuple[float, float]]:
-        """The longest spans in which `holds(moment)` is true."""
-        assert callable(holds)
-        out: list[tuple[float, float]] = []
-        for n, moment in enumerate(self.intervals):
-            until = self.intervals[n + 1].at if n + 1 < len(self.intervals) else self.end
-            if holds(moment):
-                if out and out[-1][1] == moment.at:
-                    out[-1] = (out[-1][0], until)
+    """The intervals of one run."""
+
+    def __init__(self, members: Sequence[str], actions: Iterable[FaultAction], end: float, short_ms: float) -> None:
+        """Pauses (SIGSTOP) of at most `short_ms` are left out: nobody may notice them."""
+        self.members = tuple(members)
+        self.end = end
+        self.actions = _without_short_pauses(sorted(actions, key=lambda action: action.at), short_ms)
+        self.intervals = _intervals(self.actions)
+        self._starts = [interval.at for interval in self.intervals]
+
+    def spans(self, holds: Callable[[TruthInterval], bool]) -> list[tuple[float, float]]:
+        """The longest spans of time in which `holds(interval)` is true, as (start, end)."""
+        spans: list[tuple[float, float]] = []
+        for index, interval in enumerate(self.intervals):
+            end = self.intervals[index + 1].at if index + 1 < len(self.intervals) else self.end
+            if holds(interval):
+                if spans and spans[-1][1] == interval.at:
+                    spans[-1] = (spans[-1][0], end)
                 else:
-                    out.append((moment.at, until))
-        return out
+                    spans.append((interval.at, end))
+        return spans
 
     def between(self, start: float, end: float) -> list[TruthInterval]:
-        """All moments that held at some time in [start, end]."""
-        first = max(0, bisect_right(self._times, start) - 1)
-        return self.intervals[first : bisect_right(self._times, end)]
-
-
-def _without_short_stops(deeds: list[FaultAction], short_ms: float) -> list[FaultAction]:
-    out: list[FaultAction] = []
-    stops: dict[str, FaultAction] = {}
-    for deed in deeds:
-        if deed.kind == "resume" and deed.name in stops:
-            stop = stops.pop(deed.name)
-            if deed.at - stop.at <= short_ms:
-                out.remove(stop)
+        """All intervals that held at some time in [start, end]."""
+        first = max(0, bisect_right(self._starts, start) - 1)
+        return self.intervals[first : bisect_right(self._starts, end)]
+
+
+class _FleetState:
+    """What is true after the actions so far."""
+
+    def __init__(self) -> None:
+        self.up: set[str] = set()
+        self.paused: set[str] = set()
+        self.left: set[str] = set()
+        self.faults = ActiveFaults()
+
+    def apply(self, action: FaultAction) -> None:
+        """Carry one action out."""
+        if action.kind == "up":
+            self.up.add(action.name)
+            self.left.discard(action.name)
+            self.paused.discard(action.name)
+        elif action.kind in ("down", "left"):
+            self.up.discard(action.name)
+            self.paused.discard(action.name)
+            if action.kind == "left":
+                self.left.add(action.name)
+        elif action.kind == "pause":
+            self.paused.add(action.name)
+        elif action.kind == "resume":
+            self.paused.discard(action.name)
+        elif action.kind == "rule_on" and action.rule is not None:
+            self.faults.put(action.number, action.rule)
+        else:
+            self.faults.drop(action.number)
+
+    def interval(self, at: float) -> TruthInterval:
+        """The interval that begins now."""
+        running = self.up - self.paused
+        kinds = self._kinds(running)
+        count = max(kinds.values(), default=-1) + 1
+        counts = [0] * count
+        examples = [""] * count
+        for name, kind in kinds.items():
+            counts[kind] += 1
+            examples[kind] = name
+        # A rule holds between two members by what it says of their kinds, also within one kind.
+        links = [[self.faults.link(first, second) for second in examples] for first in examples]
+        return TruthInterval(
+            at,
+            frozenset(running),
+            frozenset(self.left),
+            kinds,
+            counts,
+            [[links[a][b].is_reliable and links[b][a].is_reliable for b in range(count)] for a in range(count)],
+            all(link.cut or link.is_good for row in links for link in row),
+            _reachable(links, counts),
+        )
+
+    def _kinds(self, running: set[str]) -> dict[str, int]:
+        """Numbers of kinds by member: those that the same rules name on the same side are of one kind."""
+        rules = list(self.faults.rules.values())
+        numbers: dict[tuple[tuple[bool, bool], ...], int] = {}
+        kinds = {}
+        for name in sorted(running):
+            sides = tuple((name in rule.first, name in rule.second) for rule in rules)
+            kinds[name] = numbers.setdefault(sides, len(numbers))
+        return kinds
+
+
+def _reachable(links: list[list[LinkFaults]], counts: list[int]) -> Matrix:
+    """Between which kinds a chain of links leads that are not cut (the transitive closure)."""
+    kinds = range(len(counts))
+    reachable = [[not links[a][b].cut and (a != b or counts[a] > 1) for b in kinds] for a in kinds]
+    for middle in kinds:
+        for a in kinds:
+            if reachable[a][middle]:
+                for b in kinds:
+                    reachable[a][b] = reachable[a][b] or reachable[middle][b]
+    return reachable
+
+
+def _intervals(actions: Sequence[FaultAction]) -> list[TruthInterval]:
+    state = _FleetState()
+    intervals: list[TruthInterval] = []
+    for index, action in enumerate(actions):
+        state.apply(action)
+        is_last_of_its_time = index + 1 == len(actions) or actions[index + 1].at > action.at
+        if is_last_of_its_time:
+            intervals.append(state.interval(action.at))
+    return intervals
+
+
+def _without_short_pauses(actions: list[FaultAction], short_ms: float) -> list[FaultAction]:
+    kept: list[FaultAction] = []
+    pauses: dict[str, FaultAction] = {}
+    for action in actions:
+        if action.kind == "resume" and action.name in pauses:
+            pause = pauses.pop(action.name)
+            if action.at - pause.at <= short_ms:
+                kept.remove(pause)
                 continue
-        if deed.kind == "pause":
-            stops[deed.name] = deed
-        out.append(deed)
-    return out
+        if action.kind == "pause":
+            pauses[action.name] = action
+        kept.append(action)
+    return kept
--- /dev/null
+++ b/myrtlespar/fleet_tests/helper_processes.py
@@ -0,0 +1,72 @@
+"""Processes beside the members: the fault proxy that all links run through, and the fake etcd."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+import threading
+from collections.abc import Sequence
+from typing import Any
+
+from myrtlespar.fakes.server_process import ROOT
+from myrtlespar.fakes.tcp_server import WAIT_S
+from myrtlespar.fault_proxy.faults import FaultRule
+
+
+class HelperProcess:
+    """A Python module of the project in a process of its own, with pipes for its control."""
+
+    def __init__(self, module: str) -> None:
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", module],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+
+    def read_row(self) -> dict[str, Any]:
+        """The next JSON line of its output."""
+        assert self.process.stdout is not None
+        row: dict[str, Any] = json.loads(self.process.stdout.readline())
+        return row
+
+    def close(self) -> None:
+        """End the process."""
+        self.process.kill()
+        self.process.wait(WAIT_S)
+
+
+class FaultProxyProcess(HelperProcess):
+    """The relay's process, and its control."""
+
+    def __init__(self, members: Sequence[str], seed: int, services: dict[str, int]) -> None:
+        super().__init__("myrtlespar.fault_proxy.relay")
+        self._lock = threading.Lock()
+        self.port = int(self.ask(members=list(members), seed=seed, services=services)["port"])
+
+    def ask(self, **row: Any) -> dict[str, Any]:
+        """Send one control line; its answer. The change is in force when this returns."""
+        with self._lock:
+            assert self.process.stdin is not None
+            self.process.stdin.write(json.dumps(row) + "\n")
+            self.process.stdin.flush()
+            return self.read_row()
+
+    def on(self, number: int, rule: FaultRule) -> None:
+        """A rule comes into force."""
+        row = {key: getattr(rule, key) for key in rule.__slots__}
+        self.ask(on=number, rule={**row, "first": sorted(rule.first), "second": sorted(rule.second)})
+
+    def off(self, number: int) -> None:
+        """A rule ends."""
+        self.ask(off=number)
+
+
+class EtcdProcess(HelperProcess):
+    """The fake etcd."""
+
+    def __init__(self) -> None:
+        super().__init__("myrtlespar.fakes.etcd")
+        self.port = int(self.read_row()["port"])
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -1,16 +1,26 @@
-"""The judge of fleet limits: it counts what the kernels ran, not what the program says."""
+"""The promises of fleet limits, checked against what the fake engines ran, not against what the program says."""
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
-from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit
+from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit, LimitKind
 
-SLACK_PART = 0.3  # at most this part of a window is left out for the way from the decision to the kernel
+MAX_SLACK_PART = 0.3  # at most this part of a window is left out for the way from the decision to the engine
 Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
 
 
+@dataclass(frozen=True, slots=True)
+class Peak:
+    """The highest count that was found, and when."""
+
+    count: int
+    at: float
+
+
 def check_limits(
     limits: Mapping[str, Limit],
     runs: Iterable[Run],
@@ -20,79 +30,105 @@
     slack_ms: float,
     sites: Mapping[bytes, str],
 ) -> tuple[list[str], dict[str, Any]]:
-    """Promise: in any window W, started <= limit + `terms.over(limit)`; runs in hand at any time likewise. Windows
-    are judged `slack_ms` short. Times are Unix ms; `sites` tells where a body ran. Broken lines, and figures.
+    """Promise: in any window, started <= limit + `terms.over(limit)`; runs in flight at any time likewise.
+
+    Windows are checked `slack_ms` short. Times are Unix ms; `sites` says where a body ran. Returns a line for each
+    broken promise, and figures by limit.
     """
-    rows = sorted(runs, key=lambda run: run[1])
+    ordered = sorted(runs, key=lambda run: run[1])
     broken: list[str] = []
     figures: dict[str, Any] = {}
     for name, limit in limits.items():
-        parts: dict[str, list[Run]] = {}
-        for run in rows:
-            if limit.cls and not run[0].startswith(limit.cls.encode() + b" "):
-                continue
-            parts.setdefault(_part(limit, run[0], sites), []).append(run)
-        most, where, at = 0, "", 0.0
-        for part, some in parts.items():
-            if limit.of is CountedUnit.BUDGET:
-                found = _spent(limit, some, slack_ms)
-            else:
-                found = _rate(limit, some, slack_ms) if limit.of is CountedUnit.RATE else _hand(some)
-            if found[0] > most:
-                most, where, at = found[0], part, found[1]
+        parts = _runs_by_part(limit, ordered, sites)
+        part, peak = _highest(limit, parts, slack_ms)
         allowed = limit.amount + terms.over(limit)
-        started = sum(len(some) for some in parts.values())
-        span = max(1.0, (end - begin) / limit.window_ms)
-        figures[name] = {"limit": limit.amount, "most": most, "ratio": round(most / allowed, 3), "started": started}
+        started = sum(len(part_runs) for part_runs in parts.values())
+        figures[name] = {
+            "limit": limit.amount,
+            "most": peak.count,
+            "ratio": round(peak.count / allowed, 3),
+            "started": started,
+        }
         if limit.of is CountedUnit.RATE and not limit.by:
-            figures[name]["use"] = round(started / span / limit.amount, 3)
-        if limit.kind.value != "advisory" and most > allowed:
+            windows = max(1.0, (end - begin) / limit.window_ms)
+            figures[name]["use"] = round(started / windows / limit.amount, 3)
+        if limit.kind is not LimitKind.ADVISORY and peak.count > allowed:
             broken.append(
-                f"limits: {most} of {name}{'/' + where if where else ''} within a window, {allowed} allowed, "
-                f"at {(at - begin) / 1000:.2f} s"
+                f"limits: {peak.count} of {name}{'/' + part if part else ''} within a window, {allowed} allowed, "
+                f"at {(peak.at - begin) / 1000:.2f} s"
             )
     return broken, figures
 
 
+def _runs_by_part(limit: Limit, runs: Iterable[Run], sites: Mapping[bytes, str]) -> dict[str, list[Run]]:
+    """The runs that a limit counts, by what it counts separately: callers, sites, or all together."""
+    parts: dict[str, list[Run]] = {}
+    for run in runs:
+        if not limit.cls or run[0].startswith(limit.cls.encode() + b" "):
+            parts.setdefault(_part(limit, run[0], sites), []).append(run)
+    return parts
+
+
 def _part(limit: Limit, body: bytes, sites: Mapping[bytes, str]) -> str:
     if limit.by == "peer":
         return next((word[2:].decode() for word in body.split() if word.startswith(b"p=")), "")
     return sites.get(body, "") if limit.by == "site" else ""
 
 
-def _rate(limit: Limit, runs: list[Run], slack_ms: float) -> tuple[int, float]:
+def _highest(limit: Limit, parts: Mapping[str, list[Run]], slack_ms: float) -> tuple[str, Peak]:
+    """The part with the highest peak."""
+    highest_part = ""
+    highest = Peak(0, 0.0)
+    for part, runs in parts.items():
+        if limit.of is CountedUnit.BUDGET:
+            peak = _budget_peak(limit, runs, slack_ms)
+        elif limit.of is CountedUnit.RATE:
+            peak = _rate_peak(limit, runs, slack_ms)
+        else:
+            peak = _concurrency_peak(runs)
+        if peak.count > highest.count:
+            highest_part = part
+            highest = peak
+    return highest_part, highest
+
+
+def _rate_peak(limit: Limit, runs: list[Run], slack_ms: float) -> Peak:
     """The most starts in a window, and when it ends."""
-    span = limit.window_ms - min(slack_ms, SLACK_PART * limit.window_ms)
-    first, most, at = 0, 0, 0.0
-    for n, (_, begin, _) in enumerate(runs):
-        while runs[first][1] <= begin - span:
+    window = limit.window_ms - min(slack_ms, MAX_SLACK_PART * limit.window_ms)
+    peak = Peak(0, 0.0)
+    first = 0
+    for index, (_, begin, _) in enumerate(runs):
+        while runs[first][1] <= begin - window:
             first += 1
-        if n - first + 1 > most:
-            most, at = n - first + 1, begin
-    return most, at
+        if index - first + 1 > peak.count:
+            peak = Peak(index - first + 1, begin)
+    return peak
+
 
+def _budget_peak(limit: Limit, runs: list[Run], slack_ms: float) -> Peak:
+    """The most starts in a period, and when its last was.
 
-def _spent(limit: Limit, runs: list[Run], slack_ms: float) -> tuple[int, float]:
-    """The most starts in a period, and when its last was. One that begins within the slack behind a period's begin may
-    have been decided in the one before: it counts in neither.
+    One that begins within the slack behind a period's begin may have been decided in the one before: it counts in
+    neither.
     """
-    count: dict[int, int] = {}
-    most, at = 0, 0.0
+    counts: Counter[int] = Counter()
+    peak = Peak(0, 0.0)
     for _, begin, _ in runs:
-        number, into = divmod(begin, limit.period_ms)
-        if into >= slack_ms:
-            count[int(number)] = count.get(int(number), 0) + 1
-            if count[int(number)] > most:
-                most, at = count[int(number)], begin
-    return most, at
+        period, into_period = divmod(begin, limit.period_ms)
+        if into_period >= slack_ms:
+            counts[int(period)] += 1
+            if counts[int(period)] > peak.count:
+                peak = Peak(counts[int(period)], begin)
+    return peak
 
 
-def _hand(runs: list[Run]) -> tuple[int, float]:
+def _concurrency_peak(runs: list[Run]) -> Peak:
     """The most runs at once, and when. One that ends as another begins has ended."""
     events = sorted([(begin, 1) for _, begin, _ in runs] + [(end, -1) for _, _, end in runs])
-    now, most, at = 0, 0, 0.0
-    for when, step in events:
-        now += step
-        if now > most:
-            most, at = now, when
-    return most, at
+    running = 0
+    peak = Peak(0, 0.0)
+    for at, change in events:
+        running += change
+        if running > peak.count:
+            peak = Peak(running, at)
+    return peak
--- /dev/null
+++ b/myrtlespar/fleet_tests/observations.py
@@ -0,0 +1,82 @@
+"""What members came to hold true of each other and of the quorum, as read from their logs.
+
+The log lines are read from processes of older versions too: a rolling release mixes versions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from myrtlespar.membership.messages import MemberState
+from myrtlespar.membership.quorum import FLEET, QuorumStatus
+
+JOINING_EVENT = "fleet: joining"
+MEMBER_EVENT = "fleet member"
+QUORUM_EVENT = "fleet standing"
+
+Step = tuple[float, int | None, int]  # time, state (None: unknown or forgotten), incarnation
+UNKNOWN: Step = (float("-inf"), None, 0)
+
+
+@dataclass(frozen=True, slots=True)
+class Observation:
+    """What `observer` came to hold true: kind is begin (a new process of it), member, or standing (its quorum)."""
+
+    at: float
+    observer: str
+    kind: str
+    subject: str = ""  # a member, or the scope of a quorum
+    state: int | None = None  # a MemberState or QuorumStatus; None: forgotten
+    incarnation: int = 0
+
+
+def observation_of(name: str, row: dict[str, Any]) -> Observation | None:
+    """The observation in a line of the member's log, if there is one. Its time is Unix ms."""
+    event = row["event"]
+    if event == JOINING_EVENT:
+        return Observation(row["at"], name, "begin")
+    if event == MEMBER_EVENT:
+        state = None if row["new"] is None else MemberState[row["new"].upper()]
+        return Observation(row["at"], name, "member", row["member"], state, row["life"][0])
+    if event == QUORUM_EVENT:
+        return Observation(row["at"], name, "standing", row["scope"] or FLEET, QuorumStatus[row["new"].upper()])
+    return None
+
+
+class ObservationHistory:
+    """Observations by observer and subject, in order of time."""
+
+    def __init__(self, observations: Iterable[Observation]) -> None:
+        self.rows = sorted(observations, key=lambda observation: observation.at)
+        self._members: dict[tuple[str, str], list[Step]] = {}
+        self._quorums: dict[tuple[str, str], list[Step]] = {}
+        for row in self.rows:
+            if row.kind == "begin":
+                self._forget(row)
+            else:
+                table = self._members if row.kind == "member" else self._quorums
+                steps = table.setdefault((row.observer, row.subject), [UNKNOWN])
+                steps.append((row.at, row.state, row.incarnation))
+
+    def of_member(self, observer: str, member: str) -> list[Step]:
+        """The states that the observer held the member for."""
+        return self._members.get((observer, member), [UNKNOWN])
+
+    def of_quorum(self, observer: str, scope: str) -> list[Step]:
+        """The observer's quorum statuses in a scope; empty if none was observed."""
+        return self._quorums.get((observer, scope), [])
+
+    def _forget(self, begin: Observation) -> None:
+        """A new process knows nothing of what the one before it held true."""
+        for table in (self._members, self._quorums):
+            for (observer, _), steps in table.items():
+                if observer == begin.observer:
+                    steps.append((begin.at, None, 0))
+
+
+def steps_during(steps: list[Step], start: float, end: float) -> list[Step]:
+    """The steps that were in force at some time in [start, end)."""
+    before = [step for step in steps if step[0] <= start]
+    return before[-1:] + [step for step in steps if start < step[0] < end]
--- /dev/null
+++ b/myrtlespar/fleet_tests/order_invariants.py
@@ -0,0 +1,74 @@
+"""The promises to single requests, checked against what the fake engines ran and what the client proxies received."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from myrtlespar.fleet_tests.ground_truth import FaultAction
+from myrtlespar.fleet_tests.load_generator import LoadGenerator, LoadRequest
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+
+ENGINE_SERVICES = {"store", "kernel"}  # a request can't end in time while these are cut off
+
+
+def check_orders(run: FleetRun, load: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
+    """Check all promises; a line for each broken one, and how many requests had which outcome.
+
+    No request is answered twice. An order is started at most once, as its callers repeat only what was rejected or
+    never sent. What a member's engine started, that member did not reject. A member that serves all along answers in
+    time.
+    """
+    broken = [
+        *_orders_started_again(run),
+        *_started_and_rejected(run, requests),
+        *_unanswered(run, requests),
+    ]
+    duplicates = sum(proxy.duplicate_answers for proxy in load.proxies)
+    if duplicates:
+        broken.append(f"orders: {duplicates} requests were answered twice")
+    return broken, dict(Counter(request.outcome for request in requests))
+
+
+def _orders_started_again(run: FleetRun) -> list[str]:
+    starts: Counter[bytes] = Counter()
+    for member in run.members.values():
+        for engine in member.engines:
+            starts.update(engine.by_body)
+    return [
+        f"orders: {body.decode()} was started {count} times"
+        for body, count in starts.items()
+        if body.startswith(b"order") and count > 1
+    ]
+
+
+def _started_and_rejected(run: FleetRun, requests: list[LoadRequest]) -> list[str]:
+    started_at: dict[tuple[str, bytes], float] = {}  # by member and body: first start there
+    for member in run.members.values():
+        for engine in member.engines:
+            for body, at, _ in engine.runs:
+                started_at[member.name, body] = min(at, started_at.get((member.name, body), at))
+    return [
+        f"orders: {name} ran {request.body.decode()} and refused it"
+        for request in requests
+        for name, rejected_at in zip(request.rejected_by, request.rejected_at, strict=True)
+        if started_at.get((name, request.body), rejected_at) < rejected_at
+    ]
+
+
+def _unanswered(run: FleetRun, requests: list[LoadRequest]) -> list[str]:
+    """Requests without an answer at members that served all along, with all that they need within reach."""
+    disturbed = {action.name for action in run.actions if action.kind in ("down", "pause", "left")}
+    if any(_cuts_services(action) for action in run.actions):
+        return []
+    return [
+        f"orders: {request.member} gave {request.body.decode()} no answer by its due time"
+        for request in requests
+        if request.outcome == "none" and request.member not in disturbed
+    ]
+
+
+def _cuts_services(action: FaultAction) -> bool:
+    rule = action.rule
+    if rule is None:
+        return False
+    return bool((rule.cut and rule.second & ENGINE_SERVICES) or rule.first & ENGINE_SERVICES)
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -1,4 +1,4 @@
-"""Plays one script on a whole fleet of real processes, judges it, and prints what came of it."""
+"""Plays one script on a complete fleet of real processes, checks the promises, and prints the result."""
 
 from __future__ import annotations
 
@@ -7,163 +7,103 @@
 import sys
 import tempfile
 import time
-from dataclasses import replace
+from collections.abc import Callable
+from contextlib import ExitStack
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
 from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
 from myrtlespar.fleet_tests.invariants import SLACK_MS, InvariantReport, check_membership
 from myrtlespar.fleet_tests.limit_invariants import check_limits
-from myrtlespar.fleet_tests.load_generator import LoadGenerator, check_orders
+from myrtlespar.fleet_tests.load_generator import LoadGenerator, LoadRequest
+from myrtlespar.fleet_tests.member_process import MemberProcess
+from myrtlespar.fleet_tests.observations import Observation
+from myrtlespar.fleet_tests.order_invariants import check_orders
 from myrtlespar.fleet_tests.process_launcher import FleetRun
-from myrtlespar.fleet_tests.script import Script, ScriptStep
+from myrtlespar.fleet_tests.script_model import Script, ScriptStep
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.quota.settings import GrantSettings
 
+HIDDEN_KEYS = ("beliefs", "views")  # of a result; too long for the line of figures
+SIGNALS = {
+    "pause": (signal.SIGSTOP, "pause"),
+    "resume": (signal.SIGCONT, "resume"),
+    "leave": (signal.SIGTERM, "left"),
+}
 
-def apply_step(run: FleetRun, step: ScriptStep) -> None:
-    """Carry one step out."""
-    if step.rule is not None:
-        if step.kind == "rule_on":
-            run.fault_proxy.on(step.number, step.rule)
-            return run.record(step.kind, "", step.number, step.rule)
-        run.record(step.kind, "", step.number, step.rule)  # before it is so: what heals is believed at once
-        return run.fault_proxy.off(step.number)
-    if step.kind == "lose":
-        return run.lose_members(step.names, step.number)
-    if step.kind == "back":
-        return run.return_members(step.number)
-    for name in step.names:
-        member = run.members[name]
-        if step.kind == "kill":
-            run.kill(member)
-        elif step.kind == "start":
-            if not member.is_running:
-                run.restart(member)
-        elif step.kind == "pause":
-            run.signal(member, signal.SIGSTOP, "pause")
-        elif step.kind == "resume":
-            run.signal(member, signal.SIGCONT, "resume")
-        elif step.kind == "leave":
-            run.signal(member, signal.SIGTERM, "left")
-        else:
-            run.replace(member)
-    return None
-
-
-def percentile(values: list[float], share: float) -> float | None:
-    """The value below which that share lies."""
-    return round(sorted(values)[min(len(values) - 1, int(len(values) * share))], 1) if values else None
-
-
-def figures(verdict: InvariantReport, terms: MembershipSettings, n: int) -> dict[str, Any]:
-    """What a run's last line tells of membership."""
-    rows: dict[str, Any] = {}
-    for name, values in (
-        ("detect", verdict.detect_ms),
-        ("known", verdict.known_ms),
-        ("restart", verdict.restart_ms),
-        ("standing", verdict.standing_ms),
-    ):
-        rows[f"{name}_ms"] = {
-            "count": len(values),
-            "median": percentile(values, 0.5),
-            "p99": percentile(values, 0.99),
-            "worst": percentile(values, 1.0),
-        }
-    return {
-        **rows,
-        "false_failures": verdict.false_failures,
-        "checked": verdict.checked,
-        "bounds_ms": {
-            "detect": round(terms.detect_ms(n)),
-            "standing": round(terms.standing_ms(n)),
-            "heal": round(terms.heal_ms(n)),
-            "pause": round(terms.pause_ms()),
-        },
-    }
 
+@dataclass(slots=True)
+class PlayedScript:
+    """What is known once a script was played. Times are Unix ms, the length is in ms."""
 
-def shifted(run: FleetRun, begin: float) -> tuple[list[FaultAction], list[Any]]:
-    """Deeds and beliefs with the run's begin as time 0."""
-    return (
-        [replace(deed, at=deed.at - begin) for deed in run.actions],
-        [replace(belief, at=belief.at - begin) for belief in run.observations],
-    )
+    run: FleetRun
+    load: LoadGenerator
+    requests: list[LoadRequest]
+    begin: float
+    length_ms: float
+    views: dict[str, dict[str, Any] | None]  # by member, at the end
+    proxy_counts: dict[str, Any]
 
 
 def play(
-    script: Script, seed: int, keep: Path | None = None, say: Any = print, slack_ms: float = SLACK_MS, **more: Any
+    script: Script,
+    seed: int,
+    keep: Path | None = None,
+    say: Callable[[str], Any] = print,
+    slack_ms: float = SLACK_MS,
+    **options: Any,
 ) -> dict[str, Any]:
-    """Run it and judge it, each bound longer by `slack_ms`: the figures, with `broken` the lines of broken promises.
-    `more` goes to the fleet.
+    """Play a script and check it, each bound longer by `slack_ms`.
+
+    Returns the figures, with `broken` the lines of broken promises. Logs and files are left in `keep`, progress goes to
+    `say`; `options` are those of FleetRun.
     """
-    terms = MembershipSettings(**more.get("membership") or {})
-    with tempfile.TemporaryDirectory() as tmp:
-        folder = keep or Path(tmp)
+    terms = MembershipSettings(**options.get("membership") or {})
+    with ExitStack() as stack:
+        folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory()))
         folder.mkdir(parents=True, exist_ok=True)
-        run = FleetRun(script, seed, folder, **more)
+        run = FleetRun(script, seed, folder, **options)
+        stack.callback(run.close)
         try:
-            try:
-                run.start()
-            except (AssertionError, RuntimeError) as error:
-                return {
-                    **figures(InvariantReport(), terms, len(script.members)),
-                    "broken": [f"start: {error}"],
-                    "judged": [],
-                }
-            crowd = LoadGenerator(run)
-            if script.load.rate:
-                crowd.begin()
-            began, begin = time.monotonic(), time.time() * 1000
-            say(f"{len(run.members)} members serve, all views whole; the script begins")
-            for step in script.steps:
-                if step.at_ms <= script.length_ms:
-                    time.sleep(max(0.0, began + step.at_ms / 1000 - time.monotonic()))
-                    apply_step(run, step)
-                    say(f"{step.at_ms / 1000:7.2f} s  {describe_step(step)}")
-            time.sleep(max(0.0, began + script.length_ms / 1000 - time.monotonic()))
-            end = time.time() * 1000 - begin
-            views = {name: run.view(name) for name, member in run.members.items() if member.is_running and not member.is_paused}
-            requests = crowd.finish() if script.load.rate else []
-            stats = run.fault_proxy.ask(stats=True)
-            deeds, beliefs = shifted(run, begin)
-            verdict = InvariantReport()
-            if "members" in script.checks:
-                truth = GroundTruth(script.members, deeds, end, terms.pause_ms())
-                verdict = check_membership(truth, beliefs, terms, script.sites, (), slack_ms)
-            over, limits = judge_runs(run, script, begin, end, slack_ms)
-            orders, outcomes = check_orders(run, crowd, requests) if "orders" in script.checks else ([], {})
+            run.start()
+        except (AssertionError, RuntimeError) as error:
             return {
-                **figures(verdict, terms, len(script.members)),
-                "broken": [*run.unplayed, *verdict.broken, *over, *orders],
-                **({"limits": limits} if limits else {}),
-                "replaced": run.replaced,
-                "judged": list(script.checks),
-                "outcomes": outcomes,
-                "fabric": {key: value for key, value in stats.items() if key != "done"},
-                "hashes": len({view["hash"] for view in views.values() if view}),
-                "beliefs": beliefs,
-                "views": views,
-                "tries": round(sum(r.tries for r in requests) / max(1, len(requests)), 3),
+                **figures(InvariantReport(), terms, len(script.members)),
+                "broken": [f"start: {error}"],
+                "judged": [],
             }
-        finally:
-            run.close()
+        return _check(_play_steps(run, say), terms, slack_ms)
 
 
-def judge_runs(
-    run: FleetRun, script: Script, begin: float, end: float, slack_ms: float
-) -> tuple[list[str], dict[str, Any]]:
-    """Fleet limits against what all kernels ran, if the script asks for it."""
-    if not script.limits or "limits" not in script.checks:
-        return [], {}
-    runs, sites = [], {}
-    for member in run.members.values():
-        for kernel in member.engines:
-            for body, at, ended in list(kernel.runs):
-                runs.append((body, at, float("inf") if ended is None else ended))
-                sites[body] = script.site_of(member.name)
-    return check_limits(script.limits, runs, GrantSettings(**run.grants), begin, begin + end, slack_ms, sites)
+def apply_step(run: FleetRun, step: ScriptStep) -> None:
+    """Carry one step out."""
+    if step.kind == "rule_on":
+        assert step.rule is not None
+        run.fault_proxy.on(step.number, step.rule)
+        run.record(step.kind, "", step.number, step.rule)
+    elif step.kind == "rule_off":
+        run.record(step.kind, "", step.number, step.rule)  # before it is so: what heals is noticed at once
+        run.fault_proxy.off(step.number)
+    elif step.kind == "lose":
+        run.lose_members(step.names, step.number)
+    elif step.kind == "back":
+        run.return_members(step.number)
+    else:
+        for name in step.names:
+            _apply_to_member(run, run.members[name], step.kind)
+
+
+def _apply_to_member(run: FleetRun, member: MemberProcess, kind: str) -> None:
+    if kind == "kill":
+        run.kill(member)
+    elif kind == "start":
+        if not member.is_running:
+            run.restart(member)
+    elif kind in SIGNALS:
+        run.signal(member, *SIGNALS[kind])
+    else:
+        run.replace(member)
 
 
 def describe_step(step: ScriptStep) -> str:
@@ -179,14 +119,127 @@
     )
 
 
+def percentile(values: list[float], share: float) -> float | None:
+    """The value below which that share lies."""
+    return round(sorted(values)[min(len(values) - 1, int(len(values) * share))], 1) if values else None
+
+
+def figures(report: InvariantReport, terms: MembershipSettings, member_count: int) -> dict[str, Any]:
+    """What a run's last line says of membership."""
+    rows: dict[str, Any] = {}
+    for name, values in (
+        ("detect", report.detect_ms),
+        ("known", report.known_ms),
+        ("restart", report.restart_ms),
+        ("standing", report.standing_ms),
+    ):
+        rows[f"{name}_ms"] = {
+            "count": len(values),
+            "median": percentile(values, 0.5),
+            "p99": percentile(values, 0.99),
+            "worst": percentile(values, 1.0),
+        }
+    return {
+        **rows,
+        "false_failures": report.false_failures,
+        "checked": report.checked,
+        "bounds_ms": {
+            "detect": round(terms.detect_ms(member_count)),
+            "standing": round(terms.standing_ms(member_count)),
+            "heal": round(terms.heal_ms(member_count)),
+            "pause": round(terms.pause_ms()),
+        },
+    }
+
+
 def print_result(result: dict[str, Any], seed: int, keep: Path | None) -> int:
-    """Print broken promises and the one JSON line; the exit status."""
+    """Print broken promises and the one JSON line, which is written to `keep` too; the exit status."""
     for line in result["broken"]:
         print(f"BROKEN {line}")
-    shown = {key: value for key, value in result.items() if key not in ("beliefs", "views")}
+    shown = {key: value for key, value in result.items() if key not in HIDDEN_KEYS}
     line = json.dumps({"seed": seed, **shown})
     if keep is not None:
         keep.write_text(line + "\n")
     print(line)
     sys.stdout.flush()
     return int(bool(result["broken"]))
+
+
+def _play_steps(run: FleetRun, say: Callable[[str], Any]) -> PlayedScript:
+    script = run.script
+    load = LoadGenerator(run)
+    if script.load.rate:
+        load.start()
+    began = time.monotonic()
+    begin = time.time() * 1000
+    say(f"{len(run.members)} members serve, all views whole; the script begins")
+    for step in script.steps:
+        if step.at_ms <= script.length_ms:
+            _sleep_until(began + step.at_ms / 1000)
+            apply_step(run, step)
+            say(f"{step.at_ms / 1000:7.2f} s  {describe_step(step)}")
+    _sleep_until(began + script.length_ms / 1000)
+    length_ms = time.time() * 1000 - begin
+    asked = [name for name, member in run.members.items() if member.is_running and not member.is_paused]
+    views = {name: run.view(name) for name in asked}
+    requests = load.finish() if script.load.rate else []
+    return PlayedScript(run, load, requests, begin, length_ms, views, run.fault_proxy.ask(stats=True))
+
+
+def _sleep_until(monotonic_s: float) -> None:
+    time.sleep(max(0.0, monotonic_s - time.monotonic()))
+
+
+def _check(played: PlayedScript, terms: MembershipSettings, slack_ms: float) -> dict[str, Any]:
+    """Check the promises that the script names; the result of the run."""
+    run = played.run
+    script = run.script
+    actions, observations = _relative_to_begin(played)
+    report = InvariantReport()
+    if "members" in script.checks:
+        truth = GroundTruth(script.members, actions, played.length_ms, terms.pause_ms())
+        report = check_membership(truth, observations, terms, script.sites, (), slack_ms)
+    broken_limits, limits = _check_runs(played, slack_ms)
+    broken_orders: list[str] = []
+    outcomes: dict[str, int] = {}
+    if "orders" in script.checks:
+        broken_orders, outcomes = check_orders(run, played.load, played.requests)
+    attempts = sum(request.attempts for request in played.requests)
+    return {
+        **figures(report, terms, len(script.members)),
+        "broken": [*run.unplayed, *report.broken, *broken_limits, *broken_orders],
+        **({"limits": limits} if limits else {}),
+        "replaced": run.replaced,
+        "judged": list(script.checks),
+        "outcomes": outcomes,
+        "fabric": {key: value for key, value in played.proxy_counts.items() if key != "done"},
+        "hashes": len({view["hash"] for view in played.views.values() if view}),
+        "beliefs": observations,
+        "views": played.views,
+        "tries": round(attempts / max(1, len(played.requests)), 3),
+    }
+
+
+def _relative_to_begin(played: PlayedScript) -> tuple[list[FaultAction], list[Observation]]:
+    """Actions and observations with the script's begin as time 0."""
+    return (
+        [replace(action, at=action.at - played.begin) for action in played.run.actions],
+        [replace(observation, at=observation.at - played.begin) for observation in played.run.observations],
+    )
+
+
+def _check_runs(played: PlayedScript, slack_ms: float) -> tuple[list[str], dict[str, Any]]:
+    """Check fleet limits against what all engines ran, if the script asks for it."""
+    run = played.run
+    script = run.script
+    if not script.limits or "limits" not in script.checks:
+        return [], {}
+    runs = []
+    sites = {}
+    for member in run.members.values():
+        for engine in member.engines:
+            for body, at, ended in list(engine.runs):
+                runs.append((body, at, float("inf") if ended is None else ended))
+                sites[body] = script.site_of(member.name)
+    end = played.begin + played.length_ms
+    return check_limits(script.limits, runs, GrantSettings(**run.grants), played.begin, end, slack_ms, sites)
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -37,6 +37,7 @@
 NUMBER_LIMIT = 2**53  # of all counters, exclusive
 HASH_LIMIT = 2**64  # exclusive
 MAX_AGE_MS = 2**31
+MAX_LIMIT_NAME_LENGTH = 32
 MAX_UPDATES_PER_DATAGRAM = 9
 MAX_ROWS_PER_DATAGRAM = 1
 MAX_UNREACHABLE_PER_ROW = 8
@@ -179,6 +180,11 @@
     return _NAME.fullmatch(name) is not None
 
 
+def is_valid_limit_name(name: str) -> bool:
+    """A valid name without slashes, which separate a limit's name from its key's part, and of bounded length."""
+    return is_valid_name(name) and "/" not in name and len(name) <= MAX_LIMIT_NAME_LENGTH
+
+
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_address(address: str) -> bool:
     """A.B.C.D:PORT, numbers only, as there is no DNS."""
