--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -30,7 +30,7 @@
     if not result["judged"]:
         return print_result(result, seed, None)
     console = Console()
-    console.print(observation_table(result["beliefs"], script.members))
+    console.print(observation_table(result["observations"], script.members))
     console.print(
         f"requests: {', '.join(f'{count} {what}' for what, count in sorted(result['outcomes'].items()))}; "
         f"{result['tries']} tries each"
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -75,13 +75,7 @@
             services["engine"] = self.etcd.port
         self.fault_proxy = FaultProxyProcess(script.members, seed, services)
         self.port = self.fault_proxy.port
-        numbers = {name: member.number for name, member in self.members.items()}
-        tables = {"grants": self.grants, "membership": membership or {}}
-        for name, member in self.members.items():
-            self.fault_proxy.ask(target=["kernel", name, member.engine.port])
-            member_files.write_server_config(member.folder, name, member.number, self.port, seed)
-            changes = {**tables, **(own or {}).get(name, {})}
-            member_files.write_fleet_file(member.folder, name, numbers, self.port, script, changes)
+        self._write_files({"grants": self.grants, "membership": membership or {}}, own or {})
 
     def client_address(self, name: str) -> tuple[str, int]:
         """Where client proxies reach a member."""
@@ -234,6 +228,15 @@
                 self.fault_proxy.ask(target=["kernel", name, member.engine.port])
                 self.restart(member)
 
+    def _write_files(self, tables: dict[str, Any], own: dict[str, dict[str, Any]]) -> None:
+        """Write the members' files: `tables` go to all fleet files, `own` to those of single members."""
+        numbers = {name: member.number for name, member in self.members.items()}
+        for name, member in self.members.items():
+            self.fault_proxy.ask(target=["kernel", name, member.engine.port])
+            member_files.write_server_config(member.folder, name, member.number, self.port, self.seed)
+            changes = {**tables, **own.get(name, {})}
+            member_files.write_fleet_file(member.folder, name, numbers, self.port, self.script, changes)
+
     def _read_log(self, member: MemberProcess, process: subprocess.Popen[str]) -> None:
         assert process.stdout is not None
         with (member.folder / "log.txt").open("a") as copy:
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -25,7 +25,7 @@
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.quota.settings import GrantSettings
 
-HIDDEN_KEYS = ("beliefs", "views")  # of a result; too long for the line of figures
+HIDDEN_KEYS = ("observations", "views")  # of a result; too long for the line of figures
 SIGNALS = {
     "pause": (signal.SIGSTOP, "pause"),
     "resume": (signal.SIGCONT, "resume"),
@@ -214,7 +214,7 @@
         "outcomes": outcomes,
         "fabric": {key: value for key, value in played.proxy_counts.items() if key != "done"},
         "hashes": len({view["hash"] for view in played.views.values() if view}),
-        "beliefs": observations,
+        "observations": observations,
         "views": played.views,
         "tries": round(attempts / max(1, len(played.requests)), 3),
     }
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -1,8 +1,9 @@
-"""mod_jk and Apache files, taken over into an operator's file that the program reads."""
+"""The importer: mod_jk and Apache files become an operator's file that the program reads."""
 
 import subprocess
 import sys
 import tomllib
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -29,21 +30,37 @@
 """
 
 
-def imported(tmp: Path, name: str, text: str) -> tuple[dict[str, Any], list[str], int]:
-    (tmp / name).write_text(text)
-    done = subprocess.run(
-        [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp / name)],
+@dataclass(frozen=True)
+class ImportResult:
+    """What the importer printed."""
+
+    tables: dict[str, Any]
+    problems: list[str]
+    status: int
+
+
+def run_importer(path: Path) -> subprocess.CompletedProcess[str]:
+    """Import one file in a process."""
+    return subprocess.run(
+        [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
+
+
+def import_text(folder: Path, name: str, text: str) -> ImportResult:
+    """Import a text from a file of this name."""
+    (folder / name).write_text(text)
+    done = run_importer(folder / name)
     problems = [line.split(f"{name}: ", 1)[1] for line in done.stderr.splitlines()]
-    return tomllib.loads(done.stdout), problems, done.returncode
+    return ImportResult(tomllib.loads(done.stdout), problems, done.returncode)
 
 
-def test_workers_with_templates_and_balancers_are_taken(tmp_path: Path) -> None:
-    assert imported(tmp_path, "workers.properties", WORKERS) == (
+def test_workers_with_templates_and_balancers_are_imported(tmp_path: Path) -> None:
+    """Templates, macros, continued lines and defaults of a workers.properties file."""
+    assert import_text(tmp_path, "workers.properties", WORKERS) == ImportResult(
         {
             "worker": [
                 {"name": "one", "address": "127.0.0.1:8101", "factor": 2, "secret": "w"},
@@ -71,13 +88,15 @@
         ("worker.one.host=$(moon)", "line 17: worker.one.host: unknown name in $(moon)"),
     ],
 )
-def test_what_is_not_taken_is_named_by_line_and_key(tmp_path: Path, line: str, problem: str) -> None:
-    _, problems, status = imported(tmp_path, "workers.properties", WORKERS + line + "\n")
-    assert problem in problems
-    assert status == 1
+def test_what_is_not_imported_is_named_by_line_and_key(tmp_path: Path, line: str, problem: str) -> None:
+    """One more line at the end of the file, and the problem that it makes."""
+    result = import_text(tmp_path, "workers.properties", WORKERS + line + "\n")
+    assert problem in result.problems
+    assert result.status == 1
 
 
-def test_balancer_members_are_taken_and_others_named(tmp_path: Path) -> None:
+def test_balancer_members_are_imported_and_other_lines_named(tmp_path: Path) -> None:
+    """BalancerMember lines of an Apache file, inside and outside of a Proxy section."""
     text = """<Proxy "balancer://tiles">
   BalancerMember "ajp://127.0.0.1:8101" loadfactor=3 route=n1 secret=w
   BalancerMember ajp://127.0.0.2 route=n2 timeout=5
@@ -87,8 +106,8 @@
 BalancerMember ajp://127.0.0.5
 ProxyPass /tiles balancer://tiles
 """
-    rows, problems, status = imported(tmp_path, "httpd.conf", text)
-    assert rows == {
+    result = import_text(tmp_path, "httpd.conf", text)
+    assert result.tables == {
         "worker": [
             {"name": "n1", "address": "127.0.0.1:8101", "factor": 3, "route": "n1", "secret": "w"},
             {"name": "n2", "address": "127.0.0.2:8009", "route": "n2"},
@@ -96,27 +115,23 @@
         ],
         "balancer": [{"name": "tiles", "members": ["n1", "n2"]}, {"name": "other", "members": ["127.0.0.4-8104"]}],
     }
-    assert [problem.split(":")[0:2] for problem in problems] == [
+    assert [problem.split(":")[0:2] for problem in result.problems] == [
         ["line 3", " BalancerMember timeout"],
         ["line 4", " BalancerMember"],
         ["line 7", " BalancerMember"],
     ]
-    assert status == 1
+    assert result.status == 1
 
 
-def test_the_program_serves_what_was_imported(tmp_path: Path) -> None:
+def test_server_forwards_to_imported_workers(tmp_path: Path) -> None:
+    """The printed file, with a listener in front, is one that the server starts with."""
     servlet = FakeAjpServer("one")
     (tmp_path / "w.properties").write_text(
         f"worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=one\nworker.one.port={servlet.port}\n"
         "worker.one.host=127.0.0.1\n"
     )
-    done = subprocess.run(
-        [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(tmp_path / "w.properties")],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        check=True,
-    )
+    done = run_importer(tmp_path / "w.properties")
+    assert done.returncode == 0, done.stderr
     front = '[ajp]\nlisten = "127.0.0.1:0"\n[[ajp.map]]\npath = "/"\nclass = "fetch"\nto = "lb"\n'
     with server_process(tmp_path, operator=front + done.stdout) as server:
         assert FakeGateway(server.ports[1]).ask("/a", b"xyz")[2] == b"one got 3"
