--- a/myrtlespar/net/codec/etcd.py
+++ b/myrtlespar/net/codec/etcd.py
@@ -108,8 +108,10 @@
 
 def _load_types() -> dict[str, Any]:
     pool = descriptor_pool.DescriptorPool()
-    pool.Add(_file_descriptor("kv.proto", "mvccpb", _KV_MESSAGES, []))  # type: ignore[no-untyped-call]
-    pool.Add(_file_descriptor("rpc.proto", "etcdserverpb", _RPC_MESSAGES, ["kv.proto"]))  # type: ignore[no-untyped-call]
+    kv_file = _file_descriptor("kv.proto", "mvccpb", _KV_MESSAGES, [])
+    rpc_file = _file_descriptor("rpc.proto", "etcdserverpb", _RPC_MESSAGES, ["kv.proto"])
+    pool.Add(kv_file)  # type: ignore[no-untyped-call]
+    pool.Add(rpc_file)  # type: ignore[no-untyped-call]
     find = pool.FindMessageTypeByName
     return {
         name: message_factory.GetMessageClass(find(f"{package}.{name}"))  # type: ignore[no-untyped-call]
