--- a/myrtlespar/fleet/limits_port.py
+++ b/myrtlespar/fleet/limits_port.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
 from myrtlespar.fleet.settings import FleetSettings
 from myrtlespar.quota.admission_queue import AdmissionQueue
@@ -37,6 +36,17 @@
     caller: int
 
 
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """A request that was rejected under a limit, for operators."""
+
+    key: str
+    at: float  # Unix ms
+    check: AdmissionCheck
+    leader: str  # member that grants this key
+    waiting: int  # requests queued at that time
+
+
 class FleetLimitsAdmission:
     """The policy's port to the fleet's limits. Until `start`, only requests that no limit applies to are admitted."""
 
@@ -58,7 +68,7 @@
         self.retry_budget = RetryBudget(settings.repeats) if settings.repeats is not None else None
         self.admitted: dict[str, int] = {}  # by limit
         self.rejected: dict[str, int] = {}  # by limit
-        self.last_rejections: dict[str, dict[str, Any]] = {}  # by limit: a row of the LIMITS report
+        self.last_rejections: dict[str, Rejection] = {}  # by limit
         self._site = settings.site
         self._random = random
         self._key_of = key_of
@@ -198,16 +208,9 @@
         name = key.partition("/")[0]
         self.counters.add("limits.refused")
         self.rejected[name] = self.rejected.get(name, 0) + 1
-        self.last_rejections[name] = {
-            "key": key,
-            "at": time.time() * 1000,
-            "allowance": check.allowance,
-            "used": check.used,
-            "granted": check.granted,
-            "keeper": coordinator.leader(key),
-            "granted_for_ms": round(check.left_ms),
-            "waiting": len(queue.waiting),
-        }
+        self.last_rejections[name] = Rejection(
+            key, time.time() * 1000, check, coordinator.leader(key), len(queue.waiting)
+        )
 
 
 def limits_of(settings: FleetSettings, class_name: str, work: CountedWork) -> NamedLimits:
--- a/myrtlespar/fleet/limits_report.py
+++ b/myrtlespar/fleet/limits_report.py
@@ -9,6 +9,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
+from myrtlespar.fleet.limits_port import Rejection
 from myrtlespar.quota.limit_coordinator import LimitCoordinator, shard_of
 
 if TYPE_CHECKING:
@@ -36,7 +37,7 @@
         "keeps": shard_rows,
         "admitted": port.admitted,
         "refused": port.rejected,
-        "why": port.last_rejections,
+        "why": {name: _rejection_row(rejection) for name, rejection in port.last_rejections.items()},
         "counts": {name: count for name, count in driver.counters.report().items() if name.startswith("limits.")},
     }
     return json.dumps(report).encode() + b"\n"
@@ -58,6 +59,19 @@
     return lines
 
 
+def _rejection_row(rejection: Rejection) -> dict[str, Any]:
+    return {
+        "key": rejection.key,
+        "at": rejection.at,
+        "allowance": rejection.check.allowance,
+        "used": rejection.check.used,
+        "granted": rejection.check.granted,
+        "keeper": rejection.leader,
+        "granted_for_ms": round(rejection.check.left_ms),
+        "waiting": rejection.waiting,
+    }
+
+
 def _engine_age(driver: LimitsDriver, now: float) -> int | str | None:
     """Time since the engine's last answer in ms; None where no engine is set."""
     if driver.lease_source is None:
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -15,8 +15,6 @@
 from myrtlespar.membership.quorum import FLEET, judge
 from myrtlespar.membership.settings import MembershipSettings
 
-__all__ = ["SLACK_MS", "InvariantReport", "Observation", "check_membership"]
-
 SLACK_MS = 250.0  # for processes that share cores, and for log lines on their way
 
 
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -10,7 +10,7 @@
 
 from myrtlespar.fault_proxy.faults import ActiveFaults
 from myrtlespar.fleet_tests.ground_truth import FaultAction
-from myrtlespar.fleet_tests.invariants import Observation
+from myrtlespar.fleet_tests.observations import Observation
 from myrtlespar.fleet_tests.script import ScriptStep
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,8 @@
 from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule
 from myrtlespar.fleet.settings import read_fleet
 from myrtlespar.fleet_tests.ground_truth import GroundTruth
-from myrtlespar.fleet_tests.invariants import Observation, check_membership
+from myrtlespar.fleet_tests.invariants import check_membership
+from myrtlespar.fleet_tests.observations import Observation
 from myrtlespar.fleet_tests.script import ScriptError, parse
 from myrtlespar.membership.dissemination import Dissemination
 from myrtlespar.membership.member import Member
