--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -8,7 +8,7 @@
 
 from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.fleet_tests.ground_truth import FaultAction
-from myrtlespar.fleet_tests.invariants import ObservedBelief
+from myrtlespar.fleet_tests.observations import Observation
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import (
     CountEvent,
@@ -72,7 +72,7 @@
         self.observers = set(observers or self.names)
         self.nodes: dict[str, SimulatedNode] = {}
         self.actions: list[FaultAction] = []
-        self.beliefs: list[ObservedBelief] = []
+        self.beliefs: list[Observation] = []
         self.counters: dict[str, int] = {}
         self._starts = 0
 
@@ -132,12 +132,12 @@
 
     def _observe_start(self, name: str, member: FleetMember) -> None:
         now = self.event_loop.now
-        self.beliefs.append(ObservedBelief(now, name, "begin"))
+        self.beliefs.append(Observation(now, name, "begin"))
         quorum: QuorumTracker | None = getattr(member, "quorum", None)
         if quorum is None:
             return
         for scope, count in quorum.scopes.items():
-            self.beliefs.append(ObservedBelief(now, name, "standing", scope, count.status))
+            self.beliefs.append(Observation(now, name, "standing", scope, count.status))
 
     def down(self, name: str, kind: str = "down") -> None:
         """End a process at once."""
@@ -201,9 +201,9 @@
     def _observe(self, name: str, effect: MemberChanged | QuorumChanged) -> None:
         now = self.event_loop.now
         if isinstance(effect, MemberChanged):
-            belief = ObservedBelief(now, name, "member", effect.name, effect.new_state, effect.incarnation)
+            belief = Observation(now, name, "member", effect.name, effect.new_state, effect.incarnation)
         else:
-            belief = ObservedBelief(now, name, "standing", effect.scope, effect.new_status)
+            belief = Observation(now, name, "standing", effect.scope, effect.new_status)
         self.beliefs.append(belief)
 
     def _send_packet(self, node: SimulatedNode, effect: SendPacket) -> None:
--- a/myrtlespar/simulation/network.py
+++ b/myrtlespar/simulation/network.py
@@ -29,7 +29,7 @@
         if link.cut:
             return []
         random = self.random
-        return [now + HOP_MS + HOP_JITTER_MS * random.random() + delay for delay in link.fate(random)]
+        return [now + HOP_MS + HOP_JITTER_MS * random.random() + delay for delay in link.delays_ms(random)]
 
     def stream_ms(self, a: str, b: str, round_trips: int) -> float:
         """How long an exchange over TCP takes; a lost segment is sent again after 200 ms."""
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from myrtlespar.fleet_tests.ground_truth import FaultAction, GroundTruth
-from myrtlespar.fleet_tests.invariants import InvariantReport, judge_members
+from myrtlespar.fleet_tests.invariants import InvariantReport, check_membership
 from myrtlespar.fleet_tests.runner import figures
 from myrtlespar.fleet_tests.script import Script
 from myrtlespar.membership.member import Member
@@ -61,7 +61,7 @@
     seconds = time.monotonic() - started
     actions = fleet.actions if paired else _merge_starts(fleet.actions)
     truth = GroundTruth(list(script.members), actions, end_ms, settings.pause_ms())
-    verdict = judge_members(truth, fleet.beliefs, settings, script.sites if paired else {}, observers)
+    verdict = check_membership(truth, fleet.beliefs, settings, script.sites if paired else {}, observers)
     return {
         **_verdict_figures(verdict, settings, members),
         **_fleet_figures(fleet, before, script.length_ms / 1000),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,9 +16,13 @@
     until,
 )
 from myrtlespar.fakes.scripted_engine import ScriptedEngine
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import parse
 from tests.ajp_operator_file import AJP_OPERATOR_FILE
 from tests.request_classes import KEYED_SETTINGS
 
+THREE_MEMBERS = "fleet: {sites: {a: 3}}\nlength_s: 5\n"
+
 
 class HandoverFolders(NamedTuple):
     """The folders of two processes of one server."""
@@ -76,3 +80,13 @@
     for folder in folders:
         folder.mkdir()
     return folders
+
+
+@pytest.fixture
+def three_members(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[FleetRun]:
+    """Three members of one site, not started; the parameter holds changed keys of single members' fleet files."""
+    run = FleetRun(parse(THREE_MEMBERS), 1, tmp_path, own=getattr(request, "param", {}))
+    try:
+        yield run
+    finally:
+        run.close()
--- a/tests/test_fault_scripts.py
+++ b/tests/test_fault_scripts.py
@@ -52,7 +52,7 @@
     assert faults.link("a1", "b1").cut
     assert not faults.link("b1", "a1").cut
     assert faults.link("b1", "a1").drop == 0.5
-    assert not faults.link("b1", "a1").firm
+    assert not faults.link("b1", "a1").is_reliable
     faults.drop(1)
-    assert faults.link("b1", "a1").firm
-    assert faults.link("a1", "b1").fate(Random(1)) == []
+    assert faults.link("b1", "a1").is_reliable
+    assert faults.link("a1", "b1").delays_ms(Random(1)) == []
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -7,7 +7,8 @@
 import pytest
 
 from myrtlespar.fleet_tests.ground_truth import GroundTruth
-from myrtlespar.fleet_tests.invariants import ObservedBelief, judge_members
+from myrtlespar.fleet_tests.invariants import check_membership
+from myrtlespar.fleet_tests.observations import Observation
 from myrtlespar.fleet_tests.script import parse
 from myrtlespar.membership.messages import ALIVE, FAILED
 from myrtlespar.membership.quorum import QuorumStatus
@@ -33,18 +34,18 @@
 @pytest.mark.parametrize(
     ("lie", "rule"),
     [
-        (ObservedBelief(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
-        (ObservedBelief(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
-        (ObservedBelief(12_000, "a1", "member", "c1", None, 0), "presence known"),
-        (ObservedBelief(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
-        (ObservedBelief(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
-        (ObservedBelief(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
+        (Observation(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
+        (Observation(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
+        (Observation(12_000, "a1", "member", "c1", None, 0), "presence known"),
+        (Observation(12_000, "a1", "member", "c1", ALIVE, 7), "lives grow"),
+        (Observation(9_500, "a1", "standing", "", QuorumStatus.WHOLE), "standing right"),
+        (Observation(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
     ],
 )
-def test_the_judge_finds_a_false_belief(lie: ObservedBelief, rule: str) -> None:
+def test_the_judge_finds_a_false_belief(lie: Observation, rule: str) -> None:
     fleet, truth = beliefs_of(KILL)
-    assert judge_members(truth, fleet.beliefs, SETTINGS, fleet.sites).broken == []
-    found = judge_members(truth, [*fleet.beliefs, lie], SETTINGS, fleet.sites).broken
+    assert check_membership(truth, fleet.beliefs, SETTINGS, fleet.sites).broken == []
+    found = check_membership(truth, [*fleet.beliefs, lie], SETTINGS, fleet.sites).broken
     assert any(line.startswith(rule) for line in found), found
 
 
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -76,7 +76,7 @@
 @given(PACKETS)
 def test_packets_are_decoded_as_they_were(packet: Packet) -> None:
     data = peer.encode(packet)
-    if len(data) <= peer.DATAGRAM_MOST:
+    if len(data) <= peer.MAX_DATAGRAM_BYTES:
         assert peer.decode(data) == packet
 
 
@@ -129,5 +129,5 @@
         len(peer.encode(effect.packet)) for effect in member.outbox.take_effects() if isinstance(effect, SendPacket)
     ]
     assert len(sizes) == 1
-    assert 800 < sizes[0] <= peer.DATAGRAM_MOST
+    assert 800 < sizes[0] <= peer.MAX_DATAGRAM_BYTES
     assert peer.decode_sync(peer.encode(member.sync(2.0))) == ViewSync("f" * 48, member.self_update, ())
