--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -58,10 +58,10 @@
 
     def _ask(self, name: str, until: float) -> None:
         now = self.engine.now
-        if self.meter.look(now) < self.limit.amount:
-            self.meter.add(now)
+        if self.meter.in_use(now) < self.limit.amount:
+            self.meter.record(now)
             self.starts_by[name, int((now + self.hop_ms) / 1000)] += 1
-        elif (at := self.meter.room_at(now, self.limit.amount)) <= until:
+        elif (at := self.meter.available_at(now, self.limit.amount)) <= until:
             self.engine.at(max(at, now + 1.0), self._ask, name, until)
 
 
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -78,7 +78,7 @@
             ]
         finally:
             run.close()
-    holds = last + terms.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
+    holds = last + terms.max_lowering_ms(Limit(per_s=30.0)) + SLACK_MS
     broken, most = [], {}
     for label, amount, since in (("the greater number", 30.0, 0.0), ("the lower number", 12.0, holds)):
         lines, figures = judge_limits(
@@ -92,7 +92,7 @@
         )
         broken += [f"{label}: {line}" for line in lines]
         most[label] = figures["order-farms"]["most"]
-    between = [row for row in runs if told + terms.lowered_ms(Limit(per_s=30.0)) <= row[1] < last]
+    between = [row for row in runs if told + terms.max_lowering_ms(Limit(per_s=30.0)) <= row[1] < last]
     figures = judge_limits({"x": Limit(per_s=12.0)}, between, terms, told, last, SLACK_MS, {})[1]
     if set(versions.values()) != {(2, True)}:
         broken.append(f"all go by version 2 in the end: {versions}")
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -22,6 +22,7 @@
 from myrtlespar.fleet_tests.limit_invariants import judge_limits
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
+from myrtlespar.quota.lease import Incarnation
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.limits import SimulatedLimits
@@ -118,27 +119,27 @@
 def decisions(count: int) -> None:
     """Microseconds of one decision."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
-    agent = LimitCoordinator(("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
+    agent = LimitCoordinator(Incarnation("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
     for key in limits:  # alone it is its own keeper
         agent.check_admission(5000.0, key)
     for n in range(200):
         agent.tick(5000.0 + 200.0 * n)
         agent.check_admission(5000.0 + 200.0 * n, "x")
     now = 5000.0 + 200.0 * 200
-    rows: dict[str, list[float]] = {"look and use, a rate": [], "look and use, at once": [], "off": []}
+    rows: dict[str, list[float]] = {"check and consume, a rate": [], "check and consume, at once": [], "off": []}
     fleet = None
     for _ in range(5):
-        for name, key in (("look and use, a rate", "x"), ("look and use, at once", "y")):
+        for name, key in (("check and consume, a rate", "x"), ("check and consume, at once", "y")):
             began = time.perf_counter()
             for n in range(count // 5):
-                if agent.check_admission(now + n * 0.01, key).ok:
+                if agent.check_admission(now + n * 0.01, key).admitted:
                     agent.consume(now + n * 0.01, key)
                     if key == "y":
                         agent.run_ended(key)
             rows[name].append((time.perf_counter() - began) / (count // 5) * 1e6)
         began = time.perf_counter()
         for _ in range(count // 5):
-            _ = fleet.look(now, "x") if fleet else 0.0
+            _ = fleet.check_admission(now, "x") if fleet else 0.0
         rows["off"].append((time.perf_counter() - began) / (count // 5) * 1e6)
     for name, values in rows.items():
         print(f"{name}: median {sorted(values)[2]:.3f} us, {min(values):.3f} to {max(values):.3f}")
@@ -178,7 +179,7 @@
         "most_of_limit": round(fleet.seen.most / per_s, 4),
         "messages_s_member": round((fleet.seen.messages - before[0]) / 12 / size, 2),
         "bytes_s_member": round((fleet.seen.bytes - before[1]) / 12 / size, 1),
-        "keys_left": sum(len(agent.grant_holder.shares) for agent in cold.agents.values()),
+        "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.agents.values()),
         "messages_s_member_cold": round((cold.seen.messages - quiet) / 4 / size, 2),
         "real_s": round(time.monotonic() - began, 1),
     }
--- a/myrtlespar/cli/limit_tables.py
+++ b/myrtlespar/cli/limit_tables.py
@@ -11,7 +11,7 @@
 from myrtlespar.cli.fleet_tables import age, ask
 from myrtlespar.config import ConfigError
 from myrtlespar.fleet.settings import read_fleet
-from myrtlespar.quota.budget import AHEAD_S
+from myrtlespar.quota.budget import DRAW_AHEAD_S
 from myrtlespar.quota.settings import CountedUnit, CountedWork, GrantSettings, Limit, LimitKind
 
 
@@ -99,8 +99,8 @@
 
 def promises(limit: Limit, terms: GrantSettings, members: int) -> list[tuple[str, str]]:
     """Each promise of one limit in numbers."""
-    pool, each = terms.shares(limit, members)
-    if limit.of is CountedUnit.BUDGET:
+    pool, each = terms.split(limit, members)
+    if limit.counted_unit is CountedUnit.BUDGET:
         return [
             ("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
             ("over", "0, over restarts of any or all members whose state folders are kept"),
@@ -108,34 +108,34 @@
                 "lost with a keeper",
                 f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what " "was short",
             ),
-            ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
+            ("lost with a member", f"what it drew ahead: {DRAW_AHEAD_S:g} s of its demand"),
             ("without a majority", "what is drawn is spent, nothing more is drawn"),
         ]
     runs = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
-    what = f"starts in any {limit.window_ms} ms" if limit.of is CountedUnit.RATE else f"{runs} at once"
+    what = f"starts in any {limit.window_ms} ms" if limit.counted_unit is CountedUnit.RATE else f"{runs} at once"
     if limit.kind is LimitKind.ADVISORY:
         return [("limit", f"{limit.amount} {what}"), ("promise", "none: it is counted only")]
     return [
         ("limit", f"{limit.amount} {what}"),
         (
             "over",
-            f"{terms.over(limit)}"
+            f"{terms.max_excess(limit)}"
             + (
                 ""
                 if limit.kind is LimitKind.STRICT
-                else f", for at most {terms.over_ms(limit):.0f} ms after a keeper's change"
+                else f", for at most {terms.max_excess_duration_ms(limit):.0f} ms after a keeper's change"
             ),
         ),
         ("granted by keepers", f"{pool}"),
         ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
         ("a part of k members cut off without a majority may use", f"k x {each}"),
-        ("demand that moves has what is due to it after", f"{terms.moved_ms(limit):.0f} ms"),
+        ("demand that moves has what is due to it after", f"{terms.max_reallocation_ms(limit):.0f} ms"),
         (
             "after a keeper's death its keys are granted anew after",
-            f"{terms.rebuilt_ms(limit):.0f} ms, " "beside what membership takes to notice",
+            f"{terms.max_leader_recovery_ms(limit):.0f} ms, " "beside what membership takes to notice",
         ),
-        ("a number that is lowered holds after", f"{terms.lowered_ms(limit):.0f} ms; never over the greater one"),
-        ("a new process uses its standing share after", f"{terms.silent_ms(limit):.0f} ms"),
+        ("a number that is lowered holds after", f"{terms.max_lowering_ms(limit):.0f} ms; never over the greater one"),
+        ("a new process uses its standing share after", f"{terms.guaranteed_share_delay_ms(limit):.0f} ms"),
     ]
 
 
@@ -162,10 +162,10 @@
         terms = found.repeats
         print(
             f"repeats: at most {terms.share:g} x first tries + {terms.burst} x {members} = "
-            f"{terms.most(1000, members):.0f} with 1000 first tries, whatever links fail"
+            f"{terms.max_retries(1000, members):.0f} with 1000 first tries, whatever links fail"
         )
     if found.engine is not None:
-        lease = found.grants.used(found.grants.used(found.engine.ttl_s * 1000))
+        lease = found.grants.usable_span_ms(found.grants.usable_span_ms(found.engine.ttl_s * 1000))
         print(
             f"engine: keepers by leases of {found.engine.ttl_s} s; without it a keeper goes on for at most "
             f"{lease:.0f} ms, grants for {found.grants.grant_ms} ms more"
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -10,7 +10,8 @@
 
 from myrtlespar.fleet.settings import EngineSettings
 from myrtlespar.net.etcd_client import EtcdClient
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import LimitEffect
 from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
@@ -28,13 +29,13 @@
         carry: Callable[[list[LimitEffect]], None],
         counters: Counters,
     ) -> None:
-        assert agent.session is not None
-        self.settings, self.coordinator, self.session = settings, agent, agent.session
+        assert agent.lease_session is not None
+        self.settings, self.coordinator, self.session = settings, agent, agent.lease_session
         self.now, self.apply_effects, self.counters = now, carry, counters
         self.etcd = EtcdClient(
             settings.address,
             f"/myrtlespar/{fleet}/ranges/",
-            agent.self_id[0],
+            agent.self_id.name,
             settings.ttl_s,
             settings.timeout_ms / 1000.0,
             self._freed,
@@ -54,18 +55,18 @@
                 self._due.clear()
             else:
                 reply = self.etcd.carry(request)
-                self.counters.add(f"engine.{request.do.value}" if reply else "engine.unanswered")
+                self.counters.add(f"engine.{request.operation.value}" if reply else "engine.unanswered")
                 self.apply_effects(self.coordinator.engine_replied(self.now(), request, reply))
                 if reply is None:
                     gevent.sleep(self.coordinator.settings.ask_ms / 2000.0)
                 else:
                     self.answered_at = self.now()
-        if self.session.lease:
-            self.etcd.revoke(self.session.lease)
+        if self.session.lease_id:
+            self.etcd.revoke(self.session.lease_id)
         self.etcd.close()
 
     def _freed(self, rng: int) -> None:
-        self.session.freed(rng)
+        self.session.shard_released(rng)
         self._due.set()
 
     def _failed(self, code: str) -> None:
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -21,12 +21,15 @@
 from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessageError, UnsupportedPeerVersionError
 from myrtlespar.net.peer_transport import PeerTransport
 from myrtlespar.net.peer_transport import monotonic_ms as true_ms
+from myrtlespar.quota.admission_check import ADMITTED, AdmissionCheck
 from myrtlespar.quota.admission_queue import AdmissionQueue
-from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect, shard_of
-from myrtlespar.quota.messages import PersistThenSend, SendMessage
+from myrtlespar.quota.budget import BudgetPeriod
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import LimitEffect, PersistThenSend, SendMessage
 from myrtlespar.quota.retry_budget import RetryBudget
-from myrtlespar.quota.settings import CountedUnit, CountedWork, Limit, prefix
+from myrtlespar.quota.settings import CountedUnit, CountedWork, Limit, caller_prefix
+from myrtlespar.quota.shards import shard_of
 from myrtlespar.runtime.counters import Counters
 
 if TYPE_CHECKING:
@@ -67,8 +70,8 @@
         self._keeps: list[PersistThenSend] = []
         self._keeps_due = Event()
         self._file: Path | None = None
-        self._vault: dict[tuple[str, int], int] = {}
-        if any(limit.of is CountedUnit.BUDGET for limit in settings.limits.values()):
+        self._vault: dict[BudgetPeriod, int] = {}
+        if any(limit.counted_unit is CountedUnit.BUDGET for limit in settings.limits.values()):
             self._file = Path(settings.state) / f"budgets-{settings.name}.bin"
             self._read()
         self._no_call: set[str] = set()  # runs whose call found no room yet
@@ -105,7 +108,7 @@
                 log.error("fleet: no budget is vouched for", error=str(error))
                 self._file = None
         self.coordinator = LimitCoordinator(
-            (self.settings.name, boot),
+            Incarnation(self.settings.name, boot),
             self.settings.grants,
             self.settings.limits,
             names,
@@ -114,7 +117,7 @@
             self.settings.engine is not None,
             self._vault,
         )
-        self.coordinator.wall_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
+        self.coordinator.wall_offset_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
         self.admission_queue, self.call_queue = AdmissionQueue(self.coordinator), AdmissionQueue(self.coordinator)
         self.peers.others[MAGIC[:3]] = self._heard
         gevent.spawn(self._clock)
@@ -159,7 +162,7 @@
         assert agent is not None
         while not agent.grant_holder.retired:
             now = self.now()
-            agent.wall_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
+            agent.wall_offset_ms = time.time() * 1000 + self.settings.wall_shift_ms - now
             if agent.next_at() <= now:
                 self._carry(agent.tick(now))
             gevent.sleep(max(0.001, (agent.next_at() - self.now()) / 1000.0))
@@ -173,7 +176,7 @@
             return self.counters.add(f"limits.spoilt.{str(why).replace(' ', '_')}")
         if letter.fleet != self.settings.fleet or letter.name == self.settings.name or self.coordinator is None:
             return self.counters.add("limits.foreign")
-        self._carry(self.coordinator.receive(self.now(), (letter.name, letter.incarnation), letter.message))
+        self._carry(self.coordinator.receive(self.now(), Incarnation(letter.name, letter.incarnation), letter.message))
         return None
 
     def _carry(self, effects: list[LimitEffect]) -> None:
@@ -200,12 +203,12 @@
         agent = self.coordinator
         assert agent is not None
         assert self._file is not None
-        saved = dict(agent.budget_journal.rows)
+        saved = dict(agent.budget_journal.totals)
         while not agent.grant_holder.retired:
             self._keeps_due.wait()
             self._keeps_due.clear()
             keeps, self._keeps = self._keeps, []
-            rows = dict(agent.budget_journal.rows)
+            rows = dict(agent.budget_journal.totals)
             try:
                 if rows != saved:
                     gevent.get_hub().threadpool.apply(vaultfile.write, (self._file, rows))
@@ -233,10 +236,10 @@
         if key:
             self._asked = id, keys, key, room
             self._sender = sender
-            if places.line[sender] >= HELD_MOST:
+            if places.waiting_by_caller[sender] >= HELD_MOST:
                 self.counters.add("limits.line_full")
                 return float("inf")
-            return room.after_ms
+            return room.retry_after_ms
         for name, _ in applying:
             self.admitted[name] = self.admitted.get(name, 0) + 1
         return 0.0
@@ -251,11 +254,11 @@
         """It is refused for want of room: when its caller is to come back, spread over the time behind `after_ms`."""
         asked, _, key, room = self._asked
         if id == asked:
-            after_ms = room.after_ms
+            after_ms = room.retry_after_ms
         if self.admission_queue is None or self.coordinator is None:
             return after_ms * (1 + self.random.random())
         if id in self.admission_queue.waiting:  # it was held as long as it was of use
-            keys = self.admission_queue.waiting[id][1]
+            keys = self.admission_queue.waiting[id].keys
             key = next((one for one in keys if self.coordinator.available(self.now(), one) <= 0), keys[0])
             room = self.coordinator.check_admission(self.now(), key, 0, True)
         elif id != asked:
@@ -271,7 +274,7 @@
                 "used": room.used,
                 "granted": room.granted,
                 "keeper": self.coordinator.leader(key),
-                "granted_for_ms": round(room.left_ms),
+                "granted_for_ms": round(room.grant_remaining_ms),
                 "waiting": len(self.admission_queue.waiting),
             }
         return after_ms * (1 + self.random.random())
@@ -339,7 +342,7 @@
         if not limit.by:
             return name
         if limit.by == "prefix":
-            return f"{name}/{prefix(self._key_of(id), limit.until)}"
+            return f"{name}/{caller_prefix(self._key_of(id), limit.until)}"
         return f"{name}/{sender if limit.by == 'peer' else self.settings.site}"
 
     # What operators see.
@@ -350,17 +353,17 @@
         if agent is None:
             return b'{"waiting": true}\n'
         rows = []
-        for key, share in sorted(agent.grant_holder.shares.items()):
+        for key, share in sorted(agent.grant_holder.allowances.items()):
             rows.append(
                 {
                     "key": key,
                     "limit": share.limit.amount,
                     "kind": share.limit.kind.value,
-                    "of": share.limit.of.value,
-                    "standing": share.standing,
+                    "of": share.limit.counted_unit.value,
+                    "standing": share.guaranteed_share,
                     "granted": share.granted(now),
-                    "granted_for_ms": round(max(0.0, share.until - now)),
-                    "used": share.meter.look(now),
+                    "granted_for_ms": round(max(0.0, share.granted_until - now)),
+                    "used": share.usage.in_use(now),
                     "keeper": agent.leader(key),
                     "range": shard_of(key, agent.settings.ranges),
                 }
@@ -369,12 +372,12 @@
             {
                 "range": n,
                 "epoch": one.election.epoch,
-                "since_ms": round(now - one.election.since),
-                "unknown": sorted(one.ledger.unknown),
-                "out": {key: one.ledger.outstanding(now, key) for key in one.ledger.keys},
+                "since_ms": round(now - one.election.acquired_at),
+                "unknown": sorted(one.ledger.unreported_voters),
+                "out": {key: one.ledger.outstanding(now, key) for key in one.ledger.grants},
             }
             for n, one in enumerate(agent.shards)
-            if one.ledger is not None and one.election.has(now)
+            if one.ledger is not None and one.election.holds_lease(now)
         ]
         return (
             json.dumps(
@@ -395,12 +398,12 @@
                             "key": key,
                             "period": number,
                             "limit": one.limit.amount,
-                            "got": one.got - one.back,
+                            "got": one.drawn_total - one.returned_total,
                             "spent": one.spent,
-                            "left": one.left,
+                            "left": one.remaining,
                             "keeper": agent.leader(key),
                         }
-                        for (key, number), one in sorted(agent.budget_account.pockets.items())
+                        for (key, number), one in sorted(agent.budget_account.balances.items())
                     ],
                     "keys": rows,
                     "keeps": kept,
@@ -423,14 +426,14 @@
         sums: dict[str, dict[str, int]] = {
             name: {"granted": 0, "standing": 0, "used": 0} for name in self.settings.limits
         }
-        for (key, _), one in agent.budget_account.pockets.items():
-            sums[key.partition("/")[0]]["granted"] += one.got - one.back
+        for (key, _), one in agent.budget_account.balances.items():
+            sums[key.partition("/")[0]]["granted"] += one.drawn_total - one.returned_total
             sums[key.partition("/")[0]]["used"] += one.spent
-        for key, share in agent.grant_holder.shares.items():
+        for key, share in agent.grant_holder.allowances.items():
             row = sums[key.partition("/")[0]]
             row["granted"] += share.granted(now)
-            row["standing"] += share.standing
-            row["used"] += share.meter.look(now)
+            row["standing"] += share.guaranteed_share
+            row["used"] += share.usage.in_use(now)
         out = []
         for kind in ("granted", "standing", "used"):
             out.append(f"# TYPE fleet_limit_{kind} gauge")
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -34,17 +34,17 @@
             parts.setdefault(_part(limit, run[0], sites), []).append(run)
         most, where, at = 0, "", 0.0
         for part, some in parts.items():
-            if limit.of is CountedUnit.BUDGET:
+            if limit.counted_unit is CountedUnit.BUDGET:
                 found = _spent(limit, some, slack_ms)
             else:
-                found = _rate(limit, some, slack_ms) if limit.of is CountedUnit.RATE else _hand(some)
+                found = _rate(limit, some, slack_ms) if limit.counted_unit is CountedUnit.RATE else _hand(some)
             if found[0] > most:
                 most, where, at = found[0], part, found[1]
-        allowed = limit.amount + terms.over(limit)
+        allowed = limit.amount + terms.max_excess(limit)
         started = sum(len(some) for some in parts.values())
         span = max(1.0, (end - begin) / limit.window_ms)
         figures[name] = {"limit": limit.amount, "most": most, "ratio": round(most / allowed, 3), "started": started}
-        if limit.of is CountedUnit.RATE and not limit.by:
+        if limit.counted_unit is CountedUnit.RATE and not limit.by:
             figures[name]["use"] = round(started / span / limit.amount, 3)
         if limit.kind.value != "advisory" and most > allowed:
             broken.append(
--- a/myrtlespar/model_checker/quota/engine.py
+++ b/myrtlespar/model_checker/quota/engine.py
@@ -24,17 +24,17 @@
             self.keys = {rng: row for rng, row in self.keys.items() if row[0] != lease}
         ends = now + TTL_MS / FAST
         self.revision += 1
-        if request.do is EngineOperation.GRANT:
+        if request.operation is EngineOperation.GRANT:
             self.leases[self.revision] = ends
-            return EngineReply(lease=self.revision, ttl_ms=TTL_MS)
-        if request.lease not in self.leases:
+            return EngineReply(lease_id=self.revision, ttl_ms=TTL_MS)
+        if request.lease_id not in self.leases:
             return EngineReply()
-        row = self.keys.get(request.rng)
-        if request.do is EngineOperation.KEEP:
-            self.leases[request.lease] = ends
+        row = self.keys.get(request.shard_id)
+        if request.operation is EngineOperation.KEEP:
+            self.leases[request.lease_id] = ends
             return EngineReply(ttl_ms=TTL_MS)
-        if request.do is EngineOperation.TAKE and row is None:
-            row = self.keys[request.rng] = request.lease, self.revision
-        elif request.do is EngineOperation.DROP and row is not None and row[0] == request.lease:
-            del self.keys[request.rng]
-        return EngineReply(epoch=row[1] if row is not None and row[0] == request.lease else 0)
+        if request.operation is EngineOperation.TAKE and row is None:
+            row = self.keys[request.shard_id] = request.lease_id, self.revision
+        elif request.operation is EngineOperation.DROP and row is not None and row[0] == request.lease_id:
+            del self.keys[request.shard_id]
+        return EngineReply(epoch=row[1] if row is not None and row[0] == request.lease_id else 0)
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -12,9 +12,10 @@
 from typing import Any
 
 from myrtlespar.model_checker.quota.engine import Engine
-from myrtlespar.quota.budget import BudgetPeriod, period
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
-from myrtlespar.quota.messages import PersistThenSend, SendMessage
+from myrtlespar.quota.budget import BudgetPeriod, period_number
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import LimitCounter, LimitEffect, PersistThenSend, SendMessage
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
 NAMES = ("a", "b", "c")
@@ -48,7 +49,7 @@
     @property
     def most(self) -> int:
         """What may be in use at a time: the greater number of the two."""
-        return max(self.limit.amount, self.later.amount if self.later else 0) + self.terms.over(self.limit)
+        return max(self.limit.amount, self.later.amount if self.later else 0) + self.terms.max_excess(self.limit)
 
 
 @dataclass(slots=True)
@@ -125,7 +126,7 @@
     def ask_engine(self, name: str, life: int) -> None:
         """A member's driver sends what is due, one request at a time."""
         agent = self.members[name]
-        if agent is None or agent.session is None or name in self.asking:
+        if agent is None or agent.lease_session is None or name in self.asking:
             return
         request, effects = agent.next_engine_request(self.clock(name))
         self.carry(name, effects)
@@ -144,7 +145,7 @@
         """The answer reaches the member's process, if that is still there."""
         _, _, _, name, life, (request, reply) = row
         agent = self.members[name]
-        if agent is None or self.lives[name] != life or agent.session is None:
+        if agent is None or self.lives[name] != life or agent.lease_session is None:
             return
         if name in self.stopped:
             self.kept.setdefault(name, []).append(row)
@@ -163,7 +164,7 @@
         if name in self.stopped:
             self.kept.setdefault(name, []).append(row)
             return
-        if name not in self.quiet and agent.check_admission(self.clock(name), "x").ok:
+        if name not in self.quiet and agent.check_admission(self.clock(name), "x").admitted:
             agent.consume(self.clock(name), "x")
             self.start(name, life)
         self.put(FLOOD_MS, "want", name, life)
@@ -173,7 +174,7 @@
         limit = self.setting.limit
         self.used[name] = self.used.get(name, 0) + 1
         if limit.per_day is not None:
-            number = period(limit, self.clock(name))
+            number = period_number(limit, self.clock(name))
             self.spent[number] = in_use = self.spent.get(number, 0) + 1
         elif limit.at_once is None:
             while self.starts and self.starts[0] <= self.now - limit.window_ms:
@@ -212,17 +213,17 @@
         """Carry out what a member says."""
         for effect in effects:
             if isinstance(effect, SendMessage):
-                self.put(HOP_MS, "packet", effect.recipient, effect.message, (name, self.lives[name]))
+                self.put(HOP_MS, "packet", effect.recipient, effect.message, Incarnation(name, self.lives[name]))
             elif isinstance(effect, PersistThenSend):
                 agent = self.members[name]
                 assert agent is not None
-                self.put(DISK_MS, "disk", name, self.lives[name], (dict(agent.budget_journal.rows), effect))
-            elif effect.counter == "keeper":
+                self.put(DISK_MS, "disk", name, self.lives[name], (dict(agent.budget_journal.totals), effect))
+            elif effect.counter is LimitCounter.LEADERSHIP_BEGAN:
                 self.began.append(self.now)
         keepers = [
             one
             for one, agent in self.members.items()
-            if agent is not None and one not in self.stopped and agent.shards[0].election.has(self.clock(one))
+            if agent is not None and one not in self.stopped and agent.shards[0].election.holds_lease(self.clock(one))
         ]
         if len(keepers) > 1:
             self.fell.append(f"one keeper: {' '.join(keepers)} at {self.now:.0f} ms")
@@ -245,7 +246,7 @@
         life = self.lives[name] = self.lives.get(name, 0) + 1
         limit = self.setting.later if name in self.adopted and self.setting.later else self.setting.limit
         agent = self.members[name] = LimitCoordinator(
-            (name, life),
+            Incarnation(name, life),
             self.setting.terms,
             {"x": limit},
             frozenset(NAMES),
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -13,17 +13,18 @@
 import msgspec
 
 from myrtlespar.errors import MyrtlesparError
+from myrtlespar.quota.budget import BudgetPeriod
 
 MAGIC = b"MPV1"
 MOST = 64 << 20  # bytes
-Rows = Mapping[tuple[str, int], int]
+Rows = Mapping[BudgetPeriod, int]
 
 
 class CorruptBudgetFileError(MyrtlesparError):
     """The file is not whole: what was promised can't be known."""
 
 
-def read(path: Path) -> dict[tuple[str, int], int]:
+def read(path: Path) -> dict[BudgetPeriod, int]:
     """All rows; none where there is no file. Torn: it is spoilt, and is to be refused whole. OSError as it comes."""
     try:
         data = path.read_bytes()
@@ -35,7 +36,7 @@
         rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(data[8:], type=list[tuple[str, int, int]])
     except msgspec.MsgspecError:
         raise CorruptBudgetFileError(str(path)) from None
-    return {(key, number): total for key, number, total in rows}
+    return {BudgetPeriod(key, number): total for key, number, total in rows}
 
 
 def write(path: Path, rows: Rows) -> None:
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -60,18 +60,18 @@
 
     def _do(self, request: EngineRequest) -> EngineReply | None:
         try:
-            if request.do is EngineOperation.GRANT:
+            if request.operation is EngineOperation.GRANT:
                 got = self._calls["grant"](TYPES["LeaseGrantRequest"](TTL=self.ttl_s), timeout=self.timeout_s)
-                return EngineReply(lease=got.ID, ttl_ms=got.TTL * 1000.0)
-            if request.do is EngineOperation.KEEP:
-                ask = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease)])
+                return EngineReply(lease_id=got.ID, ttl_ms=got.TTL * 1000.0)
+            if request.operation is EngineOperation.KEEP:
+                ask = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease_id)])
                 got = next(self._calls["keep_alive"](ask, timeout=self.timeout_s))
                 return EngineReply(ttl_ms=got.TTL * 1000.0)
-            return self._take(request) if request.do is EngineOperation.TAKE else self._drop(request)
+            return self._take(request) if request.operation is EngineOperation.TAKE else self._drop(request)
         except (grpc.RpcError, StopIteration) as error:
             code = error.code().name.lower() if isinstance(error, grpc.Call) else "ended"
-            if code == "not_found" and request.do is not EngineOperation.GRANT:  # the lease is gone
-                return EngineReply(ttl_ms=0.0) if request.do is EngineOperation.KEEP else EngineReply()
+            if code == "not_found" and request.operation is not EngineOperation.GRANT:  # the lease is gone
+                return EngineReply(ttl_ms=0.0) if request.operation is EngineOperation.KEEP else EngineReply()
             self.failed(code)
             return None
 
@@ -80,23 +80,23 @@
 
     def _take(self, request: EngineRequest) -> EngineReply:
         """Make the key if there is none; if there is one, whose?"""
-        key = self._key(request.rng)
+        key = self._key(request.shard_id)
         txn = TYPES["TxnRequest"]()
         txn.compare.add(result=EQUAL, target=TARGET_CREATE, key=key, create_revision=0)
         put = txn.success.add().request_put
-        put.key, put.value, put.lease = key, self.name.encode(), request.lease
+        put.key, put.value, put.lease = key, self.name.encode(), request.lease_id
         txn.failure.add().request_range.key = key
         got = self._calls["txn"](txn, timeout=self.timeout_s)
         if got.succeeded:
             return EngineReply(epoch=got.header.revision)
         for row in got.responses[0].response_range.kvs if got.responses else ():
-            if row.lease == request.lease:  # an earlier try whose answer was lost
+            if row.lease == request.lease_id:  # an earlier try whose answer was lost
                 return EngineReply(epoch=row.create_revision)
         return EngineReply()
 
     def _drop(self, request: EngineRequest) -> EngineReply:
-        txn, key = TYPES["TxnRequest"](), self._key(request.rng)
-        txn.compare.add(result=EQUAL, target=TARGET_LEASE, key=key, lease=request.lease)
+        txn, key = TYPES["TxnRequest"](), self._key(request.shard_id)
+        txn.compare.add(result=EQUAL, target=TARGET_LEASE, key=key, lease=request.lease_id)
         txn.success.add().request_delete_range.key = key
         self._calls["txn"](txn, timeout=self.timeout_s)
         return EngineReply()
--- a/myrtlespar/quota/__init__.py
+++ b/myrtlespar/quota/__init__.py
@@ -1,3 +1,5 @@
-"""Limits that hold for the whole fleet: grants, keepers, standing shares. Pure: times and messages come in, what to
-tell whom goes out; the wall clock is not used, each clock may run fast or slow by `drift`.
+"""Limits that hold for the whole fleet: grants, shard leaders, guaranteed shares and budgets.
+
+Pure: times and messages come in, effects go out. The wall clock is used only for the periods of budgets; each
+monotonic clock may run fast or slow by `drift`.
 """
--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -1,8 +1,9 @@
-"""Requests and the keys that apply to them: who has a place, and who waits for one, in which order.
+"""Requests that limits apply to: which of them are admitted, and which wait, in which order.
 
-A request that finds no room may wait: a place that is free a window later would else lie free until the next request
-comes. Waiting ones are let in by the order that the caller hands in; a newcomer stands behind all that wait for a key
-of its own. Nothing here decides whether waiting is worth it: `ask` says when there may be room, the caller decides.
+A request that finds no capacity may wait, as capacity that returns a window later would otherwise be idle until the
+next request arrives. Waiting requests are admitted in the order that the caller gives; a new one stands behind all that
+wait for one of its keys. Whether waiting is worthwhile is not decided here: `try_acquire` says when there may be
+capacity, the caller decides.
 """
 
 from __future__ import annotations
@@ -10,119 +11,149 @@
 import heapq
 from collections import Counter
 from collections.abc import Sequence
+from typing import NamedTuple
 
-from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
+from myrtlespar.quota.admission_check import ADMITTED, AdmissionCheck
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.settings import CountedUnit
 
 
+class WaitingRequest(NamedTuple):
+    """A request in the queue; the lowest order is first."""
+
+    order: float
+    keys: Sequence[str]
+    caller: int
+
+
+class LingeringRun(NamedTuple):
+    """A run that has ended for us, but counts until `ends_at`."""
+
+    ends_at: float
+    sequence_number: int
+    keys: list[str]
+
+
 class AdmissionQueue:
     """All requests of one member that a limit applies to."""
 
-    def __init__(self, agent: LimitCoordinator) -> None:
-        self.coordinator = agent
-        self.waiting: dict[str, tuple[float, Sequence[str]]] = {}  # request: its order, its keys
-        self._rows: dict[str, list[tuple[float, str]]] = {}  # key: heap of (order, request), some of them gone
-        self._many: dict[str, int] = {}  # key: how many wait
-        self._caller: dict[str, int] = {}
-        self.line: Counter[int] = Counter()  # how many wait of each caller
-        self._hand: dict[str, list[str]] = {}  # request: keys of limits on what is in hand
-        self._out: set[str] = set()  # told that they may try again
-        self._fading: list[tuple[float, int, list[str]]] = []  # when, number, keys of what lingers
-        self._faded = 0
-
-    def try_acquire(self, now: float, id: str, keys: Sequence[str], again: bool = False) -> tuple[str, AdmissionCheck]:
-        """Take a place under every key, or none: the key without room, '' with a place taken. One that waited, or
-        asks `again`, asks as one that stands in front, and counts as demand no second time.
+    def __init__(self, coordinator: LimitCoordinator) -> None:
+        self.coordinator = coordinator
+        self.waiting: dict[str, WaitingRequest] = {}  # by request
+        self.waiting_by_caller: Counter[int] = Counter()
+        self._waiting_by_key: dict[str, int] = {}
+        self._queues: dict[str, list[tuple[float, str]]] = {}  # by key: heap of (order, request), some of them gone
+        self._in_flight_keys: dict[str, list[str]] = {}  # by request: its keys of limits on runs in flight
+        self._ready: set[str] = set()  # requests that were told to try again
+        self._lingering: list[LingeringRun] = []  # a heap
+        self._lingering_count = 0
+
+    def try_acquire(
+        self, now: float, id: str, keys: Sequence[str], is_retry: bool = False
+    ) -> tuple[str, AdmissionCheck]:
+        """Acquire capacity under every key, or under none.
+
+        A request that waited, or `is_retry`, is checked as the first in line and does not count as demand again.
+
+        Returns:
+            The key without capacity, empty if the request is admitted, and the check of that key.
         """
-        again = again or id in self._out
+        is_retry = is_retry or id in self._ready
         if id in self.waiting:
-            self._leave(id)
-        worst, at = ADMITTED, ""
+            self._dequeue(id)
+        rejecting_key = ""
+        rejection = ADMITTED
         for key in keys:
-            room = self.coordinator.check_admission(now, key, 0 if again else self._many.get(key, 0), again)
-            if not room.ok and (not at or room.after_ms > worst.after_ms):
-                worst, at = room, key
-        self._out.discard(id)
-        if at:
-            return at, worst
+            ahead = 0 if is_retry else self._waiting_by_key.get(key, 0)
+            check = self.coordinator.check_admission(now, key, ahead, is_retry)
+            if not check.admitted and (not rejecting_key or check.retry_after_ms > rejection.retry_after_ms):
+                rejecting_key = key
+                rejection = check
+        self._ready.discard(id)
+        if rejecting_key:
+            return rejecting_key, rejection
         for key in keys:
             self.coordinator.consume(now, key)
             limit = self.coordinator.limit_of(key)
-            if limit is not None and limit.of is CountedUnit.AT_ONCE:
-                self._hand.setdefault(id, []).append(key)
+            if limit is not None and limit.counted_unit is CountedUnit.AT_ONCE:
+                self._in_flight_keys.setdefault(id, []).append(key)
         return "", ADMITTED
 
     def enqueue(self, id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
-        """It waits for a place; the lowest order is first."""
-        self.waiting[id] = order, keys
-        self._caller[id] = caller
-        self.line[caller] += 1
+        """Let a request wait for capacity; the lowest order is first."""
+        self.waiting[id] = WaitingRequest(order, keys, caller)
+        self.waiting_by_caller[caller] += 1
         for key in keys:
-            heapq.heappush(self._rows.setdefault(key, []), (order, id))
-            self._many[key] = self._many.get(key, 0) + 1
+            heapq.heappush(self._queues.setdefault(key, []), (order, id))
+            self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
-        """Those that may ask again now, in their order: each key's first ones, as many as there is room for."""
-        out: dict[str, Sequence[str]] = {}
-        for key in list(self._rows):
-            free = self.coordinator.available(now, key) - sum(key in keys for keys in out.values())
-            while free > 0 and (id := self._first(key)) is not None:
-                keys = self.waiting[id][1]
+        """Return the requests that may try again now, in order: each key's first ones, as many as fit."""
+        ready: dict[str, Sequence[str]] = {}
+        for key in list(self._queues):
+            available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
+            while available > 0 and (id := self._first(key)) is not None:
+                keys = self.waiting[id].keys
                 if len(keys) > 1 and any(self.coordinator.available(now, other) <= 0 for other in keys):
-                    break  # it stands in front of one and behind another: nobody passes it
-                self._leave(id)
-                self._out.add(id)
-                out[id] = keys
-                free -= 1
-        return list(out)
+                    break  # it is first for one key and waits for another: no other request passes it
+                self._dequeue(id)
+                self._ready.add(id)
+                ready[id] = keys
+                available -= 1
+        return list(ready)
 
     def next_ready_ms(self, now: float) -> float:
-        """In how long the first waiting one may have room; infinity if none waits, or nobody knows."""
+        """Return in how long the first waiting request may have capacity; infinity if none waits or it is unknown."""
         first = float("inf")
-        for key in list(self._rows):
+        for key in list(self._queues):
             if (id := self._first(key)) is not None:
-                first = min(first, max(self.coordinator.available_in_ms(now, one) for one in self.waiting[id][1]))
+                keys = self.waiting[id].keys
+                first = min(first, max(self.coordinator.available_in_ms(now, other) for other in keys))
         return first
 
     def release(self, id: str) -> None:
-        """It has ended, or will never ask again."""
+        """Release a request that has ended or will not try again."""
         if id in self.waiting:
-            self._leave(id)
-        self._out.discard(id)
-        if self._hand:
-            for key in self._hand.pop(id, ()):
+            self._dequeue(id)
+        self._ready.discard(id)
+        if self._in_flight_keys:
+            for key in self._in_flight_keys.pop(id, ()):
                 self.coordinator.run_ended(key)
 
     def release_after(self, now: float, id: str, after_ms: float) -> None:
-        """It has ended for us, but what it took may be in use for so long still."""
-        keys = self._hand.pop(id, None)
+        """Release a request that has ended for us, but may be in use for so long still."""
+        keys = self._in_flight_keys.pop(id, None)
         if keys:
-            self._faded += 1
-            heapq.heappush(self._fading, (now + self.coordinator.settings.waited(after_ms), self._faded, keys))
+            self._lingering_count += 1
+            ends_at = now + self.coordinator.settings.safe_wait_ms(after_ms)
+            heapq.heappush(self._lingering, LingeringRun(ends_at, self._lingering_count, keys))
 
     def release_due(self, now: float) -> None:
-        """Free what no longer lingers."""
-        while self._fading and self._fading[0][0] <= now:
-            for key in heapq.heappop(self._fading)[2]:
+        """Release what no longer lingers."""
+        while self._lingering and self._lingering[0].ends_at <= now:
+            for key in heapq.heappop(self._lingering).keys:
                 self.coordinator.run_ended(key)
 
     def _first(self, key: str) -> str | None:
-        rows = self._rows.get(key, [])
-        while rows and (rows[0][1] not in self.waiting or self.waiting[rows[0][1]][0] != rows[0][0]):
-            heapq.heappop(rows)
-        if not rows:
-            self._rows.pop(key, None)
+        queue = self._queues.get(key, [])
+        while queue and not self._is_current(queue[0]):
+            heapq.heappop(queue)
+        if not queue:
+            self._queues.pop(key, None)
             return None
-        return rows[0][1]
-
-    def _leave(self, id: str) -> None:
-        _, keys = self.waiting.pop(id)
-        caller = self._caller.pop(id)
-        self.line[caller] -= 1
-        if not self.line[caller]:
-            del self.line[caller]
-        for key in keys:
-            self._many[key] -= 1
-            if not self._many[key]:
-                del self._many[key]
+        return queue[0][1]
+
+    def _is_current(self, row: tuple[float, str]) -> bool:
+        order, id = row
+        request = self.waiting.get(id)
+        return request is not None and request.order == order
+
+    def _dequeue(self, id: str) -> None:
+        request = self.waiting.pop(id)
+        self.waiting_by_caller[request.caller] -= 1
+        if not self.waiting_by_caller[request.caller]:
+            del self.waiting_by_caller[request.caller]
+        for key in request.keys:
+            self._waiting_by_key[key] -= 1
+            if not self._waiting_by_key[key]:
+                del self._waiting_by_key[key]
--- /dev/null
+++ b/myrtlespar/quota/budget_allocator.py
@@ -0,0 +1,100 @@
+"""How a shard leader reserves amounts of budgets at a majority of the voters and hands them out to members."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from myrtlespar.quota.budget import MIN_RESERVE_DIVISOR, RESERVE_AHEAD_FACTOR, BudgetPeriod
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.messages import BudgetDrawRequest, BudgetDrawResponse, BudgetReserveRequest, BudgetReserveResponse
+from myrtlespar.quota.settings import Limit
+
+
+@dataclass(slots=True)
+class DrawnTotals:
+    """What the leader has handed to one incarnation and got back from it. Both only grow."""
+
+    drawn: int
+    returned: int = 0
+
+
+@dataclass(slots=True)
+class BudgetEntry:
+    """One budget period as its leader has it.
+
+    Nothing is handed out before a majority of the voters has reported its journal.
+    """
+
+    reported_voters: set[str] = field(default_factory=set)
+    is_known: bool = False  # whether a majority has reported
+    reserved: int = 0  # agreed by a majority
+    requested: int = 0  # the greater total that the voters are being asked to agree to
+    agreed_voters: set[str] = field(default_factory=set)
+    handed_out: int = 0  # including whatever an earlier leader had reserved
+    drawn_by: dict[Incarnation, DrawnTotals] = field(default_factory=dict)
+
+
+class DrawResult(NamedTuple):
+    """The response to a member, and the reservation that all voters are to be asked for."""
+
+    response: BudgetDrawResponse | None = None
+    reservation: BudgetReserveRequest | None = None
+
+
+class BudgetAllocator:
+    """A leader's budget periods of one shard, for the duration of one lease."""
+
+    def __init__(self, voters: frozenset[str]) -> None:
+        self.voters = voters
+        self.majority = len(voters) // 2 + 1
+        self.entries: dict[BudgetPeriod, BudgetEntry] = {}
+
+    def draw(self, sender: Incarnation, request: BudgetDrawRequest, limit: Limit, epoch: int) -> DrawResult:
+        """Hand out what a member requests, as far as it is reserved, and reserve more where it runs short."""
+        entry = self.entries.setdefault(BudgetPeriod(request.key, request.period), BudgetEntry())
+        if not entry.is_known:
+            query = BudgetReserveRequest(request.shard_id, epoch, request.key, request.period, 0)
+            return DrawResult(reservation=query)
+        totals = entry.drawn_by.setdefault(sender, DrawnTotals(request.drawn_total))
+        # a late response of an earlier leader may have raised it, which already counts as handed out
+        totals.drawn = max(totals.drawn, request.drawn_total)
+        if request.epoch == epoch and request.returned_total > totals.returned:  # available to others
+            entry.handed_out -= request.returned_total - totals.returned
+            totals.returned = request.returned_total
+        has_latest_response = request.drawn_total == totals.drawn
+        wanted = request.wanted if has_latest_response else 0
+        amount = max(0, min(wanted, entry.reserved - entry.handed_out))
+        totals.drawn += amount
+        entry.handed_out += amount
+        reservation = None
+        if amount < wanted and entry.reserved < limit.amount:
+            ahead = max(RESERVE_AHEAD_FACTOR * (wanted - amount), limit.amount // MIN_RESERVE_DIVISOR)
+            entry.requested = min(limit.amount, max(entry.requested, entry.reserved + ahead))
+            entry.agreed_voters = set()
+            reservation = BudgetReserveRequest(request.shard_id, epoch, request.key, request.period, entry.requested)
+        remaining = max(0, limit.amount - entry.handed_out)
+        response = BudgetDrawResponse(request.shard_id, epoch, request.key, request.period, totals.drawn, remaining)
+        return DrawResult(response, reservation)
+
+    def accept_reservation(self, voter: str, response: BudgetReserveResponse) -> None:
+        """Apply what a voter has persisted, which is valid whoever asked for it."""
+        entry = self.entries.get(BudgetPeriod(response.key, response.period))
+        if entry is None or voter not in self.voters:
+            return
+        if not entry.is_known:
+            entry.reported_voters.add(voter)
+            entry.reserved = max(entry.reserved, response.reserved_total)
+            entry.handed_out = entry.reserved
+            entry.is_known = len(entry.reported_voters) >= self.majority
+        elif response.reserved_total >= entry.requested > entry.reserved:
+            entry.agreed_voters.add(voter)
+            if len(entry.agreed_voters) >= self.majority:
+                entry.reserved = entry.requested
+
+    def drop_expired(self, present_periods: Mapping[str, int]) -> None:
+        """Drop the periods that are over; `present_periods` are by limit."""
+        for entry in list(self.entries):
+            if entry.number < present_periods.get(entry.key.partition("/")[0], 0) - 1:
+                del self.entries[entry]
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -1,117 +1,142 @@
-"""Who is the keeper of a range: a lease that a majority of the electorate promises, one voter at a time.
+"""Election of the leader of a shard: a lease that a majority of the voters promises, one voter at a time.
 
-A voter promises a range to one life of one member until a span on its own clock is over, counted long; the candidate
-counts its lease short, and from the sending of what the voter answered. So two leases of one range never overlap in
-true time. A voter that has just started promises nothing for one longest lease.
+A voter promises a shard to one incarnation of one member until a span on its own clock is over, counted long. The
+candidate counts its lease short, and from the sending of the request that the voter answered. So two leases of one
+shard never overlap in true time. A voter that has just started promises nothing for the duration of one lease.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from myrtlespar.quota.messages import LeaseRequest, LeaseVote
 from myrtlespar.quota.settings import GrantSettings
 
-Incarnation = tuple[str, int]  # a member's name, and the boot of its life
+
+class Incarnation(NamedTuple):
+    """One life of a member's process."""
+
+    name: str
+    number: int  # grows with each start of the member
+
+
+NOBODY = Incarnation("", 0)
 
 
 @dataclass(slots=True)
 class LeasePromise:
-    """What a voter promised for one range."""
+    """What a voter has promised for one shard."""
 
-    to: Incarnation = ("", 0)
-    until: float = 0.0
+    candidate: Incarnation = NOBODY
+    expires_at: float = 0.0
     epoch: int = 0
 
 
 class LeaseVoter:
-    """One elector's promises, for all ranges."""
-
-    def __init__(self, terms: GrantSettings, now: float, engine: bool = False) -> None:
-        """With an `engine`, that decides who keeps a range, and epochs tell who is the later one."""
-        self.terms, self.engine = terms, engine
-        self.silent_until = now if engine else now + terms.waited(terms.lease_ms)
-        self.given = [LeasePromise() for _ in range(terms.ranges)]
-
-    def asked(self, now: float, by: Incarnation, ask: LeaseRequest) -> LeaseVote:
-        """Promise, or say what stands against it. What is held is filled in by the caller."""
-        given = self.given[ask.shard_id]
-        same = (given.to == by or self.engine) and ask.epoch >= given.epoch
-        if now < self.silent_until or not (same or (now >= given.until and ask.epoch > given.epoch)):
-            return LeaseVote(ask.shard_id, ask.sequence_number, False, given.epoch)
-        given.to, given.epoch, given.until = by, ask.epoch, now + self.terms.waited(self.terms.lease_ms)
-        return LeaseVote(ask.shard_id, ask.sequence_number, True, ask.epoch)
+    """One voter's promises, for all shards."""
+
+    def __init__(self, settings: GrantSettings, now: float, engine: bool = False) -> None:
+        """Start without promises. With an `engine` that grants the leases, only the order of the epochs matters."""
+        self.settings = settings
+        self.engine = engine
+        self.silent_until = now if engine else now + settings.safe_wait_ms(settings.lease_ms)
+        self.promises = [LeasePromise() for _ in range(settings.ranges)]
+
+    def vote(self, now: float, candidate: Incarnation, request: LeaseRequest) -> LeaseVote:
+        """Promise the shard, or answer with the epoch that prevents it. The caller fills in the allowances."""
+        promise = self.promises[request.shard_id]
+        is_renewal = (promise.candidate == candidate or self.engine) and request.epoch >= promise.epoch
+        if now < self.silent_until or not (is_renewal or (now >= promise.expires_at and request.epoch > promise.epoch)):
+            return LeaseVote(request.shard_id, request.sequence_number, False, promise.epoch)
+        promise.candidate = candidate
+        promise.epoch = request.epoch
+        promise.expires_at = now + self.settings.safe_wait_ms(self.settings.lease_ms)
+        return LeaseVote(request.shard_id, request.sequence_number, True, request.epoch)
 
 
 @dataclass(slots=True)
 class LeaseElection:
-    """One member's attempt at one range. `promised` holds when each voter was asked what it then promised."""
+    """One member's candidacy for one shard, and its lease. Times are the member's monotonic milliseconds."""
 
-    terms: GrantSettings
+    settings: GrantSettings
     voters: frozenset[str]
     epoch: int = 0
-    since: float = 0.0  # of the lease at hand
-    until: float = 0.0
-    promised: dict[str, float] = field(default_factory=dict)
-    asked: dict[int, float] = field(default_factory=dict)  # by number of the ask: when
-
-    def has(self, now: float) -> bool:
-        """Whether the lease holds."""
-        return now < self.until
-
-    def stand(self, now: float, no: int) -> LeaseRequest:
-        """Ask all voters. Without a lease, with an epoch that no voter has heard of."""
-        if not self.has(now) and (self.until or not self.epoch):
-            self.epoch, self.until = self.epoch + 1, 0.0
-            self.promised.clear()
-            self.asked.clear()
-        self.asked[no] = now
-        for old in [one for one, at in self.asked.items() if at < now - self.terms.lease_ms]:
-            del self.asked[old]
-        return LeaseRequest(0, self.epoch, no)
-
-    def answered(self, now: float, voter: str, promise: LeaseVote) -> bool:
-        """Take a voter's answer in. True: with it a lease began."""
+    acquired_at: float = 0.0  # the beginning of the current lease
+    expires_at: float = 0.0  # 0: no lease was held under this epoch
+    promised_at: dict[str, float] = field(default_factory=dict)  # by voter: when the granted request was sent
+    requested_at: dict[int, float] = field(default_factory=dict)  # by sequence number of the request: when sent
+
+    def holds_lease(self, now: float) -> bool:
+        """Whether the lease is held."""
+        return now < self.expires_at
+
+    def request_votes(self, now: float, sequence_number: int) -> LeaseRequest:
+        """Return the request for all voters. Without a lease it carries an epoch that no voter has heard of."""
+        if not self.holds_lease(now) and (self.expires_at or not self.epoch):
+            self._begin_epoch(self.epoch + 1)
+        self.requested_at[sequence_number] = now
+        oldest = now - self.settings.lease_ms
+        for number in [number for number, sent_at in self.requested_at.items() if sent_at < oldest]:
+            del self.requested_at[number]
+        return LeaseRequest(0, self.epoch, sequence_number)
+
+    def record_vote(self, now: float, voter: str, vote: LeaseVote) -> bool:
+        """Count a vote. Returns True if a lease begins with it."""
         if voter not in self.voters:
             return False
-        if not promise.granted:
-            if promise.highest_epoch > self.epoch and self.has(now):
-                # it promised one that got no majority, and takes no grants of our epoch any more: the lease goes on
-                # under a later one
-                self.epoch = promise.highest_epoch + 1
-            elif promise.highest_epoch >= self.epoch and not self.has(now):
-                self.epoch, self.until = promise.highest_epoch + 1, 0.0
-                self.promised.clear()
-                self.asked.clear()
+        if not vote.granted:
+            self._record_refusal(now, vote)
             return False
-        at = self.asked.get(promise.sequence_number)
-        if at is None or promise.highest_epoch != self.epoch:
+        sent_at = self.requested_at.get(vote.sequence_number)
+        if sent_at is None or vote.highest_epoch != self.epoch:
             return False
-        if self.until and not self.has(now):  # it lapsed meanwhile: another may have been keeper since
+        if self.expires_at and not self.holds_lease(now):  # it expired meanwhile: another may have been leader since
             return False
-        self.promised[voter] = max(at, self.promised.get(voter, at))
-        need = len(self.voters) // 2 + 1
-        if len(self.promised) < need:
+        self.promised_at[voter] = max(sent_at, self.promised_at.get(voter, sent_at))
+        return self._extend(now)
+
+    def _record_refusal(self, now: float, vote: LeaseVote) -> None:
+        if vote.highest_epoch > self.epoch and self.holds_lease(now):
+            # The voter promised a candidate that got no majority, and accepts no grants of our epoch any more: the
+            # lease goes on under a later one.
+            self.epoch = vote.highest_epoch + 1
+        elif vote.highest_epoch >= self.epoch and not self.holds_lease(now):
+            self._begin_epoch(vote.highest_epoch + 1)
+
+    def _extend(self, now: float) -> bool:
+        """Hold the lease as long as a majority has promised it. Returns True if it begins."""
+        majority = len(self.voters) // 2 + 1
+        if len(self.promised_at) < majority:
             return False
-        began = not self.until
-        until = sorted(self.promised.values(), reverse=True)[need - 1] + self.terms.used(self.terms.lease_ms)
-        if until <= now:
+        counts_from = sorted(self.promised_at.values(), reverse=True)[majority - 1]
+        expires_at = counts_from + self.settings.usable_span_ms(self.settings.lease_ms)
+        if expires_at <= now:
             return False
-        if began:
-            self.since = now
-        self.until = max(until, self.until)
-        return began
-
-    def give_up(self) -> None:
-        """Another is to be keeper: the lease is not renewed."""
-        self.asked.clear()
-
-    def seated(self, now: float, epoch: int, until: float) -> bool:
-        """What the engine says: our epoch and until when, 0 if we do not keep the range. True: with it a lease
-        began.
-        """
-        began = bool(epoch) and epoch != self.epoch
-        if began:
-            self.since = now
-        self.epoch, self.until = (epoch, until) if epoch else (self.epoch, 0.0)
-        return began
+        begins = not self.expires_at
+        if begins:
+            self.acquired_at = now
+        self.expires_at = max(expires_at, self.expires_at)
+        return begins
+
+    def _begin_epoch(self, epoch: int) -> None:
+        self.epoch = epoch
+        self.expires_at = 0.0
+        self.promised_at.clear()
+        self.requested_at.clear()
+
+    def stop_renewing(self) -> None:
+        """Let the lease expire, as another member is to be leader."""
+        self.requested_at.clear()
+
+    def adopt_engine_lease(self, now: float, epoch: int, expires_at: float) -> bool:
+        """Adopt the lease that the engine granted; epoch 0: it granted none. Returns True if a lease begins."""
+        begins = bool(epoch) and epoch != self.epoch
+        if begins:
+            self.acquired_at = now
+        if epoch:
+            self.epoch = epoch
+            self.expires_at = expires_at
+        else:
+            self.expires_at = 0.0
+        return begins
--- a/myrtlespar/quota/lease_session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -1,9 +1,10 @@
-"""A member's lease at an engine, and the ranges that it keeps under it. Pure: the driver carries out one request at a
-time and hands in its answer, or that there was none.
+"""A member's lease at an engine (etcd), and the shards that it leads under that lease.
 
-All seats hang on one lease of the engine. It counts from the sending of what renewed it, and is counted short twice,
-for our clock and for the engine's. A seat's epoch is the revision at which its key was made, so that it grows with
-each keeper. What is given up is given up here first, then at the engine.
+Pure: the driver carries out one request at a time and hands in the reply, or that there was none.
+
+All shards depend on one lease of the engine. The lease counts from the sending of the request that renewed it, and is
+counted short twice, for the member's clock and for the engine's. A shard's epoch is the revision at which its key was
+created, so that it grows with each leader. A shard is given up here first, then at the engine.
 """
 
 from __future__ import annotations
@@ -13,100 +14,102 @@
 
 from myrtlespar.quota.settings import GrantSettings
 
+NEVER = float("-inf")
+
 
 class EngineOperation(StrEnum):
-    """What is asked of the engine."""
+    """The kinds of requests to the engine."""
 
-    GRANT = "grant"  # a new lease
-    KEEP = "keep"  # renew it
-    TAKE = "take"  # make a range's key, if there is none, under the lease
-    DROP = "drop"  # delete a range's key, if it is under the lease
+    GRANT = "grant"  # create a lease
+    KEEP = "keep"  # renew the lease
+    TAKE = "take"  # create a shard's key under the lease, if there is none
+    DROP = "drop"  # delete a shard's key, if it is under the lease
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """One request, as sent at `sent`."""
+    """One request to the engine."""
 
-    do: EngineOperation
-    sent: float
-    lease: int = 0
-    rng: int = 0
+    operation: EngineOperation
+    sent_at: float  # monotonic milliseconds
+    lease_id: int = 0
+    shard_id: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReply:
-    """The engine's answer. `ttl_ms` of GRANT and KEEP, 0 where the lease is gone; `epoch` of TAKE, 0 where the key is
-    another's.
-    """
+    """The engine's reply."""
 
-    lease: int = 0
-    ttl_ms: float = 0.0
-    epoch: int = 0
+    lease_id: int = 0
+    ttl_ms: float = 0.0  # of GRANT and KEEP; 0: the lease has ended
+    epoch: int = 0  # of TAKE; 0: another lease has the key
 
 
 @dataclass(slots=True)
 class LeaseSession:
-    """The lease and what is under it, as far as we know."""
+    """The lease and its shards, as far as this member knows. Times are its monotonic milliseconds."""
 
-    terms: GrantSettings
-    lease: int = 0
-    until: float = 0.0
+    settings: GrantSettings
+    lease_id: int = 0  # 0: no lease
+    expires_at: float = 0.0
     ttl_ms: float = 0.0
-    renewed_at: float = float("-inf")
-    held: dict[int, int] = field(default_factory=dict)  # range: epoch
-    leaving: set[int] = field(default_factory=set)  # ranges whose keys may still be ours at the engine
-    tried: dict[int, float] = field(default_factory=dict)
-
-    def epoch(self, now: float, rng: int) -> int:
-        """The epoch under which we keep a range, 0 if we do not."""
-        return self.held.get(rng, 0) if now < self.until else 0
-
-    def next(self, now: float, wanted: frozenset[int]) -> EngineRequest | None:
-        """What is to be asked now, if anything."""
-        if self.lease and now >= self.until:
-            self._lost()
-        if not self.lease:
+    renewed_at: float = NEVER
+    epochs: dict[int, int] = field(default_factory=dict)  # of the shards that are led
+    releasing: set[int] = field(default_factory=set)  # shards whose keys may still be ours at the engine
+    attempted_at: dict[int, float] = field(default_factory=dict)  # by shard: when it was last tried to take it
+
+    def epoch(self, now: float, shard_id: int) -> int:
+        """Return the epoch under which this member leads a shard, 0 if it does not."""
+        return self.epochs.get(shard_id, 0) if now < self.expires_at else 0
+
+    def next_request(self, now: float, wanted: frozenset[int]) -> EngineRequest | None:
+        """Return the request that is due now, if any; `wanted` are the shards that this member is to lead."""
+        if self.lease_id and now >= self.expires_at:
+            self._reset()
+        if not self.lease_id:
             return EngineRequest(EngineOperation.GRANT, now) if wanted else None
-        for rng in [rng for rng in self.held if rng not in wanted]:
-            del self.held[rng]
-            self.leaving.add(rng)
+        for shard_id in [shard_id for shard_id in self.epochs if shard_id not in wanted]:
+            del self.epochs[shard_id]
+            self.releasing.add(shard_id)
         if now >= self.renewed_at + self.ttl_ms / 3:
-            return EngineRequest(EngineOperation.KEEP, now, self.lease)
-        for rng in sorted(self.leaving - wanted):
-            return EngineRequest(EngineOperation.DROP, now, self.lease, rng)
-        for rng in sorted(wanted):
-            if rng not in self.held and now - self.tried.get(rng, float("-inf")) >= self.terms.ask_ms:
-                self.tried[rng] = now
-                self.leaving.add(rng)  # without an answer the key may be ours
-                return EngineRequest(EngineOperation.TAKE, now, self.lease, rng)
+            return EngineRequest(EngineOperation.KEEP, now, self.lease_id)
+        for shard_id in sorted(self.releasing - wanted):
+            return EngineRequest(EngineOperation.DROP, now, self.lease_id, shard_id)
+        for shard_id in sorted(wanted):
+            if shard_id not in self.epochs and now - self.attempted_at.get(shard_id, NEVER) >= self.settings.ask_ms:
+                self.attempted_at[shard_id] = now
+                self.releasing.add(shard_id)  # if the reply is lost, the key may be ours
+                return EngineRequest(EngineOperation.TAKE, now, self.lease_id, shard_id)
         return None
 
-    def freed(self, rng: int) -> None:
-        """The engine says that a range's key is gone: it may be taken at once."""
-        self.tried.pop(rng, None)
+    def shard_released(self, shard_id: int) -> None:
+        """Note that a shard's key was deleted at the engine: it may be taken at once."""
+        self.attempted_at.pop(shard_id, None)
 
-    def answered(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
-        """What came of a request; None: nobody knows."""
-        if reply is None or (request.do is not EngineOperation.GRANT and request.lease != self.lease):
+    def record_reply(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
+        """Apply the reply to a request; None: the outcome is not known."""
+        if reply is None or (request.operation is not EngineOperation.GRANT and request.lease_id != self.lease_id):
+            return
+        if request.operation in (EngineOperation.TAKE, EngineOperation.DROP):
+            self.releasing.discard(request.shard_id)
+            if request.operation is EngineOperation.TAKE and reply.epoch:
+                self.epochs[request.shard_id] = reply.epoch
+            return
+        if reply.ttl_ms <= 0:
+            self._reset()
             return
-        if request.do in (EngineOperation.GRANT, EngineOperation.KEEP):
-            if reply.ttl_ms <= 0:
-                self._lost()
-                return
-            if request.do is EngineOperation.GRANT:
-                self.lease, self.until = reply.lease, 0.0
-            self.ttl_ms, self.renewed_at = reply.ttl_ms, max(self.renewed_at, request.sent)
-            self.until = max(self.until, request.sent + self.terms.used(self.terms.used(reply.ttl_ms)))
-        elif request.do is EngineOperation.DROP:
-            self.leaving.discard(request.rng)
-        elif reply.epoch:
-            self.leaving.discard(request.rng)
-            self.held[request.rng] = reply.epoch
-        else:
-            self.leaving.discard(request.rng)
-
-    def _lost(self) -> None:
-        self.lease, self.until, self.renewed_at = 0, 0.0, float("-inf")
-        self.held.clear()
-        self.leaving.clear()
-        self.tried.clear()
+        if request.operation is EngineOperation.GRANT:
+            self.lease_id = reply.lease_id
+            self.expires_at = 0.0
+        self.ttl_ms = reply.ttl_ms
+        self.renewed_at = max(self.renewed_at, request.sent_at)
+        usable_ms = self.settings.usable_span_ms(self.settings.usable_span_ms(reply.ttl_ms))
+        self.expires_at = max(self.expires_at, request.sent_at + usable_ms)
+
+    def _reset(self) -> None:
+        self.lease_id = 0
+        self.expires_at = 0.0
+        self.renewed_at = NEVER
+        self.epochs.clear()
+        self.releasing.clear()
+        self.attempted_at.clear()
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -1,441 +1,230 @@
-"""One member's part in the fleet's limits: holder of what it uses, voter, and keeper of the ranges that fall to it.
+"""One member's part in the fleet's limits: holder of grants, voter, and leader of the shards that fall to it.
 
-The driver hands in monotonic milliseconds, messages with the sender's name and life, and whom membership believes
-here; `tick` is called at `next_at()` or as soon after as can be. Messages to oneself are handed over at once.
+The driver hands in monotonic milliseconds, messages with their sender, and whom membership believes present; it calls
+`tick` at `next_at()` or as soon after as it can, and carries out the effects that every call returns.
 """
 
 from __future__ import annotations
 
-import zlib
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
-
-import msgspec
-
-from myrtlespar.quota.budget import BudgetAccount, BudgetBalance, BudgetJournal, BudgetPeriod, period
-from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck, GrantHolder
-from myrtlespar.quota.grant_ledger import GrantLedger
-from myrtlespar.quota.lease import Incarnation, LeaseElection, LeaseVoter
-from myrtlespar.quota.lease_session import EngineReply, EngineRequest, LeaseSession
+from collections.abc import Mapping
+
+from myrtlespar.quota.admission_check import ADMITTED, AdmissionCheck
+from myrtlespar.quota.budget import BudgetPeriod
+from myrtlespar.quota.budget_account import BudgetBalance
+from myrtlespar.quota.budget_exchange import BudgetExchange
+from myrtlespar.quota.grant_exchange import GrantExchange
+from myrtlespar.quota.grant_holder import GrantHolder
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.lease_session import EngineReply, EngineRequest
+from myrtlespar.quota.limit_versions import LimitVersions
 from myrtlespar.quota.messages import (
-    BudgetDrawRequest,
-    BudgetDrawResponse,
-    BudgetReserveRequest,
-    BudgetReserveResponse,
-    CountEvent,
     GrantRequest,
     GrantResponse,
-    KeyDemand,
     LeaseRequest,
     LeaseVote,
+    LimitCounter,
+    LimitEffect,
     LimitMessage,
     PersistThenSend,
-    SendMessage,
 )
+from myrtlespar.quota.outbox import Outbox
 from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit
-
-WANTS_MOST = 11  # of one ask, so that it fits a datagram
-HOLDS_MOST = 14  # of one promise
-FORGET_MS = 60_000.0  # between looks for entries of budgets that are over
-LimitEffect = SendMessage | CountEvent | PersistThenSend
-
-
-def shard_of(key: str, ranges: int) -> int:
-    """The range of a key, the same on every member."""
-    return zlib.crc32(key.encode()) % ranges
-
-
-def leader_of(rng: int, names: Iterable[str]) -> str:
-    """Who of these is to keep a range: rendezvous hashing, so that one member's end moves its own ranges only."""
-    return max(names, key=lambda name: (zlib.crc32(f"{rng} {name}".encode()), name), default="")
-
-
-@dataclass(slots=True)
-class Shard:
-    """One range as a possible keeper has it."""
-
-    election: LeaseElection
-    ledger: GrantLedger | None = None
-    asked_at: float = float("-inf")  # by a holder; a range that nobody asks for has no keeper
-    stood_at: float = float("-inf")
+from myrtlespar.quota.shard_leadership import ShardLeadership
+from myrtlespar.quota.shards import leader_of, shard_of
 
 
 class LimitCoordinator:
-    """All of it for one member."""
+    """The limits of the fleet as one member takes part in them."""
 
     def __init__(
         self,
-        me: Incarnation,
-        terms: GrantSettings,
+        self_id: Incarnation,
+        settings: GrantSettings,
         limits: Mapping[str, Limit],
-        electors: frozenset[str],
+        voters: frozenset[str],
         now: float,
         version: int = 1,
         engine: bool = False,
-        vault: Mapping[BudgetPeriod, int] | None = None,
+        persisted_totals: Mapping[BudgetPeriod, int] | None = None,
     ) -> None:
-        self.self_id, self.settings, self.limits, self.voters = me, terms, dict(limits), electors
-        members = terms.members_most or len(electors)
-        self.grant_holder, self.lease_voter = GrantHolder(terms, members, now), LeaseVoter(terms, now, engine)
-        self.session = LeaseSession(terms) if engine else None  # who keeps what is then the engine's to say
-        self.shards = [Shard(LeaseElection(terms, electors)) for _ in range(terms.ranges)]
-        self.present_members: frozenset[str] = frozenset()
-        self.wanted_shards: set[int] = set()  # ranges that we would keep, if the engine lets us
-        self._budgets = any(limit.of is CountedUnit.BUDGET for limit in limits.values())
-        self.began = now
-        self.version = version  # of the limits
-        self.versions: dict[str, int] = {me[0]: version}  # that electors told us, as far as we keep a range
-        self._all_at: float | None = None  # since when we know that all have ours, or a later one
-        self.budget_account, self.budget_journal = BudgetAccount(terms), BudgetJournal(vault)
-        self.wall_ms = 0.0  # from our clock to Unix time; the driver sets it
-        self._at = now
-        self._no = 0
-        self._forget_at = now + FORGET_MS
-        self._out: list[LimitEffect] = []
-
-    # Use.
+        """Take part from `now` on.
+
+        Args:
+            self_id: This member and its incarnation.
+            settings: Times of grants and leases.
+            limits: The limits by name.
+            voters: All members that take part.
+            now: Monotonic milliseconds.
+            version: The version of the limits.
+            engine: Whether an engine grants the leases of shards, in place of a majority of the voters.
+            persisted_totals: The budget journal as an earlier incarnation left it.
+        """
+        self.self_id = self_id
+        self.settings = settings
+        self.voters = voters
+        self.present_members: frozenset[str] = frozenset()  # whom membership believes present, oneself apart
+        self.wall_offset_ms = 0.0  # from our clock to Unix time; the driver sets it
+        self._next_at = now
+        self._outbox = Outbox(self_id.name, self._deliver_to_self)
+        members = settings.members_most or len(voters)
+        self.grant_holder = GrantHolder(settings, members, now)
+        self.versions = LimitVersions(settings, limits, version, self_id.name, voters, self.grant_holder, self._outbox)
+        self.limits = self.versions.limits  # bound here, as every admission looks its limit up
+        self._has_budgets = any(limit.counted_unit is CountedUnit.BUDGET for limit in limits.values())
+        self.leadership = ShardLeadership(
+            self_id, settings, voters, now, engine, self.grant_holder, self.versions, self._outbox
+        )
+        self._grants = GrantExchange(settings, self.grant_holder, self.versions, self.leadership, self._outbox)
+        self._budgets = BudgetExchange(
+            settings, self.grant_holder, self.versions, self.leadership, self._outbox, now, persisted_totals
+        )
+        self.shards = self.leadership.shards
+        self.lease_session = self.leadership.lease_session
+        self.budget_account = self._budgets.account
+        self.budget_journal = self._budgets.journal
+
+    # Admission.
 
     def limit_of(self, key: str) -> Limit | None:
-        """The limit that a key belongs to: `limit` or `limit/value`."""
+        """Return the limit of a key, which is `limit` or `limit/value`."""
         return self.limits.get(key.partition("/")[0])
 
-    def check_admission(self, now: float, key: str, ahead: int = 0, again: bool = False) -> AdmissionCheck:
-        """Whether there is room for one more of a key behind so many that wait for it. Never waits."""
+    def check_admission(self, now: float, key: str, ahead: int = 0, is_retry: bool = False) -> AdmissionCheck:
+        """Check whether there is capacity for one more of a key behind `ahead` waiting ones. Never waits."""
         limit = self.limit_of(key)
-        if self._budgets and limit is not None and limit.of is CountedUnit.BUDGET:
-            return self.budget_account.look(now, now + self.wall_ms, key, limit, ahead, again)
-        return ADMITTED if limit is None else self.grant_holder.look(now, key, limit, ahead, again)
+        if limit is None:
+            return ADMITTED
+        if self._has_budgets and limit.counted_unit is CountedUnit.BUDGET:
+            wall_ms = now + self.wall_offset_ms
+            return self.budget_account.check_admission(now, wall_ms, key, limit, ahead, is_retry)
+        return self.grant_holder.check_admission(now, key, limit, ahead, is_retry)
 
     def available(self, now: float, key: str) -> int:
-        """How many more of a key there is room for."""
-        pocket = self.budget_balance(now, key)
-        return self.grant_holder.free(now, key) if pocket is None else pocket.free
+        """Return for how many more of a key there is capacity."""
+        balance = self.budget_balance(now, key)
+        return self.grant_holder.available(now, key) if balance is None else balance.available
 
     def available_in_ms(self, now: float, key: str) -> float:
-        """In how long there is room for one more of a key; infinity if that is not known."""
-        pocket = self.budget_balance(now, key)
-        if pocket is not None:
-            return 0.0 if pocket.free > 0 else float("inf")
-        return self.grant_holder.room_ms(now, key)
+        """Return in how long there is capacity for one more of a key; infinity if that is not known."""
+        balance = self.budget_balance(now, key)
+        if balance is not None:
+            return 0.0 if balance.available > 0 else float("inf")
+        return self.grant_holder.available_in_ms(now, key)
 
     def budget_balance(self, now: float, key: str) -> BudgetBalance | None:
-        """Ours of a budget's present period; None for other limits."""
-        limit = self.limit_of(key) if self._budgets else None
-        if limit is None or limit.of is not CountedUnit.BUDGET:
+        """Return our balance of a budget's present period; None for other limits."""
+        limit = self.limit_of(key) if self._has_budgets else None
+        if limit is None or limit.counted_unit is not CountedUnit.BUDGET:
             return None
-        return self.budget_account.pocket(now + self.wall_ms, key, limit)
+        return self.budget_account.balance(now + self.wall_offset_ms, key, limit)
 
     def consume(self, now: float, key: str) -> None:
-        """Use one of a key that there is room for."""
-        if self._budgets and (pocket := self.budget_balance(now, key)) is not None:
-            pocket.spent += 1
+        """Use one of a key that was admitted."""
+        if self._has_budgets and (balance := self.budget_balance(now, key)) is not None:
+            balance.spent += 1
         else:
-            self.grant_holder.use(now, key)
-
-    def leader(self, key: str) -> str:
-        """Who is to keep this key, as far as we know."""
-        return leader_of(shard_of(key, self.settings.ranges), (self.present_members | {self.self_id[0]}) & self.voters)
+            self.grant_holder.consume(now, key)
 
     def run_ended(self, key: str) -> None:
-        """A run that a limit counts in hand is over."""
-        self.grant_holder.ended(key)
+        """Count the end of a run under a limit on runs in flight."""
+        self.grant_holder.run_ended(key)
+
+    # Versions of the limits.
+
+    @property
+    def version(self) -> int:
+        """The version of the limits in use."""
+        return self.versions.version
 
     def adopt_limits(self, now: float, limits: Mapping[str, Limit], version: int) -> list[LimitEffect]:
-        """Go by a later version of the limits: of the same names, in the same units, with other numbers."""
-        self.limits, self.version = dict(limits), version
-        self.versions[self.self_id[0]], self._all_at = version, None
-        self.grant_holder.adopt(self.limits, False)
-        for one in self.shards:
-            for key in one.ledger.keys if one.ledger is not None else ():
+        """Use a later version of the limits: of the same names, in the same units, with other numbers."""
+        self.versions.adopt(limits, version)
+        self.limits = self.versions.limits
+        for shard in self.shards:
+            if shard.ledger is None:
+                continue
+            for key in shard.ledger.grants:
                 limit = self.limit_of(key)
-                if limit is not None and one.ledger is not None:
-                    out, pool = one.ledger.outstanding(now, key), self._pool(limit)
-                    if out > pool:
-                        self._note("lowered", f"{key}: {out} may be in use, {pool} will be granted as that ends")
-        return self._done()
-
-    def outdated_voters(self) -> list[str]:
-        """Electors not known to go by our version of the limits; only a keeper hears of all."""
-        return sorted(name for name in self.voters if self.versions.get(name, 0) < self.version)
-
-    def _heard_version(self, now: float, name: str, version: int) -> None:
-        if name not in self.voters:
-            return
-        if version > self.versions.get(self.self_id[0], 0) and version > self.versions.get(name, 0):
-            self._note(
-                "later version", f"{name} goes by version {version} of the limits, this member by " f"{self.version}"
+                if limit is not None:
+                    self._report_lowered(key, shard.ledger.outstanding(now, key), self.versions.pool(limit))
+        return self._outbox.drain()
+
+    def _report_lowered(self, key: str, outstanding: int, pool: int) -> None:
+        if outstanding > pool:
+            self._outbox.count(
+                LimitCounter.LOWERED,
+                f"{key}: {outstanding} may be in use, {pool} will be granted as that ends",
             )
-        self.versions[name] = version
-        if self.outdated_voters():
-            self._all_at = None
-        elif self._all_at is None:
-            self._all_at = now
-
-    def _settled(self, now: float) -> bool:
-        """All have our version, and whatever was granted by an earlier one has ended."""
-        longest = max((limit.linger_ms for limit in self.limits.values()), default=0)
-        return self._all_at is not None and now >= self._all_at + self.settings.waited(self.settings.grant_ms + longest)
-
-    def _pool(self, limit: Limit) -> int:
-        members = self.settings.members_most or len(self.voters)
-        return self.settings.shares(limit, members, self.grant_holder.settled and not self.outdated_voters())[0]
-
-    def persisted(self, now: float, keep: PersistThenSend) -> list[LimitEffect]:
-        """The vault as it was at that effect, or later, is on the disk."""
-        self._tell(now, keep.recipient, keep.message)
-        return self._done()
 
-    def retire(self) -> None:
-        """A second process of our name goes on: nothing more is asked, promised or kept."""
-        self.grant_holder.retired = True
-        self.wanted_shards.clear()
-        for one in self.shards:
-            one.election.give_up()
-            one.ledger = None
+    def outdated_voters(self) -> list[str]:
+        """Return the voters not known to use our version of the limits; only a shard leader hears of all of them."""
+        return self.versions.outdated_voters()
 
-    # Driven.
+    # Driven by the clock, messages and the engine.
 
     def next_at(self) -> float:
-        """When `tick` is due."""
-        return self._at
+        """Return when `tick` is due, in monotonic milliseconds."""
+        return self._next_at
 
     def tick(self, now: float) -> list[LimitEffect]:
-        """Ask, as holder and as candidate."""
-        if now < self._at or self.grant_holder.retired:
-            return self._done()
-        self._at = now + self.settings.ask_ms
-        if not self.grant_holder.settled and self._settled(now):
-            self.grant_holder.adopt(self.limits, True)
-        there = (self.present_members | {self.self_id[0]}) & self.voters
-        mine = [rng for rng in range(self.settings.ranges) if leader_of(rng, there) == self.self_id[0]]
-        for rng, one in enumerate(self.shards):
-            wanted = now - one.asked_at < self.settings.cold_ms
-            if rng not in mine or self.self_id[0] not in self.voters or not wanted:
-                one.election.give_up()
-                self.wanted_shards.discard(rng)
-            elif self.session is not None:
-                self.wanted_shards.add(rng)
-                if one.election.has(now) and now - one.stood_at >= self.settings.renew_ms:
-                    self._stand(now, rng, one)
-            elif not one.election.has(now) or now - one.stood_at >= self.settings.renew_ms:
-                self._stand(now, rng, one)
-            if one.ledger is not None:
-                if not one.election.has(now):
-                    one.ledger = None
-                else:
-                    one.ledger.forget(now)
-                    one.ledger.chest.forget(self._periods(now))
-        if self.self_id[0] in self.voters:
-            self._ask(now, there)
-        return self._done()
+        """Send what is due as a holder and as a candidate."""
+        if now < self._next_at or self.grant_holder.retired:
+            return self._outbox.drain()
+        self._next_at = now + self.settings.ask_ms
+        wall_ms = now + self.wall_offset_ms
+        self.versions.settle_if_due(now)
+        present_voters = self._present_voters()
+        self.leadership.tick(now, present_voters, self._budgets.present_periods(wall_ms))
+        if self.self_id.name in self.voters:
+            self._budgets.request_draws(now, wall_ms, present_voters)
+            self._grants.request_grants(now, present_voters)
+        return self._outbox.drain()
 
-    def next_engine_request(self, now: float) -> tuple[EngineRequest | None, list[LimitEffect]]:
-        """What is to be asked of the engine now. What that gives up we end with before it is sent, as another may
-        have it before we hear of the answer.
-        """
-        assert self.session is not None
-        request = self.session.next(now, frozenset(self.wanted_shards))
-        return request, self._seated(now)
+    def leader(self, key: str) -> str:
+        """Return which member is to lead the shard of a key, as far as we know."""
+        return leader_of(shard_of(key, self.settings.ranges), self._present_voters())
 
-    def engine_replied(self, now: float, request: EngineRequest, reply: EngineReply | None) -> list[LimitEffect]:
-        """What came of it; None: nobody knows."""
-        assert self.session is not None
-        self.session.answered(now, request, reply)
-        return self._seated(now)
-
-    def _seated(self, now: float) -> list[LimitEffect]:
-        """The session has changed: begin as keeper of what came, end with what went."""
-        for rng, one in enumerate(self.shards):
-            if self.session is not None and one.election.seated(now, self.session.epoch(now, rng), self.session.until):
-                one.ledger = GrantLedger(self.settings, now, self.voters)
-                self._note("keeper")
-                self._stand(now, rng, one)
-            elif not one.election.has(now):
-                one.ledger = None
-        return self._done()
-
-    def _stand(self, now: float, rng: int, one: Shard) -> None:
-        self._no += 1
-        one.stood_at = now
-        if self.session is not None:
-            ask = LeaseRequest(rng, one.election.epoch, self._no)
-        else:
-            ask = one.election.stand(now, self._no)
-        if not one.election.has(now):
-            one.ledger = None
-        for name in sorted(self.voters):
-            self._tell(now, name, LeaseRequest(rng, ask.epoch, ask.sequence_number))
-
-    def _periods(self, now: float) -> dict[str, int]:
-        return {
-            name: period(limit, now + self.wall_ms)
-            for name, limit in self.limits.items()
-            if limit.of is CountedUnit.BUDGET
-        }
-
-    def _draw(self, now: float, there: frozenset[str]) -> None:
-        for draw in self.budget_account.draws(now):
-            rng = shard_of(draw.key, self.settings.ranges)
-            self._tell(now, leader_of(rng, there), msgspec.structs.replace(draw, shard_id=rng))
-
-    def _ask(self, now: float, there: frozenset[str]) -> None:
-        self._draw(now, there)
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_MS
-            self.budget_journal.forget(self.limits, now + self.wall_ms)
-        by_range: dict[int, list[KeyDemand]] = {}
-        for key, want in self.grant_holder.wants(now).items():
-            by_range.setdefault(shard_of(key, self.settings.ranges), []).append(want)
-        for rng, wants in sorted(by_range.items()):
-            keeper = leader_of(rng, there)
-            for at in range(0, len(wants), WANTS_MOST):
-                no = self.grant_holder.asking(now, rng)
-                self._tell(now, keeper, GrantRequest(rng, no, tuple(wants[at : at + WANTS_MOST]), self.version))
+    def _present_voters(self) -> frozenset[str]:
+        return (self.present_members | {self.self_id.name}) & self.voters
 
     def receive(self, now: float, sender: Incarnation, message: LimitMessage) -> list[LimitEffect]:
-        """One message of another member."""
-        self._hear(now, sender, message)
-        return self._done()
+        """Handle a message of another member."""
+        self._dispatch(now, sender, message)
+        return self._outbox.drain()
 
-    def _hear(self, now: float, sender: Incarnation, message: LimitMessage) -> None:
-        if message.shard_id >= self.settings.ranges:
-            return self._note("other ranges")
-        if isinstance(message, LeaseRequest):
-            if sender[0] in self.voters and self.self_id[0] in self.voters and not self.grant_holder.retired:
-                self._tell(now, sender[0], self._promise(now, sender, message))
-                return None
-            return None
-        if isinstance(message, LeaseVote):
-            self._promised(now, sender, message)
-            return None
-        if isinstance(message, GrantRequest):
-            self._asked(now, sender, message)
-            return None
-        if isinstance(message, BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse):
-            self._budget(now, sender, message)
-            return None
-        self._granted(now, message)
-        return None
-
-    def _promise(self, now: float, sender: Incarnation, ask: LeaseRequest) -> LeaseVote:
-        promise = self.lease_voter.asked(now, sender, ask)
-        if not promise.granted:
-            return msgspec.structs.replace(promise, version=self.version)
-        ours = {
-            key: ask.shard_id for key in self.grant_holder.shares if shard_of(key, self.settings.ranges) == ask.shard_id
-        }
-        holds = self.grant_holder.holds(now, ours)
-        longest = max((limit.linger_ms for limit in self.limits.values()), default=0)
-        old = now < self.began + self.settings.waited(self.settings.grant_ms + longest)  # an earlier life may hold some
-        return LeaseVote(
-            promise.shard_id,
-            promise.sequence_number,
-            True,
-            promise.highest_epoch,
-            len(holds) <= HOLDS_MOST and not old,
-            tuple(holds[:HOLDS_MOST]),
-            self.version,
-        )
+    def _deliver_to_self(self, now: float, message: LimitMessage) -> None:
+        self._dispatch(now, self.self_id, message)
 
-    def _promised(self, now: float, sender: Incarnation, promise: LeaseVote) -> None:
-        one = self.shards[promise.shard_id]
-        self._heard_version(now, sender[0], promise.version)
-        if self.session is None and one.election.answered(now, sender[0], promise):
-            one.ledger = GrantLedger(self.settings, now, self.voters)
-            self._note("keeper")
-        if one.ledger is not None and promise.granted and promise.highest_epoch == one.election.epoch:
-            known = {key: limit for key, _ in promise.allowances if (limit := self.limit_of(key)) is not None}
-            one.ledger.told(now, sender, promise.complete, promise.allowances, known)
-
-    def _asked(self, now: float, sender: Incarnation, ask: GrantRequest) -> None:
-        one = self.shards[ask.shard_id]
-        if sender[0] in self.voters:
-            one.asked_at = now
-            self._heard_version(now, sender[0], ask.version)
-        if one.ledger is None or not one.election.has(now) or sender[0] not in self.voters:
-            return self._note("not keeper")
-        amounts = []
-        for want in ask.demands:
-            limit = self.limit_of(want.key)
-            if limit is None:
-                self._note("unknown limit")
-                continue
-            amount = one.ledger.ask(now, sender, ask.sequence_number, want, limit, self._pool(limit))
-            if amount is not None:
-                amounts.append((want.key, amount))
-        if amounts:
-            self._tell(
-                now,
-                sender[0],
-                GrantResponse(
-                    ask.shard_id,
-                    one.election.epoch,
-                    ask.sequence_number,
-                    self.settings.grant_ms,
-                    tuple(amounts),
-                    self.version if self._settled(now) else 0,
-                ),
-            )
-            return None
-        return None
-
-    def _budget(
-        self,
-        now: float,
-        sender: Incarnation,
-        message: BudgetDrawRequest | BudgetDrawResponse | BudgetReserveRequest | BudgetReserveResponse,
-    ) -> None:
-        limit, one = self.limit_of(message.key), self.shards[message.shard_id]
-        if limit is None or limit.of is not CountedUnit.BUDGET:
-            return self._note("unknown limit")
-        if isinstance(message, BudgetDrawResponse):
-            return self.budget_account.drawn(sender[0], message)
-        if isinstance(message, BudgetReserveRequest):
-            given = self.lease_voter.given[message.shard_id]
-            if given.to != sender or given.epoch != message.epoch or self.grant_holder.retired:
-                return self._note("fenced")  # whoever it promised since has been told what was written then
-            self._out.append(PersistThenSend(sender[0], self.budget_journal.reserve(message)))
-            return None
-        if isinstance(message, BudgetDrawRequest) and sender[0] in self.voters:
-            one.asked_at = now
-        if one.ledger is None or not one.election.has(now):
-            return self._note("not keeper")
-        if isinstance(message, BudgetReserveResponse):
-            one.ledger.chest.written(sender[0], message)
-        elif sender[0] in self.voters:
-            drawn, reserve = one.ledger.chest.draw(sender, message, limit, one.election.epoch)
-            if reserve is not None:
-                for name in sorted(self.voters):
-                    self._tell(now, name, reserve)
-            if drawn is not None:
-                self._tell(now, sender[0], drawn)
-        return None
-
-    def _granted(self, now: float, grants: GrantResponse) -> None:
-        if (
-            grants.epoch < self.lease_voter.given[grants.shard_id].epoch
-        ):  # of a keeper whose successor we have told what we hold
-            return self._note("fenced")
-        if grants.settled_version == self.version and not self.grant_holder.settled:
-            self.grant_holder.adopt(self.limits, True)
-        if not self.grant_holder.granted(
-            now, grants.shard_id, grants.sequence_number, grants.duration_ms, grants.amounts
-        ):
-            self._note("late grant")
-            return None
-        return None
+    def _dispatch(self, now: float, sender: Incarnation, message: LimitMessage) -> None:
+        if message.shard_id >= self.settings.ranges:
+            self._outbox.count(LimitCounter.UNKNOWN_SHARD)
+        elif isinstance(message, LeaseRequest):
+            self.leadership.vote(now, sender, message)
+        elif isinstance(message, LeaseVote):
+            self.leadership.record_vote(now, sender, message)
+        elif isinstance(message, GrantRequest):
+            self._grants.answer_request(now, sender, message)
+        elif isinstance(message, GrantResponse):
+            self._grants.adopt_response(now, message)
+        else:
+            self._budgets.receive(now, sender, message)
 
-    # Out.
+    def persisted(self, now: float, effect: PersistThenSend) -> list[LimitEffect]:
+        """Send the effect's message, as the journal of that moment, or a later one, is on disk."""
+        self._outbox.send(now, effect.recipient, effect.message)
+        return self._outbox.drain()
 
-    def _tell(self, now: float, name: str, message: LimitMessage) -> None:
-        if name == self.self_id[0]:
-            self._hear(now, self.self_id, message)
-        elif name:
-            self._out.append(SendMessage(name, message))
+    def next_engine_request(self, now: float) -> tuple[EngineRequest | None, list[LimitEffect]]:
+        """Return the request to the engine that is due, and effects to carry out before it is sent."""
+        request = self.leadership.next_engine_request(now)
+        return request, self._outbox.drain()
 
-    def _note(self, what: str, text: str = "") -> None:
-        self._out.append(CountEvent(what, text))
+    def engine_replied(self, now: float, request: EngineRequest, reply: EngineReply | None) -> list[LimitEffect]:
+        """Apply the engine's reply; None: the outcome is not known."""
+        self.leadership.record_engine_reply(now, request, reply)
+        return self._outbox.drain()
 
-    def _done(self) -> list[LimitEffect]:
-        out, self._out = self._out, []
-        return out
+    def retire(self) -> None:
+        """Request, promise and lead nothing any more, as a second process of our name has taken over."""
+        self.grant_holder.retired = True
+        self.leadership.retire()
--- /dev/null
+++ b/myrtlespar/quota/limit_versions.py
@@ -0,0 +1,91 @@
+"""The version of the limits that this member uses, and which versions the voters are known to use."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from myrtlespar.quota.grant_holder import GrantHolder
+from myrtlespar.quota.messages import LimitCounter
+from myrtlespar.quota.outbox import Outbox
+from myrtlespar.quota.settings import GrantSettings, Limit
+
+
+class LimitVersions:
+    """The limits in use, and whether all voters are known to use the same version."""
+
+    def __init__(
+        self,
+        settings: GrantSettings,
+        limits: Mapping[str, Limit],
+        version: int,
+        self_name: str,
+        voters: frozenset[str],
+        grant_holder: GrantHolder,
+        outbox: Outbox,
+    ) -> None:
+        self.limits = dict(limits)
+        self.version = version
+        self._settings = settings
+        self._self_name = self_name
+        self._voters = voters
+        self._grant_holder = grant_holder
+        self._outbox = outbox
+        self._versions = {self_name: version}  # by voter, as far as this member leads a shard and hears of them
+        self._all_adopted_at: float | None = None  # since when all voters are known to use our version or a later one
+
+    def limit_of(self, key: str) -> Limit | None:
+        """Return the limit of a key, which is `limit` or `limit/value`."""
+        return self.limits.get(key.partition("/")[0])
+
+    def adopt(self, limits: Mapping[str, Limit], version: int) -> None:
+        """Use a later version of the limits."""
+        self.limits = dict(limits)
+        self.version = version
+        self._versions[self._self_name] = version
+        self._all_adopted_at = None
+        self._grant_holder.adopt_limits(self.limits, False)
+
+    def outdated_voters(self) -> list[str]:
+        """Return the voters not known to use our version; only a shard leader hears of all of them."""
+        return sorted(name for name in self._voters if self._versions.get(name, 0) < self.version)
+
+    def record(self, now: float, name: str, version: int) -> None:
+        """Record the version that a member says it uses."""
+        if name not in self._voters:
+            return
+        if version > self._versions.get(self._self_name, 0) and version > self._versions.get(name, 0):
+            self._outbox.count(
+                LimitCounter.LATER_VERSION,
+                f"{name} goes by version {version} of the limits, this member by {self.version}",
+            )
+        self._versions[name] = version
+        if self.outdated_voters():
+            self._all_adopted_at = None
+        elif self._all_adopted_at is None:
+            self._all_adopted_at = now
+
+    def settle_if_due(self, now: float) -> None:
+        """Use the present version's shares alone once it is settled."""
+        if not self._grant_holder.settled and self.is_settled(now):
+            self.settle()
+
+    def settle(self) -> None:
+        """Use the present version's shares alone, as all members have adopted it."""
+        self._grant_holder.adopt_limits(self.limits, True)
+
+    def is_settled(self, now: float) -> bool:
+        """Whether all voters have our version, and whatever was granted under an earlier one has ended."""
+        if self._all_adopted_at is None:
+            return False
+        return now >= self._all_adopted_at + self.longest_grant_wait_ms()
+
+    def longest_grant_wait_ms(self) -> float:
+        """Return how long to wait until any grant, and what it admitted, has ended."""
+        longest_linger_ms = max((limit.linger_ms for limit in self.limits.values()), default=0)
+        return self._settings.safe_wait_ms(self._settings.grant_ms + longest_linger_ms)
+
+    def pool(self, limit: Limit) -> int:
+        """Return the part of a limit that a shard leader grants."""
+        members = self._settings.members_most or len(self._voters)
+        settled = self._grant_holder.settled and not self.outdated_voters()
+        return self._settings.split(limit, members, settled).pool
--- a/myrtlespar/quota/messages.py
+++ b/myrtlespar/quota/messages.py
@@ -1,15 +1,23 @@
-"""What members say to one another about limits. Shapes only; the codec checks lengths and ranges."""
+"""Messages between members about limits, and the effects that a coordinator asks its driver for.
+
+The structs are arrays on the wire: the order of their fields and their tags are fixed, their names are not. The codec
+checks lengths and ranges.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import NamedTuple
 
 import msgspec
 
 
 class KeyDemand(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One key in an ask. `want` is what is used on average beyond the standing share, `peak` what would be at times;
-    `took` the ask whose answer was taken last, `busy` the runs in hand beyond the standing share.
+    """One key in a grant request; amounts are starts in a window, or runs in flight.
+
+    `want` is the average demand beyond the guaranteed share and `peak` the demand at its swings. `acknowledged` is the
+    sequence number of the request whose response was adopted last, `in_flight` what is in use beyond the guaranteed
+    share.
     """
 
     key: str
@@ -20,8 +28,9 @@
 
 
 class GrantRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
-    """A holder asks the keeper of a range. `no` grows with each ask of one life; `version` is that of the limits it
-    goes by.
+    """A holder asks the leader of a shard for grants.
+
+    `sequence_number` grows with each request of one incarnation; `version` is that of the limits the holder uses.
     """
 
     shard_id: int
@@ -31,8 +40,10 @@
 
 
 class GrantResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """The keeper's answer to ask `no`: amounts that hold for `for_ms` from the sending of that ask, in place of all
-    that this holder had before. `settled` is the keeper's version of the limits once all members took it, or 0.
+    """The shard leader's response to the request of that `sequence_number`.
+
+    The amounts hold for `duration_ms` from the sending of that request and replace all earlier ones of this holder.
+    `settled_version` is the leader's version of the limits once all members adopted it, otherwise 0.
     """
 
     shard_id: int
@@ -44,8 +55,9 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
-    """Would you promise to recognise no other keeper of this range for one lease? `epoch` is greater than any that
-    the asker has heard of.
+    """A candidate asks a voter to recognise no other leader of this shard for the duration of one lease.
+
+    `epoch` is greater than any that the candidate has heard of.
     """
 
     shard_id: int
@@ -54,9 +66,11 @@
 
 
 class LeaseVote(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """The answer to `LeaseRequest(no)`. `seen` is the greatest epoch ever promised; with `ok` it is the asker's, and
-    `holds` is all that the voter may still use or have in use of this range. `whole` is false where that did not fit,
-    or where an earlier life of the voter may have held more.
+    """A voter's response to the `LeaseRequest` of that `sequence_number`.
+
+    `highest_epoch` is the greatest epoch ever promised; if `granted`, it is the candidate's, and `allowances` are all
+    amounts of this shard that the voter may still use or have in use. `complete` is false if they did not fit, or if an
+    earlier incarnation of the voter may have held more.
     """
 
     shard_id: int
@@ -69,8 +83,10 @@
 
 
 class BudgetDrawRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
-    """A member asks for `want` more of a budget. In this life it has got so much, all counted up, and has given `back`
-    so much to the keeper of that epoch.
+    """A member asks a shard leader for `wanted` more of a budget.
+
+    `drawn_total` is what this incarnation has drawn so far, `returned_total` what it has returned to the leader of that
+    `epoch`.
     """
 
     shard_id: int
@@ -83,7 +99,7 @@
 
 
 class BudgetDrawResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
-    """The keeper's answer: what this life has been given in all, and what is left for all."""
+    """The shard leader's response: what this incarnation has drawn in all, and what remains for all members."""
 
     shard_id: int
     epoch: int
@@ -94,7 +110,10 @@
 
 
 class BudgetReserveRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
-    """A keeper asks an elector to write down that so much of a budget may be handed out; 0 asks what is written."""
+    """A shard leader asks a voter to persist the amount of a budget that may be handed out.
+
+    A `reserved_total` of 0 only asks for the persisted one.
+    """
 
     shard_id: int
     epoch: int
@@ -104,7 +123,7 @@
 
 
 class BudgetReserveResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
-    """So much of it is on that elector's disk."""
+    """The amount of a budget's period that is persisted at this voter."""
 
     shard_id: int
     epoch: int
@@ -125,22 +144,38 @@
 )
 
 
+class LimitCounter(StrEnum):
+    """Names of the counters that a coordinator increments, as operators see them."""
+
+    LEADERSHIP_BEGAN = "keeper"
+    NOT_LEADER = "not keeper"
+    FENCED = "fenced"  # a message of an epoch that a later leader has ended
+    LATE_GRANT = "late grant"
+    UNKNOWN_LIMIT = "unknown limit"
+    UNKNOWN_SHARD = "other ranges"  # the sender divides the keys into more shards
+    LATER_VERSION = "later version"
+    LOWERED = "lowered"
+
+
 class SendMessage(NamedTuple):
-    """Effect: send this to that member."""
+    """Effect: send a message to a member."""
 
     recipient: str
     message: LimitMessage
 
 
 class PersistThenSend(NamedTuple):
-    """Effect: write the vault to the disk, then send this; if it can't be written, send nothing."""
+    """Effect: persist the budget journal, then send the message; if it cannot be written, send nothing."""
 
     recipient: str
     message: LimitMessage
 
 
 class CountEvent(NamedTuple):
-    """Effect: count this under `counter`; `log_message` is for the log, if not empty."""
+    """Effect: increment `counter`; `log_message` goes to the log unless it is empty."""
 
-    counter: str
+    counter: LimitCounter
     log_message: str = ""
+
+
+LimitEffect = SendMessage | CountEvent | PersistThenSend
--- a/myrtlespar/quota/retry_budget.py
+++ b/myrtlespar/quota/retry_budget.py
@@ -1,10 +1,10 @@
-"""A budget of repeats against first tries, so that a bad morning is not fed by its own repeats.
+"""A budget of retries relative to first attempts, which prevents retries from prolonging an outage.
 
-Each first try that is read earns `share` of a repeat, up to `burst` of them. A refusal that leaves the caller free to
-try again pledges one; a repeat that arrives spends one, here or at whichever member it reaches. Callers go to members
-by chance, so what one pledges another spends; no message is needed, and the bound holds under any cut:
+Each first attempt that is read earns `share` of a retry, up to `burst` of them. A rejection that invites the caller to
+retry reserves one retry; a retry that arrives spends one, at whichever member it reaches. Callers choose members at
+random, so what one member reserves another spends. No message is needed, and the bound holds under any cut:
 
-    repeats that are taken, over all members <= share x first tries + burst x members
+    retries accepted by all members <= share x first attempts + burst x members
 """
 
 from __future__ import annotations
@@ -13,52 +13,55 @@
 
 import msgspec
 
-PLEDGE_MS = 2000.0  # within which a caller that was told to try again does so
+RETRY_PLEDGE_MS = 2000.0  # a caller that was invited to retry does so within this time
+MAX_RETRIES_PER_ATTEMPT = 20
+MAX_BURST = 100_000
 
 
 class RetryBudgetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The budget. A share of 0 lets in no repeat beyond the burst that a member starts with."""
+    """Settings of the budget. With a share of 0 no retry is accepted beyond the initial burst of a member."""
 
     share: float
     burst: int = 10
 
     def fault(self) -> str:
-        """Key and why, where it makes no sense; empty otherwise."""
-        if not 0 <= self.share <= 20:
-            return f"share: expected 0 to 20 repeats a first try, got {self.share}"
-        if not 1 <= self.burst <= 100_000:
-            return f"burst: expected 1 to 100000, got {self.burst}"
+        """Why the settings are invalid, beginning with the key; empty if they are valid."""
+        if not 0 <= self.share <= MAX_RETRIES_PER_ATTEMPT:
+            return f"share: expected 0 to {MAX_RETRIES_PER_ATTEMPT} repeats a first try, got {self.share}"
+        if not 1 <= self.burst <= MAX_BURST:
+            return f"burst: expected 1 to {MAX_BURST}, got {self.burst}"
         return ""
 
-    def most(self, first: int, members: int) -> float:
-        """Promise: no more repeats are taken by so many members that read so many first tries."""
-        return self.share * first + self.burst * members
+    def max_retries(self, first_attempts: int, members: int) -> float:
+        """Return the most retries that so many members accept after so many first attempts."""
+        return self.share * first_attempts + self.burst * members
 
 
 class RetryBudget:
-    """One member's part. Starts with a whole burst."""
+    """One member's part of the budget. It starts with a full burst."""
 
-    def __init__(self, terms: RetryBudgetSettings) -> None:
-        self.settings, self.remaining = terms, float(terms.burst)
-        self._pledged: deque[float] = deque()  # when each lapses
+    def __init__(self, settings: RetryBudgetSettings) -> None:
+        self.settings = settings
+        self.remaining = float(settings.burst)
+        self._pledges: deque[float] = deque()  # when each reserved retry expires, in monotonic milliseconds
 
-    def record_attempt(self, again: bool) -> bool:
-        """A try was read. False: it is a repeat that there is no budget for."""
-        if not again:
+    def record_attempt(self, is_retry: bool) -> bool:
+        """Count an attempt that was read. Returns False for a retry that exceeds the budget."""
+        if not is_retry:
             self.remaining = min(float(self.settings.burst), self.remaining + self.settings.share)
             return True
         if self.remaining < 1.0:
             return False
         self.remaining -= 1.0
-        if self._pledged:
-            self._pledged.popleft()
+        if self._pledges:
+            self._pledges.popleft()
         return True
 
     def may_retry(self, now: float) -> bool:
-        """Whether a refused caller may be left free to try again; if so, that is pledged."""
-        while self._pledged and self._pledged[0] <= now:
-            self._pledged.popleft()
-        if self.remaining - len(self._pledged) < 1.0:
+        """Reserve a retry for a rejected caller. Returns False if the budget has none left to offer."""
+        while self._pledges and self._pledges[0] <= now:
+            self._pledges.popleft()
+        if self.remaining - len(self._pledges) < 1.0:
             return False
-        self._pledged.append(now + PLEDGE_MS)
+        self._pledges.append(now + RETRY_PLEDGE_MS)
         return True
--- a/myrtlespar/quota/usage_windows.py
+++ b/myrtlespar/quota/usage_windows.py
@@ -1,81 +1,99 @@
-"""Meters: how much of an allowance is in use now. Times are the caller's monotonic milliseconds."""
+"""Counters of the usage of an allowance: starts in a sliding window, and runs in flight.
+
+Times are the caller's monotonic milliseconds.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
+
+STEPS_PER_WINDOW = 256  # starts within one step of a window are counted together, as of the latest of them
+
 
-SLOTS = 256  # a window is counted in steps of this part of it, on the safe side
+@dataclass(slots=True)
+class WindowStep:
+    """Starts that are counted together."""
+
+    first_at: float
+    latest_at: float
+    count: int
 
 
 class UsageWindow:
-    """Starts within the last `span_ms`. Starts that come within one step count as of the latest of them, so that
-    none is forgotten early.
+    """Starts within the last `span_ms`.
+
+    Starts within one step count as of the latest of them, so that none is forgotten early.
     """
 
-    __slots__ = ("_step", "count", "rows", "span_ms")
+    __slots__ = ("_step_ms", "count", "span_ms", "steps")
 
     def __init__(self, span_ms: float) -> None:
-        self.span_ms, self._step = span_ms, span_ms / SLOTS
-        self.rows: deque[list[float]] = deque()  # first, latest, how many
+        self.span_ms = span_ms
+        self._step_ms = span_ms / STEPS_PER_WINDOW
+        self.steps: deque[WindowStep] = deque()
         self.count = 0
 
-    def look(self, now: float) -> int:
-        """How many, now."""
-        rows, end = self.rows, now - self.span_ms
-        while rows and rows[0][1] <= end:
-            self.count -= int(rows.popleft()[2])
+    def in_use(self, now: float) -> int:
+        """Return the starts in the window that ends now."""
+        steps = self.steps
+        window_start = now - self.span_ms
+        while steps and steps[0].latest_at <= window_start:
+            self.count -= steps.popleft().count
         return self.count
 
-    def add(self, now: float, many: int = 1) -> None:
-        """So many more."""
-        if self.rows and now - self.rows[-1][0] < self._step:
-            row = self.rows[-1]
-            row[1] = max(row[1], now)
-            row[2] += many
+    def record(self, now: float, starts: int = 1) -> None:
+        """Count so many starts as of now."""
+        if self.steps and now - self.steps[-1].first_at < self._step_ms:
+            step = self.steps[-1]
+            step.latest_at = max(step.latest_at, now)
+            step.count += starts
         else:
-            self.rows.append([now, now, many])
-        self.count += many
+            self.steps.append(WindowStep(now, now, starts))
+        self.count += starts
+
+    def available_at(self, now: float, allowance: int, ahead: int = 0) -> float:
+        """Return when one more may start behind `ahead` waiting ones, if those start as soon as they can.
 
-    def room_at(self, now: float, allowance: int, ahead: int = 0) -> float:
-        """When there is room for one more behind so many that wait, if all of them start as soon as they can;
-        infinity with no allowance.
+        The result is infinite without an allowance.
         """
         if allowance <= 0:
             return float("inf")
-        need = self.look(now) + ahead - allowance + 1  # that have to fade first
-        if need <= 0:
+        must_expire = self.in_use(now) + ahead - allowance + 1
+        if must_expire <= 0:
             return now
-        rounds = max(0, -((self.count - need) // allowance)) if need > self.count else 0
-        need -= rounds * allowance  # those ahead fill the allowance so many times over
-        gone, at = 0.0, now
-        for _, latest, many in self.rows:
-            gone += many
-            at = latest + self.span_ms
-            if gone >= need:
+        full_windows = max(0, -((self.count - must_expire) // allowance)) if must_expire > self.count else 0
+        must_expire -= full_windows * allowance  # those ahead use up the allowance so many times
+        expired = 0
+        available_at = now
+        for step in self.steps:
+            expired += step.count
+            available_at = step.latest_at + self.span_ms
+            if expired >= must_expire:
                 break
-        return at + rounds * self.span_ms
+        return available_at + full_windows * self.span_ms
 
 
 class ConcurrencyCounter:
-    """Runs in hand."""
+    """Runs in flight."""
 
     __slots__ = ("count",)
 
     def __init__(self) -> None:
         self.count = 0
 
-    def look(self, now: float) -> int:
-        """How many, now."""
+    def in_use(self, now: float) -> int:
+        """Return the runs in flight."""
         return self.count
 
-    def add(self, now: float, many: int = 1) -> None:
-        """So many more; they end by `drop`."""
-        self.count += many
+    def record(self, now: float, starts: int = 1) -> None:
+        """Count so many more runs; each ends by `release`."""
+        self.count += starts
 
-    def drop(self) -> None:
-        """One has ended."""
+    def release(self) -> None:
+        """Count the end of one run."""
         self.count -= 1
 
-    def room_at(self, now: float, allowance: int, ahead: int = 0) -> float:
-        """Now, or unknown: the time a run takes is not ours."""
+    def available_at(self, now: float, allowance: int, ahead: int = 0) -> float:
+        """Return `now` if there is capacity, otherwise infinity, as the end of a run is not known."""
         return now if self.count + ahead < allowance else float("inf")
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -11,8 +11,9 @@
 
 from myrtlespar.net.codec.limits import LimitDatagram, encode
 from myrtlespar.quota.admission_queue import AdmissionQueue
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
-from myrtlespar.quota.messages import LimitMessage, SendMessage
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import LimitEffect, LimitMessage, SendMessage
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.event_loop import EventLoop
 
@@ -49,7 +50,8 @@
         self.engine, self.dice, self.limit, self.hop_ms = EventLoop(), Random(seed), limit, hop_ms
         self.names = [f"m{n}" for n in range(members)]
         self.agents = {
-            name: LimitCoordinator((name, 1), terms, {"x": limit}, frozenset(self.names), 0.0) for name in self.names
+            name: LimitCoordinator(Incarnation(name, 1), terms, {"x": limit}, frozenset(self.names), 0.0)
+            for name in self.names
         }
         self.places = {name: AdmissionQueue(agent) for name, agent in self.agents.items()}
         self.rates = dict.fromkeys(self.names, 0.0)
@@ -90,7 +92,7 @@
             agent.present_members = frozenset(other for other in self.names if (other in lone) == (name in lone))
 
     def _heard(self, to: str, sender: str, message: LimitMessage) -> None:
-        self._carry(to, self.agents[to].receive(self.engine.now, (sender, 1), message))
+        self._carry(to, self.agents[to].receive(self.engine.now, Incarnation(sender, 1), message))
 
     def _want(self, name: str) -> None:
         now, rate = self.engine.now, self.rates[name]
@@ -107,11 +109,11 @@
         now, places = self.engine.now, self.places[name]
         refused, room = places.try_acquire(now, id, (key,))
         if refused:
-            if now + room.after_ms <= until:
+            if now + room.retry_after_ms <= until:
                 places.enqueue(id, until, (key,))
                 self._until[id] = until
                 self.engine.at(until, self._late, name, id)
-                self.engine.at(now + room.after_ms, self._ready, name)
+                self.engine.at(now + room.retry_after_ms, self._ready, name)
             return
         self.seen.starts[int(now / 1000)] += 1
         self.starts_by[name, int(now / 1000)] += 1
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -38,7 +38,7 @@
 from myrtlespar.net.codec import peer
 from myrtlespar.net.peer_transport import PeerTransport
 from myrtlespar.quota import messages as limits
-from myrtlespar.quota.budget import BudgetJournal
+from myrtlespar.quota.budget_journal import BudgetJournal
 from myrtlespar.runtime.log_output import log_to_standard_output
 from myrtlespar.runtime.tracing import trace_to_log
 from myrtlespar.state_machines import TABLES
@@ -178,7 +178,7 @@
 def encode_budget_state(vault: BudgetJournal) -> bytes:
     """What an elector writes."""
     with temporary_path("budgets") as path:
-        budget_file.write(path, vault.rows)
+        budget_file.write(path, vault.totals)
         return path.read_bytes()
 
 
@@ -289,7 +289,7 @@
     "budget state file": StoredFormat(
         decode_budget_state,
         encode_budget_state,
-        lambda vault: positional(vault.rows),
+        lambda vault: positional(vault.totals),
         (budget_file.CorruptBudgetFileError,),
     ),
     "trace": StoredFormat(decode_trace, encode_trace, trace_value, (NotAcceptedError,)),
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -15,6 +15,7 @@
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import ScriptError, parse, read
 from myrtlespar.net.etcd_client import EtcdClient
+from myrtlespar.quota.lease import Incarnation
 from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest, LeaseSession
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.settings import GrantSettings, Limit
@@ -46,7 +47,7 @@
     a, b = client(address, "a"), client(address, "b", freed)
     b.watch()
     until(lambda: state.watchers, "watch")
-    first, second = asked(a, EngineOperation.GRANT).lease, asked(b, EngineOperation.GRANT).lease
+    first, second = asked(a, EngineOperation.GRANT).lease_id, asked(b, EngineOperation.GRANT).lease_id
     mine = asked(a, EngineOperation.TAKE, first, 3).epoch
     assert mine > 0
     assert asked(b, EngineOperation.TAKE, second, 3).epoch == 0
@@ -72,9 +73,9 @@
 def test_a_lease_that_is_not_renewed_ends_with_all_its_keys(engine: tuple[EtcdState, str]) -> None:
     state, address = engine
     a, b = client(address, "a"), client(address, "b")
-    lease = asked(a, EngineOperation.GRANT).lease
+    lease = asked(a, EngineOperation.GRANT).lease_id
     assert asked(a, EngineOperation.TAKE, lease, 1).epoch
-    other = asked(b, EngineOperation.GRANT).lease
+    other = asked(b, EngineOperation.GRANT).lease_id
     end = time.monotonic() + 20
     while not asked(b, EngineOperation.TAKE, other, 1).epoch and time.monotonic() < end:
         asked(b, EngineOperation.KEEP, other)
@@ -101,7 +102,7 @@
             now += dice.expovariate(1 / 60)
             if dice.random() < 0.2:
                 wanted = frozenset(rng for rng in range(4) if dice.random() < 0.6)
-            request = one.next(now, wanted)
+            request = one.next_request(now, wanted)
             assert not {rng for rng in range(4) if one.epoch(now, rng)} - wanted
             if request is None:
                 continue
@@ -109,24 +110,24 @@
             if now >= ends:
                 lease, keys = 0, set()
             reply: EngineReply | None = None
-            if request.do is EngineOperation.GRANT:
+            if request.operation is EngineOperation.GRANT:
                 lease, ends, keys = lease + 1000 + int(now), now + 2000 / 1.01, set()
-                reply = EngineReply(lease=lease, ttl_ms=2000.0)
-            elif request.lease != lease:
+                reply = EngineReply(lease_id=lease, ttl_ms=2000.0)
+            elif request.lease_id != lease:
                 reply = EngineReply()
-            elif request.do is EngineOperation.KEEP:
+            elif request.operation is EngineOperation.KEEP:
                 ends = now + 2000 / 1.01
                 reply = EngineReply(ttl_ms=2000.0)
-            elif request.do is EngineOperation.TAKE:
-                keys.add(request.rng)
+            elif request.operation is EngineOperation.TAKE:
+                keys.add(request.shard_id)
                 reply = EngineReply(epoch=7)
             else:
-                keys.discard(request.rng)
+                keys.discard(request.shard_id)
                 reply = EngineReply()
             if dice.random() < 0.3:
                 reply = None
             now += dice.choice((1.0, 5.0, 300.0, 1900.0))  # and back
-            one.answered(now, request, reply)
+            one.record_reply(now, request, reply)
             held = {rng for rng in range(4) if one.epoch(now, rng)}
             assert not held or (now < ends and held <= keys), (seed, now, ends, held, keys)
 
@@ -149,17 +150,19 @@
     """Found on real members: a keeper that let go of its range granted on until the engine's answer came, while the
     next one had begun; 22 starts of 20 were counted.
     """
-    agent = LimitCoordinator(("a", 1), TERMS, {"x": Limit(per_s=20.0)}, frozenset(("a", "b", "c")), 0.0, engine=True)
-    agent.wanted_shards = {0}
-    for reply in (EngineReply(lease=5, ttl_ms=2000.0), EngineReply(epoch=7)):
+    agent = LimitCoordinator(
+        Incarnation("a", 1), TERMS, {"x": Limit(per_s=20.0)}, frozenset(("a", "b", "c")), 0.0, engine=True
+    )
+    agent.leadership.wanted_shards = {0}
+    for reply in (EngineReply(lease_id=5, ttl_ms=2000.0), EngineReply(epoch=7)):
         request, _ = agent.next_engine_request(100.0)
         assert request is not None
         agent.engine_replied(101.0, request, reply)
-    assert agent.shards[0].election.has(102.0)
+    assert agent.shards[0].election.holds_lease(102.0)
     assert agent.shards[0].ledger is not None
-    agent.wanted_shards.clear()
+    agent.leadership.wanted_shards.clear()
     request, _ = agent.next_engine_request(110.0)
     assert request is not None
-    assert request.do is EngineOperation.DROP
-    assert not agent.shards[0].election.has(110.0)
+    assert request.operation is EngineOperation.DROP
+    assert not agent.shards[0].election.holds_lease(110.0)
     assert agent.shards[0].ledger is None
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,10 +24,14 @@
 from myrtlespar.net import budget_file as vaultfile
 from myrtlespar.net.codec.limits import KEY_MOST, LimitDatagram, decode, encode
 from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessageError
-from myrtlespar.quota.grant_ledger import divide
-from myrtlespar.quota.limit_coordinator import HOLDS_MOST, WANTS_MOST, leader_of
+from myrtlespar.quota.budget import BudgetPeriod
+from myrtlespar.quota.grant_exchange import MAX_DEMANDS_PER_REQUEST
+from myrtlespar.quota.grant_ledger import divide_fairly
+from myrtlespar.quota.lease import Incarnation
 from myrtlespar.quota.messages import GrantRequest, GrantResponse, KeyDemand, LeaseVote
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
+from myrtlespar.quota.shard_leadership import MAX_ALLOWANCES_PER_VOTE
+from myrtlespar.quota.shards import leader_of
 from myrtlespar.quota.usage_windows import UsageWindow
 
 
@@ -36,18 +40,18 @@
     window, now, taken = UsageWindow(1000.0), 0.0, list[float]()
     for gap in gaps:
         now += gap
-        if window.look(now) < allowance:
-            window.add(now)
+        if window.in_use(now) < allowance:
+            window.record(now)
             taken.append(now)
             assert sum(at > now - 1000.0 for at in taken) <= allowance
         else:
-            assert window.room_at(now, allowance) > now
+            assert window.available_at(now, allowance) > now
 
 
 @given(st.integers(0, 1000), st.lists(st.integers(0, 300), min_size=1, max_size=12))
 def test_division_is_max_min_fair_and_gives_all_there_is(pool: int, wants: list[int]) -> None:
-    asked = {(f"m{n}", 1): want for n, want in enumerate(wants)}
-    parts = divide(pool, asked)
+    asked = {Incarnation(f"m{n}", 1): want for n, want in enumerate(wants)}
+    parts = divide_fairly(pool, asked)
     assert sum(parts.values()) == min(pool, sum(wants))
     assert all(0 <= parts[life] <= asked[life] for life in asked)
     least = min((parts[life] for life in asked if parts[life] < asked[life]), default=0)
@@ -127,9 +131,11 @@
 def test_every_message_about_limits_fits_a_datagram_and_comes_back_whole() -> None:
     key, dice = "k" * KEY_MOST, Random(1)
     most = (
-        GrantRequest(3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(WANTS_MOST))),
-        GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(WANTS_MOST))),
-        LeaseVote(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(HOLDS_MOST))),
+        GrantRequest(
+            3, 2**40, tuple(KeyDemand(key, 10**7, 2**40, 10**7, 10**7) for _ in range(MAX_DEMANDS_PER_REQUEST))
+        ),
+        GrantResponse(3, 2**40, 2**40, 600_000, tuple((key, 10**7) for _ in range(MAX_DEMANDS_PER_REQUEST))),
+        LeaseVote(3, 2**40, True, 2**40, True, tuple((key, 10**7) for _ in range(MAX_ALLOWANCES_PER_VOTE))),
     )
     for message in most:
         letter = LimitDatagram("f" * 48, "n" * 48, 2**45, message)
@@ -211,7 +217,7 @@
 
 
 def test_what_is_written_down_comes_back_whole_or_not_at_all(tmp_path) -> None:  # type: ignore[no-untyped-def]
-    path, rows = tmp_path / "budgets.bin", {("x", 20_000): 17, ("x/shop", 20_000): 2**40}
+    path, rows = tmp_path / "budgets.bin", {BudgetPeriod("x", 20_000): 17, BudgetPeriod("x/shop", 20_000): 2**40}
     assert vaultfile.read(path) == {}
     vaultfile.write(path, rows)
     assert vaultfile.read(path) == rows
@@ -263,9 +269,9 @@
     limit = Limit(per_s=float(now), before=float(was), standing=standing)
     former = Limit(per_s=float(was), standing=standing)
     joint, settled, old = (
-        terms.shares(limit, members, False),
-        terms.shares(limit, members),
-        terms.shares(former, members),
+        terms.split(limit, members, False),
+        terms.split(limit, members),
+        terms.split(former, members),
     )
     for pool, each in (
         (old[0], max(old[1], joint[1])),
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -24,16 +24,17 @@
 )
 from myrtlespar.policy.policy import FOR_ROOM, Policy
 from myrtlespar.quota.admission_queue import AdmissionQueue
+from myrtlespar.quota.lease import Incarnation
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.retry_budget import RetryBudget, RetryBudgetSettings
-from myrtlespar.quota.settings import GrantSettings, Limit, prefix
+from myrtlespar.quota.settings import GrantSettings, Limit, caller_prefix
 from myrtlespar.runtime.counters import Counters
 
 
 def places(amount: int) -> AdmissionQueue:
     """The only member of a fleet, with all of a rate as its standing share."""
     agent = LimitCoordinator(
-        ("a", 1),
+        Incarnation("a", 1),
         GrantSettings(),
         {"x": Limit(per_s=amount, standing=1.0), "y": Limit(per_s=2.0, standing=1.0)},
         frozenset(("a",)),
@@ -55,7 +56,7 @@
         if not key:
             assert not held.waiting
             starts.append(now)
-        elif room.after_ms <= patience:
+        elif room.retry_after_ms <= patience:
             told[f"{n}"] = now + patience
             held.enqueue(f"{n}", told[f"{n}"], ("x",))
         elif gone and held.waiting:
@@ -73,7 +74,7 @@
     for n in range(9):  # three go, six wait: three for each of the next two windows
         key, room = held.try_acquire(20_000.0 + n, f"{n}", ("x",))
         if key:
-            when[f"{n}"] = 20_000.0 + n + room.after_ms
+            when[f"{n}"] = 20_000.0 + n + room.retry_after_ms
             held.enqueue(f"{n}", float(n), ("x",))
     assert len(when) == 6
     seen = dict[str, float]()
@@ -90,7 +91,7 @@
         assert held.try_acquire(20_000.0, f"y{n}", ("x", "y"))[0] == ""
     key, room = held.try_acquire(20_001.0, "both", ("x", "y"))
     assert key == "y"
-    assert room.after_ms > 900
+    assert room.retry_after_ms > 900
     held.enqueue("both", 1.0, ("x", "y"))
     assert held.take_ready(20_100.0) == []
     assert 800 < held.next_ready_ms(20_100.0) < 1000
@@ -103,10 +104,10 @@
     assert held.try_acquire(20_000.0, "0", ("x",))[0] == ""
     for n in range(1, 6):
         held.enqueue(f"{n}", float(n), ("x",), n % 2)
-    assert dict(held.line) == {1: 3, 0: 2}
+    assert dict(held.waiting_by_caller) == {1: 3, 0: 2}
     held.release("1")
     assert held.take_ready(21_020.0) == ["2"]
-    assert dict(held.line) == {1: 2, 0: 1}
+    assert dict(held.waiting_by_caller) == {1: 2, 0: 1}
 
 
 class Port:
@@ -233,13 +234,13 @@
             continue
         first += event == "first"
         taken += one.record_attempt(event == "again") and event == "again"
-        assert taken <= terms.most(first, 1) + 1e-6
+        assert taken <= terms.max_retries(first, 1) + 1e-6
 
 
 def test_a_prefix_names_its_caller_in_a_safe_word() -> None:
-    assert [prefix(key, ":") for key in ("shop:17", "shop", "", ":17")] == ["shop", "-", "-", "-"]
-    assert prefix("a b:1", ":").startswith("#")
-    assert len(prefix("x" * 100 + ":1", ":")) == 9
+    assert [caller_prefix(key, ":") for key in ("shop:17", "shop", "", ":17")] == ["shop", "-", "-", "-"]
+    assert caller_prefix("a b:1", ":").startswith("#")
+    assert len(caller_prefix("x" * 100 + ":1", ":")) == 9
 
 
 class Nobody:
@@ -263,7 +264,7 @@
     limits.start(1)
     assert limits.coordinator is not None
     assert limits.admit("early", 0, 1) > 0
-    limits.coordinator.grant_holder.began -= 5000
+    limits.coordinator.grant_holder.started_at -= 5000
     assert limits.admit("0", 0, 1) == 0.0
     for n in range(HELD_MOST):
         assert 0 < limits.admit(f"{n + 1}", 0, 1) < float("inf")
