--- a/myrtlespar/model_checker/quota/faults.py
+++ b/myrtlespar/model_checker/quota/faults.py
@@ -1,65 +1,105 @@
-"""What can go wrong in the explorer's world, at each of its steps."""
+"""Which faults are possible in the explorer's world at each of its steps."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from itertools import permutations
 
-from myrtlespar.model_checker.quota.world import NAMES, Fault, World
+from myrtlespar.model_checker.quota.events import EventKind
+from myrtlespar.model_checker.quota.fault import Fault
+from myrtlespar.model_checker.quota.fault_actions import (
+    Crash,
+    Cut,
+    DelayPacket,
+    DuplicatePacket,
+    EngineCut,
+    LimitChange,
+    LosePacket,
+    Outage,
+    Pairs,
+    Partition,
+    Quiet,
+    Shun,
+    Sleep,
+    Stop,
+    WrongBelief,
+)
+from myrtlespar.model_checker.quota.world import World
+from myrtlespar.model_checker.quota.world_settings import NAMES
 
 
-def cuts() -> list[tuple[tuple[str, str], ...]]:
-    """Each member cut off both ways, out only, in only; and each pair one way."""
-    out: list[tuple[tuple[str, str], ...]] = []
+def cut_pairs() -> list[Pairs]:
+    """Return the cuts: each member cut off both ways, outwards only, inwards only; and each pair one way."""
+    cuts: list[Pairs] = []
     for name in NAMES:
         others = [other for other in NAMES if other != name]
-        away, back = tuple((name, other) for other in others), tuple((other, name) for other in others)
-        out += [away + back, away, back]
-    return out + [((a, b),) for a in NAMES for b in NAMES if a != b]
+        outwards = tuple((name, other) for other in others)
+        inwards = tuple((other, name) for other in others)
+        cuts += [outwards + inwards, outwards, inwards]
+    return cuts + [((sender, recipient),) for sender in NAMES for recipient in NAMES if sender != recipient]
 
 
-def faults(world: World, kinds: frozenset[str]) -> list[Fault]:
-    """What can go wrong now: packets before their arrival, all else at a member's clock."""
-    kind = world.next()[2]
-    if kind == "packet":
-        if "late" in kinds:
-            return [("hold", 260.0)]
-        return (
-            [("lose",), ("double", 30.0), ("double", 250.0), ("hold", 100.0), ("hold", 260.0)]
-            if "packets" in kinds
-            else []
-        )
-    if kind != "tick":
+def _wrong_beliefs(names: list[str]) -> list[Fault]:
+    beliefs: list[Fault] = [
+        WrongBelief(name, tuple(sorted(present)), ms)
+        for name in names
+        for ms in (100.0, 800.0)
+        for present in (set(NAMES) - {other} for other in NAMES if other != name)
+    ]
+    return beliefs + [WrongBelief(name, (name,), 800.0) for name in names]
+
+
+# By kind, in the order in which they are visited: the faults at a tick, given the members that are running.
+FAULTS_AT_TICK: dict[str, Callable[[list[str]], list[Fault]]] = {
+    "crash": lambda names: [Crash(name, after_ms) for name in names for after_ms in (2.0, 150.0, 1200.0)],
+    "outage": lambda names: [Outage(after_ms, apart_ms) for after_ms in (2.0, 300.0) for apart_ms in (0.0, 120.0)],
+    "stop": lambda names: [
+        Stop(name, ms, is_reversed) for name in names for ms in (120.0, 330.0, 900.0) for is_reversed in (False, True)
+    ],
+    "cut": lambda names: [Cut(pairs, ms) for pairs in cut_pairs() for ms in (150.0, 1000.0)],
+    "sleep": lambda names: [Sleep(name, ms) for name in names for ms in (280.0, 330.0, 700.0)],
+    "shun": lambda names: [Shun(name, other, 600.0) for name in names for other in NAMES if other != name],
+    "long quiet": lambda names: [Quiet(name, 600.0) for name in names],
+    "part": lambda names: [
+        Partition(cut_pairs()[3 * index], name, ms) for index, name in enumerate(NAMES) for ms in (400.0, 1000.0)
+    ],
+    "away": lambda names: [
+        EngineCut(name, ms, both_ways) for name in names for ms in (150.0, 400.0) for both_ways in (True, False)
+    ],
+    "change": lambda names: [LimitChange(order, ms) for order in permutations(NAMES) for ms in (10.0, 330.0)],
+    "believe": _wrong_beliefs,
+    "demand": lambda names: [Quiet(name, ms) for name in names for ms in (150.0, 600.0)],
+}
+
+
+def possible_faults(world: World, kinds: frozenset[str]) -> list[Fault]:
+    """Return the faults of these kinds that are possible now.
+
+    Those of packets come just before a packet's arrival, all others at the tick of a member's clock.
+    """
+    kind = world.next_event().kind
+    if kind is EventKind.PACKET:
+        return _packet_faults(kinds)
+    if kind is not EventKind.TICK:
+        return []
+    running = [name for name, member in world.members.items() if member is not None and name not in world.stopped]
+    return [
+        fault
+        for fault_kind, make_faults in FAULTS_AT_TICK.items()
+        if fault_kind in kinds
+        for fault in make_faults(running)
+    ]
+
+
+def _packet_faults(kinds: frozenset[str]) -> list[Fault]:
+    if "late" in kinds:
+        return [DelayPacket(260.0)]
+    if "packets" not in kinds:
         return []
-    out: list[Fault] = []
-    up = [name for name, agent in world.members.items() if agent is not None and name not in world.stopped]
-    if "crash" in kinds:
-        out += [("crash", name, back) for name in up for back in (2.0, 150.0, 1200.0)]
-    if "outage" in kinds:
-        out += [("outage", back, apart) for back in (2.0, 300.0) for apart in (0.0, 120.0)]
-    if "stop" in kinds:
-        out += [("stop", name, ms, back) for name in up for ms in (120.0, 330.0, 900.0) for back in (False, True)]
-    if "cut" in kinds:
-        out += [("cut", pairs, ms) for pairs in cuts() for ms in (150.0, 1000.0)]
-    if "sleep" in kinds:
-        out += [("sleep", name, ms) for name in up for ms in (280.0, 330.0, 700.0)]
-    if "shun" in kinds:
-        out += [("shun", name, other, ms) for name in up for other in NAMES if other != name for ms in (600.0,)]
-    if "long quiet" in kinds:
-        out += [("quiet", name, 600.0) for name in up]
-    if "part" in kinds:
-        out += [("part", cuts()[3 * n], name, ms) for n, name in enumerate(NAMES) for ms in (400.0, 1000.0)]
-    if "away" in kinds:
-        out += [("away", name, ms, both) for name in up for ms in (150.0, 400.0) for both in (True, False)]
-    if "change" in kinds:
-        out += [("change", names, ms) for names in permutations(NAMES) for ms in (10.0, 330.0)]
-    if "believe" in kinds:
-        out += [
-            ("believe", name, tuple(sorted(here)), ms)
-            for name in up
-            for ms in (100.0, 800.0)
-            for here in (set(NAMES) - {other} for other in NAMES if other != name)
-        ]
-        out += [("believe", name, (name,), 800.0) for name in up]
-    if "demand" in kinds:
-        out += [("quiet", name, ms) for name in up for ms in (150.0, 600.0)]
-    return out
+    return [
+        LosePacket(),
+        DuplicatePacket(30.0),
+        DuplicatePacket(250.0),
+        DelayPacket(100.0),
+        DelayPacket(260.0),
+    ]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,8 @@
 from myrtlespar.model_checker.fleet.command import mutations
 from myrtlespar.model_checker.mutants import normalized_source
 from myrtlespar.model_checker.quota.explore import explore
-from myrtlespar.model_checker.quota.world import HAND, RATE, Setting, begin
+from myrtlespar.model_checker.quota.world import begin
+from myrtlespar.model_checker.quota.world_settings import CONCURRENCY_LIMIT, RATE_LIMIT, WorldSettings
 from myrtlespar.net import budget_file as vaultfile
 from myrtlespar.net.codec.limits import KEY_MOST, LimitDatagram, decode, encode
 from myrtlespar.net.codec.peer import DATAGRAM_MOST, MalformedPeerMessageError
@@ -69,16 +70,16 @@
     assert leader_of(0, []) == ""
 
 
-@pytest.mark.parametrize("limit", [RATE, HAND], ids=["rate", "hand"])
+@pytest.mark.parametrize("limit", [RATE_LIMIT, CONCURRENCY_LIMIT], ids=["rate", "hand"])
 def test_all_of_a_limit_is_in_use_in_calm_and_never_more(limit: Limit) -> None:
-    world = begin(Setting(limit, (0.98, 1.02, 1.0)))
-    before = sum(world.used.values())
+    world = begin(WorldSettings(limit, (0.98, 1.02, 1.0)))
+    before = world.usage.total_starts()
     since = world.now
     while world.now < since + 4000:
-        world.go()
-    used = (sum(world.used.values()) - before) / (4000 / limit.linger_ms) / limit.amount
-    assert not world.fell
-    assert world.most == limit.amount
+        world.step()
+    used = (world.usage.total_starts() - before) / (4000 / limit.linger_ms) / limit.amount
+    assert not world.violations
+    assert world.usage.max_in_use == limit.amount
     assert used > 0.85
 
 
@@ -87,7 +88,7 @@
     assert not found.fell
     assert found.whole
     assert found.runs > 200
-    assert found.most >= RATE.amount
+    assert found.most >= RATE_LIMIT.amount
 
 
 @pytest.mark.parametrize(
