--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -18,7 +18,7 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.quota.usage_windows import UsageWindow
 from myrtlespar.simulation.event_loop import EventLoop
-from myrtlespar.simulation.limits import SimulatedLimits
+from myrtlespar.simulation.limits import MemberSecond, SimulatedLimits
 
 PHASES = {"calm": (6, 15), "moved": (17, 25), "cut": (29, 39), "healed": (46, 55)}
 HOT = 0.8
@@ -37,12 +37,12 @@
         )
         self.names, self.rates = names, dict.fromkeys(names, 0.0)
         self.meter = UsageWindow(float(limit.window_ms))
-        self.starts_by: Counter[tuple[str, int]] = Counter()
+        self.starts_by_member: Counter[MemberSecond] = Counter()
         self.lone: frozenset[str] = frozenset()
         for name in names:
             self.engine.at(0.0, self._want, name)
 
-    def part(self, lone: frozenset[str]) -> None:
+    def isolate(self, lone: frozenset[str]) -> None:
         """These are cut off from the counter."""
         self.lone = lone
 
@@ -60,7 +60,7 @@
         now = self.engine.now
         if self.meter.in_use(now) < self.limit.amount:
             self.meter.record(now)
-            self.starts_by[name, int((now + self.hop_ms) / 1000)] += 1
+            self.starts_by_member[MemberSecond(name, int((now + self.hop_ms) / 1000))] += 1
         elif (at := self.meter.available_at(now, self.limit.amount)) <= until:
             self.engine.at(max(at, now + 1.0), self._ask, name, until)
 
@@ -72,7 +72,7 @@
     fleet: SimulatedLimits | Central = (
         Central(names, limit, seed, 1.0, 1000.0)
         if kind == "central"
-        else SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
+        else SimulatedLimits(members, limit, GrantSettings(), seed, max_wait_ms=1000.0)
     )
     fleet.run(3000)
     lone = frozenset(names[-(members // 3) :])
@@ -80,15 +80,16 @@
         for name in names:
             fleet.rates[name] = per_s * over * (HOT if name == hot else (1 - HOT) / (members - 1))
         fleet.run(until)
-    fleet.part(lone)
+    fleet.isolate(lone)
     fleet.run(39_000)
-    fleet.part(frozenset())
+    fleet.isolate(frozenset())
     fleet.run(55_000)
+    starts_by_member = fleet.starts_by_member if isinstance(fleet, Central) else fleet.result.starts_by_member
     row: dict[str, object] = {"kind": kind, "members": members, "over": over, "seed": seed}
     for phase, (first, last) in PHASES.items():
         sides = [
             sum(
-                fleet.starts_by[name, second]
+                starts_by_member[MemberSecond(name, second)]
                 for name in names
                 if (name in lone) is side
                 for second in range(first, last)
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -150,25 +150,25 @@
     12 s; then 10,000 callers' keys, each touched about once, and silence.
     """
     per_s = 10.0 * size
-    fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, sizes=True, hold_ms=1000.0)
+    fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, measure_bytes=True, max_wait_ms=1000.0)
     fleet.run(3000)
     demand, began = per_s * 2, time.monotonic()
     for hot, until in ((0, 15_000), (size - 1, 27_000)):
         for n, name in enumerate(fleet.names):
             fleet.rates[name] = demand * SHARE if n == hot else demand * (1 - SHARE) / (size - 1)
         if hot:
-            before = fleet.seen.messages, fleet.seen.bytes
+            before = fleet.result.messages, fleet.result.bytes
         fleet.run(until)
-    starts = [fleet.seen.starts[n] / per_s for n in range(27)]
+    starts = [fleet.result.starts[n] / per_s for n in range(27)]
     back = next((n - 15 for n in range(15, 27) if starts[n] >= 0.9 * sum(starts[8:15]) / 7), None)
-    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, keys=10_000, sizes=True)
+    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, callers=10_000, measure_bytes=True)
     for name in cold.names:
         cold.rates[name] = 10_000 / 4 / size
     cold.run(4000)
     for name in cold.names:
         cold.rates[name] = 0.0
     cold.run(12_000)
-    quiet = cold.seen.messages
+    quiet = cold.result.messages
     cold.run(16_000)
     return {
         "members": size,
@@ -176,11 +176,11 @@
         "calm": round(sum(starts[8:15]) / 7, 3),
         "moved": round(sum(starts[19:27]) / 8, 3),
         "seconds_until_0.9_of_calm": back,
-        "most_of_limit": round(fleet.seen.most / per_s, 4),
-        "messages_s_member": round((fleet.seen.messages - before[0]) / 12 / size, 2),
-        "bytes_s_member": round((fleet.seen.bytes - before[1]) / 12 / size, 1),
-        "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.agents.values()),
-        "messages_s_member_cold": round((cold.seen.messages - quiet) / 4 / size, 2),
+        "most_of_limit": round(fleet.result.max_in_window / per_s, 4),
+        "messages_s_member": round((fleet.result.messages - before[0]) / 12 / size, 2),
+        "bytes_s_member": round((fleet.result.bytes - before[1]) / 12 / size, 1),
+        "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.coordinators.values()),
+        "messages_s_member_cold": round((cold.result.messages - quiet) / 4 / size, 2),
         "real_s": round(time.monotonic() - began, 1),
     }
 
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -1,6 +1,6 @@
-"""Fleet limits in virtual time: many agents, demand by chance at each, and how much of the limit is used.
+"""Fleet limits in virtual time: many coordinators, random demand at each, and how much of the limit is used.
 
-Membership is taken as known; messages take `hop_ms`. The sum of starts in any window is judged as well.
+Membership is taken as known; messages take `hop_ms`. The starts in any window are checked as well.
 """
 
 from __future__ import annotations
@@ -8,6 +8,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
 from myrtlespar.net.codec.limits import LimitDatagram, encode
 from myrtlespar.quota.admission_queue import AdmissionQueue
@@ -17,122 +18,159 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.event_loop import EventLoop
 
+LIMIT_NAME = "x"
+IDLE_POLL_MS = 20.0  # a member without demand looks for new demand so often
+BELIEF_DELAY_MS = 2000.0  # until membership notices a cut
+MS_PER_S = 1000
+
+
+class MemberSecond(NamedTuple):
+    """One second of the run at one member."""
+
+    member: str
+    second: int
+
 
 @dataclass(slots=True)
 class LimitsResult:
-    """What was seen of a run."""
+    """What was observed of a run."""
 
     starts: Counter[int] = field(default_factory=Counter)  # by second
-    tries: Counter[int] = field(default_factory=Counter)
-    most: int = 0
+    starts_by_member: Counter[MemberSecond] = field(default_factory=Counter)
+    attempts: Counter[int] = field(default_factory=Counter)  # by second
+    max_in_window: int = 0
     messages: int = 0
-    bytes: int = 0  # of datagrams
+    bytes: int = 0  # of datagrams, if they are measured
 
 
 class SimulatedLimits:
-    """Agents of one fleet with one limit, all here, under one demand function."""
+    """The coordinators of one fleet with one limit, and the demand at each member in requests a second (`rates`)."""
 
     def __init__(
         self,
         members: int,
         limit: Limit,
-        terms: GrantSettings,
+        settings: GrantSettings,
         seed: int,
         hop_ms: float = 1.0,
-        keys: int = 0,
-        sizes: bool = False,
-        hold_ms: float = 0.0,
+        callers: int = 0,
+        measure_bytes: bool = False,
+        max_wait_ms: float = 0.0,
     ) -> None:
-        """With `keys`, each request is of one of so many callers, each with the limit by itself. A request waits up
-        to `hold_ms` for its place.
+        """Create a fleet without demand.
+
+        With `callers`, each request is of one of so many callers, and the limit applies to each of them separately. A
+        request waits up to `max_wait_ms` for capacity.
         """
-        self.keys, self.sizes, self.hold_ms = keys, sizes, hold_ms
-        self.engine, self.dice, self.limit, self.hop_ms = EventLoop(), Random(seed), limit, hop_ms
-        self.names = [f"m{n}" for n in range(members)]
-        self.agents = {
-            name: LimitCoordinator(Incarnation(name, 1), terms, {"x": limit}, frozenset(self.names), 0.0)
+        self.callers = callers
+        self.measure_bytes = measure_bytes
+        self.max_wait_ms = max_wait_ms
+        self.event_loop = EventLoop()
+        self.random = Random(seed)
+        self.limit = limit
+        self.hop_ms = hop_ms
+        self.names = [f"m{number}" for number in range(members)]
+        voters = frozenset(self.names)
+        self.coordinators = {
+            name: LimitCoordinator(Incarnation(name, 1), settings, {LIMIT_NAME: limit}, voters, 0.0)
             for name in self.names
         }
-        self.places = {name: AdmissionQueue(agent) for name, agent in self.agents.items()}
+        self.queues = {name: AdmissionQueue(coordinator) for name, coordinator in self.coordinators.items()}
         self.rates = dict.fromkeys(self.names, 0.0)
-        self._count = 0
-        self.lone: frozenset[str] = frozenset()
-        self.starts_by: Counter[tuple[str, int]] = Counter()  # by member and second
-        self._until: dict[str, float] = {}  # of those that wait
-        self.seen = LimitsResult()
-        self._window: deque[float] = deque()
-        for agent in self.agents.values():
-            agent.present_members = frozenset(self.names)
+        self.result = LimitsResult()
+        self._request_count = 0
+        self._isolated: frozenset[str] = frozenset()
+        self._deadlines: dict[str, float] = {}  # of waiting requests
+        self._recent_starts: deque[float] = deque()  # within the last window
+        for coordinator in self.coordinators.values():
+            coordinator.present_members = voters
         for name in self.names:
-            self.engine.at(self.dice.uniform(0, terms.ask_ms), self._tick, name)
-            self.engine.at(0.0, self._want, name)
+            self.event_loop.at(self.random.uniform(0, settings.ask_ms), self._tick, name)
+            self.event_loop.at(0.0, self._generate_request, name)
 
-    def _tick(self, name: str) -> None:
-        agent, now = self.agents[name], self.engine.now
-        self._carry(name, agent.tick(now))
-        if self.places[name].waiting:
-            self._ready(name)
-        self.engine.at(max(agent.next_at(), now + 1.0), self._tick, name)
+    def run(self, until_ms: float) -> None:
+        """Run until that virtual time."""
+        self.event_loop.run(until_ms)
+
+    def isolate(self, members: frozenset[str]) -> None:
+        """Cut these members off from the others; without any, all are connected again. Membership notices later."""
+        self._isolated = members
+        self.event_loop.at(self.event_loop.now + BELIEF_DELAY_MS, self._notice_cut, members)
 
-    def _carry(self, name: str, effects: list[LimitEffect]) -> None:
+    def _notice_cut(self, isolated: frozenset[str]) -> None:
+        for name, coordinator in self.coordinators.items():
+            coordinator.present_members = frozenset(
+                other for other in self.names if (other in isolated) == (name in isolated)
+            )
+
+    # Coordinators.
+
+    def _tick(self, name: str) -> None:
+        coordinator = self.coordinators[name]
+        now = self.event_loop.now
+        self._carry_out(name, coordinator.tick(now))
+        if self.queues[name].waiting:
+            self._admit_ready(name)
+        self.event_loop.at(max(coordinator.next_at(), now + 1.0), self._tick, name)
+
+    def _carry_out(self, name: str, effects: list[LimitEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, SendMessage) and (effect.recipient in self.lone) == (name in self.lone):
-                self.seen.messages += 1
-                if self.sizes:
-                    self.seen.bytes += len(encode(LimitDatagram("emulated", name, 1, effect.message)))
-                self.engine.at(self.engine.now + self.hop_ms, self._heard, effect.recipient, name, effect.message)
-
-    def part(self, lone: frozenset[str], noticed_ms: float = 2000.0) -> None:
-        """These are cut off from the rest from now on (nobody: all are joined again); membership notices later."""
-        self.lone = lone
-        self.engine.at(self.engine.now + noticed_ms, self._noticed, lone)
-
-    def _noticed(self, lone: frozenset[str]) -> None:
-        for name, agent in self.agents.items():
-            agent.present_members = frozenset(other for other in self.names if (other in lone) == (name in lone))
-
-    def _heard(self, to: str, sender: str, message: LimitMessage) -> None:
-        self._carry(to, self.agents[to].receive(self.engine.now, Incarnation(sender, 1), message))
-
-    def _want(self, name: str) -> None:
-        now, rate = self.engine.now, self.rates[name]
+            if not isinstance(effect, SendMessage):
+                continue
+            if (effect.recipient in self._isolated) != (name in self._isolated):
+                continue
+            self.result.messages += 1
+            if self.measure_bytes:
+                self.result.bytes += len(encode(LimitDatagram("emulated", name, 1, effect.message)))
+            arrives_at = self.event_loop.now + self.hop_ms
+            self.event_loop.at(arrives_at, self._receive, effect.recipient, name, effect.message)
+
+    def _receive(self, recipient: str, sender: str, message: LimitMessage) -> None:
+        effects = self.coordinators[recipient].receive(self.event_loop.now, Incarnation(sender, 1), message)
+        self._carry_out(recipient, effects)
+
+    # Requests.
+
+    def _generate_request(self, name: str) -> None:
+        now = self.event_loop.now
+        rate = self.rates[name]
         if rate <= 0:
-            self.engine.at(now + 20.0, self._want, name)
-            return
-        self.engine.at(now + self.dice.expovariate(rate) * 1000, self._want, name)
-        self.seen.tries[int(now / 1000)] += 1
-        key = f"x/{self.dice.randrange(self.keys)}" if self.keys else "x"
-        self._count += 1
-        self._ask(name, f"{self._count}", key, now + self.hold_ms)
-
-    def _ask(self, name: str, id: str, key: str, until: float) -> None:
-        now, places = self.engine.now, self.places[name]
-        refused, room = places.try_acquire(now, id, (key,))
-        if refused:
-            if now + room.retry_after_ms <= until:
-                places.enqueue(id, until, (key,))
-                self._until[id] = until
-                self.engine.at(until, self._late, name, id)
-                self.engine.at(now + room.retry_after_ms, self._ready, name)
+            self.event_loop.at(now + IDLE_POLL_MS, self._generate_request, name)
             return
-        self.seen.starts[int(now / 1000)] += 1
-        self.starts_by[name, int(now / 1000)] += 1
-        if self.keys:
+        self.event_loop.at(now + self.random.expovariate(rate) * MS_PER_S, self._generate_request, name)
+        self.result.attempts[int(now / MS_PER_S)] += 1
+        key = f"{LIMIT_NAME}/{self.random.randrange(self.callers)}" if self.callers else LIMIT_NAME
+        self._request_count += 1
+        self._try_start(name, f"{self._request_count}", key, now + self.max_wait_ms)
+
+    def _try_start(self, name: str, id: str, key: str, deadline: float) -> None:
+        now = self.event_loop.now
+        queue = self.queues[name]
+        rejecting_key, check = queue.try_acquire(now, id, (key,))
+        if not rejecting_key:
+            self._record_start(name)
+        elif now + check.retry_after_ms <= deadline:
+            queue.enqueue(id, deadline, (key,))
+            self._deadlines[id] = deadline
+            self.event_loop.at(deadline, self._give_up, name, id)
+            self.event_loop.at(now + check.retry_after_ms, self._admit_ready, name)
+
+    def _record_start(self, name: str) -> None:
+        now = self.event_loop.now
+        second = int(now / MS_PER_S)
+        self.result.starts[second] += 1
+        self.result.starts_by_member[MemberSecond(name, second)] += 1
+        if self.callers:  # the limit applies to each of them, not to the sum
             return
-        while self._window and self._window[0] <= now - self.limit.window_ms:
-            self._window.popleft()
-        self._window.append(now)
-        self.seen.most = max(self.seen.most, len(self._window))
-
-    def _ready(self, name: str) -> None:
-        places = self.places[name]
-        for id in places.take_ready(self.engine.now):
-            self._ask(name, id, "x", self._until.pop(id, self.engine.now))
-
-    def _late(self, name: str, id: str) -> None:
-        self.places[name].release(id)
-        self._until.pop(id, None)
-
-    def run(self, until_ms: float) -> None:
-        """On to that time."""
-        self.engine.run(until_ms)
+        while self._recent_starts and self._recent_starts[0] <= now - self.limit.window_ms:
+            self._recent_starts.popleft()
+        self._recent_starts.append(now)
+        self.result.max_in_window = max(self.result.max_in_window, len(self._recent_starts))
+
+    def _admit_ready(self, name: str) -> None:
+        for id in self.queues[name].take_ready(self.event_loop.now):
+            self._try_start(name, id, LIMIT_NAME, self._deadlines.pop(id, self.event_loop.now))
+
+    def _give_up(self, name: str, id: str) -> None:
+        self.queues[name].release(id)
+        self._deadlines.pop(id, None)
