--- /dev/null
+++ b/tests/test_quota_fleet.py
@@ -0,0 +1,40 @@
+"""Limits of real members under fault scenarios."""
+
+from __future__ import annotations
+
+import pytest
+
+from benchmarks.fleet_change import played as lower_a_limit
+from myrtlespar.fakes import ROOT
+from myrtlespar.fleet_tests.runner import play
+from myrtlespar.fleet_tests.script import ScriptError, parse, read
+
+SCENARIOS = ROOT / "fault_scenarios/limits"
+
+
+@pytest.mark.fleet
+def test_a_budget_survives_the_restart_of_all_members() -> None:
+    done = play(read(SCENARIOS / "budget-restarted.yaml"), 5, say=lambda line: None)
+    assert done["broken"] == []
+    assert done["limits"]["order-day"]["most"] > 100
+
+
+@pytest.mark.fleet
+def test_a_limit_lowered_during_a_cut_is_never_over_the_greater_number_and_soon_not_over_the_lower() -> None:
+    done = lower_a_limit(1)
+    assert done["broken"] == [], done
+    assert "c1" in done["told_behind"], done
+
+
+@pytest.mark.fleet
+def test_a_strict_limit_holds_while_the_engine_is_cut_off_and_leaders_die() -> None:
+    done = play(read(SCENARIOS / "engine.yaml"), 3, say=lambda line: None)
+    assert done["broken"] == []
+    assert done["limits"]["order-farms"]["most"] > 16
+
+
+def test_a_script_may_cut_off_the_engine_only_where_there_is_one() -> None:
+    text = "fleet: {sites: {a: 3}, engine: %s}\nlength_s: 5\nevents: [{at_s: 1, cut: [all, engine], for_s: 2}]"
+    assert parse(text % "true").engine
+    with pytest.raises(ScriptError, match=r"^events\[0\]: engine: this fleet has none"):
+        parse(text % "false")
