--- a/myrtlespar/quota/budget_account.py
+++ b/myrtlespar/quota/budget_account.py
@@ -44,7 +44,8 @@
 
     def __init__(self, settings: GrantSettings) -> None:
         self.settings = settings
-        self.balances: dict[BudgetPeriod, BudgetBalance] = {}
+        # by key and period number; plain tuples, as every admission under a budget makes one
+        self.balances: dict[tuple[str, int], BudgetBalance] = {}
         self._latest_periods: dict[str, int] = {}  # by limit: a clock that is set back reopens no earlier period
 
     def balance(self, wall_ms: float, key: str, limit: Limit) -> BudgetBalance:
@@ -52,11 +53,10 @@
         name = key.partition("/")[0]
         number = max(period_number(limit, wall_ms), self._latest_periods.get(name, 0))
         self._latest_periods[name] = number
-        entry = BudgetPeriod(key, number)
-        balance = self.balances.get(entry)
+        balance = self.balances.get((key, number))
         if balance is None:
             balance = BudgetBalance(limit, UsageWindow(self.settings.safe_wait_ms(DEMAND_WINDOW_MS)))
-            self.balances[entry] = balance
+            self.balances[key, number] = balance
         return balance
 
     def check_admission(
@@ -80,11 +80,11 @@
         Balances of past periods are dropped.
         """
         requests = []
-        for entry, balance in list(self.balances.items()):
-            if entry.number < self._latest_periods[entry.key.partition("/")[0]]:
-                del self.balances[entry]
+        for (key, number), balance in list(self.balances.items()):
+            if number < self._latest_periods[key.partition("/")[0]]:
+                del self.balances[key, number]
                 continue
-            request = self._draw_request(now, entry, balance)
+            request = self._draw_request(now, BudgetPeriod(key, number), balance)
             if request is not None:
                 requests.append(request)
         return requests
@@ -109,7 +109,7 @@
 
     def accept_draw(self, leader: str, response: BudgetDrawResponse) -> None:
         """Apply a leader's response, which says what this incarnation has drawn in all."""
-        balance = self.balances.get(BudgetPeriod(response.key, response.period))
+        balance = self.balances.get((response.key, response.period))
         if balance is None:
             return
         balance.drawn_total = max(balance.drawn_total, response.drawn_total)
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -66,8 +66,9 @@
         A new incarnation uses no guaranteed share of a strict limit before an earlier one's use of it has faded.
         """
         without_share = self.retired or now < self.started_at + self.settings.guaranteed_share_delay_ms(allowance.limit)
-        is_strict = allowance.limit.kind is LimitKind.STRICT
-        return allowance.granted(now) + (0 if without_share and is_strict else allowance.guaranteed_share)
+        if without_share and allowance.limit.kind is LimitKind.STRICT:
+            return allowance.granted(now)
+        return allowance.granted(now) + allowance.guaranteed_share
 
     def check_admission(
         self, now: float, key: str, limit: Limit, ahead: int = 0, is_retry: bool = False
