--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -178,7 +178,7 @@
         self._carry_out(event.member, coordinator.persisted(self.clock(event.member), effect))
 
     def _on_resume(self, event: Event) -> None:
-        """Let a stopped member go on; the payload tells whether what waited for it comes in reverse order."""
+        """Let a stopped member go on; the payload says whether what waited for it comes in reverse order."""
         self.stopped.discard(event.member)
         delayed = self.delayed.pop(event.member, [])
         for waiting in reversed(delayed) if event.payload else delayed:
--- a/myrtlespar/model_checker/quota/world_settings.py
+++ b/myrtlespar/model_checker/quota/world_settings.py
@@ -18,7 +18,7 @@
 BOUNDED_LIMIT = Limit(per_s=35.0, window_ms=200, standing=0.5, kind=LimitKind.BOUNDED)
 # a run is longer than a lease, so that the voters' silence does not cover it
 CONCURRENCY_LIMIT = Limit(at_once=7, run_most_ms=450, standing=0.5)
-# a sixth less or more, at the number where a whole part moves from all guaranteed shares to the pool
+# a sixth less, or a fifth more, at the number where a whole part moves from all guaranteed shares to the pool
 LOWERED_LIMIT = Limit(per_s=25.0, before=30.0, window_ms=200, standing=0.5)
 RAISED_LIMIT = Limit(per_s=30.0, before=25.0, window_ms=200, standing=0.5)
 LIMIT_BEFORE_LOWERING = Limit(per_s=LOWERED_LIMIT.before, window_ms=200, standing=0.5)
--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -44,7 +44,7 @@
         self._waiting_by_key: dict[str, int] = {}
         self._queues: dict[str, list[tuple[float, str]]] = {}  # by key: heap of (order, request), some of them gone
         self._in_flight_keys: dict[str, list[str]] = {}  # by request: its keys of limits on runs in flight
-        self._ready: set[str] = set()  # requests that were told to try again
+        self._ready: set[str] = set()  # requests that were returned as ready to retry
         self._lingering: list[LingeringRun] = []  # a heap
         self._lingering_count = 0
 
@@ -88,7 +88,7 @@
             self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
-        """Return the requests that may try again now, in order: each key's first ones, as many as fit."""
+        """Return the requests that may retry now, in order: each key's first ones, as many as fit."""
         ready: dict[str, Sequence[str]] = {}
         for key in list(self._queues):
             available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
@@ -112,7 +112,7 @@
         return first
 
     def release(self, id: str) -> None:
-        """Release a request that has ended or will not try again."""
+        """Release a request that has ended or will not retry."""
         if id in self.waiting:
             self._dequeue(id)
         self._ready.discard(id)
--- a/myrtlespar/quota/budget_exchange.py
+++ b/myrtlespar/quota/budget_exchange.py
@@ -83,7 +83,7 @@
     def _reserve(self, sender: Incarnation, request: BudgetReserveRequest) -> None:
         """Persist a reservation of the leader that we promised the shard last.
 
-        A later leader has been told what was persisted before our promise to it, so an earlier one is rejected.
+        A later leader has received what was persisted before our promise to it, so an earlier one is rejected.
         """
         promise = self._leadership.lease_voter.promises[request.shard_id]
         if promise.candidate != sender or promise.epoch != request.epoch or self._grant_holder.retired:
--- a/myrtlespar/quota/grant_exchange.py
+++ b/myrtlespar/quota/grant_exchange.py
@@ -79,7 +79,7 @@
     def adopt_response(self, now: float, response: GrantResponse) -> None:
         """Adopt a leader's grants."""
         if response.epoch < self._leadership.lease_voter.promises[response.shard_id].epoch:
-            # the leader's successor has been told what we hold, so we may use no more of its predecessor
+            # we reported our allowances to the leader's successor, so we may use no more of its predecessor's grants
             self._outbox.count(LimitCounter.FENCED)
             return
         if response.settled_version == self._versions.version and not self._grant_holder.settled:
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -15,7 +15,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One life of a member's process."""
+    """A member, and which of its processes."""
 
     name: str
     number: int  # grows with each start of the member
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -47,17 +47,10 @@
         engine: bool = False,
         persisted_totals: Mapping[BudgetPeriod, int] | None = None,
     ) -> None:
-        """Take part from `now` on.
-
-        Args:
-            self_id: This member and its incarnation.
-            settings: Times of grants and leases.
-            limits: The limits by name.
-            voters: All members that take part.
-            now: Monotonic milliseconds.
-            version: The version of the limits.
-            engine: Whether an engine grants the leases of shards, in place of a majority of the voters.
-            persisted_totals: The budget journal as an earlier incarnation left it.
+        """Take part from `now` on, under these limits by name and their version.
+
+        With `engine`, an engine grants the leases of shards in place of a majority of the voters. `persisted_totals`
+        is the budget journal as an earlier incarnation left it.
         """
         self.self_id = self_id
         self.settings = settings
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -59,8 +59,8 @@
     ) -> None:
         """Create a fleet without demand.
 
-        With `callers`, each request is of one of so many callers, and the limit applies to each of them separately. A
-        request waits up to `max_wait_ms` for capacity.
+        With `callers`, each request is of one of so many, and the limit applies to each of them separately. A request
+        waits up to `max_wait_ms` for capacity.
         """
         self.callers = callers
         self.measure_bytes = measure_bytes
@@ -71,9 +71,9 @@
         self.hop_ms = hop_ms
         self.names = [f"m{number}" for number in range(members)]
         voters = frozenset(self.names)
+        limits = {LIMIT_NAME: limit}
         self.coordinators = {
-            name: LimitCoordinator(Incarnation(name, 1), settings, {LIMIT_NAME: limit}, voters, 0.0)
-            for name in self.names
+            name: LimitCoordinator(Incarnation(name, 1), settings, limits, voters, 0.0) for name in self.names
         }
         self.queues = {name: AdmissionQueue(coordinator) for name, coordinator in self.coordinators.items()}
         self.rates = dict.fromkeys(self.names, 0.0)
@@ -82,10 +82,12 @@
         self._isolated: frozenset[str] = frozenset()
         self._deadlines: dict[str, float] = {}  # of waiting requests
         self._recent_starts: deque[float] = deque()  # within the last window
-        for coordinator in self.coordinators.values():
-            coordinator.present_members = voters
-        for name in self.names:
-            self.event_loop.at(self.random.uniform(0, settings.ask_ms), self._tick, name)
+        self._start(settings.ask_ms)
+
+    def _start(self, tick_interval_ms: float) -> None:
+        for name, coordinator in self.coordinators.items():
+            coordinator.present_members = frozenset(self.names)
+            self.event_loop.at(self.random.uniform(0, tick_interval_ms), self._tick, name)
             self.event_loop.at(0.0, self._generate_request, name)
 
     def run(self, until_ms: float) -> None:
