--- a/myrtlespar/cli/fleet/limit_bounds.py
+++ b/myrtlespar/cli/fleet/limit_bounds.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from myrtlespar.fleet.settings import FleetSettings, read_fleet
-from myrtlespar.quota.budget import AHEAD_S
+from myrtlespar.quota.budget import DRAW_AHEAD_S
 from myrtlespar.quota.settings import CountedUnit, CountedWork, GrantSettings, Limit, LimitKind
 
 Promise = tuple[str, str]  # what, and its number with the unit
@@ -31,33 +31,35 @@
 
 def promises(limit: Limit, terms: GrantSettings, members: int) -> list[Promise]:
     """Each promise of one limit."""
-    if limit.of is CountedUnit.BUDGET:
+    if limit.counted_unit is CountedUnit.BUDGET:
         return _budget_promises(limit)
     work = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
-    unit = f"starts in any {limit.window_ms} ms" if limit.of is CountedUnit.RATE else f"{work} at once"
+    unit = f"starts in any {limit.window_ms} ms" if limit.counted_unit is CountedUnit.RATE else f"{work} at once"
     if limit.kind is LimitKind.ADVISORY:
         return [("limit", f"{limit.amount} {unit}"), ("promise", "none: it is counted only")]
-    pool, each = terms.shares(limit, members)
+    pool, each = terms.split(limit, members)
     return [
         ("limit", f"{limit.amount} {unit}"),
         ("over", _overshoot(limit, terms)),
         ("granted by keepers", f"{pool}"),
         ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
         ("a part of k members cut off without a majority may use", f"k x {each}"),
-        ("demand that moves has what is due to it after", f"{terms.moved_ms(limit):.0f} ms"),
+        ("demand that moves has what is due to it after", f"{terms.max_reallocation_ms(limit):.0f} ms"),
         (
             "after a keeper's death its keys are granted anew after",
-            f"{terms.rebuilt_ms(limit):.0f} ms, beside what membership takes to notice",
+            f"{terms.max_leader_recovery_ms(limit):.0f} ms, beside what membership takes to notice",
         ),
-        ("a number that is lowered holds after", f"{terms.lowered_ms(limit):.0f} ms; never over the greater one"),
-        ("a new process uses its standing share after", f"{terms.silent_ms(limit):.0f} ms"),
+        ("a number that is lowered holds after", f"{terms.max_lowering_ms(limit):.0f} ms; never over the greater one"),
+        ("a new process uses its standing share after", f"{terms.guaranteed_share_delay_ms(limit):.0f} ms"),
     ]
 
 
 def _overshoot(limit: Limit, terms: GrantSettings) -> str:
     if limit.kind is LimitKind.STRICT:
-        return f"{terms.over(limit)}"
-    return f"{terms.over(limit)}, for at most {terms.over_ms(limit):.0f} ms after a keeper's change"
+        return f"{terms.max_excess(limit)}"
+    return (
+        f"{terms.max_excess(limit)}, for at most {terms.max_excess_duration_ms(limit):.0f} ms after a keeper's change"
+    )
 
 
 def _budget_promises(limit: Limit) -> list[Promise]:
@@ -68,7 +70,7 @@
             "lost with a keeper",
             f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what was short",
         ),
-        ("lost with a member", f"what it drew ahead: {AHEAD_S:g} s of its demand"),
+        ("lost with a member", f"what it drew ahead: {DRAW_AHEAD_S:g} s of its demand"),
         ("without a majority", "what is drawn is spent, nothing more is drawn"),
     ]
 
@@ -78,7 +80,7 @@
     if budget is not None:
         print(
             f"repeats: at most {budget.share:g} x first tries + {budget.burst} x {members} = "
-            f"{budget.most(EXAMPLE_FIRST_ATTEMPTS, members):.0f} with {EXAMPLE_FIRST_ATTEMPTS} first tries, "
+            f"{budget.max_retries(EXAMPLE_FIRST_ATTEMPTS, members):.0f} with {EXAMPLE_FIRST_ATTEMPTS} first tries, "
             "whatever links fail"
         )
 
@@ -86,7 +88,7 @@
 def _print_engine(settings: FleetSettings) -> None:
     if settings.engine is not None:
         grants = settings.grants
-        lease_ms = grants.used(grants.used(settings.engine.ttl_s * 1000))
+        lease_ms = grants.usable_span_ms(grants.usable_span_ms(settings.engine.ttl_s * 1000))
         print(
             f"engine: keepers by leases of {settings.engine.ttl_s} s; without it a keeper goes on for at most "
             f"{lease_ms:.0f} ms, grants for {grants.grant_ms} ms more"
--- a/myrtlespar/fleet/budget_writer.py
+++ b/myrtlespar/fleet/budget_writer.py
@@ -15,6 +15,7 @@
 
 from myrtlespar.config import ConfigError
 from myrtlespar.net import budget_file
+from myrtlespar.quota.budget import BudgetPeriod
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.messages import PersistThenSend
 from myrtlespar.runtime.counters import Counters
@@ -29,7 +30,7 @@
         """Read the file. ConfigError if it is corrupt or can't be read."""
         self.path = path
         self.counters = counters
-        self.rows: dict[tuple[str, int], int] = {}
+        self.rows: dict[BudgetPeriod, int] = {}
         self._queued: list[PersistThenSend] = []
         self._queued_some = Event()
         if path is not None:
@@ -56,13 +57,13 @@
     def run(self, coordinator: LimitCoordinator, persisted: Callable[[PersistThenSend], None]) -> None:
         """Write the coordinator's journal until it retires, and call `persisted` for each effect it then covers."""
         assert self.path is not None
-        saved = dict(coordinator.budget_journal.rows)
+        saved = dict(coordinator.budget_journal.totals)
         while not coordinator.grant_holder.retired:
             self._queued_some.wait()
             self._queued_some.clear()
             effects = self._queued
             self._queued = []
-            rows = dict(coordinator.budget_journal.rows)
+            rows = dict(coordinator.budget_journal.totals)
             try:
                 if rows != saved:
                     gevent.get_hub().threadpool.apply(budget_file.write, (self.path, rows))
@@ -76,7 +77,7 @@
                 persisted(effect)
 
 
-def read_budgets(path: Path) -> dict[tuple[str, int], int]:
+def read_budgets(path: Path) -> dict[BudgetPeriod, int]:
     """The rows of a budget file. ConfigError if it is corrupt or can't be read."""
     try:
         return budget_file.read(path)
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -9,7 +9,8 @@
 
 from myrtlespar.fleet.settings import EngineSettings
 from myrtlespar.net.etcd_client import EtcdClient
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import LimitEffect
 from myrtlespar.runtime.counters import Counters
 
 MS_PER_S = 1000.0
@@ -28,9 +29,9 @@
         counters: Counters,
     ) -> None:
         """`now` is the clock that limits go by, in ms; `apply_effects` carries out the coordinator's effects."""
-        assert coordinator.session is not None
+        assert coordinator.lease_session is not None
         self.coordinator = coordinator
-        self.session = coordinator.session
+        self.session = coordinator.lease_session
         self.now = now
         self.apply_effects = apply_effects
         self.counters = counters
@@ -38,7 +39,7 @@
         self.etcd = EtcdClient(
             settings.address,
             f"/myrtlespar/{fleet}/ranges/",
-            coordinator.self_id[0],
+            coordinator.self_id.name,
             settings.ttl_s,
             settings.timeout_ms / MS_PER_S,
             self._shard_freed,
@@ -51,8 +52,8 @@
         self.etcd.watch()
         while not self.coordinator.grant_holder.retired:
             self._step(self.coordinator.settings.ask_ms / 2.0 / MS_PER_S)
-        if self.session.lease:
-            self.etcd.revoke(self.session.lease)
+        if self.session.lease_id:
+            self.etcd.revoke(self.session.lease_id)
         self.etcd.close()
 
     def _step(self, pause_s: float) -> None:
@@ -64,7 +65,7 @@
             self._shard_free.clear()
             return
         reply = self.etcd.execute(request)
-        self.counters.add(f"engine.{request.do.value}" if reply else "engine.unanswered")
+        self.counters.add(f"engine.{request.operation.value}" if reply else "engine.unanswered")
         self.apply_effects(self.coordinator.engine_replied(self.now(), request, reply))
         if reply is None:
             gevent.sleep(pause_s)
@@ -72,7 +73,7 @@
             self.answered_at = self.now()
 
     def _shard_freed(self, shard_id: int) -> None:
-        self.session.freed(shard_id)
+        self.session.shard_released(shard_id)
         self._shard_free.set()
 
     def _request_failed(self, code: str) -> None:
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -22,8 +22,9 @@
 from myrtlespar.net.codec.limits import MAGIC, LimitDatagram, decode, encode
 from myrtlespar.net.codec.peer import MAX_DATAGRAM_BYTES, MalformedPeerMessageError, UnsupportedPeerVersionError
 from myrtlespar.net.peer_transport import PeerTransport, monotonic_ms
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, LimitEffect
-from myrtlespar.quota.messages import CountEvent, PersistThenSend, SendMessage
+from myrtlespar.quota.lease import Incarnation
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.messages import CountEvent, LimitEffect, PersistThenSend, SendMessage
 from myrtlespar.quota.settings import CountedUnit
 from myrtlespar.runtime.counters import Counters
 
@@ -58,7 +59,7 @@
         self.lease_source: LeaseSource | None = None
         self.port = FleetLimitsAdmission(settings, classes, counters, Random(seed), self.now, key_of)
         budget_path: Path | None = None
-        if any(limit.of is CountedUnit.BUDGET for limit in settings.limits.values()):
+        if any(limit.counted_unit is CountedUnit.BUDGET for limit in settings.limits.values()):
             budget_path = Path(settings.state) / f"budgets-{settings.name}.bin"
         self.budget_writer = BudgetWriter(budget_path, counters)
         unknown = {limit.cls for limit in settings.limits.values()} - {"", *classes}
@@ -74,7 +75,7 @@
         now = self.now()
         self.budget_writer.reload()
         coordinator = LimitCoordinator(
-            (self.settings.name, incarnation),
+            Incarnation(self.settings.name, incarnation),
             self.settings.grants,
             self.settings.limits,
             self.settings.voter_set.names,
@@ -84,7 +85,7 @@
             self.budget_writer.rows,
         )
         self.coordinator = coordinator
-        coordinator.wall_ms = self._wall_offset_ms(now)
+        coordinator.wall_offset_ms = self._wall_offset_ms(now)
         self.port.start(coordinator)
         self.peers.handlers[MAGIC[:3]] = self._datagram_received
         gevent.spawn(self._run_clock, coordinator)
@@ -144,7 +145,7 @@
     def _run_clock(self, coordinator: LimitCoordinator) -> None:
         while not coordinator.grant_holder.retired:
             now = self.now()
-            coordinator.wall_ms = self._wall_offset_ms(now)
+            coordinator.wall_offset_ms = self._wall_offset_ms(now)
             if coordinator.next_at() <= now:
                 self._apply_effects(coordinator.tick(now))
             gevent.sleep(max(MIN_TICK_S, (coordinator.next_at() - self.now()) / 1000.0))
@@ -158,7 +159,7 @@
             return self.counters.add(f"limits.spoilt.{str(why).replace(' ', '_')}")
         if datagram.fleet != self.settings.fleet or datagram.name == self.settings.name or self.coordinator is None:
             return self.counters.add("limits.foreign")
-        sender = (datagram.name, datagram.incarnation)
+        sender = Incarnation(datagram.name, datagram.incarnation)
         self._apply_effects(self.coordinator.receive(self.now(), sender, datagram.message))
         return None
 
--- a/myrtlespar/fleet/limits_port.py
+++ b/myrtlespar/fleet/limits_port.py
@@ -12,11 +12,11 @@
 from random import Random
 
 from myrtlespar.fleet.settings import FleetSettings
+from myrtlespar.quota.admission_check import ADMITTED, AdmissionCheck
 from myrtlespar.quota.admission_queue import AdmissionQueue
-from myrtlespar.quota.grant_holder import ADMITTED, AdmissionCheck
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.retry_budget import RetryBudget
-from myrtlespar.quota.settings import CountedWork, Limit, prefix
+from myrtlespar.quota.settings import CountedWork, Limit, caller_prefix
 from myrtlespar.runtime.counters import Counters
 
 MAX_QUEUED_PER_CALLER = 8  # a caller's connections carry this many unanswered requests, and other work beside them
@@ -99,10 +99,10 @@
         key, check = queue.try_acquire(now, id, keys)
         if key:
             self._last_shortage = Shortage(id, keys, key, check, sender)
-            if queue.line[sender] >= MAX_QUEUED_PER_CALLER:
+            if queue.waiting_by_caller[sender] >= MAX_QUEUED_PER_CALLER:
                 self.counters.add("limits.line_full")
                 return float("inf")
-            return check.after_ms
+            return check.retry_after_ms
         self._count_admitted(applying)
         return 0.0
 
@@ -120,7 +120,7 @@
         """
         shortage = self._last_shortage
         if id == shortage.request_id:
-            after_ms = shortage.check.after_ms
+            after_ms = shortage.check.retry_after_ms
         if self.admission_queue is not None and self.coordinator is not None:
             if id in self.admission_queue.waiting:  # it was queued as long as that was of use
                 self._record_queued_rejection(id, self.coordinator, self.admission_queue)
@@ -189,7 +189,7 @@
         if not limit.by:
             return name
         if limit.by == "prefix":
-            return f"{name}/{prefix(self._key_of(id), limit.until)}"
+            return f"{name}/{caller_prefix(self._key_of(id), limit.until)}"
         return f"{name}/{sender if limit.by == 'peer' else self._site}"
 
     def _count_admitted(self, applying: NamedLimits) -> None:
@@ -198,7 +198,7 @@
 
     def _record_queued_rejection(self, id: str, coordinator: LimitCoordinator, queue: AdmissionQueue) -> None:
         now = self.now()
-        keys = queue.waiting[id][1]
+        keys = queue.waiting[id].keys
         exhausted = next((key for key in keys if coordinator.available(now, key) <= 0), keys[0])
         self._record_rejection(exhausted, coordinator.check_admission(now, exhausted, 0, True), coordinator, queue)
 
--- a/myrtlespar/fleet/limits_report.py
+++ b/myrtlespar/fleet/limits_report.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING, Any
 
 from myrtlespar.fleet.limits_port import Rejection
-from myrtlespar.quota.limit_coordinator import LimitCoordinator, shard_of
+from myrtlespar.quota.limit_coordinator import LimitCoordinator
+from myrtlespar.quota.shards import shard_of
 
 if TYPE_CHECKING:
     from myrtlespar.fleet.limits_driver import LimitsDriver
@@ -67,7 +68,7 @@
         "used": rejection.check.used,
         "granted": rejection.check.granted,
         "keeper": rejection.leader,
-        "granted_for_ms": round(rejection.check.left_ms),
+        "granted_for_ms": round(rejection.check.grant_remaining_ms),
         "waiting": rejection.waiting,
     }
 
@@ -86,15 +87,15 @@
             "key": key,
             "limit": allowance.limit.amount,
             "kind": allowance.limit.kind.value,
-            "of": allowance.limit.of.value,
-            "standing": allowance.standing,
+            "of": allowance.limit.counted_unit.value,
+            "standing": allowance.guaranteed_share,
             "granted": allowance.granted(now),
-            "granted_for_ms": round(max(0.0, allowance.until - now)),
-            "used": allowance.meter.look(now),
+            "granted_for_ms": round(max(0.0, allowance.granted_until - now)),
+            "used": allowance.usage.in_use(now),
             "keeper": coordinator.leader(key),
             "range": shard_of(key, coordinator.settings.ranges),
         }
-        for key, allowance in sorted(coordinator.grant_holder.shares.items())
+        for key, allowance in sorted(coordinator.grant_holder.allowances.items())
     ]
 
 
@@ -104,12 +105,12 @@
         {
             "range": shard_id,
             "epoch": shard.election.epoch,
-            "since_ms": round(now - shard.election.since),
-            "unknown": sorted(shard.ledger.unknown),
-            "out": {key: shard.ledger.outstanding(now, key) for key in shard.ledger.keys},
+            "since_ms": round(now - shard.election.acquired_at),
+            "unknown": sorted(shard.ledger.unreported_voters),
+            "out": {key: shard.ledger.outstanding(now, key) for key in shard.ledger.grants},
         }
         for shard_id, shard in enumerate(coordinator.shards)
-        if shard.ledger is not None and shard.election.has(now)
+        if shard.ledger is not None and shard.election.holds_lease(now)
     ]
 
 
@@ -119,12 +120,12 @@
             "key": key,
             "period": period,
             "limit": balance.limit.amount,
-            "got": balance.got - balance.back,
+            "got": balance.drawn_total - balance.returned_total,
             "spent": balance.spent,
-            "left": balance.left,
+            "left": balance.remaining,
             "keeper": coordinator.leader(key),
         }
-        for (key, period), balance in sorted(coordinator.budget_account.pockets.items())
+        for (key, period), balance in sorted(coordinator.budget_account.balances.items())
     ]
 
 
@@ -133,13 +134,13 @@
     sums: dict[str, dict[str, int]] = {
         name: {"granted": 0, "standing": 0, "used": 0} for name in driver.settings.limits
     }
-    for (key, _), balance in coordinator.budget_account.pockets.items():
+    for (key, _), balance in coordinator.budget_account.balances.items():
         row = sums[key.partition("/")[0]]
-        row["granted"] += balance.got - balance.back
+        row["granted"] += balance.drawn_total - balance.returned_total
         row["used"] += balance.spent
-    for key, allowance in coordinator.grant_holder.shares.items():
+    for key, allowance in coordinator.grant_holder.allowances.items():
         row = sums[key.partition("/")[0]]
         row["granted"] += allowance.granted(now)
-        row["standing"] += allowance.standing
-        row["used"] += allowance.meter.look(now)
+        row["standing"] += allowance.guaranteed_share
+        row["used"] += allowance.usage.in_use(now)
     return sums
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -30,7 +30,7 @@
     slack_ms: float,
     sites: Mapping[bytes, str],
 ) -> tuple[list[str], dict[str, Any]]:
-    """Promise: in any window, started <= limit + `terms.over(limit)`; runs in flight at any time likewise.
+    """Promise: in any window, started <= limit + `terms.max_excess(limit)`; runs in flight at any time likewise.
 
     Windows are checked `slack_ms` short. Times are Unix ms; `sites` says where a body ran. Returns a line for each
     broken promise, and figures by limit.
@@ -41,7 +41,7 @@
     for name, limit in limits.items():
         parts = _runs_by_part(limit, ordered, sites)
         part, peak = _highest(limit, parts, slack_ms)
-        allowed = limit.amount + terms.over(limit)
+        allowed = limit.amount + terms.max_excess(limit)
         started = sum(len(part_runs) for part_runs in parts.values())
         figures[name] = {
             "limit": limit.amount,
@@ -49,7 +49,7 @@
             "ratio": round(peak.count / allowed, 3),
             "started": started,
         }
-        if limit.of is CountedUnit.RATE and not limit.by:
+        if limit.counted_unit is CountedUnit.RATE and not limit.by:
             windows = max(1.0, (end - begin) / limit.window_ms)
             figures[name]["use"] = round(started / windows / limit.amount, 3)
         if limit.kind is not LimitKind.ADVISORY and peak.count > allowed:
@@ -80,9 +80,9 @@
     highest_part = ""
     highest = Peak(0, 0.0)
     for part, runs in parts.items():
-        if limit.of is CountedUnit.BUDGET:
+        if limit.counted_unit is CountedUnit.BUDGET:
             peak = _budget_peak(limit, runs, slack_ms)
-        elif limit.of is CountedUnit.RATE:
+        elif limit.counted_unit is CountedUnit.RATE:
             peak = _rate_peak(limit, runs, slack_ms)
         else:
             peak = _concurrency_peak(runs)
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -14,19 +14,20 @@
 import msgspec
 
 from myrtlespar.errors import MyrtlesparError
+from myrtlespar.quota.budget import BudgetPeriod
 
 MAGIC = b"MPV1"
 HEADER_BYTES = 8  # magic and checksum
 MAX_FILE_BYTES = 64 << 20
 
-BudgetRows = Mapping[tuple[str, int], int]  # by key and number of the period: the total that may have been handed out
+BudgetRows = Mapping[BudgetPeriod, int]  # by key and number of the period: the total that may have been handed out
 
 
 class CorruptBudgetFileError(MyrtlesparError):
     """The file is incomplete or damaged: what was promised can't be known."""
 
 
-def read(path: Path) -> dict[tuple[str, int], int]:
+def read(path: Path) -> dict[BudgetPeriod, int]:
     """All rows; none where there is no file.
 
     CorruptBudgetFileError rejects a damaged file as a whole; other OSErrors come as they are.
@@ -42,7 +43,7 @@
         rows: list[tuple[str, int, int]] = msgspec.msgpack.decode(body, type=list[tuple[str, int, int]])
     except msgspec.MsgspecError:
         raise CorruptBudgetFileError(str(path)) from None
-    return {(key, period): total for key, period, total in rows}
+    return {BudgetPeriod(key, period): total for key, period, total in rows}
 
 
 def write(path: Path, rows: BudgetRows) -> None:
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -101,46 +101,46 @@
             EngineOperation.DROP: self._delete_key,
         }
         try:
-            return operations[request.do](request)
+            return operations[request.operation](request)
         except (grpc.RpcError, StopIteration) as error:
             code = error.code().name.lower() if isinstance(error, grpc.Call) else "ended"
-            if code == "not_found" and request.do is not EngineOperation.GRANT:  # the lease has expired
-                return EngineReply(ttl_ms=0.0) if request.do is EngineOperation.KEEP else EngineReply()
+            if code == "not_found" and request.operation is not EngineOperation.GRANT:  # the lease has expired
+                return EngineReply(ttl_ms=0.0) if request.operation is EngineOperation.KEEP else EngineReply()
             self.request_failed(code)
             return None
 
     def _grant_lease(self, _: EngineRequest) -> EngineReply:
         reply = self._calls["grant"](TYPES["LeaseGrantRequest"](TTL=self.ttl_s), timeout=self.timeout_s)
-        return EngineReply(lease=reply.ID, ttl_ms=reply.TTL * MS_PER_S)
+        return EngineReply(lease_id=reply.ID, ttl_ms=reply.TTL * MS_PER_S)
 
     def _keep_lease_alive(self, request: EngineRequest) -> EngineReply:
-        stream = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease)])
+        stream = iter([TYPES["LeaseKeepAliveRequest"](ID=request.lease_id)])
         reply = next(self._calls["keep_alive"](stream, timeout=self.timeout_s))
         return EngineReply(ttl_ms=reply.TTL * MS_PER_S)
 
     def _create_key(self, request: EngineRequest) -> EngineReply:
         """Create the shard's key if there is none; the reply has an epoch if the key is attached to our lease."""
-        key = self._key(request.rng)
+        key = self._key(request.shard_id)
         transaction = TYPES["TxnRequest"]()
         transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_CREATE, key=key, create_revision=0)
         put = transaction.success.add().request_put
         put.key = key
         put.value = self.name.encode()
-        put.lease = request.lease
+        put.lease = request.lease_id
         transaction.failure.add().request_range.key = key
         reply = self._calls["txn"](transaction, timeout=self.timeout_s)
         if reply.succeeded:
             return EngineReply(epoch=reply.header.revision)
         for row in reply.responses[0].response_range.kvs if reply.responses else ():
-            if row.lease == request.lease:  # an earlier attempt whose answer was lost
+            if row.lease == request.lease_id:  # an earlier attempt whose answer was lost
                 return EngineReply(epoch=row.create_revision)
         return EngineReply()
 
     def _delete_key(self, request: EngineRequest) -> EngineReply:
         """Delete the shard's key if it is attached to our lease."""
-        key = self._key(request.rng)
+        key = self._key(request.shard_id)
         transaction = TYPES["TxnRequest"]()
-        transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_LEASE, key=key, lease=request.lease)
+        transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_LEASE, key=key, lease=request.lease_id)
         transaction.success.add().request_delete_range.key = key
         self._calls["txn"](transaction, timeout=self.timeout_s)
         return EngineReply()
