--- /dev/null
+++ b/benchmarks/mixed_versions.py
@@ -0,0 +1,294 @@
+"""Checks that an earlier version of the program and this one work together, as they must during a rolling upgrade.
+
+    python -m benchmarks.mixed_versions OLD_CHECKOUT           # about 15 s
+
+OLD_CHECKOUT is a checkout of the earlier version. Its program is started there with this interpreter, so only what
+processes exchange is mixed: hand-over files, datagrams and streams between members, the management address.
+
+Checks:
+  - a hand-over of idempotency keys from an old process to a new one, and from a new one to an old one;
+  - a fleet of two new members and an old one: membership, a fleet-wide strict limit, and a graceful leave.
+
+Prints a line a check and one JSON line; the status is 0 only if every check passed. All sockets are on 127.0.0.0/8.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import signal
+import socket
+import sys
+import tempfile
+import threading
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import click
+import yaml
+
+from myrtlespar.fakes import ROOT, ServerProcess, ThriftClient, server_process, until
+from myrtlespar.quota.settings import GrantSettings, Limit
+
+TIME_LIMIT_S = 180  # for all checks; each single wait is bounded by `until` besides
+STOP_TIMEOUT_S = 20.0
+IDEMPOTENCY = '[idempotency]\nthrift_field = "key"\n'
+MEMBERS = ("a1", "a2", "a3")
+OLD_MEMBER = "a3"
+STARTS_PER_S = 20
+PRESENT = ("alive", "suspect")
+QUORUM_COMPLETE = 'fleet_standing{scope="fleet"} 3'  # as the management address shows it
+LOAD_S = 8.0  # the first leases are granted about three seconds after the start of a fleet
+LOAD_PAUSE_S = 0.03  # of each client between two requests: three members are offered about 100 requests a second
+WINDOW_PART = 0.7  # of a limit's window that is judged; the rest is the way from the decision to the engine
+
+
+class CheckFailedError(Exception):
+    """A check that ran to its end and found something else than it expected."""
+
+
+def expect(holds: bool, what: str) -> None:
+    """Raise CheckFailedError unless this holds."""
+    if not holds:
+        raise CheckFailedError(what)
+
+
+# Hand-over of idempotency keys.
+
+
+def check_handover(first_root: Path, second_root: Path, folder: Path) -> str:
+    """An order answered by the first process and repeated at its successor gets the same outcome and runs once."""
+    shared = folder / "shared"
+    first_folder = folder / "first"
+    second_folder = folder / "second"
+    for path in (shared, first_folder, second_folder):
+        path.mkdir(parents=True)
+    with server_process(first_folder, root=first_root, mgmt=True, shared=shared, operator=IDEMPOTENCY) as first:
+        port = first.ports[0]
+        kind, answer = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
+        expect(kind == "success", f"the first process answered {kind}")
+        with server_process(
+            second_folder,
+            root=second_root,
+            mgmt=True,
+            shared=shared,
+            operator=IDEMPOTENCY,
+            listen=f"127.0.0.1:{port}",
+        ) as second:
+            first.process.terminate()
+            status = first.process.wait(STOP_TIMEOUT_S)
+            expect(status == 0, f"the first process ended with status {status}")
+            kind, repeated = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
+            expect(kind == "success", f"the repeated order got {kind}")
+            expect(repeated.body == answer.body, f"the repeated order got {repeated.body!r}, not {answer.body!r}")
+            runs = first.kernel.by_body[b"ms=5 once"], second.kernel.by_body[b"ms=5 once"]
+            expect(runs == (1, 0), f"runs at the first and second engine: {runs}")
+            kind, _ = ThriftClient(port).ask("order", b"ms=5 other", key="k-2")
+            expect(kind == "success", f"another order at the second process got {kind}")
+            expect(second.kernel.by_body[b"ms=5 other"] == 1, "another order did not run at the second engine")
+    return "known outcome returned, one run in all"
+
+
+# A fleet with one old member.
+
+
+def free_port() -> int:
+    """A port that no member's address uses now, over TCP and UDP."""
+    with contextlib.ExitStack() as stack:
+        probe = stack.enter_context(socket.create_server(("127.0.1.1", 0)))
+        port: int = probe.getsockname()[1]
+        for number in range(1, len(MEMBERS) + 1):
+            datagrams = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+            datagrams.bind((f"127.0.1.{number}", port))
+        return port
+
+
+def fleet_file(number: int, port: int, folder: Path) -> Path:
+    """Write the fleet settings of member `number`. Without standing shares, each start rests on a majority's lease."""
+    limit = {"per_s": STARTS_PER_S, "kind": "strict", "standing": 0}
+    rows = {
+        "fleet": "mixed-versions",
+        "site": "a",
+        "bind": f"127.0.1.{number}:{port}",
+        "seeds": [f"127.0.1.1:{port}"],
+        "electorate": {"version": 1, "sites": {"a": list(MEMBERS)}},
+        "state": str(folder),
+        "limits": {"starts": limit},
+    }
+    path = folder / "fleet.yaml"
+    path.write_text(yaml.safe_dump(rows))
+    return path
+
+
+@contextlib.contextmanager
+def mixed_fleet(old_root: Path, folder: Path) -> Iterator[dict[str, ServerProcess]]:
+    """Three running members by name; the last is of the old version."""
+    port = free_port()
+    with contextlib.ExitStack() as stack:
+        members: dict[str, ServerProcess] = {}
+        for number, name in enumerate(MEMBERS, 1):
+            own_folder = folder / name
+            own_folder.mkdir(parents=True)
+            members[name] = stack.enter_context(
+                server_process(
+                    own_folder,
+                    root=old_root if name == OLD_MEMBER else ROOT,
+                    mgmt=True,
+                    given={"name": name, "seed": f"{number:x}"},
+                    env={"MYRTLESPAR_FLEET": str(fleet_file(number, port, own_folder))},
+                )
+            )
+        yield members
+
+
+def member_view(member: ServerProcess) -> dict[str, Any]:
+    """What the member's management address tells of the fleet."""
+    lines = member.ask(b"MEMBERS\n").split("\n")
+    expect(lines[0] == "done", f"MEMBERS was answered with {lines[0]!r}")
+    view: dict[str, Any] = json.loads(lines[1])
+    return view
+
+
+def peer_states(member: ServerProcess) -> dict[str, str]:
+    """The other members' states, as this member believes them."""
+    return {row["name"]: row["state"] for row in member_view(member)["members"]}
+
+
+def has_complete_quorum(member: ServerProcess) -> bool:
+    """Whether the member's figures show that it counts every member of the electorate."""
+    return QUORUM_COMPLETE in member.ask(b"METRICS\n").split("\n")
+
+
+def check_convergence(members: dict[str, ServerProcess]) -> str:
+    """Every member believes all others alive and the quorum complete."""
+    for name, member in members.items():
+        expected = {peer: "alive" for peer in MEMBERS if peer != name}
+        until(lambda: peer_states(member) == expected, f"{name} sees {expected}")  # noqa: B023
+        until(lambda: has_complete_quorum(member), f"{name} has a complete quorum")  # noqa: B023
+    return f"{len(members)} members alive in every view, quorum complete"
+
+
+def offer_load(member: ServerProcess, end: float) -> None:
+    """Send short requests to one member until `end` (monotonic seconds), whatever becomes of them."""
+    client = ThriftClient(member.ports[0])
+    while time.monotonic() < end:
+        client.send("render", b"ms=1")
+        time.sleep(LOAD_PAUSE_S)  # the rate of the load
+    client.sock.close()
+
+
+def most_starts(begins: list[float], window_ms: float) -> int:
+    """The largest number of starts within any window. Times are Unix milliseconds in ascending order."""
+    most = 0
+    first = 0
+    for position, begin in enumerate(begins):
+        while begins[first] <= begin - window_ms:
+            first += 1
+        most = max(most, position - first + 1)
+    return most
+
+
+def check_limit(members: dict[str, ServerProcess]) -> str:
+    """The engines of all members together start no more than the fleet-wide limit allows, and each starts some."""
+    end = time.monotonic() + LOAD_S
+    loaders = [threading.Thread(target=offer_load, args=(member, end)) for member in members.values()]
+    for loader in loaders:
+        loader.start()
+    for loader in loaders:
+        loader.join(LOAD_S + STOP_TIMEOUT_S)
+    started = {name: len(member.kernel.runs) for name, member in members.items()}
+    expect(all(started.values()), f"a member started nothing: {started}")
+    expect(sum(started.values()) >= 2 * STARTS_PER_S, f"leases were not renewed: {started}")
+    limit = Limit(per_s=STARTS_PER_S)
+    allowed = limit.amount + GrantSettings().over(limit)
+    begins = sorted(run[1] for member in members.values() for run in member.kernel.runs)
+    most = most_starts(begins, limit.window_ms * WINDOW_PART)
+    expect(most <= allowed, f"{most} starts within a window, {allowed} allowed")
+    return f"at most {most} starts within a window, {allowed} allowed; started by member: {json.dumps(started)}"
+
+
+def check_leave(members: dict[str, ServerProcess]) -> str:
+    """The old member ends with status 0 on SIGTERM, and the others see that it left rather than failed."""
+    old = members[OLD_MEMBER]
+    old.process.send_signal(signal.SIGTERM)
+    status = old.process.wait(STOP_TIMEOUT_S)
+    expect(status == 0, f"the old member ended with status {status}")
+    for name, member in members.items():
+        if name == OLD_MEMBER:
+            continue
+        until(lambda: peer_states(member).get(OLD_MEMBER) not in PRESENT, f"{name} sees {OLD_MEMBER} leave")  # noqa: B023
+        seen = peer_states(member).get(OLD_MEMBER)
+        expect(seen == "left", f"{name} holds {OLD_MEMBER} for {seen}")
+    return f"{OLD_MEMBER} left, nobody holds it for failed"
+
+
+# The command.
+
+
+class CheckRunner:
+    """Runs checks one by one and keeps what became of each."""
+
+    def __init__(self) -> None:
+        self.failures: dict[str, str] = {}
+        self.passed: list[str] = []
+
+    def run(self, name: str, check: Callable[[], str]) -> bool:
+        """Run one check, print its line, and tell whether it passed."""
+        try:
+            result = check()
+        except (CheckFailedError, AssertionError, OSError) as error:
+            self.failures[name] = str(error)
+            print(f"FAILED  {name}: {error}", flush=True)
+            return False
+        self.passed.append(name)
+        print(f"passed  {name}: {result}", flush=True)
+        return True
+
+
+def run_fleet_checks(runner: CheckRunner, old_root: Path, folder: Path) -> None:
+    """Start a mixed fleet and run the checks that build upon each other, up to the first that fails."""
+    with mixed_fleet(old_root, folder) as members:
+        for name, check in (
+            ("fleet: membership converges", check_convergence),
+            ("fleet: strict limit kept", check_limit),
+            ("fleet: old member leaves", check_leave),
+        ):
+            if not runner.run(name, lambda: check(members)):  # noqa: B023
+                return
+
+
+def stop_overdue(number: int, frame: object) -> None:
+    """End the command when all checks together take too long."""
+    raise CheckFailedError(f"not finished within {TIME_LIMIT_S} s")
+
+
+@click.command()
+@click.argument("old_checkout", type=click.Path(exists=True, file_okay=False, path_type=Path))
+def main(old_checkout: Path) -> None:
+    """Run all checks against the version in OLD_CHECKOUT."""
+    old_root = old_checkout.resolve()
+    if not (old_root / "myrtlespar" / "__main__.py").is_file():
+        raise click.BadParameter(f"{old_root} holds no myrtlespar/__main__.py", param_hint="OLD_CHECKOUT")
+    signal.signal(signal.SIGALRM, stop_overdue)
+    signal.alarm(TIME_LIMIT_S)
+    runner = CheckRunner()
+    began = time.monotonic()
+    with tempfile.TemporaryDirectory(prefix="mixed-versions-") as name:
+        folder = Path(name)
+        runner.run("hand-over: old to new", lambda: check_handover(old_root, ROOT, folder / "old-to-new"))
+        runner.run("hand-over: new to old", lambda: check_handover(ROOT, old_root, folder / "new-to-old"))
+        try:
+            run_fleet_checks(runner, old_root, folder / "fleet")
+        except (CheckFailedError, AssertionError, OSError) as error:
+            runner.failures["fleet: start"] = str(error)
+            print(f"FAILED  fleet: start: {error}", flush=True)
+    signal.alarm(0)
+    seconds = round(time.monotonic() - began, 1)
+    print(json.dumps({"passed": len(runner.passed), "failures": runner.failures, "seconds": seconds}))
+    sys.exit(int(bool(runner.failures)))
+
+
+if __name__ == "__main__":
+    main()
