--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -42,7 +42,7 @@
     def again(event: Any) -> None:
         nonlocal count
         count += 1
-        env.timeout(1.0 + event.value % 7, event.value).callbacks.append(again)  # type: ignore[union-attr]
+        env.timeout(1.0 + event.value % 7, event.value).callbacks.append(again)
 
     def process(n: int) -> Generator[Any, Any, None]:
         nonlocal count
@@ -54,7 +54,7 @@
         if processes:
             env.process(process(n))
         else:
-            env.timeout(n / WIDTH, n).callbacks.append(again)  # type: ignore[union-attr]
+            env.timeout(n / WIDTH, n).callbacks.append(again)
     began = time.perf_counter()
     until = 0.0
     while count < events:
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -128,8 +128,8 @@
 def main(members: int, seconds: float, off: Path | None, helping: str) -> None:
     """Print the figures."""
     if helping:
-        first, count, port, length = helping.split(",")
-        return helper(int(first), int(count), int(port), float(length))
+        first_number, count, helper_port, length = helping.split(",")
+        return helper(int(first_number), int(count), int(helper_port), float(length))
     for root in filter(None, (ROOT, off)):  # as the deployment's build does; compiling at the start costs 2 MB
         subprocess.run([sys.executable, "-m", "compileall", "-q", "myrtlespar"], cwd=root, check=True)
     with tempfile.TemporaryDirectory() as tmp:
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -126,7 +126,7 @@
         agent.check_admission(5000.0 + 200.0 * n, "x")
     now = 5000.0 + 200.0 * 200
     rows: dict[str, list[float]] = {"look and use, a rate": [], "look and use, at once": [], "off": []}
-    fleet = None
+    absent: LimitCoordinator | None = None
     for _ in range(5):
         for name, key in (("look and use, a rate", "x"), ("look and use, at once", "y")):
             began = time.perf_counter()
@@ -138,7 +138,7 @@
             rows[name].append((time.perf_counter() - began) / (count // 5) * 1e6)
         began = time.perf_counter()
         for _ in range(count // 5):
-            _ = fleet.look(now, "x") if fleet else 0.0
+            _ = absent.check_admission(now, "x").ok if absent else True
         rows["off"].append((time.perf_counter() - began) / (count // 5) * 1e6)
     for name, values in rows.items():
         print(f"{name}: median {sorted(values)[2]:.3f} us, {min(values):.3f} to {max(values):.3f}")
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -27,7 +27,8 @@
 from myrtlespar.simulation.fleet import SimulatedFleet, real
 from myrtlespar.simulation.runner import OBSERVERS
 
-LOSS = {"drop": 0.05, "jitter_ms": 50.0}
+DROP_PROBABILITY = 0.05
+JITTER_MS = 50.0
 
 
 def sites_of(size: int) -> dict[str, tuple[str, ...]]:
@@ -75,7 +76,7 @@
             "spread_ms": round(max(known, default=0) - min(known, default=0), 1),
         }
     elif part == "cut":
-        a, rest = frozenset(fleet.sites["a"]), frozenset(fleet.sites["b"] + fleet.sites["c"])
+        a, rest = frozenset(fleet.sites["a"]), frozenset((*fleet.sites["b"], *fleet.sites["c"]))
         fleet.faults.put(1, FaultRule(a, rest, cut=True))
         fleet.run(start + 10_000)
         fleet.faults.drop(1)
@@ -110,7 +111,7 @@
     fleet.begin()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.faults.put(1, FaultRule(names, names, **LOSS))
+    fleet.faults.put(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
--- a/benchmarks/fleet_tight.py
+++ b/benchmarks/fleet_tight.py
@@ -18,6 +18,7 @@
 
 NINE = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: %g\nevents:\n"
 HARD = "  - {at_s: 0, link: [all, all], drop: 0.2, delay_ms: 50, jitter_ms: 150}\n"
+PAIRS_OF_SITES = (("a", "b"), ("a", "c"), ("b", "c"))
 SCRIPTS = {  # by promise: figure, bound's name, script
     "failure known, a crash, links as bad as promises allow": (
         "detect_ms",
@@ -37,14 +38,14 @@
     "standing right, three ways, links as bad as promises allow": (
         "standing_ms",
         "standing",
-        NINE % 16 + HARD + "".join(f"  - {{at_s: 2, cut: [site {x}, site {y}]}}\n" for x, y in ("ab", "ac", "bc")),
+        NINE % 16 + HARD + "".join(f"  - {{at_s: 2, cut: [site {x}, site {y}]}}\n" for x, y in PAIRS_OF_SITES),
     ),
     "presence known, after a cut, links as bad as promises allow": (
         "known_ms",
         "heal",
         NINE % 24
         + HARD
-        + "".join(f"  - {{at_s: 1, cut: [site {x}, site {y}], for_s: 12}}\n" for x, y in ("ab", "ac", "bc")),
+        + "".join(f"  - {{at_s: 1, cut: [site {x}, site {y}], for_s: 12}}\n" for x, y in PAIRS_OF_SITES),
     ),
     "presence known, one heard by none is heard again": (
         "known_ms",
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,8 @@
 import pytest
 
 from myrtlespar.policy import messages as api
-from myrtlespar.simulator_adapter import READERS, MalformedInputError, PolicyHost, parse, read_settings, serve
+from myrtlespar.policy.settings import read_settings
+from myrtlespar.simulator_adapter import READERS, MalformedInputError, PolicyHost, parse, serve
 
 ROOT = Path(__file__).parent.parent
 
@@ -146,7 +147,8 @@
 
 def test_instances_act_alike_together_and_alone() -> None:
     def play(names: list[str]) -> dict[str, list[Any]]:
-        host, seen = PolicyHost(), {name: [] for name in names}
+        host = PolicyHost()
+        seen: dict[str, list[Any]] = {name: [] for name in names}
         for step in range(40):
             rows = [
                 begin(name)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -58,15 +58,17 @@
     assert asked(b, EngineOperation.TAKE, second, 3).epoch > mine
     assert asked(a, EngineOperation.TAKE, first, 4).epoch > 0
     a.revoke(first)
-    until(lambda: _turn() or {3, 4} <= {*freed}, "news of deletions")
+    until(lambda: {3, 4} <= _after_turn(freed), "news of deletions")
     assert asked(b, EngineOperation.TAKE, second, 4).epoch > 0
     assert asked(a, EngineOperation.KEEP, first).ttl_ms == 0
     assert asked(a, EngineOperation.TAKE, first, 5) == EngineReply()
-    a.close(), b.close()
+    a.close()
+    b.close()
 
 
-def _turn() -> None:
+def _after_turn(freed: list[int]) -> set[int]:
     gevent.sleep(0.01)  # the news comes in the loop
+    return {*freed}
 
 
 def test_a_lease_that_is_not_renewed_ends_with_all_its_keys(engine: tuple[EtcdState, str]) -> None:
@@ -81,7 +83,8 @@
         time.sleep(0.1)
     assert state.keys[b"/t/1"].value == b"b"
     assert lease not in state.leases
-    a.close(), b.close()
+    a.close()
+    b.close()
 
 
 def test_an_engine_that_is_away_is_no_answer() -> None:
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -25,6 +25,7 @@
         kernel.notices, kernel.waits, kernel.born = [], {}, born
         kernel.running.clear()
         kernel.commands.clear()
+        assert kernel.link is not None
         kernel.cut(kernel.link)
 
 
@@ -149,6 +150,7 @@
         seq = client.send("order", b"ms=2500")
         until(lambda: kernel.starts)
         kernel.delay_s = 1.6
+        assert kernel.link is not None
         kernel.cut(kernel.link)
         assert client.answer(seq)[0] == "success"
         assert running.event("the kernel started anew") is None
@@ -167,6 +169,7 @@
     with server_process(tmp_path, kernel=Closed(), given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
+        assert running.kernel.link is not None
         running.kernel.cut(running.kernel.link)
         assert client.ask("order", b"calls=1")[0] == "success"
         running.move()
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -36,9 +36,9 @@
             ready_s.append(time.monotonic() - began)
             probe = TracedClient(port)
             assert probe.answer(probe.request("order", b"probe %d" % life))[0] == "success"
-            until(lambda life=life: len(running.roster.reports) > life, "a report")
+            until(lambda: len(running.roster.reports) > life, "a report")  # noqa: B023
             everyone += [probe, *crowd(port, kernel, life)]
-            until(lambda life=life: any(b"life %d," % life in body for body in kernel.by_body), "starts")
+            until(lambda: any(b"life %d," % life in body for body in kernel.by_body), "starts")  # noqa: B023
             if life < LIVES - 1:
                 running.kill_and_start()
         last = everyone[-CLIENTS:]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -91,6 +91,7 @@
 def test_management_answers_while_callers_hold_half_lines_and_clients_press(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as server:
         assert server.ask(b"STATUS\n") == "done yes\n"
+        assert server.mgmt is not None
         holders = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
         for holder in holders:
             holder.sendall(b"STA")
@@ -183,7 +184,8 @@
     waiting = HandoverReceiver(HandoverState.WAITING)
     assert waiting.poll(True, None, 0.0, 3) == ([], "")
     assert waiting.poll(True, b"junk", 0.0, 3)[1].startswith("hand-over refused")
-    assert waiting.state is HandoverState.WAITING
+    state_after_refusal = waiting.state
+    assert state_after_refusal is HandoverState.WAITING
     assert waiting.poll(True, encode([]), 0.0, 3) == ([], "")  # refused once: only the old one's end opens
     assert waiting.poll(False, None, 0.0, 3)[1].startswith("the old process is gone")
     assert waiting.state is HandoverState.OPEN
@@ -267,7 +269,7 @@
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.PIPE,
             )
-            held = []
+            held: list[socket.socket] = []
             while new.poll() is None and len(held) < 400:
                 held.append(socket.create_connection(("127.0.0.1", old.ports[0]), 10))
                 held[-1].sendall(check)  # answered at once, and from then on no silent client that is closed
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -155,7 +155,7 @@
         return self.fed >= 0
 
 
-def policy(port: Port, **more: object) -> Policy:
+def policy(port: Port) -> Policy:
     out = Policy(
         Settings(
             [RequestClass(latency_objective_ms=1000, client_timeout_ms=3000, calls=True)],
@@ -163,10 +163,9 @@
             memory_kb=4000,
             max_retry_after_ms=10_000,
             linger_ms=300,
-            **more,
         ),
         seed=1,
-    )  # type: ignore[arg-type]
+    )
     out.fleet = port
     return out
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -67,7 +67,7 @@
     server: ServerProcess, method: str, fields: dict[str, str]
 ) -> None:
     client = ThriftClient(server.ports[0])
-    assert client.ask(method, **fields)[0] == "exception"
+    assert client.ask(method, b"", **fields)[0] == "exception"
     assert client.ask("fetch")[0] == "success"
 
 
@@ -248,6 +248,7 @@
     client = ThriftClient(server.ports[0])
     order, read = client.send("order", b"ms=300 calls=1"), client.send("render", b"ms=300 calls=1")
     until(lambda: len(server.kernel.replies) == 2)
+    assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
     assert client.answer(order)[0] == client.answer(read)[0] == "success"
     assert server.kernel.by_body[b"ms=300 calls=1"] == 2
@@ -267,6 +268,7 @@
     seq = client.send(method, b"lost")
     time.sleep(0.1)
     server.kernel.deaf = False
+    assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
     assert client.answer(seq)[0] == kind
     assert server.kernel.by_body[b"lost"] == runs
@@ -279,6 +281,7 @@
     seq = client.send("order", body)
     until(lambda: server.kernel.by_body[body])
     server.kernel.mute = False
+    assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
     assert client.answer(seq)[0] == "success"
     time.sleep(0.3)  # well past the time after which a silent order is sent again
@@ -308,11 +311,11 @@
     for n in range(5):
         server.store.script, seen = ["slow"], len(server.store.calls)  # one call is in hand as the links move
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
-        until(lambda seen=seen: len(server.store.calls) >= seen + 3)
+        until(lambda: len(server.store.calls) >= seen + 3)  # noqa: B023
         old = [*server.store.links, *server.roster.links]
         server.move()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
-        until(lambda n=n: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)
+        until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
         time.sleep(0.6)
         server.store.cut(*old)
     assert [client.answer(seq)[0] for seq in seqs] == ["success"] * len(seqs)
@@ -342,6 +345,7 @@
     server.store.script = ["hang"]
     until(lambda: server.kernel.starts)
     server.kernel.born, server.kernel.notices = time.time() + 5, []
+    assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
     assert client.answer(seq)[0] == "failed"
     assert client.ask("fetch", b"after")[0] == "success"
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -327,6 +327,7 @@
             first.sock.shutdown(socket.SHUT_WR)
         elif other == "link cut":
             kernel.free = True
+            assert kernel.link is not None
             kernel.cut(kernel.link)
         elif other == "repeat":
             second = client.send("booking", b"it", token="ee", again="1")
