--- a/myrtlespar/fakes/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -1,7 +1,7 @@
-"""Scripted peers of the server, on loopback: what the tests, `myrtlespar try` and replays talk to.
+"""Fakes of the server's peers on loopback, for the tests, `myrtlespar try`, replays and benchmarks.
 
-Written from the published protocols; they do what a script says, faults included, and count what they saw. They
-are no models of speed.
+They are written from the published protocols, do what a script says, faults included, and count what they received.
+They do not model speed.
 """
 
 from myrtlespar.fakes.ajp_peers import FakeAjpServer, FakeGateway
--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -1,4 +1,4 @@
-"""A gateway and a server that speak AJP13, written from the protocol's page."""
+"""Fakes that speak AJP13: a gateway in front of the program, and an AJP server behind it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,23 @@
 
 from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly
 
+MAX_PACKET_BYTES = 8188
+MAX_BODY_PART_BYTES = 700
 
-def text(value: str) -> bytes:
-    """A text of AJP13."""
+# Packet types, from the server to the gateway.
+SEND_BODY_CHUNK = 3
+SEND_HEADERS = 4
+END_RESPONSE = 5
+GET_BODY_CHUNK = 6
+
+
+def encode_string(value: str) -> bytes:
+    """A string of AJP13: length, bytes, NUL."""
     return struct.pack(">H", len(value)) + value.encode() + b"\0"
 
 
 class FakeGateway:
-    """A web server that speaks AJP13 to the program, written from the protocol's page."""
+    """A web server that forwards requests to the program on one connection."""
 
     def __init__(self, port: int, secret: str = "s3") -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -24,76 +33,106 @@
         self.secret = secret
 
     def packet(self, payload: bytes) -> None:
-        """One packet."""
+        """Send one packet."""
         self.sock.sendall(b"\x12\x34" + struct.pack(">H", len(payload)) + payload)
 
     def forward(self, uri: str, body: bytes = b"", chunked: bool = False, method: int = 4, **headers: str) -> None:
-        """A Forward Request; the first part of a body whose length is told follows unasked."""
-        rows = [(text(name.replace("_", "-")), value) for name, value in headers.items()]
+        """Send a Forward Request. The first part of a body with a Content-Length follows at once."""
+        rows = [(encode_string(name.replace("_", "-")), value) for name, value in headers.items()]
         if chunked:
-            rows.append((text("Transfer-Encoding"), "chunked"))
+            rows.append((encode_string("Transfer-Encoding"), "chunked"))
         elif body:
             rows.append((b"\xa0\x08", str(len(body))))
         uri, _, query = uri.partition("?")
-        out = bytes([2, method]) + text("HTTP/1.1") + text(uri) + text("127.0.0.1") + b"\xff\xff"
-        out += text("host")
-        out += struct.pack(">HBH", 80, 0, len(rows)) + b"".join(name + text(value) for name, value in rows)
-        out += (b"\x05" + text(query) if query else b"") + b"\x06" + text("n3") + b"\x0c" + text(self.secret)
+        out = (
+            bytes([2, method])
+            + encode_string("HTTP/1.1")
+            + encode_string(uri)
+            + encode_string("127.0.0.1")
+            + b"\xff\xff"
+        )
+        out += encode_string("host")
+        out += struct.pack(">HBH", 80, 0, len(rows)) + b"".join(name + encode_string(value) for name, value in rows)
+        out += (
+            (b"\x05" + encode_string(query) if query else b"")
+            + b"\x06"
+            + encode_string("n3")
+            + b"\x0c"
+            + encode_string(self.secret)
+        )
         self.packet(out + b"\xff")
         self.rest = body
         if body and not chunked:
             self.part(len(body))
 
-    def part(self, most: int) -> None:
-        """The next part of the body, or its end."""
-        part, self.rest = self.rest[: min(most, 700)], self.rest[min(most, 700) :]
+    def part(self, max_bytes: int) -> None:
+        """Send the next part of the body, or its end."""
+        size = min(max_bytes, MAX_BODY_PART_BYTES)
+        part = self.rest[:size]
+        self.rest = self.rest[size:]
         self.packet(struct.pack(">H", len(part)) + part if part else b"")
 
     def next(self) -> bytes:
-        """The payload of the next packet."""
+        """Read the payload of the next packet."""
         magic, size = struct.unpack(">2sH", exactly(self.sock, 4))
         assert magic == b"AB"
-        assert size <= 8188
+        assert size <= MAX_PACKET_BYTES
         return exactly(self.sock, size)
 
     def answer(self) -> tuple[int, dict[str, str], bytes, bool]:
-        """Status, headers, body and whether the connection may be used again."""
-        status, headers, body = 0, {}, b""
+        """Read a whole answer: status, headers, body, and whether the connection may be used again."""
+        status = 0
+        headers: dict[str, str] = {}
+        body = b""
         while True:
             payload = self.next()
-            if payload[0] == 6:
+            if payload[0] == GET_BODY_CHUNK:
                 self.part(struct.unpack(">H", payload[1:3])[0])
-            elif payload[0] == 4:
-                status, at = struct.unpack(">H", payload[1:3])[0], 3
-                at += 3 + struct.unpack(">H", payload[at : at + 2])[0]
-                count, at = struct.unpack(">H", payload[at : at + 2])[0], at + 2
-                for _ in range(count):
-                    row = []
-                    for _ in range(2):
-                        size = struct.unpack(">H", payload[at : at + 2])[0]
-                        coded = size >> 8 == 0xA0
-                        row.append(hex(size) if coded else payload[at + 2 : at + 2 + size].decode())
-                        at += 2 if coded else 3 + size
-                    headers[row[0].lower()] = row[1]
-                assert at == len(payload)
-            elif payload[0] == 3:
+            elif payload[0] == SEND_HEADERS:
+                status, headers = parse_headers(payload)
+            elif payload[0] == SEND_BODY_CHUNK:
                 size = struct.unpack(">H", payload[1:3])[0]
                 assert len(payload) == size + 4
                 assert payload[-1] == 0
                 body += payload[3 : 3 + size]
             else:
-                assert payload[0] == 5
+                assert payload[0] == END_RESPONSE
                 assert len(payload) == 2
                 return status, headers, body, payload[1] == 1
 
     def ask(self, uri: str, body: bytes = b"", **more: Any) -> tuple[int, dict[str, str], bytes, bool]:
-        """A request and its answer."""
+        """Send a request and read its answer."""
         self.forward(uri, body, **more)
         return self.answer()
 
 
+def parse_headers(payload: bytes) -> tuple[int, dict[str, str]]:
+    """The status and headers of a Send Headers packet; coded names as hexadecimal numbers."""
+    status = struct.unpack(">H", payload[1:3])[0]
+    at = 3
+    at += 3 + struct.unpack(">H", payload[at : at + 2])[0]
+    count = struct.unpack(">H", payload[at : at + 2])[0]
+    at += 2
+    headers: dict[str, str] = {}
+    for _ in range(count):
+        row = []
+        for _ in range(2):
+            size = struct.unpack(">H", payload[at : at + 2])[0]
+            coded = size >> 8 == 0xA0
+            row.append(hex(size) if coded else payload[at + 2 : at + 2 + size].decode())
+            at += 2 if coded else 3 + size
+        headers[row[0].lower()] = row[1]
+    assert at == len(payload)
+    return status, headers
+
+
 class FakeAjpServer(FakeServer):
-    """An AJP server: answers a request with its name, path and body; `script` holds what else it may do."""
+    """An AJP server that answers with its name and the size of the body.
+
+    Attributes:
+        script: The statuses of the next answers, or `cut` (close the connection) or `hang` (never answer).
+        seen: The Forward Requests received.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -102,6 +141,7 @@
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
+        """Answer requests until the connection ends."""
         while True:
             magic, size = struct.unpack(">2sH", exactly(link, 4))
             payload = exactly(link, size)
@@ -110,7 +150,8 @@
                 link.sendall(b"AB\0\x01\x09")
                 continue
             self.seen.append(payload)
-            body, want = b"", int(payload.split(b"\xa0\x08")[1][2:].split(b"\0")[0])
+            body = b""
+            want = int(payload.split(b"\xa0\x08")[1][2:].split(b"\0")[0])
             while len(body) < want:
                 if body:
                     link.sendall(b"AB\0\x03\x06\x1f\xfa")
@@ -120,8 +161,8 @@
                 return None
             if step == "hang":
                 return time.sleep(WAIT_S)
-            out = b"\x04" + struct.pack(">H", int(step)) + text("x") + b"\0\x01"
-            out += text("X-By") + text(self.name)
+            out = b"\x04" + struct.pack(">H", int(step)) + encode_string("x") + b"\0\x01"
+            out += encode_string("X-By") + encode_string(self.name)
             link.sendall(b"AB" + struct.pack(">H", len(out)) + out)
             part = b"%s got %d" % (self.name.encode(), len(body))
             link.sendall(b"AB" + struct.pack(">HBH", len(part) + 4, 3, len(part)) + part + b"\0")
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -1,9 +1,9 @@
-"""A stand-in for the engine: etcd's v3 API as published, as much of it as the project uses, in memory.
+"""A fake of etcd: as much of the published v3 API as the project uses, in memory.
 
     python -m myrtlespar.fakes.etcd     # prints its port; runs until its standard input ends
 
-One lock orders all changes; each change of a key is a revision. A lease that runs out deletes its keys; watchers hear
-of every change. State is kept while the process lives: ending it is losing the engine's data.
+One lock orders all changes; each change of a key is a revision. A lease that expires deletes its keys; watchers are
+notified of every change. The state lives as long as the process.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 from myrtlespar.net.codec.etcd import DELETE, METHODS, PUT, TARGET_CREATE, TARGET_LEASE, TYPES
 
-LOOK_S = 0.02  # between looks for leases that ran out
-THREADS = 256  # each watcher and each keep-alive holds one
+EXPIRY_POLL_S = 0.02
+MAX_THREADS = 256  # each watcher and each keep-alive stream occupies one
 
 
 @dataclass
 class Lease:
-    """Until when, and for how long each time."""
+    """A lease: its time to live, its expiry by the monotonic clock, and the keys attached to it."""
 
     ttl_s: int
-    until: float
+    expires_at: float
     keys: set[bytes] = field(default_factory=set)
 
 
@@ -40,17 +40,18 @@
 
     def __init__(self) -> None:
         self.lock = threading.RLock()
-        self.revision, self.next_lease = 1, 1000
+        self.revision = 1
+        self.next_lease = 1000
         self.keys: dict[bytes, Any] = {}
         self.leases: dict[int, Lease] = {}
         self.watchers: list[tuple[bytes, bytes, queue.Queue[Any]]] = []
 
     def header(self) -> Any:
-        """Of every answer."""
+        """The header of every response, with the present revision."""
         return TYPES["ResponseHeader"](cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
     def put(self, key: bytes, value: bytes, lease: int) -> None:
-        """One change."""
+        """Set a key at the present revision, and notify watchers."""
         old = self.keys.get(key)
         if old is not None and old.lease:
             self.leases[old.lease].keys.discard(key)
@@ -64,44 +65,44 @@
         )
         if lease:
             self.leases[lease].keys.add(key)
-        self._tell(PUT, self.keys[key])
+        self._notify(PUT, self.keys[key])
 
     def delete(self, first: bytes, last: bytes) -> int:
-        """All of a range."""
+        """Delete all keys of a range and return their number."""
         gone = [key for key in self.keys if key == first or (last and first <= key < last)]
         for key in gone:
             row = self.keys.pop(key)
             if row.lease in self.leases:
                 self.leases[row.lease].keys.discard(key)
-            self._tell(DELETE, TYPES["KeyValue"](key=key, mod_revision=self.revision))
+            self._notify(DELETE, TYPES["KeyValue"](key=key, mod_revision=self.revision))
         return len(gone)
 
     def end(self, lease: int) -> None:
-        """A lease and all its keys."""
+        """End a lease and delete all its keys."""
         one = self.leases.pop(lease)
         if one.keys:
             self.revision += 1
         for key in list(one.keys):
             self.delete(key, b"")
 
-    def _tell(self, kind: int, row: Any) -> None:
+    def _notify(self, kind: int, row: Any) -> None:
         event = TYPES["Event"](type=kind, kv=row)
         for first, last, rows in self.watchers:
             if row.key == first or (last and first <= row.key < last):
                 rows.put(TYPES["WatchResponse"](header=self.header(), events=[event]))
 
     def expire(self) -> None:
-        """Leases that ran out."""
+        """End leases as they expire; never returns."""
         while True:
             with self.lock:
                 now = time.monotonic()
-                for lease in [lease for lease, one in self.leases.items() if one.until <= now]:
+                for lease in [lease for lease, one in self.leases.items() if one.expires_at <= now]:
                     self.end(lease)
-            time.sleep(LOOK_S)
+            time.sleep(EXPIRY_POLL_S)
 
 
 class EtcdService:
-    """The methods, by the words of the codec's table."""
+    """The RPC methods, named as in the codec's METHODS."""
 
     def __init__(self, state: EtcdState) -> None:
         self.state = state
@@ -130,7 +131,7 @@
             return TYPES["DeleteRangeResponse"](header=self.state.header(), deleted=many)
 
     def txn(self, request: Any, context: grpc.ServicerContext) -> Any:
-        """Compare, then all of one list or all of the other."""
+        """Compare, then carry out all of the success or all of the failure operations."""
         with self.state.lock:
             good = all(self._same(row) for row in request.compare)
             steps = request.success if good else request.failure
@@ -167,7 +168,7 @@
         return bool(kept is not None and kept.mod_revision == row.mod_revision)
 
     def grant(self, request: Any, _: grpc.ServicerContext) -> Any:
-        """A new lease."""
+        """Grant a lease."""
         with self.state.lock:
             self.state.next_lease += 1
             lease = request.ID or self.state.next_lease
@@ -183,21 +184,21 @@
             return TYPES["LeaseRevokeResponse"](header=self.state.header())
 
     def keep_alive(self, requests: Iterator[Any], _: grpc.ServicerContext) -> Iterator[Any]:
-        """Renew leases, as long as the caller sends."""
+        """Renew leases as long as the client sends requests."""
         for request in requests:
             with self.state.lock:
                 one = self.state.leases.get(request.ID)
                 if one is not None:
-                    one.until = time.monotonic() + one.ttl_s
+                    one.expires_at = time.monotonic() + one.ttl_s
                 yield TYPES["LeaseKeepAliveResponse"](
                     header=self.state.header(), ID=request.ID, TTL=one.ttl_s if one else 0
                 )
 
     def watch(self, requests: Iterator[Any], context: grpc.ServicerContext) -> Iterator[Any]:
-        """One watch a stream."""
-        ask = next(requests).create_request
+        """One watch per stream."""
+        created = next(requests).create_request
         rows: queue.Queue[Any] = queue.Queue()
-        entry = (ask.key, ask.range_end, rows)
+        entry = (created.key, created.range_end, rows)
         with self.state.lock:
             self.state.watchers.append(entry)
             yield TYPES["WatchResponse"](header=self.state.header(), created=True)
@@ -209,14 +210,15 @@
 
 
 def serve(state: EtcdState) -> tuple[grpc.Server, int]:
-    """Listen on a free port of 127.0.0.1."""
-    server, service = grpc.server(ThreadPoolExecutor(THREADS)), EtcdService(state)
+    """Listen on a free port of 127.0.0.1. Returns the server and the port."""
+    server = grpc.server(ThreadPoolExecutor(MAX_THREADS))
+    service = EtcdService(state)
     by_service: dict[str, dict[str, Any]] = {}
-    for word, (path, request, response, streams) in METHODS.items():
+    for method_name, (path, request, response, streams) in METHODS.items():
         _, name, method = path.split("/")
         make = grpc.stream_stream_rpc_method_handler if streams else grpc.unary_unary_rpc_method_handler
         by_service.setdefault(name, {})[method] = make(
-            getattr(service, word),
+            getattr(service, method_name),
             request_deserializer=TYPES[request].FromString,
             response_serializer=TYPES[response].SerializeToString,
         )
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -1,4 +1,4 @@
-"""A kernel that reads, runs and tells only when a script says so: for replaying an order of events on sockets."""
+"""A fake engine that reads, runs and sends only when a script says so, to replay an order of events on sockets."""
 
 from __future__ import annotations
 
@@ -11,33 +11,48 @@
 from myrtlespar.fakes.tcp_server import until
 from myrtlespar.fakes.upstreams import FakeEngine
 
-SHORT_S = 0.4  # for what may well never come
+READ_TIMEOUT_S = 0.4  # for a command that may never come
+POLL_S = 0.005
+REACTION_S = 0.05  # for the program to act on a notice
 
 
 class ScriptedEngine(FakeEngine):
-    """Commands wait in an inbox, notices in an outbox. Greetings and marks pass when it is their turn; gauges that
-    are asked for by the way are not answered, as their answers would prove what the script leaves in doubt.
+    """An engine whose commands wait in an inbox and whose notices wait in an outbox.
+
+    Greetings and marks pass when it is their turn. Periodic requests for gauges are not answered, as the answers would
+    prove that commands before them arrived, which the script leaves in doubt.
+
+    Attributes:
+        inbox: Commands that arrived and were not carried out.
+        outbox: Lines that were not sent.
+        links_seen: The number of connections that were greeted.
+        at_call: By request id, the number of the call that its run waits for.
+        made: By request id, the number of calls made.
+        wrong: The ids of requests that got the reply to another call.
+        bodies: By request id, the request's body.
+        free: Commands and notices pass at once.
     """
 
     def __init__(self) -> None:
         self.inbox: list[dict[str, Any]] = []
         self.outbox: list[dict[str, Any]] = []
         self.links_seen = 0
-        self.at_call: dict[str, int] = {}  # by request: the number of the call that it waits at
+        self.at_call: dict[str, int] = {}
         self.made: dict[str, int] = {}
         self.wrong: list[str] = []
         self.bodies: dict[str, bytes] = {}
-        self.free = False  # everything passes at once
+        self.free = False
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
+        """Put commands into the inbox."""
         for line in link.makefile("rb"):
             with self.lock:
                 self.inbox.append({**json.loads(line), "link": link})
                 self.pump()
 
     def pump(self) -> None:
-        """Let pass what needs no word of the script."""
+        """Let pass what the script need not name."""
         with self.lock:
             while self.inbox and (self.free or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
                 self.take()
@@ -50,10 +65,9 @@
         link = command.pop("link")
         if command["t"] == "OPEN":
             self.links_seen += 1
-            self.link, self.outbox = (
-                link,
-                [{"t": "BOOTED", "status": "LOADED", "time_ms": int((time.time() - self.born) * 1000)}],
-            )
+            self.link = link
+            age_ms = int((time.time() - self.born) * 1000)
+            self.outbox = [{"t": "BOOTED", "status": "LOADED", "time_ms": age_ms}]
             self.outbox += self.notices[command["no"] :]
         elif command["t"] == "SYSINFO":
             if not command["mark"].startswith("gauges") or self.free:
@@ -71,7 +85,7 @@
                 self.wrong.append(command["rid"])
 
     def note(self, **row: Any) -> None:
-        """Keep a notice; it goes out in its turn."""
+        """Put a notice into the outbox."""
         with self.lock:
             self.notices.append({**row, "no": len(self.notices) + 1})
             self.outbox.append(self.notices[-1])
@@ -80,47 +94,47 @@
     # What a script may say.
 
     def rid(self, body: bytes) -> str:
-        """The request with this body, once its start was read."""
+        """Wait until the start of the request with this body was read, and return its id."""
         found: str = until(lambda: next((rid for rid, its in self.bodies.items() if its == body), None), f"{body!r}")
         return found
 
     def read(self) -> bool:
-        """Read the next command that starts something or hands over a reply, if one comes soon."""
-        end = time.monotonic() + SHORT_S
+        """Carry out the next start or reply, if one arrives within READ_TIMEOUT_S."""
+        end = time.monotonic() + READ_TIMEOUT_S
         while time.monotonic() < end:
             with self.lock:
                 if self.inbox:
                     self.take()
                     self.pump()
                     return True
-            time.sleep(0.005)
+            time.sleep(POLL_S)
         return False
 
     def hear(self) -> bool:
-        """Let the next notice out, if there is one."""
+        """Send the next notice, if there is one."""
         with self.lock:
             if not self.outbox:
                 return False
             self.tell(self.link, self.outbox.pop(0))
             self.pump()
-        time.sleep(0.05)  # for the program to act on it
+        time.sleep(REACTION_S)
         return True
 
     def ask(self, body: bytes) -> None:
-        """A run makes its next call."""
+        """Let a run make its next call."""
         rid = self.rid(body)
         self.made[rid] = self.at_call[rid] = self.made.get(rid, 0) + 1
         self.note(t="IOREQ", rid=rid, b64=base64.b64encode(b"call %d of " % self.made[rid] + body).decode())
 
     def end(self, body: bytes, status: str) -> None:
-        """A run is over."""
+        """End a run with this status."""
         rid = self.rid(body)
         self.running.discard(rid)
         result = {"b64": base64.b64encode(b"result of " + body).decode()} if status == "PASS" else {}
         self.note(t="REAP", rid=rid, status=status, time_ms=5, **result)
 
     def break_link(self) -> None:
-        """The link is over, with all that was on its way."""
+        """Close the connection; what was on its way is lost."""
         with self.lock:
             self.inbox.clear()
             self.outbox.clear()
@@ -129,7 +143,7 @@
             self.cut(link)
 
     def let_go(self) -> None:
-        """End all that runs, and let everything pass from now on."""
+        """End all runs, and let everything pass from now on."""
         with self.lock:
             self.free = True
             self.pump()
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process, with a stand-in for each neighbour."""
+"""The real program as a process, with a fake of each neighbour."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
 
 ROOT = Path(__file__).parent.parent.parent
-CLASSES = [
+CLASSES = [  # name, effect, latency objective and client timeout in ms, priority weight
     ("render", "free", 2400.0, 6100.0, 1.0),
     ("fetch", "free", 1100.0, 2700.0, 2.0),
     ("order", "single_shot", 1700.0, 4400.0, 3.0),
@@ -27,7 +27,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of a small server."""
+    """The platform's settings object of a small server; `changes` replace top-level keys."""
     return {
         "classes": [
             {"name": name, "effect": effect, "aim_ms": aim, "give_up_ms": due, "worth": priority_weight}
@@ -52,7 +52,16 @@
 
 
 class ServerProcess:
-    """The program, with a stand-in for each neighbour."""
+    """The program, with a fake of each neighbour.
+
+    Attributes:
+        kernel: The fake engine.
+        store: The fake dependency.
+        roster: The fake registry.
+        ports: The ports it listens on, once it serves.
+        mgmt: The port of the management address, if it has one.
+        log: Its log lines, parsed.
+    """
 
     def __init__(
         self,
@@ -73,24 +82,30 @@
         command: Sequence[str] = (),
         env: Mapping[str, str] = MappingProxyType({}),
     ) -> None:
-        """`output` takes standard output and error when it is not a pipe read here; `command` replaces the whole
-        command line; `env` adds to the environment.
+        """Start the program.
+
+        Args:
+            tmp: The folder of its files, and its $TMPDIR unless `shared` is given.
+            operator: The content of the operators' file; empty: none.
+            late_kernel: The fake engine greets only after `kernel.up` is set.
+            sockets: The limit of sockets in its configuration.
+            kernel: A fake engine to use instead of a plain one.
+            program: Module and arguments for `python -m`.
+            root: The checkout that it is started in.
+            mgmt: It gets a management address.
+            listen: The client address.
+            shared: Its $TMPDIR.
+            given: Keys of its configuration to add or replace.
+            wait: Wait until it serves.
+            start: A script to start in place of `program`.
+            output: A file descriptor for standard output and error in place of a pipe that is read here.
+            command: Replaces the whole command line.
+            env: Additions to the environment.
         """
-        self.kernel, self.store, self.roster = kernel or FakeEngine(), FakeDependency(), FakeRegistry()
-        self.config = {
-            "name": "n3",
-            "listen": listen,
-            "kernel": self.kernel.address,
-            "store": self.store.address,
-            "roster": self.roster.address,
-            "seed": "8c1f30d27a5be964",
-            "stop_ms": 2500,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-            "settings": settings(),
-            **given,
-        }
-        if mgmt:
-            self.config["mgmt"] = "127.0.0.1:0"
+        self.kernel = kernel or FakeEngine()
+        self.store = FakeDependency()
+        self.roster = FakeRegistry()
+        self.config = {**self._configuration(listen, sockets, mgmt), **given}
         self.path = tmp / "config.json"
         self.path.write_text(json.dumps(self.config))
         environment = {**os.environ, "BALANCER_CONFIG": str(tmp / "config.json"), "TMPDIR": str(shared or tmp), **env}
@@ -101,16 +116,36 @@
             self.kernel.up.clear()
         self.ports: list[int] = []
         self.mgmt: int | None = None
-        words = list(command) or [sys.executable, *([start] if start else ["-m", *program])]
-        self._command, self._root, self._environment, self._output = words, root, environment, output
+        self._command = list(command) or [sys.executable, *([start] if start else ["-m", *program])]
+        self._root = root
+        self._environment = environment
+        self._output = output
         self.log: list[dict[str, Any]] = []
         self.process = self._launch()
         if wait:
             serving = until(lambda: self.event("serving"), "start")
-            self.ports, self.mgmt = serving["ports"], serving.get("mgmt")
+            self.ports = serving["ports"]
+            self.mgmt = serving.get("mgmt")
         if wait and not late_kernel and kernel is None:
             until(lambda: self.event("kernel up"), "kernel link")
 
+    def _configuration(self, listen: str, sockets: int, mgmt: bool) -> dict[str, Any]:
+        """The content of the platform's configuration file."""
+        rows: dict[str, Any] = {
+            "name": "n3",
+            "listen": listen,
+            "kernel": self.kernel.address,
+            "store": self.store.address,
+            "roster": self.roster.address,
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": 2500,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+            "settings": settings(),
+        }
+        if mgmt:
+            rows["mgmt"] = "127.0.0.1:0"
+        return rows
+
     def _launch(self) -> subprocess.Popen[str]:
         piped = self._output == subprocess.PIPE
         process = subprocess.Popen(
@@ -126,7 +161,7 @@
         return process
 
     def kill_and_start(self) -> None:
-        """Kill the program outright and start it again at once, under the same name and address."""
+        """Kill the program (SIGKILL) and start it again at once, under the same name and address."""
         self.process.kill()
         self.process.wait(WAIT_S)
         self.log.clear()
@@ -138,26 +173,26 @@
             self.log.append(json.loads(line))
 
     def event(self, name: str) -> dict[str, Any] | None:
-        """The last log line of this kind."""
+        """The newest log line of this event, if there is one."""
         return next((row for row in reversed(self.log) if row["event"] == name), None)
 
     def move(self) -> None:
-        """A new address for each neighbour, told by a reload. Open connections go on for a while."""
-        for name, part in (("kernel", self.kernel), ("store", self.store), ("roster", self.roster)):
-            part.relisten()
-            self.config[name] = part.address
+        """Give each neighbour a new address and reload (SIGHUP). Open connections go on for a while."""
+        for name, fake in (("kernel", self.kernel), ("store", self.store), ("roster", self.roster)):
+            fake.relisten()
+            self.config[name] = fake.address
         self.path.write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
     def counters(self) -> dict[str, int]:
-        """Ask for the counters."""
-        seen = sum(row["event"] == "counters" for row in self.log)
+        """Request the counters (SIGUSR1) and wait for them."""
+        before = sum(row["event"] == "counters" for row in self.log)
         self.process.send_signal(signal.SIGUSR1)
-        until(lambda: sum(row["event"] == "counters" for row in self.log) > seen, "counters")
+        until(lambda: sum(row["event"] == "counters" for row in self.log) > before, "counters")
         return self.event("counters") or {}
 
     def ask(self, line: bytes) -> str:
-        """One line to the management address, and its whole reply."""
+        """Send one line to the management address and return the whole reply."""
         assert self.mgmt, "started without mgmt"
         with socket.create_connection(("127.0.0.1", self.mgmt), timeout=WAIT_S) as sock:
             sock.sendall(line)
@@ -167,12 +202,12 @@
         return data.decode()
 
     def stop(self) -> int:
-        """Notice to drain, then the exit status."""
+        """Send the notice to drain (SIGTERM) and return the exit status."""
         self.process.terminate()
         return self.process.wait(WAIT_S)
 
     def close(self) -> None:
-        """End everything."""
+        """End the program and all fakes."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait(WAIT_S)
@@ -182,7 +217,7 @@
 
 @contextlib.contextmanager
 def server_process(tmp: Path, **more: Any) -> Iterator[ServerProcess]:
-    """A program for one test."""
+    """A program for one test; takes the arguments of ServerProcess."""
     server = ServerProcess(tmp, **more)
     try:
         yield server
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -1,4 +1,4 @@
-"""A short mixed burst against the real program, over both fronts, with a count of every rule."""
+"""A short mixed load on the real program over both fronts, with a verdict on every invariant."""
 
 from __future__ import annotations
 
@@ -39,12 +39,14 @@
 transitions = true
 """
 STATUS = {200: "served", 503: "refused", 500: "failed", 504: "failed"}
-SLACK_MS = 1000.0  # for the machine that plays both sides
+SLACK_MS = 1000.0  # for a machine that runs both sides
+MAX_OUTSTANDING = 30  # requests on one client connection
+POLL_S = 0.005
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What became of one request."""
+    """One request and its outcome. Times are Unix milliseconds."""
 
     front: str
     cls: str
@@ -58,13 +60,13 @@
 
 @dataclass(slots=True)
 class SmokeLoad:
-    """Everything that was sent."""
+    """All requests that were sent, from several threads."""
 
     rows: list[RequestRecord] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def add(self, row: RequestRecord) -> RequestRecord:
-        """Keep one."""
+        """Add a request and return it."""
         with self.lock:
             self.rows.append(row)
         return row
@@ -87,17 +89,19 @@
 
 
 def run_smoke_load(requests: int, seed: int, keep: Path | None) -> int:
-    """Send it, drain, print a table. 0 only if every rule held."""
-    dice, out = random.Random(seed), SmokeLoad()
+    """Send the load, drain the server and print a table.
+
+    Args:
+        requests: The number of requests over both fronts.
+        seed: Of the random source for classes, pauses and lengths of runs.
+        keep: Where to write the server's log, if anywhere.
+
+    Returns:
+        0 if every invariant held, else 1.
+    """
+    out = SmokeLoad()
     with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), operator=OPERATOR) as server:
-        plan = [
-            (
-                dice.choices([row[0] for row in CLASSES], [47, 36, 17])[0],
-                f"n={n} ms={dice.randrange(5, 90)} calls={dice.randrange(3)}".encode(),
-                dice.uniform(0, 0.02),
-            )
-            for n in range(requests)
-        ]
+        plan = _plan(requests, seed)
         third = len(plan) // 3
         gateways = [threading.Thread(target=_gateway, args=(server.ports[1], plan[n:third:2], out)) for n in (0, 1)]
         for thread in gateways:
@@ -106,8 +110,8 @@
         sent: dict[int, RequestRecord] = {}
         for cls, body, pause in plan[third:]:
             time.sleep(pause)
-            while len(sent) - len(client.answers) >= 30:  # a connection carries so many at a time
-                time.sleep(0.005)
+            while len(sent) - len(client.answers) >= MAX_OUTSTANDING:
+                time.sleep(POLL_S)
             sent[client.send(cls, body)] = out.add(RequestRecord("thrift", cls, body, time.time() * 1000))
         status = server.stop()
         client.ended.wait(5)
@@ -123,10 +127,24 @@
         return _verdict(out.rows, server, status)
 
 
-def _verdict(rows: list[RequestRecord], server: ServerProcess, status: int) -> int:
+def _plan(requests: int, seed: int) -> list[tuple[str, bytes, float]]:
+    """Class, body, and the pause in seconds before each request."""
+    random_source = random.Random(seed)
+    return [
+        (
+            random_source.choices([row[0] for row in CLASSES], [47, 36, 17])[0],
+            f"n={n} ms={random_source.randrange(5, 90)} calls={random_source.randrange(3)}".encode(),
+            random_source.uniform(0, 0.02),
+        )
+        for n in range(requests)
+    ]
+
+
+def _broken_rules(rows: list[RequestRecord], server: ServerProcess, status: int) -> dict[str, int]:
+    """How often each invariant was broken."""
     due = {name: give_up for name, _, _, give_up, _ in CLASSES}
     starts = server.kernel.by_body
-    rules = {
+    return {
         "one final answer each": sum(row.answers != 1 for row in rows),
         "by the due time": sum(row.answered > row.sent + due[row.cls] + SLACK_MS for row in rows),
         "orders run once at the most": sum(starts[row.body] > 1 for row in rows if row.cls == "order"),
@@ -141,7 +159,12 @@
             if name.startswith("impossible.") and isinstance(count, int)
         ),
     }
-    console, table = Console(), Table(title="A burst against the real server, drained at its end")
+
+
+def _verdict(rows: list[RequestRecord], server: ServerProcess, status: int) -> int:
+    rules = _broken_rules(rows, server, status)
+    console = Console()
+    table = Table(title="A burst against the real server, drained at its end")
     for name in ("class", "front", "served", "refused", "failed", "median ms", "slowest ms"):
         table.add_column(name, justify="left" if name in ("class", "front") else "right")
     groups: dict[tuple[str, str], list[RequestRecord]] = defaultdict(list)
--- a/myrtlespar/fakes/tcp_server.py
+++ b/myrtlespar/fakes/tcp_server.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: a listener with a thread a connection, exact reads, waiting for what must come."""
+"""What all fakes share: a listener with one thread per connection, exact reads, and waiting for a condition."""
 
 from __future__ import annotations
 
@@ -9,21 +9,30 @@
 from collections.abc import Callable
 from typing import Any
 
-WAIT_S = 20.0  # until one gives up; nothing here is expected to take so long
+WAIT_S = 20.0  # the timeout of every wait; nothing is expected to take so long
+POLL_S = 0.005
 
 
 def until(ready: Callable[[], Any], what: str = "") -> Any:
-    """Wait for something that must come."""
+    """Poll `ready` until it returns something true, and return that.
+
+    Args:
+        ready: The condition.
+        what: Names the condition in the error.
+
+    Raises:
+        AssertionError: The condition did not hold within WAIT_S.
+    """
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end:
         if value := ready():
             return value
-        time.sleep(0.005)
+        time.sleep(POLL_S)
     raise AssertionError(f"never came: {what or ready}")
 
 
 def exactly(sock: socket.socket, size: int) -> bytes:
-    """So many bytes, or EOFError."""
+    """Read `size` bytes. Raises EOFError where the connection ends before."""
     out = b""
     while len(out) < size:
         if not (data := sock.recv(size - len(out))):
@@ -33,7 +42,7 @@
 
 
 class FakeServer:
-    """Accepts on a port picked by the system; a thread a connection."""
+    """A TCP server on 127.0.0.1 with one thread per connection. `port` 0 picks a free one."""
 
     def __init__(self, port: int = 0) -> None:
         self.links: list[socket.socket] = []
@@ -47,8 +56,9 @@
         return f"127.0.0.1:{self.port}"
 
     def relisten(self) -> None:
-        """Accept at a new address only."""
-        old, self.listener = self.listener, socket.create_server(("127.0.0.1", 0))
+        """Move to a new port; connections that are open stay."""
+        old = self.listener
+        self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
         old.shutdown(socket.SHUT_RDWR)
@@ -67,18 +77,18 @@
         self.cut(link)
 
     def serve(self, link: socket.socket) -> None:
-        """Serve one connection."""
+        """Serve one connection until it ends; subclasses implement it."""
         raise NotImplementedError
 
     def cut(self, *links: socket.socket) -> None:
-        """End these connections, or all."""
+        """Close these connections, or all if none is given."""
         for link in links or tuple(self.links):
             with contextlib.suppress(OSError):
                 link.shutdown(socket.SHUT_RDWR)
             link.close()
 
     def down(self) -> None:
-        """Listen no more, end all connections."""
+        """Close the listener and all connections."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -1,4 +1,4 @@
-"""A Thrift client proxy."""
+"""A client proxy that speaks the Thrift front's protocol."""
 
 from __future__ import annotations
 
@@ -20,13 +20,22 @@
 
 
 class ThriftClient:
-    """A Thrift client proxy on one connection."""
+    """A client proxy on one connection; a thread reads all answers.
+
+    Attributes:
+        seq: The newest sequence number used.
+        count: The number of answers, by sequence number.
+        answers: The newest answer, by sequence number: its kind and its value.
+        times: When that answer was read, in Unix milliseconds.
+        told: The names of one-way messages, in the order of their arrival.
+        ended: Set once the connection has ended.
+    """
 
     def __init__(self, port: int, host: str = "127.0.0.1", wait_s: float = WAIT_S) -> None:
         self.sock = socket.create_connection((host, port), wait_s)
         self.sock.settimeout(WAIT_S)
         self.seq = 0
-        self.count: Counter[int] = Counter()  # answers by sequence number
+        self.count: Counter[int] = Counter()
         self.answers: dict[int, tuple[str, Any]] = {}
         self.times: dict[int, float] = {}
         self.told: list[str] = []
@@ -58,7 +67,7 @@
         self.ended.set()
 
     def send(self, method: str, body: bytes = b"", **fields: str) -> int:
-        """A request; returns its sequence number."""
+        """Send a request and return its sequence number. `fields` override those of the envelope."""
         self.seq += 1
         given = {
             "method": method,
@@ -74,17 +83,17 @@
         return self.seq
 
     def say(self, name: str, **args: Any) -> int:
-        """Any other message."""
+        """Send any other message of the protocol and return its sequence number."""
         self.seq += 1
         kind = TMessageType.ONEWAY if name == "abort" else TMessageType.CALL
         self.sock.sendall(encode(name, kind, self.seq, getattr(idl.Front, f"{name}_args")(**args)))
         return self.seq
 
     def answer(self, seq: int) -> tuple[str, Any]:
-        """The answer to that request, once there."""
+        """Wait for the answer to that request."""
         found: tuple[str, Any] = until(lambda: self.answers.get(seq), f"answer {seq}")
         return found
 
     def ask(self, method: str, body: bytes = b"", **fields: str) -> tuple[str, Any]:
-        """A request and its answer."""
+        """Send a request and wait for its answer."""
         return self.answer(self.send(method, body, **fields))
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -1,4 +1,7 @@
-"""Scripted kernel, store and roster, written from the protocol's page."""
+"""Fakes of the execution engine, the dependency and the service registry, written from the protocol's page.
+
+On the wire and in settings they are called kernel, store and roster.
+"""
 
 from __future__ import annotations
 
@@ -13,43 +16,73 @@
 
 from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer
 
+REPORT_LIFETIME_S = 3.0
+SLOW_CALL_S = 0.4
+
 
 class FakeEngine(FakeServer):
-    """Runs requests as their bodies say: `ms=50 calls=1 end=FAIL`; runs do not slow each other."""
+    """An execution engine that runs requests as their bodies say: `ms=50 calls=1 end=FAIL`.
+
+    Runs do not slow each other.
+
+    Attributes:
+        starts: Runs started, by request id.
+        by_body: The same, by the request's body.
+        runs: Body, begin and end of every run, in Unix milliseconds; the end is None while it runs.
+        commands: All commands that were carried out.
+        ignored_commands: Those that arrived while it was deaf.
+        notices: All notices since its start, numbered from 1.
+        replies: The replies to calls, in the order of their arrival.
+        waits: By request id, what a run waits for during a call.
+        running: The ids of the requests that run.
+        link: The present connection of the server.
+        born: When this engine started, in Unix seconds.
+        deaf: It reads commands and ignores them.
+        mute: It runs commands and writes nothing.
+        leaves: The number of connections that it still closes right after their greeting.
+        up: Unset while the engine accepts connections and does not greet yet.
+    """
 
     def __init__(self) -> None:
         self.lock = threading.RLock()
         self.starts: Counter[str] = Counter()
         self.by_body: Counter[bytes] = Counter()
-        self.runs: list[list[Any]] = []  # body, begin and end in Unix ms (None: it still runs)
+        self.runs: list[list[Any]] = []
         self.commands: list[dict[str, Any]] = []
+        self.ignored_commands: list[dict[str, Any]] = []
         self.notices: list[dict[str, Any]] = []
         self.replies: list[bytes] = []
         self.waits: dict[str, threading.Event] = {}
         self.running: set[str] = set()
         self.link: socket.socket | None = None
-        self.born, self.deaf, self.mute = time.time(), False, False
-        self.leaves = 0  # so many links are ended behind their greeting
+        self.born = time.time()
+        self.deaf = False
+        self.mute = False
+        self.leaves = 0
         self.up = threading.Event()
         self.up.set()
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
+        """Carry out commands, one JSON line each."""
         for line in link.makefile("rb"):
             command = json.loads(line)
             with self.lock:
                 if self.deaf:
+                    self.ignored_commands.append(command)
                     continue
                 self.commands.append(command)
                 getattr(self, command["t"].lower())(link, command)
 
     def tell(self, link: socket.socket | None, row: dict[str, Any]) -> None:
+        """Write one line, unless there is no connection or the engine is mute."""
         with self.lock, contextlib.suppress(OSError):
             if link is not None and not self.mute:
                 link.sendall(json.dumps(row).encode() + b"\n")
 
     def open(self, link: socket.socket, command: dict[str, Any]) -> None:
-        if not self.up.is_set():  # the link is accepted, the kernel starts later
+        """Greet a new connection, and repeat the notices that it has not seen. The connection before is closed."""
+        if not self.up.is_set():  # the connection is accepted, the engine starts later
             threading.Thread(target=self._open_later, args=(link, command), daemon=True).start()
             return None
         if self.leaves:
@@ -69,32 +102,39 @@
             self.open(link, command)
 
     def sysinfo(self, link: socket.socket, command: dict[str, Any]) -> None:
+        """Answer with the gauges."""
         busy = min(1.0, len(self.running) / 2)
         self.tell(link, {"t": "INFO", "mark": command["mark"], "v": [busy, len(self.running), 0.1, 3]})
 
     def sched(self, link: socket.socket, command: dict[str, Any]) -> None:
-        if base64.b64decode(command["b64"]).startswith(b"alien"):  # of no request that came to this server
+        """Start a run, unless the request runs already."""
+        body = base64.b64decode(command["b64"])
+        if body.startswith(b"alien"):  # of no request that came to this server
             self.tell(link, {"t": "EINVAL", "status": "SCHED", "rid": command["rid"]})
         elif command["rid"] not in self.running:
             self.starts[command["rid"]] += 1
-            self.by_body[base64.b64decode(command["b64"])] += 1
+            self.by_body[body] += 1
             self.running.add(command["rid"])
-            row = [base64.b64decode(command["b64"]), time.time() * 1000, None]
+            row = [body, time.time() * 1000, None]
             self.runs.append(row)
             threading.Thread(target=self._run, args=(command, row), daemon=True).start()
 
     def iodone(self, link: socket.socket, command: dict[str, Any]) -> None:
+        """Resume a run with the reply to its call."""
         self.replies.append(base64.b64decode(command["b64"]))
         if (wait := self.waits.pop(command["rid"], None)) is not None:
             wait.set()
 
     def note(self, **row: Any) -> None:
+        """Number a notice, keep it and send it."""
         with self.lock:
             self.notices.append({**row, "no": len(self.notices) + 1})
             self.tell(self.link, self.notices[-1])
 
     def _run(self, command: dict[str, Any], row: list[Any]) -> None:
-        rid, began, body = command["rid"], time.time(), base64.b64decode(command["b64"])
+        rid = command["rid"]
+        began = time.time()
+        body = base64.b64decode(command["b64"])
         words = dict(word.split("=", 1) for word in body.decode("latin-1").split() if "=" in word)
         for n in range(int(words.get("calls", 0))):
             done = self.waits[rid] = threading.Event()
@@ -111,7 +151,13 @@
 
 
 class FakeDependency(FakeServer):
-    """Ends calls in the order of `script` (`hang` never), then with OK."""
+    """A dependency that ends calls as `script` says, one entry per call, then with OK.
+
+    Attributes:
+        script: The status of the next calls, or one of the faults that `replies` names, `cut`, `slow` or `hang`.
+        calls: Request id and body of every call.
+        drops: The request ids of calls that the server gave up.
+    """
 
     def __init__(self, port: int = 0) -> None:
         self.script: list[str] = []
@@ -120,6 +166,7 @@
         super().__init__(port)
 
     def serve(self, link: socket.socket) -> None:
+        """Answer calls until the connection ends."""
         file = link.makefile("rb")
         while (line := file.readline()).endswith(b"\n"):  # without its end it was cut with the link
             words = line.split()
@@ -132,45 +179,59 @@
             end = self.script.pop(0) if self.script else "OK"
             if end == "cut":
                 return
-            reply = b"reply\r\nto " + body
-            good = b"%s OK %d\r\n%s\r\n" % (words[1], len(reply), reply)
-            odd = {
-                "OK": good,
-                "noise": b"\0\xff noise\r\n",
-                "endless": b"x" * 5000,
-                "copy": good * 2,
-                "stray": b"ffff OK 3\r\nabc\r\n" + good,
-                "short": b"%s OK %d\r\n%s\r\n" % (words[1], len(reply) - 3, reply),
-                "huge": b"%s OK 3000000000\r\n%s" % (words[1], reply),
-            }
+            replies = self.replies(words[1], b"reply\r\nto " + body)
             if end == "slow":
-                time.sleep(0.4)
-                link.sendall(good)
-            elif end in odd:
-                link.sendall(odd[end])
+                time.sleep(SLOW_CALL_S)
+                link.sendall(replies["OK"])
+            elif end in replies:
+                link.sendall(replies[end])
             elif end != "hang":
                 link.sendall(f"{id} {end}\r\n".encode())
 
+    @staticmethod
+    def replies(id: bytes, reply: bytes) -> dict[str, bytes]:
+        """What goes out for a call with this id: the good reply under OK, and faulty ones."""
+        good = b"%s OK %d\r\n%s\r\n" % (id, len(reply), reply)
+        return {
+            "OK": good,
+            "noise": b"\0\xff noise\r\n",
+            "endless": b"x" * 5000,
+            "copy": good * 2,
+            "stray": b"ffff OK 3\r\nabc\r\n" + good,
+            "short": b"%s OK %d\r\n%s\r\n" % (id, len(reply) - 3, reply),
+            "huge": b"%s OK 3000000000\r\n%s" % (id, reply),
+        }
+
 
 class FakeRegistry(FakeServer):
-    """Takes reports, and tells who reported in the last 3 s."""
+    """A service registry that accepts reports and lists the servers that reported lately.
+
+    Attributes:
+        reports: Path and content of every report.
+        latest: The time of the newest report by name. All times are seconds of the monotonic clock.
+        times: When each report arrived.
+        taken: When those arrived that were answered.
+        hang: The number of reports that it still leaves unanswered.
+        mode: `silent` reads and never answers; `down` ends each connection; `cut inside` ends it within the answer;
+            `upgrade` asks for another protocol; empty: it answers.
+    """
 
     def __init__(self) -> None:
         self.reports: list[tuple[str, Any]] = []
-        self.latest: dict[str, float] = {}  # by name, by the monotonic clock
-        self.times: list[float] = []  # of all reports
-        self.taken: list[float] = []  # of those that were answered
-        self.hang = 0  # so many reports are not answered
-        self.mode = ""  # "silent": reads and never answers; "down": ends each link; "cut inside": within its answer;
-        # "upgrade": asks for another protocol
+        self.latest: dict[str, float] = {}
+        self.times: list[float] = []
+        self.taken: list[float] = []
+        self.hang = 0
+        self.mode = ""
         super().__init__()
 
     def listed(self) -> list[str]:
-        """The names on the list now."""
+        """The names on the registry's list now."""
         now = time.monotonic()
-        return [name for name, at in self.latest.copy().items() if now - at < 3.0]
+        return [name for name, at in self.latest.copy().items() if now - at < REPORT_LIFETIME_S]
 
     def serve(self, link: socket.socket) -> None:
+        """Answer reports until the connection ends."""
         file = link.makefile("rb")
         while (line := file.readline()).endswith(b"\n"):  # without its end it was cut with the link
             size = 0
--- /dev/null
+++ b/tests/injected_faults.py
@@ -0,0 +1,143 @@
+"""The faults of the neighbours, the clients and the process itself that a trial draws from."""
+
+from __future__ import annotations
+
+import signal
+import socket
+import struct
+import time
+from typing import TYPE_CHECKING
+
+from myrtlespar.fakes import ServerProcess
+from myrtlespar.net.codec.thrift import encode, idl
+from tests.traced_peers import TracedClient
+
+if TYPE_CHECKING:
+    from tests.fault_injection import Trial
+
+HELD_OPEN: list[socket.socket] = []  # connections of strangers that stay open until the test process ends
+PAUSE_S = 0.15
+
+
+def kernel_link_cut(trial: Trial, running: ServerProcess) -> None:
+    if trial.kernel.link is not None:
+        trial.kernel.cut(trial.kernel.link)
+
+
+def kernel_link_cut_inside_a_notice(trial: Trial, running: ServerProcess) -> None:
+    with trial.kernel.lock:
+        link = trial.kernel.link
+        if link is not None:
+            try:
+                link.sendall(b'{"t":"REAP","no":')
+            except OSError:
+                return
+            trial.kernel.cut(link)
+
+
+def kernel_starts_anew(trial: Trial, running: ServerProcess) -> None:
+    trial.kernel.restart()
+
+
+def kernel_sends_odd_lines(trial: Trial, running: ServerProcess) -> None:
+    odd = [b"[" * 5000, b"{}", b'{"t":"INFO","mark":"gauges-1","v":[1e999]}', b"\xff\xfe", b'{"t":7,"no":"x"}', b""]
+    with trial.kernel.lock:
+        if trial.kernel.link is not None:
+            try:
+                trial.kernel.link.sendall(trial.source.choice(odd) + b"\n")
+            except OSError:
+                return
+
+
+def store_fails(trial: Trial, running: ServerProcess) -> None:
+    kinds = ["BUSY", "ERR", "LATE", "VOID", "cut", "hang", "noise", "short", "copy", "stray", "slow", "endless"]
+    running.store.script += [trial.source.choice(kinds) for _ in range(trial.source.randrange(1, 5))]
+
+
+def store_links_cut(trial: Trial, running: ServerProcess) -> None:
+    running.store.cut()
+
+
+def roster_fails(trial: Trial, running: ServerProcess) -> None:
+    running.roster.mode = trial.source.choice(["", "silent", "down", "cut inside", "upgrade"])
+
+
+def client_leaves(trial: Trial, running: ServerProcess) -> None:
+    client = trial.source.choice(trial.all_clients)
+    if not client.left:
+        client.leave(trial.source.random() < 0.5)
+
+
+def client_gives_up(trial: Trial, running: ServerProcess) -> None:
+    client = trial.source.choice(trial.all_clients)
+    seqs = [seq for seq in client.sent if seq not in client.answers]
+    if seqs and not client.left:
+        seq = trial.source.choice(seqs)
+        client.gave_up.add(seq)
+        try:
+            client.sock.sendall(encode("abort", 4, 0, idl.Front.abort_args(seqid=seq)))
+        except OSError:
+            return
+
+
+def strangers(trial: Trial, running: ServerProcess) -> None:
+    """Garbage, frames without an end, silence, resets: nothing that any answer is owed for."""
+    for _ in range(3):
+        sock = socket.create_connection(("127.0.0.1", trial.port))
+        whole = encode("invoke", 1, 1, idl.Front.invoke_args(fields={"method": "order", "rid": "ee" * 8}, body=b"x"))
+        data = trial.source.choice(
+            [
+                b"GET / HTTP/1.1\r\n\r\n",
+                whole[: trial.source.randrange(len(whole))],
+                whole[:4] + b"\xff" * (len(whole) - 4),
+                b"",
+                b"\0\0\0\x08nonsense",
+            ]
+        )
+        sock.sendall(data)
+        if trial.source.random() < 0.5:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            sock.close()
+        else:
+            trial.counts["kept strangers"] += 1
+            HELD_OPEN.append(sock)
+
+
+def reload(trial: Trial, running: ServerProcess) -> None:
+    running.process.send_signal(signal.SIGHUP)
+
+
+def counters(trial: Trial, running: ServerProcess) -> None:
+    running.process.send_signal(signal.SIGUSR1)
+
+
+def pause(trial: Trial, running: ServerProcess) -> None:
+    running.process.send_signal(signal.SIGSTOP)
+    time.sleep(PAUSE_S)  # the length of the pause is the fault
+    running.process.send_signal(signal.SIGCONT)
+
+
+def burst(trial: Trial, running: ServerProcess) -> None:
+    client = TracedClient(trial.port)
+    trial.all_clients.append(client)
+    for n in range(20):
+        client.request("fetch", b"%d-burst-%d-%d ms=20" % (trial.seed, len(trial.all_clients), n))
+
+
+FAULTS = (
+    kernel_link_cut,
+    kernel_link_cut_inside_a_notice,
+    kernel_starts_anew,
+    kernel_sends_odd_lines,
+    store_fails,
+    store_fails,
+    store_links_cut,
+    roster_fails,
+    client_leaves,
+    client_gives_up,
+    strangers,
+    reload,
+    counters,
+    pause,
+    burst,
+)
--- a/tests/test_ajp.py
+++ b/tests/test_ajp.py
@@ -331,7 +331,7 @@
                 if n % 5 == 0:
                     exactly(gateway.sock, 1)  # it breaks mid-answer
                 else:
-                    time.sleep(0.01)  # or while the order is held or runs
+                    time.sleep(0.01)  # or while the order is queued or runs: the moment of the break is the fault
                 gateway.sock.close()
                 began = time.time()
                 kind = clients[0].ask(name, body, idem=key, again="1")[0]
@@ -345,7 +345,7 @@
     for n in range(160):
         threads.append(threading.Thread(target=one, args=(n,)))
         threads[-1].start()
-        time.sleep(0.025)
+        time.sleep(0.025)  # the rate of the load
         if n == 140:
             server.process.terminate()
     for thread in threads:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Iterator
 from random import Random
 
@@ -77,10 +76,12 @@
     lease = asked(a, EngineOperation.GRANT).lease
     assert asked(a, EngineOperation.TAKE, lease, 1).epoch
     other = asked(b, EngineOperation.GRANT).lease
-    end = time.monotonic() + 20
-    while not asked(b, EngineOperation.TAKE, other, 1).epoch and time.monotonic() < end:
+
+    def taken() -> bool:
         asked(b, EngineOperation.KEEP, other)
-        time.sleep(0.1)
+        return asked(b, EngineOperation.TAKE, other, 1).epoch > 0
+
+    until(taken, "the range of the lease that ended")
     assert state.keys[b"/t/1"].value == b"b"
     assert lease not in state.leases
     a.close()
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -132,7 +132,7 @@
         for _ in range(6000):  # a flood: bounded, and most of it is not looked at
             sock.sendto(os.urandom(60), target)
     until(lambda: counted(three, "peers.spoilt") + counted(three, "peers.flooded") > 1000, "the flood counted")
-    time.sleep(1.0)
+    time.sleep(1.0)  # that nothing changes is checked over several rounds of the members' gossip
     after = three.view("a1")
     assert after is not None
     assert boot_of(three, "a1", "a2") > 5
@@ -156,7 +156,7 @@
             while sent - len(client.answers) < 30 and sent < 20_000:
                 client.send("render", b"ms=1")
                 sent += 1
-            time.sleep(0.0005)
+            time.sleep(0.0005)  # the rate of the load
 
     threads = [threading.Thread(target=burn) for _ in range(3)]
     for thread in threads:
--- a/tests/test_kernel_faults.py
+++ b/tests/test_kernel_faults.py
@@ -140,7 +140,7 @@
 
         def tell(self, link: Any, row: dict[str, Any]) -> None:
             if row["t"] == "BOOTED" and self.delay_s:
-                time.sleep(self.delay_s)
+                time.sleep(self.delay_s)  # the slow way of the greeting is the fault
             super().tell(link, row)
 
     kernel = Slow()
@@ -249,6 +249,6 @@
             while True:
                 with lock:  # whole lines, between those that belong there
                     sock.sendall(data)
-                time.sleep(0.0001)
+                time.sleep(0.0001)  # the rate of the flood
 
     threading.Thread(target=send, daemon=True).start()
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -9,8 +9,8 @@
 
 from myrtlespar.fakes import server_process, until
 from myrtlespar.fakes.upstreams import FakeEngine
-from tests.fault_injection import TracedClient, TracedKernel
 from tests.test_standard_streams import free_port
+from tests.traced_peers import TracedClient, TracedKernel
 
 LIVES, CLIENTS = 5, 30
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -29,6 +29,7 @@
 from myrtlespar.net.codec.thrift import encode as encode_message
 from myrtlespar.net.codec.thrift import idl
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle, ProcessState
+from tests.conftest import HandoverFolders
 
 KIND = {"success": "succeeded", "refused": "declined", "failed": "aborted"}
 
@@ -214,11 +215,8 @@
 
 
 @pytest.mark.parametrize("kill_new", [False, True])
-def test_a_replacement_under_load_turns_nobody_away(tmp_path: Path, kill_new: bool) -> None:
-    shared, old_dir, new_dir = tmp_path / "shared", tmp_path / "old", tmp_path / "new"
-    for folder in (shared, old_dir, new_dir):
-        folder.mkdir()
-    with server_process(old_dir, mgmt=True, shared=shared) as old:
+def test_a_replacement_under_load_turns_nobody_away(handover_folders: HandoverFolders, kill_new: bool) -> None:
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared) as old:
         port, results, stop = old.ports[0], [], threading.Event()
 
         def load() -> None:
@@ -232,12 +230,14 @@
         loaders = [threading.Thread(target=load) for _ in range(4)]
         for loader in loaders:
             loader.start()
-        with server_process(new_dir, mgmt=True, shared=shared, listen=f"127.0.0.1:{port}") as new:
+        with server_process(
+            handover_folders.new, mgmt=True, shared=handover_folders.shared, listen=f"127.0.0.1:{port}"
+        ) as new:
             until(lambda: new.ask(b"STATUS\n") == "done yes\n", "the new process ready")
             if kill_new:  # the new process dies mid-hand-over: the old one goes on alone
                 new.process.kill()
                 new.process.wait(10)
-                time.sleep(0.3)
+                time.sleep(0.3)  # under load: the old one must go on for some time, not only answer once
                 assert old.ask(b"STATUS\n") == "done yes\n"
             else:
                 old.process.terminate()
@@ -277,7 +277,7 @@
                 time.sleep(0.008)  # over all of its life: it tries the address again for a second
             assert new.wait(20) == 2
             assert b"mgmt" in new.communicate()[1]
-            time.sleep(0.1)
+            assert old.ask(b"STATUS\n") == "done yes\n"  # the old one goes on, with all that is connected to it
             for sock in held:
                 sock.setblocking(False)
                 with pytest.raises(BlockingIOError):  # neither closed nor reset
@@ -285,15 +285,14 @@
                 sock.close()
 
 
-def test_an_order_run_by_the_old_process_is_not_run_again_by_the_new(tmp_path: Path) -> None:
-    shared, old_dir, new_dir = tmp_path / "shared", tmp_path / "old", tmp_path / "new"
-    for folder in (shared, old_dir, new_dir):
-        folder.mkdir()
+def test_an_order_run_by_the_old_process_is_not_run_again_by_the_new(handover_folders: HandoverFolders) -> None:
     keyed = '[idempotency]\nthrift_field = "key"\n'
-    with server_process(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared, operator=keyed) as old:
         port = old.ports[0]
         assert ThriftClient(port).ask("order", b"ms=5 once", key="k-1")[0] == "success"
-        with server_process(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
+        with server_process(
+            handover_folders.new, mgmt=True, shared=handover_folders.shared, operator=keyed, listen=f"127.0.0.1:{port}"
+        ) as new:
             assert new.event("an old process lives: keys wait for its hand-over") is not None
             old.process.terminate()
             assert old.process.wait(10) == 0
@@ -307,19 +306,18 @@
             assert new.kernel.by_body[b"ms=5 twice"] == 1
 
 
-def test_an_order_that_still_runs_when_its_process_leaves_is_not_run_again(tmp_path: Path) -> None:
+def test_an_order_that_still_runs_when_its_process_leaves_is_not_run_again(handover_folders: HandoverFolders) -> None:
     """The checker found it: its key was in nobody's hand-over, as only outcomes were left to the next process."""
-    shared, old_dir, new_dir = tmp_path / "shared", tmp_path / "old", tmp_path / "new"
-    for folder in (shared, old_dir, new_dir):
-        folder.mkdir()
     keyed = '[idempotency]\nthrift_field = "key"\n'
-    with server_process(old_dir, mgmt=True, shared=shared, operator=keyed) as old:
+    with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared, operator=keyed) as old:
         port = old.ports[0]
         client = ThriftClient(port)
         client.send("order", b"ms=6000 slow", key="k-1")
         until(lambda: old.kernel.by_body[b"ms=6000 slow"], "the run")
         client.sock.close()  # nobody waits for it now
-        with server_process(new_dir, mgmt=True, shared=shared, operator=keyed, listen=f"127.0.0.1:{port}") as new:
+        with server_process(
+            handover_folders.new, mgmt=True, shared=handover_folders.shared, operator=keyed, listen=f"127.0.0.1:{port}"
+        ) as new:
             old.process.terminate()
             assert old.process.wait(10) == 0
             until(lambda: new.event("hand-over taken: 1 keys"), "the keys taken")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,6 @@
 import struct
 import threading
 import time
-from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -21,12 +20,6 @@
 from myrtlespar.state_machines.attempts import AttemptState
 
 
-@pytest.fixture
-def server(tmp_path: Path) -> Iterator[ServerProcess]:
-    with server_process(tmp_path) as running:
-        yield running
-
-
 def test_body_calls_and_result_pass_byte_for_byte(server: ServerProcess) -> None:
     body = b"calls=2 " + bytes(range(256))
     kind, answer = ThriftClient(server.ports[0]).ask("render", body)
@@ -264,9 +257,8 @@
 ) -> None:
     client = ThriftClient(server.ports[0])
     server.kernel.deaf = True
-    time.sleep(0.1)
     seq = client.send(method, b"lost")
-    time.sleep(0.1)
+    until(lambda: any(row["t"] == "SCHED" for row in server.kernel.ignored_commands), "the start, unheard")
     server.kernel.deaf = False
     assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
@@ -284,7 +276,8 @@
     assert server.kernel.link is not None
     server.kernel.cut(server.kernel.link)
     assert client.answer(seq)[0] == "success"
-    time.sleep(0.3)  # well past the time after which a silent order is sent again
+    # That nothing happens is checked over a span well past the time after which a silent order is sent again.
+    time.sleep(0.3)
     assert server.kernel.by_body[body] == 1
 
 
@@ -316,7 +309,7 @@
         server.move()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
-        time.sleep(0.6)
+        until(lambda: all(seq in client.answers for seq in seqs), "all answers")  # the old links have nothing in hand
         server.store.cut(*old)
     assert [client.answer(seq)[0] for seq in seqs] == ["success"] * len(seqs)
     assert set(server.kernel.starts.values()) == {1}
@@ -369,7 +362,7 @@
     until(lambda: client.told == ["shutdown"])
     late = ThriftClient(server.ports[0])
     early = late.send("fetch", b"in grace")
-    time.sleep(1.1)
+    time.sleep(1.1)  # the behaviour under test: longer than drain_grace_ms of the settings, 1000
     beyond = late.send("fetch", b"past grace")
     assert late.answer(early)[0] in ("success", "refused")
     assert late.answer(beyond)[0] == "refused"
