--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -61,7 +61,7 @@
 
     folder = Path(save) if save else None
     if planted:
-        return command.planted(jobs, seconds, folder)
+        return command.find_all_mutations(jobs, seconds, folder)
     if replay is not None:
         return command.replay(Path(replay), real, plant)
     chosen = list(names) + ([*QUICK, "twins"] if quick else []) + (["large"] if full else [])
--- a/myrtlespar/model_checker/__init__.py
+++ b/myrtlespar/model_checker/__init__.py
@@ -1,5 +1,5 @@
-"""Explores the machines of `myrtlespar.state_machines` in every order of events that a small world can bring.
+"""A model checker: explores the state machines of `myrtlespar.state_machines` in every order of events.
 
-The world drives the very classes that the server runs on; kernel, store, clients and policy around them do whatever
-the protocol allows them. Loaded by `myrtlespar check` only.
+A world drives the very classes that the server runs on; models of engine, dependency, clients and policy around them
+do whatever the protocol allows. Loaded by `myrtlespar check` only.
 """
--- /dev/null
+++ b/myrtlespar/model_checker/client_events.py
@@ -0,0 +1,86 @@
+"""What clients do: send, complete, give up, reset; and what their connections do."""
+
+from __future__ import annotations
+
+from myrtlespar.exchange import Exchange
+from myrtlespar.model_checker.world import DONE, IDS, PARTLY_READ, UNSENT, WAITING, World, discard_answer
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle
+
+
+def send_request(world: World, index: int) -> None:
+    """Begin to send, on a new connection where the old one takes no more requests."""
+    world.callers[index].stage, world.callers[index].incarnation = PARTLY_READ, world.incarnation
+    if not world.connections[world.connection_index(index)].accepts_requests:
+        world.connections[world.connection_index(index)] = ConnectionLifecycle(IDS[index])
+    if world.scenario.attempts[index].front == "ajp":
+        world.handle_connection_event(index, ConnectionEvent.BEGIN)
+
+
+def complete_request(world: World, index: int) -> None:
+    """The request is read completely, and submitted to the request tracker."""
+    caller, attempt = world.callers[index], world.scenario.attempts[index]
+    if not world.connections[
+        world.connection_index(index)
+    ].accepts_requests:  # it crossed a close: sent once more, on a new connection
+        caller.stage = UNSENT
+        return
+    caller.stage = WAITING
+    caller.late = world.now > world.tracker.process.notice_at + world.tracker.process.grace_ms
+    exchange = world.exchanges[index] = Exchange(
+        IDS[index], attempt.front, int(attempt.effectful), b"", world.now, discard_answer
+    )
+    exchange.key, exchange.target = attempt.key, attempt.target
+    world.handle_connection_event(index, ConnectionEvent.REQUEST)
+    world.apply_effects(world.tracker.submit(exchange) or [])
+
+
+def abort_request(world: World, index: int) -> None:
+    """The client resets its connection within the request."""
+    world.count_fault("give up")
+    world.callers[index].stage, world.callers[index].gone = DONE, True
+    world.handle_connection_event(index, ConnectionEvent.RESET)
+
+
+def receive_malformed(world: World, index: int) -> None:
+    """A message arrives that can't be read."""
+    world.count_fault("spoil")
+    if world.callers[index].stage == PARTLY_READ:
+        world.callers[index].stage = DONE
+    world.handle_connection_event(index, ConnectionEvent.SPOILT)
+
+
+def reject_unread(world: World, index: int) -> None:
+    """The front rejects a request that it has not read completely."""
+    world.count_fault("spoil")
+    world.callers[index].stage = DONE
+    world.handle_connection_event(index, ConnectionEvent.TURNED_AWAY)
+
+
+def give_up(world: World, index: int) -> None:
+    """The client cancels: by a message where its protocol has one, else by a reset."""
+    world.count_fault("give up")
+    _leave(world, index, by_message=world.scenario.attempts[index].front == "thrift")
+
+
+def reset_connection(world: World, index: int) -> None:
+    """The client resets its connection while it waits."""
+    world.count_fault("reset")
+    _leave(world, index, by_message=False)
+
+
+def _leave(world: World, index: int, by_message: bool) -> None:
+    exchange = world.exchanges[index]
+    assert exchange is not None
+    if by_message:
+        world.handle_connection_event(index, world.event_of_answer(index))
+        world.callers[index].gone = True
+        world.apply_effects(world.tracker.caller_gone(exchange))
+    else:
+        world.handle_connection_event(index, ConnectionEvent.RESET)
+        world.callers[index].gone = True
+
+
+def close_idle(world: World, index: int) -> None:
+    """The server closes an idle connection."""
+    world.count_fault("close")
+    world.handle_connection_event(index, ConnectionEvent.CLOSE)
--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -11,92 +11,118 @@
 import yaml
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.model_checker import process_pair as twins
+from myrtlespar.model_checker import process_pair
+from myrtlespar.model_checker.enabled_events import enabled_events
 from myrtlespar.model_checker.events import EVENTS, begin, show
-from myrtlespar.model_checker.explore import Bounds, Result, Used, explore, limit_steps, step
+from myrtlespar.model_checker.explore import Bounds, ExplorationResult, UsedTransitions, explore, limit_steps, step
 from myrtlespar.model_checker.invariants import RULES, TransitionCoverage, unused
 from myrtlespar.model_checker.mutants import MUTATIONS
 from myrtlespar.model_checker.scenarios import ALL, QUICK
-from myrtlespar.model_checker.state_encoding import freeze, thaw, unpack
+from myrtlespar.model_checker.state_decoding import unpack
+from myrtlespar.model_checker.state_encoding import freeze, thaw
 from myrtlespar.model_checker.world import Event
 
-LONGEST = 15  # events of a counter-example of a planted bug
-HOLDS, FELL, FAULTY, NO_VERDICT = 0, 1, 2, 3
+MAX_PATH_EVENTS = 15  # of the counter-example of a mutation
+
+# Exit statuses.
+ALL_HOLD = 0
+RULE_BROKEN = 1
+FAULTY_INPUT = 2
+NO_VERDICT = 3
 
 
 class FaultyReplayError(MyrtlesparError):
-    """One line that names the place in the input."""
+    """A replay file that can't be read or played; the message names the place in one line."""
 
 
 def explore_all(names: list[str], bounds: Bounds, jobs: int, folder: Path | None, live: bool) -> int:
-    """Explore scenarios one by one. With all the small ones, every row of every table must have been used."""
-    used: Used = set()
-    status = HOLDS
+    """Explore scenarios one by one, and print a line for each.
+
+    Where all small scenarios are among them, every row of every transition table must have been used.
+
+    Args:
+        names: Of scenarios; `twins` is the exploration of two processes.
+        bounds: Of each exploration.
+        jobs: The number of worker processes.
+        folder: Where to save counter-examples, if anywhere.
+        live: Print progress to standard error.
+
+    Returns:
+        The exit status.
+    """
+    used_transitions: UsedTransitions = set()
+    status = ALL_HOLD
 
-    def progress(so_far: Result) -> None:
+    def progress(so_far: ExplorationResult) -> None:
         rate = so_far.states / max(0.001, so_far.seconds)
         print(f"  {so_far.scenario}: {so_far.states:,} states, depth {so_far.depth}, {rate:,.0f}/s", file=sys.stderr)
 
     if "twins" in names:
         names.remove("twins")
-        status = twins.shown(twins.explore())
+        status = process_pair.print_result(process_pair.explore())
     for name in names:
         found = explore(ALL[name], bounds, jobs, progress if live else None)
-        used |= found.used
-        verdict = "holds" if found.whole and not found.fell else "fell" if found.fell else "no verdict"
+        used_transitions |= found.used_transitions
+        verdict = "holds" if found.complete and not found.violations else "fell" if found.violations else "no verdict"
         print(
             f"{name:10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
             f"{found.seconds:7.1f} s  {verdict}",
             flush=True,
         )
-        if found.fell:
-            tell(found)
+        if found.violations:
+            print_counter_example(found)
             if folder is not None:
                 save(found, folder / f"{name}.yaml")
-            status = FELL
-        elif not found.whole:
+            status = RULE_BROKEN
+        elif not found.complete:
             print(f"  stopped by {found.stopped_by}: what was covered holds, the rest is not known")
             status = status or NO_VERDICT
-    if set(QUICK) <= set(names) and status == HOLDS:
-        left = unused(used)
-        for row in left:
+    if set(QUICK) <= set(names) and status == ALL_HOLD:
+        unused_rows = unused(used_transitions)
+        for row in unused_rows:
             print(f"row never used: {row}")
-        print(f"rows of all tables used: {len(used):,}, never used: {len(left)}")
-        status = FELL if left else HOLDS
+        print(f"rows of all tables used: {len(used_transitions):,}, never used: {len(unused_rows)}")
+        status = RULE_BROKEN if unused_rows else ALL_HOLD
     return status
 
 
-def tell(found: Result) -> None:
-    """Print a counter-example: its events, and what changed with each."""
-    for rule in found.fell:
+def print_counter_example(found: ExplorationResult) -> None:
+    """Print the rules that were broken, and the events with the state after each."""
+    for rule in found.violations:
         print(f"  fell: {rule}: {RULES[rule]}")
-    for line in story(found.scenario, found.path):
+    for line in describe_path(found.scenario, found.path):
         print(f"  {line}")
 
 
-def story(scenario: str, path: list[Event]) -> list[str]:
-    """The events, numbered, with the state after each."""
+def describe_path(scenario: str, path: list[Event]) -> list[str]:
+    """The events, numbered, with the state after each. Raises FaultyReplayError for one that can't come there."""
     limit_steps()
-    s, watch = ALL[scenario], TransitionCoverage()
-    plain, out = thaw(freeze(begin(s))), []
+    bounds = ALL[scenario]
+    coverage = TransitionCoverage()
+    plain = thaw(freeze(begin(bounds)))
+    out: list[str] = []
     for number, event in enumerate(path, 1):
-        if event not in unpack(s, plain).enabled():
+        if event not in enabled_events(unpack(bounds, plain)):
             raise FaultyReplayError(f"event {number}: {show(event)!r} can't come here")
-        world, fell = step(s, plain, event, watch)
-        out.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in fell)}")
+        world, violations = step(bounds, plain, event, coverage)
+        out.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
         plain = thaw(freeze(world))
     return out
 
 
-def save(found: Result, path: Path, plant: str = "") -> None:
-    """Keep a counter-example."""
+def save(found: ExplorationResult, path: Path, mutation: str = "") -> None:
+    """Save a counter-example as YAML; the keys are those of stored replays."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    rows: dict[str, Any] = {"scenario": found.scenario, "fell": found.fell, "events": [list(e) for e in found.path]}
-    path.write_text(yaml.safe_dump({**rows, "plant": plant} if plant else rows, sort_keys=False))
+    rows: dict[str, Any] = {
+        "scenario": found.scenario,
+        "fell": found.violations,
+        "events": [list(e) for e in found.path],
+    }
+    path.write_text(yaml.safe_dump({**rows, "plant": mutation} if mutation else rows, sort_keys=False))
 
 
 def read(path: Path) -> tuple[str, list[Event], str]:
-    """A kept counter-example: scenario, events, planted bug."""
+    """Read a saved counter-example: scenario, events, name of the mutation. Raises FaultyReplayError."""
     try:
         rows = yaml.safe_load(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -112,42 +138,44 @@
     for number, event in enumerate(events, 1):
         if not isinstance(event, list) or not event or event[0] not in EVENTS:
             raise FaultyReplayError(f"{path}: event {number}: no such event: {event!r}"[:200])
-    plant = rows.get("plant", "")
-    if plant and plant not in MUTATIONS:
-        raise FaultyReplayError(f"{path}: plant: no planted bug named {plant!r}")
-    return str(rows["scenario"]), [tuple(event) for event in events], str(plant)
+    mutation = rows.get("plant", "")
+    if mutation and mutation not in MUTATIONS:
+        raise FaultyReplayError(f"{path}: plant: no planted bug named {mutation!r}")
+    return str(rows["scenario"]), [tuple(event) for event in events], str(mutation)
 
 
-def replay(path: Path, real: bool, plant: str) -> int:
-    """Play a counter-example in the explorer, or against the real program."""
+def replay(path: Path, real: bool, mutation: str) -> int:
+    """Play a counter-example in the explorer, or against the real program; returns the exit status."""
     try:
         scenario, events, _ = read(path)
-        if plant and plant not in MUTATIONS:
-            raise FaultyReplayError(f"--plant: no planted bug named {plant!r}")
+        if mutation and mutation not in MUTATIONS:
+            raise FaultyReplayError(f"--plant: no planted bug named {mutation!r}")
         if real:
             from myrtlespar.model_checker.replay_on_process import play
 
-            seen = play(ALL[scenario], events, plant)
-            for line in seen.lines:
+            replayed = play(ALL[scenario], events, mutation)
+            for line in replayed.lines:
                 print(line)
-            for rule in seen.fell:
+            for rule in replayed.violations:
                 print(f"fell: {rule}: {RULES[rule]}")
-            return FELL if seen.fell else HOLDS
-        if plant:  # the machines are loaded already: another process has to
+            return RULE_BROKEN if replayed.violations else ALL_HOLD
+        if mutation:  # the state machines are loaded in this process already
             module = "myrtlespar.model_checker.mutation_testing"
-            return subprocess.run([sys.executable, "-m", module, plant, "--replay", str(path)], check=False).returncode
-        lines = story(scenario, events)
+            return subprocess.run(
+                [sys.executable, "-m", module, mutation, "--replay", str(path)], check=False
+            ).returncode
+        lines = describe_path(scenario, events)
     except FaultyReplayError as error:
         print(f"myrtlespar: {error}", file=sys.stderr)
-        return FAULTY
+        return FAULTY_INPUT
     print("\n".join(lines))
-    return FELL if any("  ! " in line for line in lines) else HOLDS
+    return RULE_BROKEN if any("  ! " in line for line in lines) else ALL_HOLD
 
 
-def planted(jobs: int, seconds: float, folder: Path | None) -> int:
-    """Find every planted bug, each in a process of its own. A survivor is a hole in the checker."""
+def find_all_mutations(jobs: int, seconds: float, folder: Path | None) -> int:
+    """Look for every mutation, each in its own process; returns the exit status. A survivor is a gap in the checker."""
 
-    def hunt(name: str) -> tuple[str, str]:
+    def find_mutation(name: str) -> tuple[str, str]:
         words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--seconds", str(seconds)]
         if folder is not None:
             words += ["--save", str(folder)]
@@ -156,9 +184,9 @@
 
     found = 0
     with ThreadPoolExecutor(jobs) as pool:
-        for name, text in pool.map(hunt, MUTATIONS):
+        for name, text in pool.map(find_mutation, MUTATIONS):
             good = text.startswith("found")
             found += good
             print(f"{name:36} {text}", flush=True)
     print(f"{found} of {len(MUTATIONS)} planted bugs found")
-    return HOLDS if found == len(MUTATIONS) else FELL
+    return ALL_HOLD if found == len(MUTATIONS) else RULE_BROKEN
--- /dev/null
+++ b/myrtlespar/model_checker/engine_events.py
@@ -0,0 +1,189 @@
+"""Events of the engine, of its link, and the decisions of the policy."""
+
+from __future__ import annotations
+
+from myrtlespar.exchange import Answer, AnswerKind
+from myrtlespar.model_checker.environment import Item
+from myrtlespar.model_checker.world import DUE_MS, IDS, OUTCOMES, World
+from myrtlespar.policy.messages import RunOutcome
+from myrtlespar.state_machines.attempts import STARTED
+from myrtlespar.state_machines.engine_link import GAP, NEXT, RENUMBERED
+
+REFUSED = Answer(AnswerKind.REFUSED, retry_after_ms=500.0)
+
+
+def start_run(world: World, id: str) -> None:
+    """The policy starts the run."""
+    world.policy.ran(id)
+    world.apply_effects(world.tracker.start(id, world.now))
+
+
+def refuse_attempt(world: World, id: str) -> None:
+    """The policy rejects the attempt."""
+    world.policy.forget(id)
+    world.apply_effects(world.tracker.reject(id, REFUSED, world.now))
+
+
+def fail_attempt(world: World, id: str) -> None:
+    """The policy fails the attempt."""
+    world.policy.forget(id)
+    world.apply_effects(world.tracker.fail(id, world.now))
+
+
+def start_call(world: World, id: str) -> None:
+    """The policy starts the call that a run waits for."""
+    world.policy.at_call.remove(id)
+    world.apply_effects(world.tracker.start_call(id, DUE_MS))
+
+
+def unexpected_decision(world: World, what: str, id: str) -> None:
+    """The policy makes a decision that it should not make."""
+    world.count_fault("rude")
+    if what == "run":
+        world.apply_effects(world.tracker.start(id, world.now))
+    elif what == "call":
+        world.apply_effects(world.tracker.start_call(id, DUE_MS))
+    else:
+        (refuse_attempt if what == "refuse" else fail_attempt)(world, id)
+
+
+def connect_link(world: World) -> None:
+    """The link to the engine is connected."""
+    world.apply_link_effects(world.commands.connected())
+
+
+def break_link(world: World) -> None:
+    """The link breaks."""
+    world.count_fault("break")
+    world.cut_link()
+
+
+def request_gauges(world: World) -> None:
+    """Gauges are requested."""
+    world.count_fault("gauges")
+    world.apply_link_effects(world.commands.request_gauges())
+
+
+def request_doubt_mark(world: World) -> None:
+    """A mark is requested, to learn whether commands before it arrived."""
+    world.apply_link_effects(world.commands.request_doubt_mark())
+
+
+def receive_notice(world: World) -> None:
+    """The next line of the engine arrives."""
+    _notice(world, world.engine.down.pop(0))
+
+
+def receive_notice_twice(world: World) -> None:
+    """The next notice arrives, and will once more."""
+    world.count_fault("double")
+    _notice(world, world.engine.down[0])
+
+
+def lose_notice(world: World) -> None:
+    """The next notice is lost."""
+    world.count_fault("gap")
+    world.engine.down.pop(0)
+
+
+def _notice(world: World, item: Item) -> None:
+    link = world.commands
+    if item[0] == "BOOTED":
+        _engine_greeted(world, item[1])
+    elif item[0] == "INFO":
+        world.apply_link_effects(link.mark_received(item[1]) or [])
+    elif item[0] == "EINVAL":
+        link.run_reported(item[1])
+        world.end_run(item[1], RunOutcome.MOOT, None)
+    else:
+        kind = link.classify_notice(item[1])
+        if kind == RENUMBERED:  # this engine is known by its incarnation: its numbers must not contradict that
+            world.violations.append("no kernel taken for another")
+        elif kind == GAP:
+            world.cut_link()
+        elif kind == NEXT:
+            link.run_reported(item[3])
+            _run_noticed(world, *item[2:])
+
+
+def _engine_greeted(world: World, incarnation: int) -> None:
+    link = world.commands
+    if incarnation != world.known_engine and world.known_engine >= 0:
+        link.restarted()
+        for id, exchange in list(world.tracker.requests.items()):
+            if exchange.state in STARTED and not exchange.target and id not in link.unconfirmed:
+                world.end_run(id, RunOutcome.ERROR, None)
+    world.known_engine = incarnation
+    world.apply_link_effects(link.booted())
+
+
+def _run_noticed(world: World, kind: str, rid: str, detail: int | str) -> None:
+    """A run needs a call, `detail` being its number; or it ended, `detail` being its status."""
+    if kind == "IOREQ":
+        assert isinstance(detail, int)
+        world.apply_effects(world.tracker.call_needed(rid, b"%d" % detail))
+    else:
+        assert isinstance(detail, str)
+        served = Answer(AnswerKind.SERVED, b"r" + rid.encode()) if detail == "PASS" else None
+        world.end_run(rid, OUTCOMES[detail], served)
+
+
+def read_command(world: World, refuse: bool = False, over: bool = False) -> None:
+    """The engine reads the next command. `refuse`: it answers EINVAL; `over`: the request has ended."""
+    before = sum(world.engine.starts.values())
+    rid = world.engine.up[0][1] if world.engine.up[0][0] == "SCHED" else ""
+    world.engine.read(refuse, over)
+    if sum(world.engine.starts.values()) > before:
+        check_start(world, rid)
+
+
+def check_start(world: World, rid: str) -> None:
+    """Add the invariants that forbid the run that has just started."""
+    index = IDS.index(rid)
+    attempt, caller = world.scenario.attempts[index], world.callers[index]
+    if caller.late and caller.incarnation == world.incarnation:
+        world.violations.append("no start after the grace")
+    if not attempt.effectful:
+        return
+    if world.engine.starts[rid] > 1:
+        world.violations.append("one start a try")
+    for other_index, other in enumerate(world.scenario.attempts):
+        other_id = IDS[other_index]
+        if other_index != index and attempt.key and other.key == attempt.key and world.engine.starts.get(other_id):
+            over = world.concluded_at.get(other_id, float("inf")) + world.scenario.key_ms
+            if world.callers[other_index].incarnation == caller.incarnation and world.now < over:
+                world.violations.append("one start a key")
+
+
+def read_and_reject(world: World) -> None:
+    """The engine reads a start and answers EINVAL."""
+    world.count_fault("einval")
+    read_command(world, refuse=True)
+
+
+def read_of_ended_request(world: World) -> None:
+    """The engine reads a start whose request has ended."""
+    read_command(world, over=True)
+
+
+def end_run(world: World, rid: str, status: str) -> None:
+    """A run ends with this status."""
+    world.engine.end(rid, status)
+
+
+def make_call(world: World, rid: str) -> None:
+    """A run makes its next call."""
+    world.engine.ask(rid)
+
+
+def restart_engine(world: World) -> None:
+    """The engine is restarted."""
+    world.count_fault("kernel")
+    world.cut_link()
+    world.engine.restart()
+
+
+def stall_link(world: World) -> None:
+    """The link accepts nothing more until it breaks."""
+    world.count_fault("deaf")
+    world.stalled = True
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -1,49 +1,83 @@
-"""The kernel and the policy as the checker sees them: they do whatever the protocol allows, in any order."""
+"""Models of the engine and the policy: they do whatever the protocol allows, in any order."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-Item = tuple[Any, ...]
+from myrtlespar.state_machines import engine_link
+from myrtlespar.state_machines.attempts import AttemptAction
+
+Item = tuple[Any, ...]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
+# Effects of the request tracker that are for the policy.
+POLICY_NEWS = (
+    AttemptAction.TELL_ARRIVAL,
+    AttemptAction.TELL_CALL_NEEDED,
+    AttemptAction.TELL_CALL_ENDED,
+    AttemptAction.TELL_GONE,
+    AttemptAction.TELL_ENDED,
+)
+
+
+def line_of(effect: engine_link.LinkEffect) -> Item:
+    """What goes to the engine for this effect."""
+    if isinstance(effect, engine_link.RequestMark):
+        return ("MARK", effect.name)
+    if isinstance(effect, engine_link.SendOpen):
+        return ("OPEN", effect.last_notice)
+    assert isinstance(effect, engine_link.WriteCommand)
+    command = effect.command
+    return ("SCHED", command.request_id) if command.is_start else ("IODONE", command.request_id, int(command.line))
 
 
 @dataclass(slots=True)
-class KernelModel:
-    """Reads commands one by one, runs, and tells. `up` and `down` are what is on its way on the link."""
-
-    life: int = 0
+class EngineModel:
+    """An engine that reads commands one by one, runs requests and sends notices.
+
+    Attributes:
+        incarnation: One more after each restart.
+        linked: A server is connected.
+        runs: By request id: whether the run waits at a call, and the number of calls made.
+        starts: By request id, the number of starts.
+        passed: The ids of requests whose run succeeded.
+        wrong_reply: The id of a request whose run got the reply to another call.
+        notices: All notices of this incarnation.
+        up: Lines on their way to the engine.
+        down: Lines on their way to the server.
+    """
+
+    incarnation: int = 0
     linked: bool = False
-    runs: dict[str, list[int]] = field(default_factory=dict)  # by request: waits at a call, calls made
+    runs: dict[str, list[int]] = field(default_factory=dict)
     starts: dict[str, int] = field(default_factory=dict)
     passed: set[str] = field(default_factory=set)
-    wrong_reply: str = ""  # a run that got the reply to another call of it
+    wrong_reply: str = ""
     notices: list[Item] = field(default_factory=list)
     up: list[Item] = field(default_factory=list)
     down: list[Item] = field(default_factory=list)
 
-    def tell(self, *notice: Any) -> None:
+    def send_notice(self, *notice: Any) -> None:
         """Number a notice, keep it, and send it if there is a link."""
         self.notices.append(notice)
         if self.linked:
             self.down.append(("N", len(self.notices), *notice))
 
     def cut(self) -> None:
-        """The link is over, and all that was on its way with it."""
+        """The link breaks; all that was on its way is lost."""
         self.linked = False
         self.up.clear()
         self.down.clear()
 
     def restart(self) -> None:
-        """A new kernel knows nothing of the old one's runs and notices."""
+        """Restart: runs and notices are lost."""
         self.cut()
-        self.life += 1
+        self.incarnation += 1
         self.runs.clear()
         self.notices.clear()
 
     def new_server(self) -> None:
-        """A server started anew: notices are numbered again; runs go on."""
+        """The server was restarted: notices are numbered from 1 again; runs go on."""
         self.cut()
         self.notices.clear()
 
@@ -52,7 +86,7 @@
         kind, *rest = self.up.pop(0)
         if kind == "OPEN":
             self.linked = True
-            self.down.append(("BOOTED", self.life))
+            self.down.append(("BOOTED", self.incarnation))
             self.down += [("N", n + 1, *notice) for n, notice in enumerate(self.notices) if n >= rest[0]]
         elif kind == "MARK":
             self.down.append(("INFO", rest[0]))
@@ -61,7 +95,7 @@
             if refuse:
                 self.down.append(("EINVAL", rid))
             elif over:
-                self.tell("REAP", rid, "NOOP")
+                self.send_notice("REAP", rid, "NOOP")
             elif rid not in self.runs:
                 self.runs[rid] = [0, 0]
                 self.starts[rid] = self.starts.get(rid, 0) + 1
@@ -77,40 +111,40 @@
         """A run makes its next call."""
         run = self.runs[rid]
         run[0], run[1] = 1, run[1] + 1
-        self.tell("IOREQ", rid, run[1])
+        self.send_notice("IOREQ", rid, run[1])
 
     def end(self, rid: str, status: str) -> None:
-        """A run is over."""
+        """A run ends with this status."""
         del self.runs[rid]
         if status == "PASS":
             self.passed.add(rid)
-        self.tell("REAP", rid, status)
+        self.send_notice("REAP", rid, status)
 
 
 @dataclass(slots=True)
 class PolicyModel:
-    """What a policy knows: it may decide anything about what it was told of and has not decided."""
+    """A policy that may decide anything about attempts that it knows and has not decided."""
 
     held: list[str] = field(default_factory=list)
     running: list[str] = field(default_factory=list)
     at_call: list[str] = field(default_factory=list)
 
     def arrival(self, id: str) -> None:
-        """It has a new try."""
+        """A new attempt arrived."""
         self.held.append(id)
 
     def forget(self, id: str) -> None:
-        """It will decide nothing more about this try."""
+        """Nothing more is decided about this attempt."""
         for row in (self.held, self.running, self.at_call):
             if id in row:
                 row.remove(id)
 
     def ran(self, id: str) -> None:
-        """It decided to run it."""
+        """The attempt was started."""
         self.held.remove(id)
         self.running.append(id)
 
     def call_needed(self, id: str) -> None:
-        """A run waits for its decision."""
+        """A run waits for the decision on its call."""
         if id in self.running and id not in self.at_call:
             self.at_call.append(id)
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -1,4 +1,4 @@
-"""Breadth first through every state of a small world, so that the first way to break a rule is a shortest one."""
+"""Breadth-first exploration of every state of a scenario, so that the first counter-example is a shortest one."""
 
 from __future__ import annotations
 
@@ -13,44 +13,46 @@
 from typing import Any
 
 from myrtlespar.errors import MyrtlesparError
+from myrtlespar.model_checker.enabled_events import enabled_events
 from myrtlespar.model_checker.events import apply, begin
-from myrtlespar.model_checker.invariants import TransitionCoverage, fallen
+from myrtlespar.model_checker.invariants import TransitionCoverage, broken_rules
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.model_checker.state_encoding import Plain, digest, freeze, thaw, unpack
+from myrtlespar.model_checker.state_decoding import unpack
+from myrtlespar.model_checker.state_encoding import Plain, digest, freeze, thaw
 from myrtlespar.model_checker.world import Event, World
 
-CHUNK = 200  # states handed to a worker at a time
-STEP_S = 1.0  # of processor time for one event, a thousand times what one takes
-Used = set[tuple[str, int, int]]
+CHUNK_STATES = 200  # handed to a worker at a time
+MAX_STEP_S = 1.0  # of processor time for one event, a thousand times what one takes
+UsedTransitions = set[tuple[str, int, int]]
 
 
 class NonTerminatingError(MyrtlesparError):
-    """A machine that does not come to an end over one event."""
+    """A state machine that does not end its work on one event."""
 
 
 def limit_steps() -> None:
-    """In this process an event that does not end is a rule that falls."""
-    signal.signal(signal.SIGVTALRM, _endless)
+    """Interrupt events that do not end, in this process; `step` reports them as broken rules."""
+    signal.signal(signal.SIGVTALRM, _raise_non_terminating)
 
 
-def _endless(*_: Any) -> None:
+def _raise_non_terminating(*_: Any) -> None:
     raise NonTerminatingError
 
 
 @dataclass(slots=True)
-class Result:
-    """What an exploration found. `whole` is false where a bound stopped it: then it is no verdict."""
+class ExplorationResult:
+    """What an exploration found. It is no verdict unless `complete`: a bound stopped it."""
 
     scenario: str
     states: int = 0
     steps: int = 0
     depth: int = 0
     seconds: float = 0.0
-    whole: bool = True
+    complete: bool = True
     stopped_by: str = ""
-    fell: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     path: list[Event] = field(default_factory=list)
-    used: Used = field(default_factory=set)
+    used_transitions: UsedTransitions = field(default_factory=set)
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,10 +64,10 @@
     memory_mb: int = 6000  # of the process that holds the visited set
 
 
-def step(s: Scenario, plain: Plain, event: Event, watch: TransitionCoverage) -> tuple[World, list[str]]:
-    """The world after one event, and the rules that fell with it."""
-    world = unpack(s, plain)
-    signal.setitimer(signal.ITIMER_VIRTUAL, STEP_S)
+def step(scenario: Scenario, plain: Plain, event: Event, coverage: TransitionCoverage) -> tuple[World, list[str]]:
+    """The world after one event, and the rules that it broke."""
+    world = unpack(scenario, plain)
+    signal.setitimer(signal.ITIMER_VIRTUAL, MAX_STEP_S)
     try:
         apply(world, event)
     except NonTerminatingError:
@@ -74,49 +76,50 @@
         return world, ["no machine fails"]
     finally:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0.0)
-    return world, fallen(world, watch, event[0] == "tick")
+    return world, broken_rules(world, coverage, event[0] == "tick")
 
 
-Found = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the state before, rules that fell
+FoundState = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the state before, rules that fell
 
 
 class Expander:
     """Expands chunks of states, in this process or in a worker."""
 
-    def __init__(self, s: Scenario) -> None:
-        self.s, self.watch = s, TransitionCoverage()
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario, self.coverage = scenario, TransitionCoverage()
         self.sent: set[int] = set()  # what this worker has handed back already
 
-    def __call__(self, chunk: list[tuple[int, bytes]]) -> tuple[list[Found], int]:
-        out: list[Found] = []
+    def __call__(self, chunk: list[tuple[int, bytes]]) -> tuple[list[FoundState], int]:
+        """Expand states, given with their digests, into the new states after them and the number of steps."""
+        result: list[FoundState] = []
         steps = 0
         for before, data in chunk:
             plain = thaw(data)
-            for event in unpack(self.s, plain).enabled():
+            for event in enabled_events(unpack(self.scenario, plain)):
                 steps += 1
-                world, fell = step(self.s, plain, event, self.watch)
+                world, violations = step(self.scenario, plain, event, self.coverage)
                 state = freeze(world)
                 after = digest(state)
-                if after not in self.sent or fell:
+                if after not in self.sent or violations:
                     self.sent.add(after)
-                    out.append((after, state, before, tuple(fell)))
-        return out, steps
+                    result.append((after, state, before, tuple(violations)))
+        return result, steps
 
 
 _expander: Expander | None = None
 
 
-def _begin(s: Scenario) -> None:
+def _start_worker(scenario: Scenario) -> None:
     global _expander
-    _expander = Expander(s)
+    _expander = Expander(scenario)
     limit_steps()
 
 
-def _expand(chunk: list[tuple[int, bytes]]) -> tuple[list[Found], int, Used]:
+def _expand(chunk: list[tuple[int, bytes]]) -> tuple[list[FoundState], int, UsedTransitions]:
     assert _expander is not None
     found, steps = _expander(chunk)
-    used, _expander.watch.used = _expander.watch.used, set()
-    return found, steps, used
+    used_transitions, _expander.coverage.used_transitions = _expander.coverage.used_transitions, set()
+    return found, steps, used_transitions
 
 
 def _chunks(frontier: list[tuple[int, bytes]], size: int) -> Iterator[list[tuple[int, bytes]]]:
@@ -124,79 +127,89 @@
         yield frontier[at : at + size]
 
 
-def explore(s: Scenario, bounds: Bounds, jobs: int = 1, progress: Callable[[Result], None] | None = None) -> Result:
+def explore(
+    scenario: Scenario, bounds: Bounds, jobs: int = 1, progress: Callable[[ExplorationResult], None] | None = None
+) -> ExplorationResult:
     """Visit every state, or stop at the first rule that falls, or at a bound."""
     if jobs == 1:
-        _begin(s)
-        return _levels(s, bounds, lambda frontier: map(_expand, _chunks(frontier, CHUNK)), progress)
+        _start_worker(scenario)
+        return _levels(scenario, bounds, lambda frontier: map(_expand, _chunks(frontier, CHUNK_STATES)), progress)
     context = multiprocessing.get_context("fork")
-    with ProcessPoolExecutor(jobs, context, _begin, (s,)) as pool:
+    with ProcessPoolExecutor(jobs, context, _start_worker, (scenario,)) as pool:
         try:
-            return _levels(s, bounds, lambda frontier: pool.map(_expand, _chunks(frontier, CHUNK)), progress)
+            return _levels(
+                scenario, bounds, lambda frontier: pool.map(_expand, _chunks(frontier, CHUNK_STATES)), progress
+            )
         except BrokenProcessPool:  # such as one killed for memory: nothing is known of what it had in hand
-            return Result(s.name, whole=False, stopped_by="a worker that died")
+            return ExplorationResult(scenario.name, complete=False, stopped_by="a worker that died")
         finally:
             pool.shutdown(cancel_futures=True)
 
 
 def _levels(
-    s: Scenario,
+    scenario: Scenario,
     bounds: Bounds,
     expand: Callable[[list[tuple[int, bytes]]], Any],
-    progress: Callable[[Result], None] | None,
-) -> Result:
+    progress: Callable[[ExplorationResult], None] | None,
+) -> ExplorationResult:
     began = time.monotonic()
-    first = freeze(begin(s))
+    first = freeze(begin(scenario))
     root = digest(first)
     before: dict[int, int] = {root: root}
     frontier = [(root, first)]
-    out = Result(s.name, states=1)
+    result = ExplorationResult(scenario.name, states=1)
     while frontier:
         following: list[tuple[int, bytes]] = []
-        for found, steps, used in expand(frontier):
-            out.steps += steps
-            out.used |= used
-            for after, data, parent, fell in found:
-                if fell:
-                    out.fell = list(fell)
-                    out.path = retrace(s, before, parent, fell)
-                    out.seconds = time.monotonic() - began
-                    return out
+        for found, steps, used_transitions in expand(frontier):
+            result.steps += steps
+            result.used_transitions |= used_transitions
+            for after, data, parent, violations in found:
+                if violations:
+                    result.violations = list(violations)
+                    result.path = retrace(scenario, before, parent, violations)
+                    result.seconds = time.monotonic() - began
+                    return result
                 if after not in before:
                     before[after] = parent
                     following.append((after, data))
-            out.states, out.seconds = len(before), time.monotonic() - began
-            out.stopped_by = _stop(out, bounds)
-            if out.stopped_by:
-                out.whole = False
-                return out
-        out.depth += bool(following)
+            result.states, result.seconds = len(before), time.monotonic() - began
+            result.stopped_by = _stop(result, bounds)
+            if result.stopped_by:
+                result.complete = False
+                return result
+        result.depth += bool(following)
         frontier = following
         if progress is not None:
-            progress(out)
-    return out
+            progress(result)
+    return result
 
 
-def _stop(out: Result, bounds: Bounds) -> str:
-    if out.seconds > bounds.seconds:
+def _stop(result: ExplorationResult, bounds: Bounds) -> str:
+    if result.seconds > bounds.seconds:
         return "time"
-    if out.states > bounds.states:
+    if result.states > bounds.states:
         return "number of states"
     return "memory" if resource.getrusage(resource.RUSAGE_SELF).ru_maxrss > bounds.memory_mb * 1024 else ""
 
 
-def retrace(s: Scenario, before: dict[int, int], last: int, fell: tuple[str, ...]) -> list[Event]:
+def retrace(scenario: Scenario, before: dict[int, int], last: int, violations: tuple[str, ...]) -> list[Event]:
     """The events from the beginning to the state `last`, and the one after it with which the rules fell."""
     chain = [last]
     while before[chain[-1]] != chain[-1]:
         chain.append(before[chain[-1]])
-    plain, path, watch = thaw(freeze(begin(s))), list[Event](), TransitionCoverage()
+    plain, path, coverage = thaw(freeze(begin(scenario))), list[Event](), TransitionCoverage()
     for wanted in reversed(chain[:-1]):
-        for event in unpack(s, plain).enabled():
-            state = freeze(step(s, plain, event, watch)[0])
+        for event in enabled_events(unpack(scenario, plain)):
+            state = freeze(step(scenario, plain, event, coverage)[0])
             if digest(state) == wanted:
                 path.append(event)
                 plain = thaw(state)
                 break
-    path.append(next(event for event in unpack(s, plain).enabled() if tuple(step(s, plain, event, watch)[1]) == fell))
+    path.append(
+        next(
+            event
+            for event in enabled_events(unpack(scenario, plain))
+            if tuple(step(scenario, plain, event, coverage)[1]) == violations
+        )
+    )
     return path
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -1,8 +1,8 @@
-"""The rules, each stated once, and where it is looked at after every event."""
+"""The invariants, each stated once, and their check after every event."""
 
 from __future__ import annotations
 
-from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITS, World
+from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITING, World
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.attempts import OWED, STARTED, AttemptState
 from myrtlespar.state_machines.dependency_calls import CallState
@@ -36,83 +36,91 @@
     """Watches all tables: rows that were used, and events that had none."""
 
     def __init__(self) -> None:
-        self.used: set[tuple[str, int, int]] = set()
-        self.odd: list[str] = []
+        self.used_transitions: set[tuple[str, int, int]] = set()
+        self.undefined: list[str] = []
         for table in TABLES:
             table.observer = self
 
     def __call__(self, table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
+        """Note one step of a table; `row` is None where the table has none for it."""
         if row is None:
-            self.odd.append(f"{table.name} {table.states(state).name} {table.events(event).name}")
+            self.undefined.append(f"{table.name} {table.states(state).name} {table.events(event).name}")
         else:
-            self.used.add((table.name, int(state), int(event)))
+            self.used_transitions.add((table.name, int(state), int(event)))
 
 
-def unused(used: set[tuple[str, int, int]]) -> list[str]:
+def unused(used_transitions: set[tuple[str, int, int]]) -> list[str]:
     """Rows that no run used: they are to be reached or removed."""
     return [
         f"{table.name} {table.states(state).name} {table.events(event).name}"
         for table in TABLES
         for state, event in table.defined_transitions()
-        if (table.name, state, event) not in used
+        if (table.name, state, event) not in used_transitions
     ]
 
 
-def fallen(world: World, watch: TransitionCoverage, ticked: bool) -> list[str]:
+def broken_rules(world: World, coverage: TransitionCoverage, ticked: bool) -> list[str]:
     """The rules that do not hold in this world, those that fell with its last event first."""
-    out = list(world.fell)
-    world.fell.clear()
-    if watch.odd:
-        if not world.s.rude:
+    out = list(world.violations)
+    world.violations.clear()
+    if coverage.undefined:
+        if not world.scenario.unexpected_decisions:
             out.append("nothing impossible")
-        watch.odd.clear()
-    if any(len(one.answers) > 1 for one in world.callers):
+        coverage.undefined.clear()
+    if any(len(caller.answers) > 1 for caller in world.callers):
         out.append("one answer")
-    if world.kernel.wrong_reply:
+    if world.engine.wrong_reply:
         out.append("true replies")
     if not world.stopped:
         if (
             ticked
-            and any(x.state in OWED and world.now >= x.due_at + OVERDUE_MS for x in world.tracker.requests.values())
-        ) or (ticked and _forgotten(world)):
+            and any(
+                exchange.state in OWED and world.now >= exchange.due_at + OVERDUE_MS
+                for exchange in world.tracker.requests.values()
+            )
+        ) or (ticked and _has_forgotten_caller(world)):
             out.append("answered in time")
-        if not _agree(world):
+        if not _books_agree(world):
             out.append("books agree")
-        if any(x.state in STARTED and not _shows(world, id) for id, x in world.tracker.requests.items()):
+        if any(
+            exchange.state in STARTED and not _end_will_show(world, id)
+            for id, exchange in world.tracker.requests.items()
+        ):
             out.append("no place is lost")
-        if _stranded(world):
+        if _has_stranded_call(world):
             out.append("no call is stranded")
     return out
 
 
-def _stranded(world: World) -> bool:
-    if not world.calls.connection_count and any(one.state == CallState.WAITING for one in world.calls.waiting):
+def _has_stranded_call(world: World) -> bool:
+    if not world.calls.connection_count and any(caller.state == CallState.WAITING for caller in world.calls.waiting):
         return True
     return any(
-        x.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
-        for id, x in world.tracker.requests.items()
+        exchange.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
+        for id, exchange in world.tracker.requests.items()
     )
 
 
-def _forgotten(world: World) -> bool:
+def _has_forgotten_caller(world: World) -> bool:
     """A caller waits past its due time for what nobody knows any longer."""
     return any(
-        one.stage == WAITS
-        and one.life == world.life
-        and not one.answers
-        and not one.gone
+        caller.stage == WAITING
+        and caller.incarnation == world.incarnation
+        and not caller.answers
+        and not caller.gone
         and IDS[n] not in world.tracker.requests
-        for n, one in enumerate(world.callers)
+        for n, caller in enumerate(world.callers)
     )
 
 
-def _agree(world: World) -> bool:
+def _books_agree(world: World) -> bool:
     tracker = world.tracker
-    owed = sum(x.state in OWED for x in tracker.requests.values())
-    if owed != tracker.unanswered or any(x.state == AttemptState.OVER for x in tracker.requests.values()):
+    owed = sum(exchange.state in OWED for exchange in tracker.requests.values())
+    if owed != tracker.unanswered or any(exchange.state == AttemptState.OVER for exchange in tracker.requests.values()):
         return False
     waiting = sum(
-        one.stage == WAITS and one.life == world.life and not one.gone and not one.answers for one in world.callers
+        caller.stage == WAITING and caller.incarnation == world.incarnation and not caller.gone and not caller.answers
+        for caller in world.callers
     )
     if waiting != owed:
         return False
@@ -121,23 +129,26 @@
             entry.owner is None or tracker.requests.get(entry.owner.id) is not entry.owner
         ):
             return False
-        if any(tracker.requests.get(x.id) is not x or x.state != AttemptState.FOLLOWING for x in entry.followers):
+        if any(
+            tracker.requests.get(exchange.id) is not exchange or exchange.state != AttemptState.FOLLOWING
+            for exchange in entry.followers
+        ):
             return False
-    followers = {x.id for entry in tracker.keys.entries.values() for x in entry.followers}
-    return all(id in followers for id, x in tracker.requests.items() if x.state == AttemptState.FOLLOWING)
+    followers = {exchange.id for entry in tracker.keys.entries.values() for exchange in entry.followers}
+    return all(id in followers for id, exchange in tracker.requests.items() if exchange.state == AttemptState.FOLLOWING)
 
 
-def _shows(world: World, rid: str) -> bool:
+def _end_will_show(world: World, rid: str) -> bool:
     """Whether something will still show how this run ends."""
-    x = world.tracker.requests[rid]
-    if x.target:
+    exchange = world.tracker.requests[rid]
+    if exchange.target:
         return rid in world.workers
-    kernel, commands = world.kernel, world.commands
-    if rid in kernel.runs or world.known_kernel not in (kernel.life, -1):
+    engine, commands = world.engine, world.commands
+    if rid in engine.runs or world.known_engine not in (engine.incarnation, -1):
         return True
     command = commands.unconfirmed.get(rid)
     if command is not None and (command.state != CommandState.SENT or commands.state == LinkState.DOWN):
         return True
-    if any(item[:2] in (("SCHED", rid), ("IODONE", rid), ("EINVAL", rid)) for item in (*kernel.up, *kernel.down)):
+    if any(item[:2] in (("SCHED", rid), ("IODONE", rid), ("EINVAL", rid)) for item in (*engine.up, *engine.down)):
         return True
-    return any(n >= commands.last_notice and notice[1] == rid for n, notice in enumerate(kernel.notices))
+    return any(n >= commands.last_notice and notice[1] == rid for n, notice in enumerate(engine.notices))
--- a/myrtlespar/model_checker/mutation_testing.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -1,4 +1,4 @@
-"""Looks for one planted bug, in a process whose machines have it. A child of `myrtlespar check --planted`."""
+"""Looks for one mutation, in a process that runs with it. A child of `myrtlespar check --planted`."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     if replay is not None:
         sys.exit(command.replay(Path(replay), False, ""))
     if MUTATIONS[name].scenario == "twins":
-        from myrtlespar.model_checker import process_pair as twins
+        from myrtlespar.model_checker import process_pair as process_pair
 
-        sys.exit(twins.hunted(twins.explore(), command.LONGEST))
+        sys.exit(process_pair.print_mutation_result(process_pair.explore(), command.MAX_PATH_EVENTS))
     found = explore(ALL[MUTATIONS[name].scenario], Bounds(seconds))
-    if not found.fell:
-        print(f"survived {found.states:,} states of {found.scenario}{'' if found.whole else ', not all'}")
+    if not found.violations:
+        print(f"survived {found.states:,} states of {found.scenario}{'' if found.complete else ', not all'}")
         sys.exit(1)
-    long = len(found.path) > command.LONGEST
+    long = len(found.path) > command.MAX_PATH_EVENTS
     print(
-        f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
+        f"{'too long' if long else 'found'}: {', '.join(found.violations)} after {len(found.path)} events, "
         f"{found.states:,} states of {found.scenario}"
     )
     if save is not None:
--- /dev/null
+++ b/myrtlespar/model_checker/process_events.py
@@ -0,0 +1,124 @@
+"""Drain, hand-over, reload, ticks of the clock, and kills of the server."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from myrtlespar.model_checker.world import DONE, PARTLY_READ, TICK_MS, WAITING, World
+from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
+from myrtlespar.state_machines.process import ProcessAction, ProcessEvent, ProcessState
+
+HANDOVER_MS = 2700.0  # SIGKILL after a hand-over: the deadline of two ticks, and 0.7 s
+
+
+def drain_notice(world: World) -> None:
+    """The server gets the notice to drain."""
+    world.count_fault("notice")
+    _apply_actions(world, world.tracker.process.drain_notice(world.now))
+
+
+def hand_over(world: World) -> None:
+    """SIGTERM while a second process serves beside this one; it is killed as the drain would be."""
+    world.count_fault("notice")
+    _apply_actions(world, world.tracker.process.handover(world.now, HANDOVER_MS))
+
+
+def reload(world: World) -> None:
+    """The configuration is reloaded, and links move to new addresses."""
+    world.count_fault("move")
+    _apply_actions(world, world.tracker.process.handle(ProcessEvent.RELOAD))
+
+
+def bad_reload(world: World) -> None:
+    """A reload is rejected."""
+    world.count_fault("bad reload")
+    _apply_actions(world, world.tracker.process.handle(ProcessEvent.BAD_RELOAD))
+
+
+def poll_process(world: World) -> None:
+    """The process lifecycle is polled."""
+    _apply_actions(world, world.tracker.process.poll(world.now, world.tracker.unanswered))
+
+
+def _apply_actions(world: World, actions: tuple[ProcessAction, ...]) -> None:
+    for action in actions:
+        handler = ACTION_HANDLERS.get(action)
+        if handler is not None:
+            handler(world)
+
+
+def _ask_clients(world: World) -> None:
+    for index, attempt in enumerate(world.scenario.attempts):
+        if attempt.front == "ajp":
+            world.handle_connection_event(index, ConnectionEvent.CLOSE)
+
+
+def _move_links(world: World) -> None:
+    world.apply_link_effects(world.commands.move())
+    world.apply_call_effects(world.calls.change_address())
+
+
+def _close_listeners(world: World) -> None:
+    world.listening = False
+
+
+def _flush(world: World) -> None:
+    for index in range(len(world.scenario.attempts)):
+        if world.connection_index(index) == index:
+            world.handle_connection_event(index, ConnectionEvent.END)
+
+
+def _stop(world: World) -> None:
+    world.stopped = True
+    for index, caller in enumerate(world.callers):
+        is_owed = not caller.answers and not caller.gone
+        if caller.stage == WAITING and caller.incarnation == world.incarnation and is_owed:
+            world.violations.append("the drain answers all")
+        is_open = world.connections[world.connection_index(index)].state != ConnectionState.CLOSED
+        world.handle_connection_event(index, ConnectionEvent.RESET if is_open else ConnectionEvent.CLOSE)
+
+
+ACTION_HANDLERS: dict[ProcessAction, Callable[[World], None]] = {
+    ProcessAction.ASK_CLIENTS: _ask_clients,
+    ProcessAction.MOVE_LINKS: _move_links,
+    ProcessAction.CLOSE_LISTENERS: _close_listeners,
+    ProcessAction.FLUSH: _flush,
+    ProcessAction.STOP: _stop,
+}
+
+
+def flushed(world: World) -> None:
+    """All answers are flushed."""
+    _apply_actions(world, world.tracker.process.handle(ProcessEvent.FLUSHED))
+
+
+def tick(world: World) -> None:
+    """One tick of the clock: due times, call limits, and the kill at the end of a drain."""
+    world.now += TICK_MS
+    if world.stopped:
+        return
+    world.apply_effects(world.tracker.fail_overdue(world.now))
+    world.apply_call_effects(world.calls.expire(world.now))
+    process = world.tracker.process
+    for _ in range(3):
+        if world.now >= process.kill_at and process.state == ProcessState.FLUSHING:
+            flushed(world)
+        elif world.now >= process.kill_at and process.state != ProcessState.STOPPED:
+            poll_process(world)
+    if world.now >= process.kill_at and not world.stopped:
+        world.violations.append("the drain ends")
+
+
+def kill_server(world: World) -> None:
+    """The server is killed and started again."""
+    world.incarnation += 1
+    for caller in world.callers:
+        if caller.stage in (PARTLY_READ, WAITING):
+            caller.stage = DONE
+            caller.gone = True
+    world.engine.new_server()
+    world.known_engine = -1
+    world.listening = True
+    world.stopped = False
+    world.fault_counts.pop("notice", None)
+    world.start()
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -1,14 +1,15 @@
 """An old and a new process of one server, and one idempotency key: every order of a hand-over, breadth first.
 
-The desk, its keys, the process and the hand-over file are those that the server runs on. The kernel goes on with what
-an old process gave it. Files may be torn once; then the new process waits until the old one is gone and promises
-nothing about the old one's runs.
+Request tracker, key table, process lifecycle and hand-over file are those that the server runs on. The engine goes on
+with the runs of an old process. The file may be torn once; then the new process waits until the old one has exited and
+promises nothing about the old one's runs.
 """
 
 from __future__ import annotations
 
 import pickle
 import time
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
@@ -20,34 +21,42 @@
 from myrtlespar.state_machines.request_tracker import FAILED, RequestEffect, RequestTerms, RequestTracker
 
 Event = tuple[str, ...]
-SENT_MOST = 3  # tries of the key in a run
-KILL_IN_MS = 3700.0
+MAX_ATTEMPTS = 3  # with the key
+MAX_WAITS = 2
+KILL_AFTER_MS = 3700.0
 KEY_MS = 60_000.0
-WAITS = {"a while": 200.0, "long": 9000.0}
+RUN_MS = 5.0
+WAITS_MS = {"a while": 200.0, "long": 9000.0}
 RULES = {
     "one start a key": "An order with a key never runs twice, also across a replacement.",
     "all read are answered": "What a process has read is answered before it goes.",
     "keys open": "The new process takes keys once the old one is gone.",
-    "known stays known": "A repeat of what was served is answered with it, not turned away, once keys are open.",
+    "known stays known": "A repeat of what was served is answered with it, not rejected, once keys are open.",
 }
 
 
-def nobody(_: Exchange, __: Answer) -> None:
-    """Where answers go."""
+def discard_answer(_: Exchange, __: Answer) -> None:
+    """The `deliver` of an exchange; answers are checked as they are ordered."""
 
 
 @dataclass(slots=True)
 class ProcessSide:
-    """One process. `ends`: it reads no more; `gone`: it has exited."""
+    """One of the two processes.
+
+    Attributes:
+        stopped_reading: It reads no more requests.
+        gone: It has exited.
+        keys_left: It has written the hand-over file.
+    """
 
     name: str
     tracker: RequestTracker
-    ends: bool = False
+    stopped_reading: bool = False
     gone: bool = False
-    left: bool = False
+    keys_left: bool = False
 
 
-def side(name: str) -> ProcessSide:
+def new_side(name: str) -> ProcessSide:
     """A process at its start."""
     process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
     return ProcessSide(
@@ -58,119 +67,158 @@
 
 @dataclass(slots=True)
 class ProcessPair:
-    """All there is."""
+    """The two processes, the hand-over file between them, and what happened.
+
+    Attributes:
+        now: Milliseconds.
+        file: The content of the hand-over file, once it is written.
+        torn: The file was torn.
+        sent: The number of attempts sent.
+        waits: The number of waits.
+        runs: The number of runs started.
+        served: Some caller has the outcome.
+        violations: Rules that the newest event broke.
+    """
 
     now: float = 1000.0
-    old: ProcessSide = field(default_factory=lambda: side("old"))
-    new: ProcessSide = field(default_factory=lambda: side("new"))
+    old: ProcessSide = field(default_factory=lambda: new_side("old"))
+    new: ProcessSide = field(default_factory=lambda: new_side("new"))
     receiver: HandoverReceiver = field(default_factory=lambda: HandoverReceiver(HandoverState.WAITING))
     file: bytes | None = None
     torn: bool = False
     sent: int = 0
-    waited: int = 0
+    waits: int = 0
     runs: int = 0
-    served: bool = False  # some caller holds the outcome
-    fell: list[str] = field(default_factory=list)
+    served: bool = False
+    violations: list[str] = field(default_factory=list)
 
     def enabled(self) -> list[Event]:
-        """What can come now."""
-        out: list[Event] = []
-        for one in (self.old, self.new):
-            if one.gone:
-                continue
-            if not one.ends and self.sent < SENT_MOST:
-                out.append(("send", one.name))
-            for id, x in sorted(one.tracker.requests.items()):
-                if x.state == AttemptState.HELD:
-                    out += [("start", one.name, id), ("refuse", one.name, id)]
-                if x.state in STARTED:
-                    out += [("serve", one.name, id), ("lose", one.name, id)]
-                if one.tracker.is_wanted(id):
-                    out.append(("gone", one.name, id))
+        """Every event that may come next."""
+        events: list[Event] = []
+        for side in (self.old, self.new):
+            if not side.gone:
+                events += self._events_of(side)
         if not self.old.gone:
-            if self.old.left:
-                out.append(("exit",))
+            if self.old.keys_left:
+                events.append(("exit",))
             elif not self.old.tracker.process.draining:
-                out.append(("term",))
+                events.append(("term",))
             else:
-                out.append(("look",))
+                events.append(("look",))
         if self.receiver.state is HandoverState.WAITING:
-            out.append(("take",))
+            events.append(("take",))
             if self.file is not None and not self.torn and not self.old.gone:
-                out.append(("tear",))
-        if self.waited < 2:
-            out += [("wait", name) for name in WAITS]
-        return out
+                events.append(("tear",))
+        if self.waits < MAX_WAITS:
+            events += [("wait", name) for name in WAITS_MS]
+        return events
+
+    def _events_of(self, side: ProcessSide) -> list[Event]:
+        events: list[Event] = []
+        if not side.stopped_reading and self.sent < MAX_ATTEMPTS:
+            events.append(("send", side.name))
+        for id, exchange in sorted(side.tracker.requests.items()):
+            if exchange.state == AttemptState.HELD:
+                events += [("start", side.name, id), ("refuse", side.name, id)]
+            if exchange.state in STARTED:
+                events += [("serve", side.name, id), ("lose", side.name, id)]
+            if side.tracker.is_wanted(id):
+                events.append(("gone", side.name, id))
+        return events
 
     def apply(self, event: Event) -> None:
-        """One event."""
+        """Make an event happen."""
         kind, *rest = event
-        one = self.old if rest and rest[0] == "old" else self.new
-        tracker = one.tracker
-        if kind == "send":
-            self.sent += 1
-            x = Exchange(f"t{self.sent}", "thrift", 0, b"", self.now, nobody)
-            x.key = "k"
-            self._carry(one, tracker.submit(x) or [])
-        elif kind == "start":
-            self._carry(one, tracker.start(rest[1], self.now))
-        elif kind == "refuse":
-            self._carry(one, tracker.reject(rest[1], Answer(AnswerKind.REFUSED), self.now))
-        elif kind == "serve":
-            self._carry(one, tracker.run_ended(rest[1], RunOutcome.OK, 5.0, Answer(AnswerKind.SERVED, b"r"), self.now))
-        elif kind == "lose":
-            self._carry(one, tracker.run_ended(rest[1], RunOutcome.OK, 5.0, FAILED, self.now))
-        elif kind == "gone":
-            self._carry(one, tracker.caller_gone(tracker.requests[rest[1]]))
+        if kind in PROCESS_EVENTS:
+            PROCESS_EVENTS[kind](self)
         elif kind == "wait":
-            self.waited += 1
-            self.now += WAITS[rest[0]]
-            for each in (self.old, self.new):
-                if not each.gone:
-                    self._carry(each, each.tracker.fail_overdue(self.now))
-        elif kind == "term":
-            self.old.tracker.process.handover(self.now, KILL_IN_MS)
-        elif kind == "look":
-            self._look()
-        elif kind == "exit":
-            self._carry(self.old, self.old.tracker.fail_overdue(self.now))  # the core goes on while answers are flushed
-            self.old.gone = True
-            if self.old.tracker.unanswered:
-                self.fell.append("all read are answered")
-        elif kind == "tear":
-            assert self.file is not None
-            self.file, self.torn = self.file[:-1], True
+            self._wait(WAITS_MS[rest[0]])
         else:
-            self._take()
+            side = self.old if rest[0] == "old" else self.new
+            if kind == "send":
+                self._send(side)
+            else:
+                self._apply_effects(side, self._effects_of(kind, side.tracker, rest[1]))
+
+    def _send(self, side: ProcessSide) -> None:
+        self.sent += 1
+        exchange = Exchange(f"t{self.sent}", "thrift", 0, b"", self.now, discard_answer)
+        exchange.key = "k"
+        self._apply_effects(side, side.tracker.submit(exchange) or [])
+
+    def _effects_of(self, kind: str, tracker: RequestTracker, id: str) -> list[RequestEffect]:
+        """What the tracker orders for an event of one request."""
+        if kind == "start":
+            return tracker.start(id, self.now)
+        if kind == "refuse":
+            return tracker.reject(id, Answer(AnswerKind.REFUSED), self.now)
+        if kind == "serve":
+            return tracker.run_ended(id, RunOutcome.OK, RUN_MS, Answer(AnswerKind.SERVED, b"r"), self.now)
+        if kind == "lose":
+            return tracker.run_ended(id, RunOutcome.OK, RUN_MS, FAILED, self.now)
+        return tracker.caller_gone(tracker.requests[id])
+
+    def _wait(self, wait_ms: float) -> None:
+        self.waits += 1
+        self.now += wait_ms
+        for side in (self.old, self.new):
+            if not side.gone:
+                self._apply_effects(side, side.tracker.fail_overdue(self.now))
 
-    def _look(self) -> None:
+    def _terminate_old_process(self) -> None:
+        self.old.tracker.process.handover(self.now, KILL_AFTER_MS)
+
+    def _exit_old_process(self) -> None:
+        # The request coordinator goes on while answers are flushed.
+        self._apply_effects(self.old, self.old.tracker.fail_overdue(self.now))
+        self.old.gone = True
+        if self.old.tracker.unanswered:
+            self.violations.append("all read are answered")
+
+    def _tear_file(self) -> None:
+        assert self.file is not None
+        self.file = self.file[:-1]
+        self.torn = True
+
+    def _poll_old_process(self) -> None:
         old = self.old
-        for act in old.tracker.process.poll(self.now, old.tracker.unanswered):
-            if act is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
-                old.ends = old.left = True
+        for action in old.tracker.process.poll(self.now, old.tracker.unanswered):
+            if action is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
+                old.stopped_reading = True
+                old.keys_left = True
                 self.file = encode(known_keys(old.tracker.keys_to_hand_over(self.now)))
 
-    def _take(self) -> None:
+    def _poll_receiver(self) -> None:
         known, _ = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
-        for each in known:
-            self.new.tracker.keys.import_outcome((each.class_index, each.key), answer_of(each), each.expires_at)
+        for outcome in known:
+            slot = (outcome.class_index, outcome.key)
+            self.new.tracker.keys.import_outcome(slot, answer_of(outcome), outcome.expires_at)
         self.new.tracker.keys.awaiting_handover = self.receiver.state is HandoverState.WAITING
         if self.old.gone and self.new.tracker.keys.awaiting_handover and not (self.torn and self.file):
-            self.fell.append("keys open")
+            self.violations.append("keys open")
 
-    def _carry(self, one: ProcessSide, effects: list[RequestEffect]) -> None:
+    def _apply_effects(self, side: ProcessSide, effects: list[RequestEffect]) -> None:
         for effect in effects:
             if effect.action is AttemptAction.START_RUN:
                 self.runs += 1
                 if self.runs > 1 and not self.torn:
-                    self.fell.append("one start a key")
+                    self.violations.append("one start a key")
             elif effect.action is AttemptAction.DELIVER and effect.answer is not None:
-                open_keys = one is self.new and self.receiver.state is HandoverState.OPEN
+                open_keys = side is self.new and self.receiver.state is HandoverState.OPEN
                 if self.served and effect.answer.kind is AnswerKind.REFUSED and open_keys and not self.torn:
-                    self.fell.append("known stays known")
+                    self.violations.append("known stays known")
                 self.served = self.served or effect.answer.kind is AnswerKind.SERVED
 
 
+PROCESS_EVENTS: dict[str, Callable[[ProcessPair], None]] = {
+    "term": ProcessPair._terminate_old_process,
+    "look": ProcessPair._poll_old_process,
+    "exit": ProcessPair._exit_old_process,
+    "tear": ProcessPair._tear_file,
+    "take": ProcessPair._poll_receiver,
+}
+
+
 @dataclass(slots=True)
 class PairResult:
     """What an exploration found."""
@@ -179,68 +227,73 @@
     steps: int = 0
     depth: int = 0
     seconds: float = 0.0
-    fell: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     path: list[Event] = field(default_factory=list)
 
 
 def begin() -> ProcessPair:
-    """The old process serves, the new one has just started beside it."""
+    """The pair where the old process serves and the new one has just started beside it."""
     world = ProcessPair()
     world.new.tracker.keys.awaiting_handover = True
     return world
 
 
 def explore() -> PairResult:
-    """Every state, or the shortest way to break a rule."""
-    began, out = time.monotonic(), PairResult()
+    """Visit every state, or stop at the first broken rule, with a shortest path to it."""
+    began = time.monotonic()
+    result = PairResult()
     first = pickle.dumps(begin(), 5)
-    seen, frontier = {first}, list[tuple[bytes, tuple[Event, ...]]]([(first, ())])
+    visited = {first}
+    frontier: list[tuple[bytes, tuple[Event, ...]]] = [(first, ())]
     while frontier:
         following: list[tuple[bytes, tuple[Event, ...]]] = []
         for data, path in frontier:
             for event in pickle.loads(data).enabled():
                 world: ProcessPair = pickle.loads(data)
-                out.steps += 1
+                result.steps += 1
                 try:
                     world.apply(event)
                 except (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
-                    world.fell.append(f"no machine fails: {type(error).__name__}")
-                if world.fell:
-                    out.fell, out.path = world.fell, [*path, event]
-                    out.states, out.seconds = len(seen), time.monotonic() - began
-                    return out
+                    world.violations.append(f"no machine fails: {type(error).__name__}")
+                if world.violations:
+                    result.violations = world.violations
+                    result.path = [*path, event]
+                    result.states = len(visited)
+                    result.seconds = time.monotonic() - began
+                    return result
                 after = pickle.dumps(world, 5)
-                if after not in seen:
-                    seen.add(after)
+                if after not in visited:
+                    visited.add(after)
                     following.append((after, (*path, event)))
-        out.depth += bool(following)
+        result.depth += bool(following)
         frontier = following
-    out.states, out.seconds = len(seen), time.monotonic() - began
-    return out
+    result.states = len(visited)
+    result.seconds = time.monotonic() - began
+    return result
 
 
-def shown(found: PairResult) -> int:
-    """Print what was found; the exit status."""
+def print_result(found: PairResult) -> int:
+    """Print what was found, and return the exit status."""
     print(
         f"{'twins':10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
-        f"{found.seconds:7.1f} s  {'fell' if found.fell else 'holds'}",
+        f"{found.seconds:7.1f} s  {'fell' if found.violations else 'holds'}",
         flush=True,
     )
-    for rule in found.fell:
+    for rule in found.violations:
         print(f"  fell: {rule}: {RULES.get(rule, '')}")
     for number, event in enumerate(found.path, 1):
         print(f"  {number:3} {' '.join(event)}")
-    return int(bool(found.fell))
+    return int(bool(found.violations))
 
 
-def hunted(found: PairResult, longest: int) -> int:
-    """Print one line on a planted bug; the exit status."""
-    if not found.fell:
+def print_mutation_result(found: PairResult, longest: int) -> int:
+    """Print one line on a mutation, and return the exit status."""
+    if not found.violations:
         print(f"survived {found.states:,} states of twins")
         return 1
     long = len(found.path) > longest
     print(
-        f"{'too long' if long else 'found'}: {', '.join(found.fell)} after {len(found.path)} events, "
+        f"{'too long' if long else 'found'}: {', '.join(found.violations)} after {len(found.path)} events, "
         f"{found.states:,} states of twins"
     )
     return int(long)
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -21,114 +21,148 @@
     """Bounds of one world. One tick is a second; a try is due after two, the grace after the notice is one."""
 
     name: str
-    tries: tuple[ScenarioAttempt, ...]
+    attempts: tuple[ScenarioAttempt, ...]
     ticks: int = 4
-    breaks: int = 0  # of the link to the kernel
-    doubled: int = 0  # notices that come twice
-    gaps: int = 0  # notices lost on the way
-    kernels: int = 0  # restarts of the kernel
-    lives: int = 1  # of the server
+    link_breaks: int = 0  # of the link to the kernel
+    duplicate_notices: int = 0  # notices that come twice
+    lost_notices: int = 0  # notices lost on the way
+    engine_restarts: int = 0  # restarts of the kernel
+    incarnations: int = 1  # of the server
     drain: bool = False
-    notices: int = 1  # to leave, where there is a drain
+    drain_notices: int = 1  # to leave, where there is a drain
     handover: bool = False  # the notice is SIGTERM beside a second process: a hand-over, not a drain
-    deaf: int = 0  # links that take nothing more before they break
-    give_ups: int = 0
+    stalled_links: int = 0  # links that take nothing more before they break
+    cancellations: int = 0
     resets: int = 0  # of clients' connections
     closes: int = 0  # of idle connections, by the server
-    spoils: int = 0  # messages that can't be read
+    malformed_messages: int = 0  # messages that can't be read
     calls: int = 0  # that a run makes
     bad_replies: int = 0
     einvals: int = 0
-    asks: int = 0  # for the gauges
-    moves: int = 0  # reloads that move the links
+    gauge_requests: int = 0  # for the gauges
+    reloads: int = 0  # reloads that move the links
     bad_reloads: int = 0
-    store: bool = False  # the store's connections are in the world, else only the ends of calls
-    store_faults: int = 0
-    store_links: int = 2
-    served: int = 2  # latest requests remembered of a connection to the store
-    store_waiting: int = 8
-    rude: int = 0  # decisions of the policy that it should not make
+    models_dependency: bool = False  # the store's connections are in the world, else only the ends of calls
+    dependency_faults: int = 0
+    dependency_connections: int = 2
+    remembered_requests: int = 2  # latest requests remembered of a connection to the store
+    dependency_queue: int = 8
+    unexpected_decisions: int = 0  # decisions of the policy that it should not make
     ordered: bool = True  # tries that nobody could tell apart are sent in one order
-    begun: bool = False  # all tries are read at the start
-    silent: bool = False  # the policy may forget tries: it decides nothing at all
-    keys_most: int = 8
-    followers: int = 8
+    starts_read: bool = False  # all tries are read at the start
+    policy_silent: bool = False  # the policy may forget tries: it decides nothing at all
+    max_keys: int = 8
+    max_followers: int = 8
     key_ms: float = 60000.0
 
     def alike(self, n: int) -> int:
         """The try before this one that no observer could tell from it, or -1: they are sent in this order."""
         if not self.ordered:
             return -1
-        return next((m for m in range(n - 1, -1, -1) if self.tries[m] == self.tries[n]), -1)
+        return next((m for m in range(n - 1, -1, -1) if self.attempts[m] == self.attempts[n]), -1)
 
 
 ORDER_T, ORDER_A = ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="k")
 READ = ScenarioAttempt(effectful=False)
 
 ALL = {
-    one.name: one
-    for one in (
-        Scenario("quick", (ORDER_A, ORDER_T), breaks=1, drain=True, give_ups=1, ticks=3),
-        Scenario("once", (ScenarioAttempt(),), breaks=1, give_ups=1, ticks=3),
+    scenario.name: scenario
+    for scenario in (
+        Scenario("quick", (ORDER_A, ORDER_T), link_breaks=1, drain=True, cancellations=1, ticks=3),
+        Scenario("once", (ScenarioAttempt(),), link_breaks=1, cancellations=1, ticks=3),
         Scenario(
-            "calls", (ScenarioAttempt(),), breaks=1, calls=2, bad_replies=1, give_ups=1, ticks=3, doubled=1, begun=True
+            "calls",
+            (ScenarioAttempt(),),
+            link_breaks=1,
+            calls=2,
+            bad_replies=1,
+            cancellations=1,
+            ticks=3,
+            duplicate_notices=1,
+            starts_read=True,
         ),
-        Scenario("reads", (READ,), breaks=1, kernels=1, give_ups=1, ticks=3, calls=1),
-        Scenario("mixed", (READ, ScenarioAttempt()), breaks=1, ticks=1),
-        Scenario("wires", (ScenarioAttempt(),), breaks=1, doubled=1, einvals=1, moves=2, ticks=2, resets=1),
-        Scenario("deaf", (ScenarioAttempt(),), breaks=1, deaf=1, ticks=2, begun=True),
-        Scenario("gaps", (READ, READ), gaps=1, asks=1, ticks=1, begun=True),
-        Scenario("kernels", (READ, READ), kernels=1, asks=1, ticks=1, begun=True),
+        Scenario("reads", (READ,), link_breaks=1, engine_restarts=1, cancellations=1, ticks=3, calls=1),
+        Scenario("mixed", (READ, ScenarioAttempt()), link_breaks=1, ticks=1),
+        Scenario(
+            "wires", (ScenarioAttempt(),), link_breaks=1, duplicate_notices=1, einvals=1, reloads=2, ticks=2, resets=1
+        ),
+        Scenario("deaf", (ScenarioAttempt(),), link_breaks=1, stalled_links=1, ticks=2, starts_read=True),
+        Scenario("gaps", (READ, READ), lost_notices=1, gauge_requests=1, ticks=1, starts_read=True),
+        Scenario("kernels", (READ, READ), engine_restarts=1, gauge_requests=1, ticks=1, starts_read=True),
         Scenario("handover", (ORDER_T, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
         Scenario("fronts", (ScenarioAttempt("ajp"), ScenarioAttempt()), drain=True, resets=1, ticks=2),
-        Scenario("spoilt", (ScenarioAttempt("ajp"),), drain=True, closes=1, spoils=1, ticks=3, bad_reloads=1, moves=1),
         Scenario(
-            "framed", (ScenarioAttempt(),), drain=True, notices=2, resets=1, closes=1, spoils=1, give_ups=1, ticks=4
+            "spoilt",
+            (ScenarioAttempt("ajp"),),
+            drain=True,
+            closes=1,
+            malformed_messages=1,
+            ticks=3,
+            bad_reloads=1,
+            reloads=1,
+        ),
+        Scenario(
+            "framed",
+            (ScenarioAttempt(),),
+            drain=True,
+            drain_notices=2,
+            resets=1,
+            closes=1,
+            malformed_messages=1,
+            cancellations=1,
+            ticks=4,
+        ),
+        Scenario(
+            "shared",
+            (ScenarioAttempt(), ScenarioAttempt(link=0)),
+            resets=1,
+            malformed_messages=1,
+            ticks=1,
+            cancellations=1,
         ),
-        Scenario("shared", (ScenarioAttempt(), ScenarioAttempt(link=0)), resets=1, spoils=1, ticks=1, give_ups=1),
-        Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), give_ups=2, ticks=2, followers=2, key_ms=1500.0),
-        Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, followers=1),
+        Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), cancellations=2, ticks=2, max_followers=2, key_ms=1500.0),
+        Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, max_followers=1),
         Scenario(
             "full",
             (ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="l")),
-            keys_most=1,
-            give_ups=1,
+            max_keys=1,
+            cancellations=1,
             ticks=3,
             key_ms=500.0,
         ),
         Scenario(
             "workers",
             (ScenarioAttempt("ajp", key="k", target="w"), ScenarioAttempt(key="k", target="w")),
-            give_ups=1,
+            cancellations=1,
             ticks=3,
             drain=True,
         ),
         Scenario(
             "store",
             (ScenarioAttempt(),),
-            store=True,
+            models_dependency=True,
             calls=2,
-            store_faults=1,
-            store_links=1,
+            dependency_faults=1,
+            dependency_connections=1,
             ticks=3,
-            give_ups=1,
-            moves=1,
-            begun=True,
+            cancellations=1,
+            reloads=1,
+            starts_read=True,
         ),
         Scenario(
             "stores",
             (READ, READ),
-            store=True,
+            models_dependency=True,
             calls=1,
-            store_faults=1,
-            store_links=1,
-            store_waiting=2,
+            dependency_faults=1,
+            dependency_connections=1,
+            dependency_queue=2,
             ticks=1,
-            begun=True,
+            starts_read=True,
         ),
-        Scenario("rude", (ScenarioAttempt(),), rude=2, calls=1, ticks=3, give_ups=1),
-        Scenario("forgets", (ORDER_A, ORDER_T), silent=True, ticks=4, give_ups=1, drain=True),
-        Scenario("large", (ORDER_T, ORDER_T, ORDER_T), lives=2, breaks=2, ticks=2),
+        Scenario("rude", (ScenarioAttempt(),), unexpected_decisions=2, calls=1, ticks=3, cancellations=1),
+        Scenario("forgets", (ORDER_A, ORDER_T), policy_silent=True, ticks=4, cancellations=1, drain=True),
+        Scenario("large", (ORDER_T, ORDER_T, ORDER_T), incarnations=2, link_breaks=2, ticks=2),
     )
 }
 QUICK = tuple(name for name in ALL if name != "large")
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -1,4 +1,4 @@
-"""Accepts or rejects a recorded run: each step in a log must be one that the tables allow, from where it stood."""
+"""Accepts or rejects a recorded trace: each step must be one that the transition tables allow in that state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     "wire": ("OPENING",),
     "connection": ("IDLE",),
 }
-SHARED = ("key",)  # told apart by text alone, which several classes may use: steps are checked, not their order
+SHARED = ("key",)  # identified by a text that several classes may use: steps are checked, not their order
 ENDS = ("OVER", "DONE", "CLOSED", "STOPPED")
 NAMES = {table.name: table for table in TABLES}
 
@@ -31,14 +31,14 @@
 
 
 class TraceState:
-    """What a trace has shown so far."""
+    """The states that a trace has shown so far, by machine and id."""
 
     def __init__(self) -> None:
         self.at: dict[tuple[str, str], str] = {}
         self.steps = 0
 
     def take(self, row: dict[str, Any]) -> None:
-        """One step. A machine of an id that was over begins anew."""
+        """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
         machine, who = str(row.get("machine")), str(row.get("who"))
         table = NAMES.get(machine)
         if table is None:
@@ -72,7 +72,7 @@
 
 def check_trace(path: Path) -> int:
     """0: every step is allowed. 1: the first that is not is named. 2: the file can't be read or holds no step."""
-    seen = TraceState()
+    trace = TraceState()
     try:
         with path.open() as lines:
             for number, line in enumerate(lines, 1):
@@ -84,15 +84,15 @@
                     print(f"myrtlespar: {path}: line {number}: not JSON", file=sys.stderr)
                     return 2
                 try:
-                    seen.take(row)
+                    trace.take(row)
                 except InvalidStepError as odd:
-                    print(f"rejected at line {number}, step {seen.steps + 1}: {odd}")
+                    print(f"rejected at line {number}, step {trace.steps + 1}: {odd}")
                     return 1
     except (OSError, UnicodeDecodeError) as error:
         print(f"myrtlespar: {path}: can't be read: {error}", file=sys.stderr)
         return 2
-    if not seen.steps:
+    if not trace.steps:
         print(f"myrtlespar: {path}: no step of any machine in it", file=sys.stderr)
         return 2
-    print(f"accepted: {seen.steps:,} steps of {len(NAMES)} machines")
+    print(f"accepted: {trace.steps:,} steps of {len(NAMES)} machines")
     return 0
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -28,7 +28,7 @@
 from myrtlespar.membership import messages as membership
 from myrtlespar.model_checker import command as checker
 from myrtlespar.model_checker.events import EVENTS
-from myrtlespar.model_checker.explore import Result
+from myrtlespar.model_checker.explore import ExplorationResult
 from myrtlespar.model_checker.invariants import RULES
 from myrtlespar.model_checker.mutants import MUTATIONS
 from myrtlespar.model_checker.scenarios import ALL as SCENARIOS
@@ -261,7 +261,7 @@
     """The file that the checker keeps."""
     scenario, fell, events, planted_bug = replay
     with temporary_path("replay.yaml") as path:
-        checker.save(Result(scenario, fell=fell, path=events), path, planted_bug)
+        checker.save(ExplorationResult(scenario, violations=fell, path=events), path, planted_bug)
         return path.read_bytes()
 
 
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -11,8 +11,7 @@
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.fakes import ROOT
 from myrtlespar.fakes.smoke_load import run_smoke_load
-from myrtlespar.model_checker import command
-from myrtlespar.model_checker import process_pair as twins
+from myrtlespar.model_checker import command, process_pair
 from myrtlespar.model_checker.diagrams import document
 from myrtlespar.model_checker.explore import Bounds, explore
 from myrtlespar.model_checker.mutants import MUTATIONS, normalized_source
@@ -61,8 +60,8 @@
 @pytest.mark.parametrize("name", ["once", "kernels", "crowd", "full", "shared", "rude", "forgets"])
 def test_a_small_world_holds_in_every_state(name: str) -> None:
     found = explore(ALL[name], Bounds(seconds=120))
-    assert found.whole
-    assert not found.fell
+    assert found.complete
+    assert not found.violations
     assert found.states > 1000
 
 
@@ -88,8 +87,8 @@
     assert done.returncode == 0 and done.stdout.startswith("found"), done.stdout + done.stderr
     kept = tmp_path / f"{name.replace(' ', '-')}.yaml"
     again = [*words[:4], "--replay", str(kept)]
-    assert subprocess.run(again, cwd=ROOT, capture_output=True, check=False).returncode == command.FELL
-    assert command.replay(kept, False, "") in (command.HOLDS, command.FAULTY)  # without the bug no rule falls
+    assert subprocess.run(again, cwd=ROOT, capture_output=True, check=False).returncode == command.RULE_BROKEN
+    assert command.replay(kept, False, "") in (command.ALL_HOLD, command.FAULTY_INPUT)  # without the bug no rule falls
 
 
 @pytest.mark.parametrize(
@@ -102,8 +101,8 @@
 
 
 def test_no_order_of_a_hand_over_runs_a_key_twice() -> None:
-    found = twins.explore()
-    assert not found.fell
+    found = process_pair.explore()
+    assert not found.violations
     assert found.states > 10_000
     assert found.depth > 12
 
@@ -208,12 +207,12 @@
 def test_fixing_the_order_of_like_tries_loses_no_verdict() -> None:
     ordered, free = ALL["crowd"], replace(ALL["crowd"], ordered=False)
     few, many = explore(ordered, Bounds()), explore(free, Bounds())
-    assert few.whole
-    assert many.whole
-    assert not few.fell
-    assert not many.fell
+    assert few.complete
+    assert many.complete
+    assert not few.violations
+    assert not many.violations
     assert few.states < many.states
-    assert few.used == many.used
+    assert few.used_transitions == many.used_transitions
     rows = ATTEMPT_TABLE.transitions[AttemptState.RUNNING]
     kept, rows[AttemptEvent.ENDED] = (
         rows[AttemptEvent.ENDED],
@@ -223,8 +222,8 @@
         few, many = explore(ordered, Bounds()), explore(free, Bounds())
     finally:
         rows[AttemptEvent.ENDED] = kept
-    assert few.fell
-    assert few.fell == many.fell
+    assert few.violations
+    assert few.violations == many.violations
     assert len(few.path) == len(many.path)
 
 
@@ -244,7 +243,7 @@
 ) -> None:
     path = tmp_path / "found.yaml"
     path.write_text(text)
-    assert command.replay(path, False, "") == command.FAULTY
+    assert command.replay(path, False, "") == command.FAULTY_INPUT
     said = capsys.readouterr().err
     assert complaint in said
     assert said.count("\n") == 1
@@ -315,8 +314,8 @@
 def test_a_counter_example_shows_on_sockets_with_the_bug_and_only_then(
     plant: str, scenario: str, events: list[Event], rule: str
 ) -> None:
-    assert play(ALL[scenario], events, plant).fell == [rule]
-    assert play(ALL[scenario], events).fell == []
+    assert play(ALL[scenario], events, plant).violations == [rule]
+    assert play(ALL[scenario], events).violations == []
 
 
 @pytest.mark.parametrize(
