--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -33,7 +33,7 @@
 
 
 class TransitionCoverage:
-    """Watches all tables: rows that were used, and events that had none."""
+    """Observes all transition tables: the rows that were used, and events that had none."""
 
     def __init__(self) -> None:
         self.used_transitions: set[tuple[str, int, int]] = set()
@@ -50,7 +50,7 @@
 
 
 def unused(used_transitions: set[tuple[str, int, int]]) -> list[str]:
-    """Rows that no run used: they are to be reached or removed."""
+    """Rows that no exploration used; they are to be reached or removed."""
     return [
         f"{table.name} {table.states(state).name} {table.events(event).name}"
         for table in TABLES
@@ -60,7 +60,7 @@
 
 
 def broken_rules(world: World, coverage: TransitionCoverage, ticked: bool) -> list[str]:
-    """The rules that do not hold in this world, those that fell with its last event first."""
+    """The rules that do not hold in this world, those that its newest event broke first."""
     out = list(world.violations)
     world.violations.clear()
     if coverage.undefined:
@@ -71,29 +71,30 @@
         out.append("one answer")
     if world.engine.wrong_reply:
         out.append("true replies")
-    if not world.stopped:
-        if (
-            ticked
-            and any(
-                exchange.state in OWED and world.now >= exchange.due_at + OVERDUE_MS
-                for exchange in world.tracker.requests.values()
-            )
-        ) or (ticked and _has_forgotten_caller(world)):
-            out.append("answered in time")
-        if not _books_agree(world):
-            out.append("books agree")
-        if any(
-            exchange.state in STARTED and not _end_will_show(world, id)
-            for id, exchange in world.tracker.requests.items()
-        ):
-            out.append("no place is lost")
-        if _has_stranded_call(world):
-            out.append("no call is stranded")
+    if world.stopped:
+        return out
+    if ticked and (_has_overdue_request(world) or _has_forgotten_caller(world)):
+        out.append("answered in time")
+    if not _books_agree(world):
+        out.append("books agree")
+    if any(
+        exchange.state in STARTED and not _end_will_show(world, id) for id, exchange in world.tracker.requests.items()
+    ):
+        out.append("no place is lost")
+    if _has_stranded_call(world):
+        out.append("no call is stranded")
     return out
 
 
+def _has_overdue_request(world: World) -> bool:
+    return any(
+        exchange.state in OWED and world.now >= exchange.due_at + OVERDUE_MS
+        for exchange in world.tracker.requests.values()
+    )
+
+
 def _has_stranded_call(world: World) -> bool:
-    if not world.calls.connection_count and any(caller.state == CallState.WAITING for caller in world.calls.waiting):
+    if not world.calls.connection_count and any(call.state == CallState.WAITING for call in world.calls.waiting):
         return True
     return any(
         exchange.state == AttemptState.CALLING and id not in world.pending and id not in world.calls.calls
@@ -102,7 +103,7 @@
 
 
 def _has_forgotten_caller(world: World) -> bool:
-    """A caller waits past its due time for what nobody knows any longer."""
+    """Whether a caller waits past its due time for a request that the tracker no longer has."""
     return any(
         caller.stage == WAITING
         and caller.incarnation == world.incarnation
@@ -114,6 +115,7 @@
 
 
 def _books_agree(world: World) -> bool:
+    """Whether callers, requests, the count of unanswered ones and the key table tell the same."""
     tracker = world.tracker
     owed = sum(exchange.state in OWED for exchange in tracker.requests.values())
     if owed != tracker.unanswered or any(exchange.state == AttemptState.OVER for exchange in tracker.requests.values()):
@@ -143,7 +145,8 @@
     exchange = world.tracker.requests[rid]
     if exchange.target:
         return rid in world.workers
-    engine, commands = world.engine, world.commands
+    engine = world.engine
+    commands = world.commands
     if rid in engine.runs or world.known_engine not in (engine.incarnation, -1):
         return True
     command = commands.unconfirmed.get(rid)
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -1,4 +1,4 @@
-"""Small worlds: who calls, and how often each thing may go wrong."""
+"""The scenarios that the checker explores. Their names stand in saved counter-examples, so they stay as they are."""
 
 from __future__ import annotations
 
@@ -7,68 +7,80 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioAttempt:
-    """One try of a request, over one connection of its own."""
+    """One attempt of a request.
+
+    Attributes:
+        front: `thrift` or `ajp`.
+        effectful: It must not run twice.
+        key: Its idempotency key, if any.
+        target: The AJP worker that runs it; empty: the engine.
+        link: The number of the attempt whose connection it shares; -1: it has its own.
+    """
 
     front: str = "thrift"
     effectful: bool = True
     key: str = ""
-    target: str = ""  # empty is the kernel, else a worker
-    link: int = -1  # the try whose connection it shares
+    target: str = ""
+    link: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Bounds of one world. One tick is a second; a try is due after two, the grace after the notice is one."""
+    """The bounds of one exploration: who calls, and how often each fault may happen.
+
+    One tick is a second; an attempt is due after two, the grace period after the drain notice is one.
+    """
 
     name: str
     attempts: tuple[ScenarioAttempt, ...]
     ticks: int = 4
-    link_breaks: int = 0  # of the link to the kernel
-    duplicate_notices: int = 0  # notices that come twice
-    lost_notices: int = 0  # notices lost on the way
-    engine_restarts: int = 0  # restarts of the kernel
+    link_breaks: int = 0  # of the link to the engine
+    duplicate_notices: int = 0
+    lost_notices: int = 0
+    engine_restarts: int = 0
     incarnations: int = 1  # of the server
     drain: bool = False
-    drain_notices: int = 1  # to leave, where there is a drain
+    drain_notices: int = 1  # where there is a drain
     handover: bool = False  # the notice is SIGTERM beside a second process: a hand-over, not a drain
-    stalled_links: int = 0  # links that take nothing more before they break
-    cancellations: int = 0
+    stalled_links: int = 0  # links that accept nothing more before they break
+    cancellations: int = 0  # by clients
     resets: int = 0  # of clients' connections
     closes: int = 0  # of idle connections, by the server
-    malformed_messages: int = 0  # messages that can't be read
-    calls: int = 0  # that a run makes
+    malformed_messages: int = 0
+    calls: int = 0  # that each run makes
     bad_replies: int = 0
-    einvals: int = 0
-    gauge_requests: int = 0  # for the gauges
-    reloads: int = 0  # reloads that move the links
+    einvals: int = 0  # starts that the engine rejects
+    gauge_requests: int = 0
+    reloads: int = 0  # that move the links
     bad_reloads: int = 0
-    models_dependency: bool = False  # the store's connections are in the world, else only the ends of calls
+    models_dependency: bool = False  # with its connections, else only the ends of calls
     dependency_faults: int = 0
     dependency_connections: int = 2
-    remembered_requests: int = 2  # latest requests remembered of a connection to the store
-    dependency_queue: int = 8
-    unexpected_decisions: int = 0  # decisions of the policy that it should not make
-    ordered: bool = True  # tries that nobody could tell apart are sent in one order
-    starts_read: bool = False  # all tries are read at the start
-    policy_silent: bool = False  # the policy may forget tries: it decides nothing at all
+    remembered_requests: int = 2  # newest requests remembered of a connection to the dependency
+    dependency_queue: int = 8  # calls that may wait for a connection
+    unexpected_decisions: int = 0  # of the policy
+    ordered: bool = True  # attempts that no observer could tell apart are sent in one order
+    starts_read: bool = False  # all attempts are read at the beginning
+    policy_silent: bool = False  # the policy decides nothing at all
     max_keys: int = 8
     max_followers: int = 8
-    key_ms: float = 60000.0
+    key_ms: float = 60000.0  # how long a key is remembered
 
     def alike(self, n: int) -> int:
-        """The try before this one that no observer could tell from it, or -1: they are sent in this order."""
+        """The attempt before this one that no observer could tell from it, or -1: they are sent in this order."""
         if not self.ordered:
             return -1
         return next((m for m in range(n - 1, -1, -1) if self.attempts[m] == self.attempts[n]), -1)
 
 
-ORDER_T, ORDER_A = ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="k")
+THRIFT_ORDER = ScenarioAttempt(key="k")
+AJP_ORDER = ScenarioAttempt("ajp", key="k")
 READ = ScenarioAttempt(effectful=False)
 
 ALL = {
     scenario.name: scenario
     for scenario in (
-        Scenario("quick", (ORDER_A, ORDER_T), link_breaks=1, drain=True, cancellations=1, ticks=3),
+        Scenario("quick", (AJP_ORDER, THRIFT_ORDER), link_breaks=1, drain=True, cancellations=1, ticks=3),
         Scenario("once", (ScenarioAttempt(),), link_breaks=1, cancellations=1, ticks=3),
         Scenario(
             "calls",
@@ -89,7 +101,7 @@
         Scenario("deaf", (ScenarioAttempt(),), link_breaks=1, stalled_links=1, ticks=2, starts_read=True),
         Scenario("gaps", (READ, READ), lost_notices=1, gauge_requests=1, ticks=1, starts_read=True),
         Scenario("kernels", (READ, READ), engine_restarts=1, gauge_requests=1, ticks=1, starts_read=True),
-        Scenario("handover", (ORDER_T, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
+        Scenario("handover", (THRIFT_ORDER, ScenarioAttempt("ajp")), drain=True, handover=True, ticks=3),
         Scenario("fronts", (ScenarioAttempt("ajp"), ScenarioAttempt()), drain=True, resets=1, ticks=2),
         Scenario(
             "spoilt",
@@ -120,8 +132,15 @@
             ticks=1,
             cancellations=1,
         ),
-        Scenario("heirs", (ORDER_T, ORDER_T, ORDER_T), cancellations=2, ticks=2, max_followers=2, key_ms=1500.0),
-        Scenario("crowd", (ORDER_T, ORDER_T, ORDER_T), ticks=1, max_followers=1),
+        Scenario(
+            "heirs",
+            (THRIFT_ORDER, THRIFT_ORDER, THRIFT_ORDER),
+            cancellations=2,
+            ticks=2,
+            max_followers=2,
+            key_ms=1500.0,
+        ),
+        Scenario("crowd", (THRIFT_ORDER, THRIFT_ORDER, THRIFT_ORDER), ticks=1, max_followers=1),
         Scenario(
             "full",
             (ScenarioAttempt(key="k"), ScenarioAttempt("ajp", key="l")),
@@ -161,8 +180,8 @@
             starts_read=True,
         ),
         Scenario("rude", (ScenarioAttempt(),), unexpected_decisions=2, calls=1, ticks=3, cancellations=1),
-        Scenario("forgets", (ORDER_A, ORDER_T), policy_silent=True, ticks=4, cancellations=1, drain=True),
-        Scenario("large", (ORDER_T, ORDER_T, ORDER_T), incarnations=2, link_breaks=2, ticks=2),
+        Scenario("forgets", (AJP_ORDER, THRIFT_ORDER), policy_silent=True, ticks=4, cancellations=1, drain=True),
+        Scenario("large", (THRIFT_ORDER, THRIFT_ORDER, THRIFT_ORDER), incarnations=2, link_breaks=2, ticks=2),
     )
 }
 QUICK = tuple(name for name in ALL if name != "large")
