--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements and long searches, each a command: `python -m benchmarks.NAME`."""
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -1,4 +1,4 @@
-"""Events a second of the emulator's own heap beside simpy, for the load that membership makes: short callbacks.
+"""Events per second of the simulation's event loop and of simpy, under the load of membership: short callbacks.
 
 python -m benchmarks.engines --events 300000
 """
@@ -14,18 +14,18 @@
 
 from myrtlespar.simulation.event_loop import EventLoop
 
-WIDTH = 1000  # timers at a time
+TIMERS = 1000  # at a time
 
 
-def own(events: int) -> float:
-    """Events a second of `EventLoop`."""
+def event_loop_rate(events: int) -> float:
+    """Events per second of `EventLoop`."""
     engine = EventLoop()
 
     def again(n: int) -> None:
         engine.at(engine.now + 1.0 + n % 7, again, n)
 
-    for n in range(WIDTH):
-        engine.at(n / WIDTH, again, n)
+    for n in range(TIMERS):
+        engine.at(n / TIMERS, again, n)
     began = time.perf_counter()
     until = 0.0
     while engine.events < events:
@@ -34,8 +34,8 @@
     return engine.events / (time.perf_counter() - began)
 
 
-def simpys(events: int, processes: bool) -> float:
-    """The same on simpy, with its callbacks or with its processes."""
+def simpy_rate(events: int, processes: bool) -> float:
+    """Events per second of simpy, with its callbacks or with its processes."""
     env = simpy.Environment()
     count = 0
 
@@ -50,11 +50,11 @@
             yield env.timeout(1.0 + n % 7)
             count += 1
 
-    for n in range(WIDTH):
+    for n in range(TIMERS):
         if processes:
             env.process(process(n))
         else:
-            env.timeout(n / WIDTH, n).callbacks.append(again)
+            env.timeout(n / TIMERS, n).callbacks.append(again)
     began = time.perf_counter()
     until = 0.0
     while count < events:
@@ -67,11 +67,11 @@
 @click.option("--events", default=300_000, show_default=True, type=click.IntRange(10_000, 10_000_000))
 @click.option("--rounds", default=3, show_default=True, type=click.IntRange(1, 20))
 def main(events: int, rounds: int) -> None:
-    """Print a line a round."""
+    """Print one line per round."""
     for _ in range(rounds):
         print(
-            f"own heap {own(events):,.0f}/s, simpy callbacks {simpys(events, False):,.0f}/s, "
-            f"simpy processes {simpys(events, True):,.0f}/s"
+            f"own heap {event_loop_rate(events):,.0f}/s, simpy callbacks {simpy_rate(events, False):,.0f}/s, "
+            f"simpy processes {simpy_rate(events, True):,.0f}/s"
         )
 
 
--- a/benchmarks/fault_search.py
+++ b/benchmarks/fault_search.py
@@ -1,4 +1,4 @@
-"""Play seeded fault injection on the real program, any number of seeds, several at a time.
+"""Seeded fault injection on the real program: any number of seeds, several at a time.
 
     .venv/bin/python -m benchmarks.fault_search --first 1000 --seeds 200 --at-once 4
     .venv/bin/python -m benchmarks.fault_search --first 1000 --seeds 20 --clients 200 --rate 80 --chance 0.005
@@ -17,8 +17,10 @@
 from tests.fault_injection import Trial
 
 
-def play(seed: int, clients: int, rate: float, chance: float, seconds: float) -> tuple[int, list[str], dict[str, int]]:
-    """One seed: what went wrong, and its counts."""
+def run_seed(
+    seed: int, clients: int, rate: float, chance: float, seconds: float
+) -> tuple[int, list[str], dict[str, int]]:
+    """Run one seed: its number, its deviations, and its counts."""
     with tempfile.TemporaryDirectory() as folder:
         trial = Trial(seed, Path(folder), clients, seconds, rate, chance).play()
     return seed, trial.wrong, dict(trial.counts)
@@ -33,15 +35,17 @@
 @click.option("--chance", default=0.02, help="Of an error at each system call.")
 @click.option("--seconds", default=5.0)
 def main(first: int, seeds: int, at_once: int, clients: int, rate: float, chance: float, seconds: float) -> None:
-    """Play the seeds, print what went wrong first in each."""
+    """Run the seeds, and print the first deviation of each."""
     failed = 0
     with ProcessPoolExecutor(at_once) as pool:
-        trials = [pool.submit(play, seed, clients, rate, chance, seconds) for seed in range(first, first + seeds)]
+        trials = [pool.submit(run_seed, seed, clients, rate, chance, seconds) for seed in range(first, first + seeds)]
         for trial in trials:
             seed, wrong, counts = trial.result()
             failed += bool(wrong)
-            told = ", ".join(f"{counts.get(name, 0)} {name}" for name in ("requests", "success", "refused", "failed"))
-            print(f"seed {seed}: {told}: {wrong[0] if wrong else 'nothing wrong'}", flush=True)
+            summary = ", ".join(
+                f"{counts.get(name, 0)} {name}" for name in ("requests", "success", "refused", "failed")
+            )
+            print(f"seed {seed}: {summary}: {wrong[0] if wrong else 'nothing wrong'}", flush=True)
     print(f"{seeds - failed} seeds held, {failed} did not")
     raise SystemExit(1 if failed else 0)
 
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -1,10 +1,9 @@
-"""The cost of counting the figures two ways, side by side in one process: the core's own lists rendered as
-Prometheus text, and prometheus-client's labelled counters.
+"""The cost of counting answers with the program's own lists and with prometheus-client, in one process.
 
     python -m benchmarks.figures --answers 200000 --rounds 5
 
-Each round counts the same answers both ways (class by class, as the core does at each delivery), then
-renders the exposition 1,000 times. Microseconds a count and a render, medians over the rounds.
+Each round counts the same answers both ways, class by class, then renders the exposition 1,000 times. Prints
+microseconds per count and per rendering, medians over the rounds.
 """
 
 from __future__ import annotations
@@ -19,8 +18,8 @@
 NAMES = ("render", "fetch", "order")
 
 
-def own(answers: int) -> tuple[float, float]:
-    """Microseconds for one count, and for one rendering, with the core's lists."""
+def measure_own(answers: int) -> tuple[float, float]:
+    """Microseconds for one count and for one rendering, with the program's own lists."""
     ends = [[0, 0, 0] for _ in NAMES]
     began = time.process_time()
     for n in range(answers):
@@ -32,8 +31,8 @@
     return count, (time.process_time() - began) * 1e3
 
 
-def client(answers: int) -> tuple[float, float]:
-    """The same with prometheus-client, loaded here only."""
+def measure_client(answers: int) -> tuple[float, float]:
+    """Microseconds for one count and for one rendering, with prometheus-client, which only this benchmark loads."""
     from prometheus_client import CollectorRegistry, Counter, generate_latest
 
     registry = CollectorRegistry()
@@ -53,16 +52,17 @@
 @click.option("--answers", default=200_000, show_default=True, type=click.IntRange(1000, 10_000_000))
 @click.option("--rounds", default=5, show_default=True, type=click.IntRange(1, 50))
 def main(answers: int, rounds: int) -> None:
-    """Print both, and their ratio."""
-    mine, theirs = [own(answers) for _ in range(rounds)], [client(answers) for _ in range(rounds)]
-    for label, rows in (("own lists", mine), ("prometheus-client", theirs)):
+    """Print the medians of both, and their ratio."""
+    own_rows = [measure_own(answers) for _ in range(rounds)]
+    client_rows = [measure_client(answers) for _ in range(rounds)]
+    for label, rows in (("own lists", own_rows), ("prometheus-client", client_rows)):
         click.echo(
             f"{label:18} count {statistics.median(r[0] for r in rows):.3f} us, "
             f"render {statistics.median(r[1] for r in rows):.1f} us"
         )
     click.echo(
         f"ratio of a count, client / own: "
-        f"{statistics.median(r[0] for r in theirs) / statistics.median(r[0] for r in mine):.2f}"
+        f"{statistics.median(r[0] for r in client_rows) / statistics.median(r[0] for r in own_rows):.2f}"
     )
 
 
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -1,10 +1,10 @@
-"""Use of one strict limit under grants, static shares and one central counter, side by side in virtual time.
+"""Utilization of a strict limit under grants, static shares and a central counter, in virtual time.
 
     python -m benchmarks.fleet_beside --members 12
 
 The same demand for each: 80% of twice the limit at one member (calm), then at another one (moved), then four members,
 the busy one among them, cut off from the rest (cut), then healed. The central counter lives at a member of the greater
-side; each request asks it and waits for its answer, and is let in if the last window has room.
+side; each request asks it, waits for its answer, and is admitted if the last window has capacity.
 """
 
 from __future__ import annotations
@@ -20,67 +20,73 @@
 from myrtlespar.simulation.event_loop import EventLoop
 from myrtlespar.simulation.limits import SimulatedLimits
 
-PHASES = {"calm": (6, 15), "moved": (17, 25), "cut": (29, 39), "healed": (46, 55)}
-HOT = 0.8
+PHASES = {  # first and last second
+    "calm": (6, 15),
+    "moved": (17, 25),
+    "cut": (29, 39),
+    "healed": (46, 55),
+}
+HOT_SHARE = 0.8  # of the demand, at one member
 
 
-class Central:
-    """One counter for all. Without it nothing is let in, as the limit is strict."""
+class CentralCounter:
+    """One counter for all members. Who can't reach it admits nothing, as the limit is strict."""
 
     def __init__(self, names: list[str], limit: Limit, seed: int, hop_ms: float, hold_ms: float) -> None:
-        self.engine, self.dice, self.limit, self.hop_ms, self.hold_ms = (
-            EventLoop(),
-            Random(seed),
-            limit,
-            hop_ms,
-            hold_ms,
-        )
-        self.names, self.rates = names, dict.fromkeys(names, 0.0)
+        self.engine = EventLoop()
+        self.random_source = Random(seed)
+        self.limit = limit
+        self.hop_ms = hop_ms
+        self.hold_ms = hold_ms
+        self.names = names
+        self.rates = dict.fromkeys(names, 0.0)
         self.meter = UsageWindow(float(limit.window_ms))
         self.starts_by: Counter[tuple[str, int]] = Counter()
-        self.lone: frozenset[str] = frozenset()
+        self.isolated: frozenset[str] = frozenset()
         for name in names:
-            self.engine.at(0.0, self._want, name)
+            self.engine.at(0.0, self._new_request, name)
 
-    def part(self, lone: frozenset[str]) -> None:
-        """These are cut off from the counter."""
-        self.lone = lone
+    def part(self, isolated: frozenset[str]) -> None:
+        """Cut these members off from the counter, and connect all others."""
+        self.isolated = isolated
 
     def run(self, until_ms: float) -> None:
-        """On to that time."""
+        """Go on to this time."""
         self.engine.run(until_ms)
 
-    def _want(self, name: str) -> None:
+    def _new_request(self, name: str) -> None:
         now, rate = self.engine.now, self.rates[name]
-        self.engine.at(now + (self.dice.expovariate(rate) * 1000 if rate > 0 else 20.0), self._want, name)
-        if rate > 0 and name not in self.lone:
-            self.engine.at(now + self.hop_ms, self._ask, name, now + self.hold_ms)
+        self.engine.at(
+            now + (self.random_source.expovariate(rate) * 1000 if rate > 0 else 20.0), self._new_request, name
+        )
+        if rate > 0 and name not in self.isolated:
+            self.engine.at(now + self.hop_ms, self._request_admission, name, now + self.hold_ms)
 
-    def _ask(self, name: str, until: float) -> None:
+    def _request_admission(self, name: str, until: float) -> None:
         now = self.engine.now
         if self.meter.look(now) < self.limit.amount:
             self.meter.add(now)
             self.starts_by[name, int((now + self.hop_ms) / 1000)] += 1
         elif (at := self.meter.room_at(now, self.limit.amount)) <= until:
-            self.engine.at(max(at, now + 1.0), self._ask, name, until)
+            self.engine.at(max(at, now + 1.0), self._request_admission, name, until)
 
 
-def played(kind: str, members: int, per_s: float, over: float, seed: int) -> dict[str, object]:
-    """One run."""
+def run_once(kind: str, members: int, per_s: float, over: float, seed: int) -> dict[str, object]:
+    """Run one kind (`grants`, `static` or `central`): its utilization in each phase, 1.0 being the whole limit."""
     names = [f"m{n}" for n in range(members)]
     limit = Limit(per_s=per_s, standing=1.0 if kind == "static" else 0.1)
-    fleet: SimulatedLimits | Central = (
-        Central(names, limit, seed, 1.0, 1000.0)
+    fleet: SimulatedLimits | CentralCounter = (
+        CentralCounter(names, limit, seed, 1.0, 1000.0)
         if kind == "central"
         else SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
     )
     fleet.run(3000)
-    lone = frozenset(names[-(members // 3) :])
+    isolated = frozenset(names[-(members // 3) :])
     for hot, until in ((names[0], 15_000), (names[-1], 25_000)):
         for name in names:
-            fleet.rates[name] = per_s * over * (HOT if name == hot else (1 - HOT) / (members - 1))
+            fleet.rates[name] = per_s * over * (HOT_SHARE if name == hot else (1 - HOT_SHARE) / (members - 1))
         fleet.run(until)
-    fleet.part(lone)
+    fleet.part(isolated)
     fleet.run(39_000)
     fleet.part(frozenset())
     fleet.run(55_000)
@@ -90,7 +96,7 @@
             sum(
                 fleet.starts_by[name, second]
                 for name in names
-                if (name in lone) is side
+                if (name in isolated) is side
                 for second in range(first, last)
             )
             / (last - first)
@@ -109,10 +115,10 @@
 @click.option("--over", default=2.0, show_default=True, type=click.FloatRange(0.1, 20))
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 20))
 def main(members: int, per_s: float, over: float, seeds: int) -> None:
-    """Print one JSON line a kind and seed."""
+    """Print one JSON line per kind and seed."""
     for seed in range(1, seeds + 1):
         for kind in ("grants", "static", "central"):
-            print(json.dumps(played(kind, members, per_s, over, seed)), flush=True)
+            print(json.dumps(run_once(kind, members, per_s, over, seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_cases.py
+++ b/benchmarks/fleet_cases.py
@@ -1,5 +1,6 @@
-"""All scripts of a folder on real processes, grown to so many members, over some seeds and loads: promises held, and
-the run that came nearest to each limit.
+"""All scenarios of a folder on real processes, for several seeds and loads: which invariants held, and how closely.
+
+Sites can be grown to a number of members; for each limit the run that came nearest to it is printed.
 
     python -m benchmarks.fleet_cases fault_scenarios/limits --members 12 --seeds 5 --over 2,10
     python -m benchmarks.fleet_cases fault_scenarios/membership --seeds 5
@@ -21,11 +22,11 @@
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import Script, read
 
-DRIFT = 0.01  # members' clocks run slow, true and fast by this in turn, as far as the settings allow
+CLOCK_DRIFT = 0.01  # members' clocks run slow, true and fast by this in turn, the most that settings allow
 
 
-def loaded(script: Script, over: float) -> Script:
-    """The script with demand so many times its limits: the load's rate times what the limited class has of it."""
+def with_demand(script: Script, over: float) -> Script:
+    """The script with `over` times the demand that its limits allow; 0 leaves it as it is."""
     rates = [limit for limit in script.limits.values() if limit.per_s and not limit.by]
     if not over or not rates:
         return script
@@ -34,24 +35,13 @@
     return replace(script, load=replace(script.load, rate=over * float(rates[0].per_s or 0) / part))
 
 
-def one(job: tuple[Path, int, float, int, float]) -> dict[str, Any]:
-    """One run, in a process of its own, so that the load of several fleets shares no interpreter."""
+def run_in_process(job: tuple[Path, int, float, int, float]) -> dict[str, Any]:
+    """Run one script in a process of its own, so that the load of several fleets shares no interpreter."""
     path, members, times, seed, slack_ms = job
-    began, words = (
-        time.monotonic(),
-        [
-            sys.executable,
-            "-m",
-            "benchmarks.fleet_cases",
-            "--play",
-            str(path),
-            str(members),
-            str(times),
-            str(seed),
-            str(slack_ms),
-        ],
-    )
-    done = subprocess.run(words, capture_output=True, text=True, timeout=600, check=False)
+    began = time.monotonic()
+    arguments = [str(path), str(members), str(times), str(seed), str(slack_ms)]
+    command = [sys.executable, "-m", "benchmarks.fleet_cases", "--play", *arguments]
+    done = subprocess.run(command, capture_output=True, text=True, timeout=600, check=False)
     try:
         row: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
     except (IndexError, ValueError):
@@ -59,10 +49,10 @@
     return {"script": path.stem, "over": times, "seed": seed, **row, "seconds": round(time.monotonic() - began, 1)}
 
 
-def played(path: str, members: str, times: str, seed: str, slack_ms: str) -> None:
-    """What that process does: one JSON line."""
-    script = loaded(read(Path(path), int(members)), float(times))
-    own = {name: {"clock_rate": 1 + DRIFT * (n % 3 - 1)} for n, name in enumerate(script.members)}
+def run_and_print(path: str, members: str, times: str, seed: str, slack_ms: str) -> None:
+    """Run one script in this process, and print one JSON line."""
+    script = with_demand(read(Path(path), int(members)), float(times))
+    own = {name: {"clock_rate": 1 + CLOCK_DRIFT * (n % 3 - 1)} for n, name in enumerate(script.members)}
     done = play(script, int(seed), say=lambda line: None, slack_ms=float(slack_ms), own=own)
     print(json.dumps({"broken": done["broken"], "limits": done.get("limits", {}), "outcomes": done.get("outcomes")}))
 
@@ -75,7 +65,7 @@
 @click.option("--jobs", default=1, show_default=True, type=click.IntRange(1, 16), help="Fleets at a time.")
 @click.option("--slack-ms", default=250.0, show_default=True, type=click.FloatRange(0, 10_000))
 def main(folder: Path, members: int, seeds: int, over: str, jobs: int, slack_ms: float) -> None:
-    """Print one JSON line a run, then the tightest of each script."""
+    """Print one JSON line per run, then the run nearest to each limit."""
     work = [
         (path, members, float(times), seed, slack_ms)
         for seed in range(1, seeds + 1)
@@ -83,10 +73,12 @@
         for path in sorted(folder.glob("*.yaml"))
     ]
     tight: dict[str, tuple[float, str]] = {}
-    held = runs = 0
+    held = 0
+    runs = 0
     with ThreadPoolExecutor(jobs) as pool:
-        for row in pool.map(one, work):
-            runs, held = runs + 1, held + (not row["broken"])
+        for row in pool.map(run_in_process, work):
+            runs += 1
+            held += not row["broken"]
             print(json.dumps(row), flush=True)
             for name, limit in row["limits"].items():
                 label = f"{row['script']} {name}"
@@ -100,6 +92,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--play"]:
-        played(*sys.argv[2:7])
+        run_and_print(*sys.argv[2:7])
     else:
         main()
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -1,10 +1,10 @@
-"""A strict limit is lowered while a site is cut off; one member of that site is told late. Real processes.
+"""A strict limit is lowered while a site is cut off, and one of its members learns it late. Real processes.
 
     python -m benchmarks.fleet_change --seeds 3
 
 At 4 s site c is cut off, at 5 s all members but c1 take 12 a second in place of 30, at 12 s the cut heals, at 14 s c1
-is told. Judged by the kernels' starts: never over 30 in a window, never over 12 from a stated time on; and who was told
-to the operators as behind.
+gets the new number. Checked by the engines' starts: never over 30 in a window, and never over 12 from a stated time on.
+The members that the management address reports as behind are printed.
 """
 
 from __future__ import annotations
@@ -25,6 +25,7 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 
 SLACK_MS = 250.0
+POLL_S = 0.25
 SCRIPT = """
 fleet: {sites: {a: 2, b: 2, c: 2}}
 load: {rate: 90, mix: {order: 1}, proxies: 6}
@@ -33,16 +34,18 @@
 """
 
 
-def played(seed: int) -> dict[str, Any]:
-    """One run: broken promises and figures."""
-    script, terms = parse(SCRIPT), GrantSettings()
+def run_once(seed: int) -> dict[str, Any]:
+    """Run it once: broken invariants and figures."""
+    script = parse(SCRIPT)
+    grant_settings = GrantSettings()
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
             run.begin()
-            crowd = LoadGenerator(run)
-            crowd.begin()
-            began, behind = time.monotonic(), set[str]()
+            load = LoadGenerator(run)
+            load.begin()
+            began = time.monotonic()
+            behind: set[str] = set()
 
             def wait(until_s: float) -> None:
                 while time.monotonic() < began + until_s:
@@ -50,7 +53,7 @@
                         found = run.limits(name)
                         if found.get("version") == 2:
                             behind.update(found.get("behind") or ())
-                    time.sleep(0.25)
+                    time.sleep(POLL_S)
 
             lower = {"order-farms": {"per_s": 12.0, "before": 30.0}}
             wait(4)
@@ -58,14 +61,14 @@
             run.fabric.on(1, cut)
             wait(5)
             run.relimit([name for name in run.members if name != "c1"], 2, lower)
-            told = time.time() * 1000
+            changed_at = time.time() * 1000
             wait(12)
             run.fabric.off(1)
             wait(14)
             run.relimit(["c1"], 2, lower)
-            last = time.time() * 1000
+            changed_last_at = time.time() * 1000
             wait(24)
-            crowd.finish()
+            load.finish()
             end = time.time() * 1000
             versions = {
                 name: (run.limits(name).get("version"), run.limits(name).get("settled")) for name in run.members
@@ -78,22 +81,27 @@
             ]
         finally:
             run.close()
-    holds = last + terms.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
-    broken, most = [], {}
+    holds = changed_last_at + grant_settings.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
+    broken: list[str] = []
+    most: dict[str, int] = {}
     for label, amount, since in (("the greater number", 30.0, 0.0), ("the lower number", 12.0, holds)):
         lines, figures = judge_limits(
             {"order-farms": Limit(per_s=amount)},
             [row for row in runs if row[1] >= since],
-            terms,
-            since or told,
+            grant_settings,
+            since or changed_at,
             end,
             SLACK_MS,
             {},
         )
         broken += [f"{label}: {line}" for line in lines]
         most[label] = figures["order-farms"]["most"]
-    between = [row for row in runs if told + terms.lowered_ms(Limit(per_s=30.0)) <= row[1] < last]
-    figures = judge_limits({"x": Limit(per_s=12.0)}, between, terms, told, last, SLACK_MS, {})[1]
+    between = [
+        row for row in runs if changed_at + grant_settings.lowered_ms(Limit(per_s=30.0)) <= row[1] < changed_last_at
+    ]
+    figures = judge_limits(
+        {"x": Limit(per_s=12.0)}, between, grant_settings, changed_at, changed_last_at, SLACK_MS, {}
+    )[1]
     if set(versions.values()) != {(2, True)}:
         broken.append(f"all go by version 2 in the end: {versions}")
     return {
@@ -108,9 +116,9 @@
 @click.command()
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 20))
 def main(seeds: int) -> None:
-    """Print one JSON line a run."""
+    """Print one JSON line per run."""
     for seed in range(1, seeds + 1):
-        print(json.dumps(played(seed)), flush=True)
+        print(json.dumps(run_once(seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,9 +1,9 @@
-"""What membership costs one real member of a large fleet, and what the fleet parts cost where they are off.
+"""The cost of membership for one real member of a large fleet, and of the fleet's modules where they are off.
 
     python -m benchmarks.fleet_cost --members 200 --seconds 30
     python -m benchmarks.fleet_cost --off ../earlier               # imports and resident size against that checkout
 
-The other members are the same peer links and machines, some dozens in each of a few helper processes on loopback.
+The other members run the same transport and state machines, some dozens in each of a few helper processes on loopback.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 
 def host(n: int) -> str:
-    """Where member n listens; none of the fabric's addresses."""
+    """The address of member n; none of the fault proxy's."""
     return f"127.20.{n >> 8}.{n & 255}"
 
 
 def rss_kb(pid: int) -> int:
-    """Resident size of a process."""
+    """Resident size of a process in kB."""
     return next(
         int(line.split()[1])
         for line in Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -42,7 +42,7 @@
 
 
 def helper(first: int, count: int, port: int, seconds: float) -> None:
-    """Some members in this process, for a bounded time."""
+    """Run some members in this process for `seconds`."""
     import gevent
 
     from myrtlespar.membership.member import Member
@@ -77,8 +77,8 @@
         )
         for n in range(first, first + count)
     ]
-    for one in peers:
-        one.open()
+    for peer in peers:
+        peer.open()
         gevent.sleep(0.02)
     gevent.sleep(seconds)
 
@@ -126,7 +126,7 @@
 @click.option("--off", type=click.Path(exists=True, file_okay=False, path_type=Path), help="An earlier checkout.")
 @click.option("--helper", "helping", default="", hidden=True)
 def main(members: int, seconds: float, off: Path | None, helping: str) -> None:
-    """Print the figures."""
+    """Print CPU and memory of a member, or memory and imports with the fleet off."""
     if helping:
         first_number, count, helper_port, length = helping.split(",")
         return helper(int(first_number), int(count), int(helper_port), float(length))
@@ -136,17 +136,17 @@
         if off is not None:
             print(f"modules loaded: now {imports(ROOT)}, before {imports(off)}")
             for n in range(3):
-                tiles = [
+                servers = [
                     member(Path(tmp) / f"{kind}{n}", 0, False, root)
                     for kind, root in (("now", ROOT), ("before", off.resolve()))
                 ]
                 time.sleep(1)
                 print(
-                    f"resident, fleet off: now {rss_kb(tiles[0].process.pid)} kB, before "
-                    f"{rss_kb(tiles[1].process.pid)} kB"
+                    f"resident, fleet off: now {rss_kb(servers[0].process.pid)} kB, before "
+                    f"{rss_kb(servers[1].process.pid)} kB"
                 )
-                for tile in tiles:
-                    tile.close()
+                for server in servers:
+                    server.close()
             return None
         port = PORTS[os.getpid() % len(PORTS)]
         each = -(-(members - 1) // HELPERS)
@@ -163,32 +163,32 @@
             )
             for first in range(1, members, each)
         ]
-        tiles = []
+        servers = []
         try:
             time.sleep(3)
-            tiles = [member(Path(tmp) / "on", port, True), member(Path(tmp) / "off", 0, False)]
+            servers = [member(Path(tmp) / "on", port, True), member(Path(tmp) / "off", 0, False)]
             end = time.monotonic() + 60
             while time.monotonic() < end:
-                view = json.loads(tiles[0].ask(b"MEMBERS\n").split("\n")[1])
+                view = json.loads(servers[0].ask(b"MEMBERS\n").split("\n")[1])
                 if sum(row["state"] == "alive" for row in view["members"]) == members - 1:
                     break
                 time.sleep(0.5)
             time.sleep(5)  # what was new is told
-            began, before = time.monotonic(), [cpu_s(tile.process.pid) for tile in tiles]
+            began, before = time.monotonic(), [cpu_s(server.process.pid) for server in servers]
             time.sleep(seconds)
             span = time.monotonic() - began
-            used = [100 * (cpu_s(tile.process.pid) - was) / span for tile, was in zip(tiles, before, strict=True)]
-            view = json.loads(tiles[0].ask(b"MEMBERS\n").split("\n")[1])
+            used = [100 * (cpu_s(server.process.pid) - was) / span for server, was in zip(servers, before, strict=True)]
+            view = json.loads(servers[0].ask(b"MEMBERS\n").split("\n")[1])
             alive = sum(row["state"] == "alive" for row in view["members"]) + 1
-            size = [rss_kb(tile.process.pid) for tile in tiles]
+            size = [rss_kb(server.process.pid) for server in servers]
             print(
                 f"{alive} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; resident "
                 f"{size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; late {view['late_ms']} ms, "
                 f"counts {view['counts']}"
             )
         finally:
-            for tile in tiles:
-                tile.close()
+            for server in servers:
+                server.close()
             for process in helpers:
                 process.kill()
                 process.wait()
--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -1,10 +1,10 @@
-"""Detection, restart, standing and healing times of real processes, beside the emulator's for the same script.
+"""Times of detection, restart, quorum change and healing: real processes, and the simulation of the same script.
 
     python -m benchmarks.fleet_detect --seeds 5                # 24 members in 3 sites, about 40 s a seed
     python -m benchmarks.fleet_detect --calm 600 --pin         # false failures under loss and jitter, 3 members a core
 
 Each seed: one member killed, back after 6 s, another killed and left away, then a site cut off for 8 s. Times are
-those of the judge; the processes and this one share the machine's cores.
+as the invariants measure them; the processes and this one share the machine's cores.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 FIGURES = ("detect_ms", "restart_ms", "standing_ms", "known_ms")
 
 
-def summed(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """Medians of medians, and the worst of all."""
+def summarize(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """The median of the medians of all seeds, and the worst value."""
     out: dict[str, Any] = {}
     for name in FIGURES:
         medians = [row[name]["median"] for row in rows if row[name]["median"] is not None]
@@ -57,7 +57,7 @@
 @click.option("--pin", is_flag=True, help="Three members share a core.")
 @click.option("--real/--no-real", default=True, help="Leave the real processes out.")
 def main(seeds: int, each: int, calm: float, pin: bool, real: bool) -> None:
-    """Run, and print a line a seed and one over all."""
+    """Print one line per seed and kind, and one over all seeds."""
     script = parse(SITES % (each, each, each) + (CALM % calm if calm else KILLS))
     rows: dict[str, list[dict[str, Any]]] = {"real": [], "emulated": [], "baseline": []}
     for seed in range(1, seeds + 1):
@@ -71,7 +71,7 @@
                 print(kind, seed, json.dumps({**shown, "broken": done[-1]["broken"][:3]}), flush=True)
     for kind, done in rows.items():
         if done:
-            print(kind, "all", json.dumps(summed(done)))
+            print(kind, "all", json.dumps(summarize(done)))
     sys.exit(int(any(row["broken"] for row in rows["real"])))
 
 
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -1,9 +1,9 @@
-"""How much of a strict limit is used: demand mostly at one member, then moved to another; grants beside static shares.
+"""Utilization of a strict limit while demand moves from one member to another: grants and static shares.
 
     python -m benchmarks.fleet_limits --members 12 --per-s 120 --over 2
     python -m benchmarks.fleet_limits --decisions 100000              # time of one decision, fleet on and off
 
-Real processes behind the fabric; the kernels' starts are counted, not what the program says.
+Real processes behind the fault proxy; starts are counted at the engines, not as the program reports them.
 """
 
 from __future__ import annotations
@@ -26,17 +26,19 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.limits import SimulatedLimits
 
-SHARE = 0.8  # of all demand, at one member
+HOT_SHARE = 0.8  # of all demand, at one member
 
 
-def flood(run: FleetRun, name: str, rates: list[tuple[float, float]], began: float, seed: int) -> None:
-    """Orders to one member at these rates (until when in seconds, a second), at times by chance."""
-    dice, n, at = Random(seed), 0, 0.0
+def send_orders(run: FleetRun, name: str, rates: list[tuple[float, float]], began: float, seed: int) -> None:
+    """Send orders to one member at random times. `rates` holds ends in seconds and orders per second."""
+    random_source = Random(seed)
+    n = 0
+    at = 0.0
     many = 1 + int(max(rate for _, rate in rates) // 20)  # a connection carries a bounded number unanswered
     clients = [ThriftClient(run.listen(name)[1], run.listen(name)[0]) for _ in range(many)]
     for until, rate in rates:
         while rate > 0 and n < 200_000:
-            at += dice.expovariate(rate)
+            at += random_source.expovariate(rate)
             if at >= until:
                 break
             time.sleep(max(0.0, began + at - time.monotonic()))
@@ -53,8 +55,8 @@
         client.sock.close()
 
 
-def played(members: int, per_s: float, over: float, standing: float, seed: int) -> dict[str, object]:
-    """One run: 12 s with most demand at the first member, then 10 s with it at the last one."""
+def run_once(members: int, per_s: float, over: float, standing: float, seed: int) -> dict[str, object]:
+    """Run once: 12 s with most demand at the first member, then 10 s with it at the last one."""
     each = members // 3
     limit = f"{{order-farms: {{per_s: {per_s:g}, kind: strict, standing: {standing}}}}}"
     script = parse(f"fleet: {{sites: {{a: {each}, b: {each}, c: {each}}}}}\nlength_s: 30\nlimits: {limit}")
@@ -64,17 +66,17 @@
             run.begin()
             time.sleep(3)
             names, demand = list(run.members), per_s * over
-            rest = demand * (1 - SHARE) / (len(names) - 1)
+            rest = demand * (1 - HOT_SHARE) / (len(names) - 1)
             began, wall = time.monotonic(), time.time() * 1000
             threads = [
                 threading.Thread(
-                    target=flood,
+                    target=send_orders,
                     args=(
                         run,
                         name,
                         [
-                            (12.0, demand * SHARE if name == names[0] else rest),
-                            (22.0, demand * SHARE if name == names[-1] else rest),
+                            (12.0, demand * HOT_SHARE if name == names[0] else rest),
+                            (22.0, demand * HOT_SHARE if name == names[-1] else rest),
                         ],
                         began,
                         seed * 100 + n,
@@ -115,8 +117,8 @@
     }
 
 
-def decisions(count: int) -> None:
-    """Microseconds of one decision."""
+def measure_decisions(count: int) -> None:
+    """Print the microseconds of one decision."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
     agent = LimitCoordinator(("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
     for key in limits:  # alone it is its own keeper
@@ -144,9 +146,11 @@
         print(f"{name}: median {sorted(values)[2]:.3f} us, {min(values):.3f} to {max(values):.3f}")
 
 
-def emulated(size: int, seed: int) -> dict[str, object]:
-    """One large fleet in virtual time: ten starts a second a member, demand twice that, 80% at one member, moved after
-    12 s; then 10,000 callers' keys, each touched about once, and silence.
+def simulate(size: int, seed: int) -> dict[str, object]:
+    """Simulate one large fleet, then many keys.
+
+    The limit is ten starts per second and member, the demand twice that, 80% of it at one member, and at another one
+    after 12 s. Then 10,000 callers' keys are each used about once, and nothing follows.
     """
     per_s = 10.0 * size
     fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, sizes=True, hold_ms=1000.0)
@@ -154,7 +158,7 @@
     demand, began = per_s * 2, time.monotonic()
     for hot, until in ((0, 15_000), (size - 1, 27_000)):
         for n, name in enumerate(fleet.names):
-            fleet.rates[name] = demand * SHARE if n == hot else demand * (1 - SHARE) / (size - 1)
+            fleet.rates[name] = demand * HOT_SHARE if n == hot else demand * (1 - HOT_SHARE) / (size - 1)
         if hot:
             before = fleet.seen.messages, fleet.seen.bytes
         fleet.run(until)
@@ -192,14 +196,14 @@
 @click.option("--emulate", default="", help="Sizes of fleets in virtual time instead, such as 200,1000.")
 @click.option("--decisions", "count", default=0, type=click.IntRange(0, 10_000_000))
 def main(members: int, per_s: float, over: float, seeds: int, emulate: str, count: int) -> None:
-    """Print one JSON line a run: grants (a tenth standing), then static shares (all standing)."""
+    """Print one JSON line per run: grants (a tenth standing), then static shares (all standing)."""
     if count:
-        return decisions(count)
+        return measure_decisions(count)
     for size in filter(None, emulate.split(",")):
-        print(json.dumps(emulated(int(size), 1)), flush=True)
+        print(json.dumps(simulate(int(size), 1)), flush=True)
     for seed in range(1, seeds + 1) if not emulate else ():
         for standing in (0.1, 1.0):
-            print(json.dumps(played(members, per_s, over, standing, seed)), flush=True)
+            print(json.dumps(run_once(members, per_s, over, standing, seed)), flush=True)
     return None
 
 
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -1,4 +1,4 @@
-"""Membership in the emulator from 24 to 5,000 members: detection, spreading, cost, healing, false failures, plots.
+"""Simulated membership of 24 to 5,000 members: detection, dissemination, cost, healing, false failures, plots.
 
     python -m benchmarks.fleet_sizes --sizes 24,200,1000 --plots plots
     python -m benchmarks.fleet_sizes --sizes 5000 --seconds 60 --parts calm,kill
@@ -32,18 +32,18 @@
 
 
 def sites_of(size: int) -> dict[str, tuple[str, ...]]:
-    """Three equal sites."""
+    """Members by site, in three sites of nearly equal size."""
     return {site: tuple(f"{site}{n + 1}" for n in range(size // 3 + (size % 3 > k))) for k, site in enumerate("abc")}
 
 
-def settled(
-    size: int, seed: int, plain: bool = False, terms: MembershipSettings | None = None, sizes: bool = True
+def joined_fleet(
+    size: int, seed: int, plain: bool = False, settings: MembershipSettings | None = None, sizes: bool = True
 ) -> SimulatedFleet:
-    """A fleet that has joined and has nothing left to tell; only the baseline has to join here."""
+    """A fleet that has joined and has no updates left to send; only the baseline joins in simulated time."""
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
     fleet = SimulatedFleet(
-        sites, baseline() if plain else real(terms or MembershipSettings()), seed, observers, sizes=sizes
+        sites, baseline() if plain else real(settings or MembershipSettings()), seed, observers, sizes=sizes
     )
     if plain:
         fleet.begin(400.0 + 2 * size)
@@ -53,11 +53,11 @@
     return fleet
 
 
-def one(job: tuple[str, int, int, float, bool]) -> dict[str, Any]:
-    """One run of one part."""
+def run_part(job: tuple[str, int, int, float, bool]) -> dict[str, Any]:
+    """Run one part for one size and seed."""
     part, size, seed, seconds, plain = job
     began = time.monotonic()
-    fleet = settled(size, seed, plain)
+    fleet = joined_fleet(size, seed, plain)
     start, events = fleet.engine.now, fleet.engine.events
     before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": plain}
@@ -103,11 +103,12 @@
 
 
 def health(job: tuple[bool, int, float]) -> dict[str, Any]:
-    """False failures of well members while every third one stops for 0.2 to 6 s again and again, under loss."""
+    """False failures of healthy members while every third one pauses for 0.2 to 6 s again and again, under loss."""
     on, seed, seconds = job
-    terms = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
+    settings = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
-    fleet, dice = SimulatedFleet(sites, real(terms), seed, sizes=False), Random(seed)
+    fleet = SimulatedFleet(sites, real(settings), seed, sizes=False)
+    random_source = Random(seed)
     fleet.begin()
     fleet.run(6000)
     names = frozenset(fleet.names)
@@ -116,8 +117,8 @@
     for name in sick:
         at = 6000.0
         while at < 6000 + seconds * 1000:
-            at += dice.uniform(300, 3000)
-            length = dice.uniform(200, 6000)
+            at += random_source.uniform(300, 3000)
+            length = random_source.uniform(200, 6000)
             fleet.engine.at(at, fleet.stop, name)
             fleet.engine.at(at + length, fleet.go_on, name)
             at += length
@@ -186,7 +187,7 @@
     plots: Path | None,
     jobs: int,
 ) -> None:
-    """Print one JSON line a run."""
+    """Print one JSON line per run."""
     with ProcessPoolExecutor(jobs) as pool:
         if only_health:
             for row in pool.map(health, [(on, seed, seconds) for seed in range(1, seeds + 1) for on in (True, False)]):
@@ -201,7 +202,7 @@
             if not plain or (with_baseline and int(size) <= 200 and part != "cut")
         ]
         rows = []
-        for row in pool.map(one, work):
+        for row in pool.map(run_part, work):
             rows.append(row)
             print(json.dumps(row), flush=True)
     if plots is not None:
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -1,4 +1,4 @@
-"""CPU of the server's process for each request, beside an earlier checkout of this project, round by round.
+"""CPU per request of the server's process, of this tree and of an earlier checkout, round by round.
 
     python -m benchmarks.served_path --against ../earlier --rounds 5 --requests 3000
     python -m benchmarks.served_path --against ../earlier --figures    # also this tree with figures scraped
@@ -6,8 +6,8 @@
 With --figures, each round also runs this tree with the management address on and METRICS asked for every
 0.5 s, as the operators' days do.
 
-Both are started in turn on the same machine with the same stand-ins; what counts is the processor time that the
-operating system booked to the server between the first and the last request. Medians and the ratio round by round.
+Both are started in turn on the same machine with the same fakes; measured is the processor time that the operating
+system accounted to the server between the first and the last request. Medians and the ratio round by round.
 """
 
 from __future__ import annotations
@@ -23,7 +23,9 @@
 
 from myrtlespar.fakes import ROOT, ServerProcess, ThriftClient, server_process
 
-OPEN = 24  # requests at a time on the connection
+MAX_OUTSTANDING = 24  # requests on the connection
+WARM_UP_REQUESTS = 200
+TIMEOUT_S = 120.0
 
 
 def cpu_s(pid: int) -> float:
@@ -33,7 +35,7 @@
 
 
 def scrape(server: ServerProcess, stop: threading.Event) -> None:
-    """METRICS every 0.5 s, bounded."""
+    """Request METRICS every 0.5 s until `stop` is set, for 500 s at most."""
     for _ in range(1000):
         if stop.wait(0.5):
             return
@@ -41,19 +43,20 @@
 
 
 def measure(root: Path, requests: int, figures: bool = False) -> float:
-    """Microseconds of CPU for one request: four in five answered by the kernel at once, some with a call."""
+    """Microseconds of CPU per request; one request in five makes a call."""
     with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), root=root, mgmt=figures) as server:
         stop = threading.Event()
         if figures:
             threading.Thread(target=scrape, args=(server, stop), daemon=True).start()
-        client, sent = ThriftClient(server.ports[0]), 0
-        end = time.monotonic() + 120
+        client = ThriftClient(server.ports[0])
+        sent = 0
+        end = time.monotonic() + TIMEOUT_S
         began = 0.0
-        while len(client.answers) < requests + 200 and time.monotonic() < end:
-            if sent == 200 and not began and len(client.answers) >= 200:
+        while len(client.answers) < requests + WARM_UP_REQUESTS and time.monotonic() < end:
+            if sent == WARM_UP_REQUESTS and not began and len(client.answers) >= WARM_UP_REQUESTS:
                 began = cpu_s(server.process.pid)  # the first are warming up
-            limit = requests + 200 if began else 200
-            while sent < limit and sent - len(client.answers) < OPEN:
+            limit = requests + WARM_UP_REQUESTS if began else WARM_UP_REQUESTS
+            while sent < limit and sent - len(client.answers) < MAX_OUTSTANDING:
                 client.send(("render", "fetch", "order")[sent % 3], b"ms=1 calls=1" if sent % 5 == 0 else b"ms=1")
                 sent += 1
             time.sleep(0.001)
@@ -73,7 +76,10 @@
 @click.option("--figures", is_flag=True, help="Also this tree with the management address on and scraped.")
 def main(against: Path, rounds: int, requests: int, figures: bool) -> None:
     """Print the figures of both, and their ratio."""
-    ratios, ours, theirs, scraped = [], [], [], []
+    ratios: list[float] = []
+    ours: list[float] = []
+    theirs: list[float] = []
+    scraped: list[float] = []
     for number in range(rounds):
         before = measure(against, requests)
         now = measure(ROOT, requests)
