--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -55,7 +55,8 @@
         self.engine.run(until_ms)
 
     def _new_request(self, name: str) -> None:
-        now, rate = self.engine.now, self.rates[name]
+        now = self.engine.now
+        rate = self.rates[name]
         self.engine.at(
             now + (self.random_source.expovariate(rate) * 1000 if rate > 0 else 20.0), self._new_request, name
         )
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -174,7 +174,8 @@
                     break
                 time.sleep(0.5)
             time.sleep(5)  # what was new is told
-            began, before = time.monotonic(), [cpu_s(server.process.pid) for server in servers]
+            began = time.monotonic()
+            before = [cpu_s(server.process.pid) for server in servers]
             time.sleep(seconds)
             span = time.monotonic() - began
             used = [100 * (cpu_s(server.process.pid) - was) / span for server, was in zip(servers, before, strict=True)]
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -65,9 +65,11 @@
         try:
             run.begin()
             time.sleep(3)
-            names, demand = list(run.members), per_s * over
+            names = list(run.members)
+            demand = per_s * over
             rest = demand * (1 - HOT_SHARE) / (len(names) - 1)
-            began, wall = time.monotonic(), time.time() * 1000
+            began = time.monotonic()
+            wall = time.time() * 1000
             threads = [
                 threading.Thread(
                     target=send_orders,
@@ -155,7 +157,8 @@
     per_s = 10.0 * size
     fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, sizes=True, hold_ms=1000.0)
     fleet.run(3000)
-    demand, began = per_s * 2, time.monotonic()
+    demand = per_s * 2
+    began = time.monotonic()
     for hot, until in ((0, 15_000), (size - 1, 27_000)):
         for n, name in enumerate(fleet.names):
             fleet.rates[name] = demand * HOT_SHARE if n == hot else demand * (1 - HOT_SHARE) / (size - 1)
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -54,7 +54,8 @@
 
     def send(self, born: float, retries: int) -> None:
         """Make one attempt, at a random member."""
-        now, out = self.engine.now, OUTAGE_BEGIN_MS <= self.engine.now < OUTAGE_END_MS
+        now = self.engine.now
+        out = OUTAGE_BEGIN_MS <= self.engine.now < OUTAGE_END_MS
         counted = OUTAGE_BEGIN_MS <= born < OUTAGE_END_MS
         self.attempts += counted
         budget = self.budgets[self.random_source.randrange(self.members)] if self.budgets else None
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -58,7 +58,8 @@
     part, size, seed, seconds, plain = job
     began = time.monotonic()
     fleet = joined_fleet(size, seed, plain)
-    start, events = fleet.engine.now, fleet.engine.events
+    start = fleet.engine.now
+    events = fleet.engine.events
     before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": plain}
     if part == "kill":
@@ -76,7 +77,8 @@
             "spread_ms": round(max(known, default=0) - min(known, default=0), 1),
         }
     elif part == "cut":
-        a, rest = frozenset(fleet.sites["a"]), frozenset((*fleet.sites["b"], *fleet.sites["c"]))
+        a = frozenset(fleet.sites["a"])
+        rest = frozenset((*fleet.sites["b"], *fleet.sites["c"]))
         fleet.faults.put(1, FaultRule(a, rest, cut=True))
         fleet.run(start + 10_000)
         fleet.faults.drop(1)
--- a/benchmarks/fleet_tight.py
+++ b/benchmarks/fleet_tight.py
@@ -84,7 +84,8 @@
         rows = list(pool.map(run_script, [(name, seed) for name in SCRIPTS for seed in range(1, seeds + 1)]))
         for name in SCRIPTS:
             rows_of_script = [row for row in rows if row[0] == name]
-            worst, bound = max(row[1] for row in rows_of_script), rows_of_script[0][2]
+            worst = max(row[1] for row in rows_of_script)
+            bound = rows_of_script[0][2]
             broken = [line for row in rows_of_script for line in row[3]]
             bad = bad or bool(broken)
             print(
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -73,7 +73,8 @@
             if not command["mark"].startswith("gauges") or self.free:
                 self.outbox.append({"t": "INFO", "mark": command["mark"], "v": [0.1, len(self.running), 0.1, 3]})
         elif command["t"] == "SCHED":
-            rid, body = command["rid"], base64.b64decode(command["b64"])
+            rid = command["rid"]
+            body = base64.b64decode(command["b64"])
             self.bodies[rid] = body
             if rid not in self.running:
                 self.starts[rid] += 1
@@ -138,7 +139,8 @@
         with self.lock:
             self.inbox.clear()
             self.outbox.clear()
-            link, self.link = self.link, None
+            link = self.link
+            self.link = None
         if link is not None:
             self.cut(link)
 
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -82,7 +82,9 @@
         except (OSError, EOFError):  # the drain closes what carries nothing
             out.rows.remove(row)
             return
-        row.outcome, row.answered, row.answers = STATUS.get(status, str(status)), time.time() * 1000, 1
+        row.outcome = STATUS.get(status, str(status))
+        row.answered = time.time() * 1000
+        row.answers = 1
         row.result = result
         if not reuse:
             return
@@ -120,7 +122,8 @@
         for seq, row in sent.items():
             kind, answer = client.answers.get(seq, ("none", None))
             row.outcome = {"success": "served"}.get(kind, kind)
-            row.answered, row.answers = client.times.get(seq, 0.0), client.count[seq]
+            row.answered = client.times.get(seq, 0.0)
+            row.answers = client.count[seq]
             row.result = answer.body if kind == "success" else b""
         if keep is not None:
             keep.write_text("".join(json.dumps(row) + "\n" for row in server.log))
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -88,7 +88,8 @@
         if self.leaves:
             self.leaves -= 1
             return self.cut(link)
-        old, self.link = self.link, link
+        old = self.link
+        self.link = link
         if old is not None:
             self.cut(old)
         age = int((time.time() - self.born) * 1000)
--- a/myrtlespar/model_checker/client_events.py
+++ b/myrtlespar/model_checker/client_events.py
@@ -9,7 +9,8 @@
 
 def send_request(world: World, index: int) -> None:
     """Begin to send, on a new connection where the old one takes no more requests."""
-    world.callers[index].stage, world.callers[index].incarnation = PARTLY_READ, world.incarnation
+    world.callers[index].stage = PARTLY_READ
+    world.callers[index].incarnation = world.incarnation
     if not world.connections[world.connection_index(index)].accepts_requests:
         world.connections[world.connection_index(index)] = ConnectionLifecycle(IDS[index])
     if world.scenario.attempts[index].front == "ajp":
@@ -18,7 +19,8 @@
 
 def complete_request(world: World, index: int) -> None:
     """The request is read completely, and submitted to the request tracker."""
-    caller, attempt = world.callers[index], world.scenario.attempts[index]
+    caller = world.callers[index]
+    attempt = world.scenario.attempts[index]
     if not world.connections[
         world.connection_index(index)
     ].accepts_requests:  # it crossed a close: sent once more, on a new connection
@@ -29,7 +31,8 @@
     exchange = world.exchanges[index] = Exchange(
         IDS[index], attempt.front, int(attempt.effectful), b"", world.now, discard_answer
     )
-    exchange.key, exchange.target = attempt.key, attempt.target
+    exchange.key = attempt.key
+    exchange.target = attempt.target
     world.handle_connection_event(index, ConnectionEvent.REQUEST)
     world.apply_effects(world.tracker.submit(exchange) or [])
 
@@ -37,7 +40,8 @@
 def abort_request(world: World, index: int) -> None:
     """The client resets its connection within the request."""
     world.count_fault("give up")
-    world.callers[index].stage, world.callers[index].gone = DONE, True
+    world.callers[index].stage = DONE
+    world.callers[index].gone = True
     world.handle_connection_event(index, ConnectionEvent.RESET)
 
 
--- a/myrtlespar/model_checker/diagrams.py
+++ b/myrtlespar/model_checker/diagrams.py
@@ -30,7 +30,9 @@
     for state, event in table.defined_transitions():
         row = table.transitions[state][event]
         assert row is not None
-        before, after, on = table.states(state).name, table.states(row.next_state).name, table.events(event).name
+        before = table.states(state).name
+        after = table.states(row.next_state).name
+        on = table.events(event).name
         effects = ", ".join(getattr(effect, "name", str(effect)) for effect in row.effects)
         rows.append(f"| {before} | {on} | {after if after != before else 'stays'} | {effects} |\n")
         if after != before:
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -140,7 +140,8 @@
 def check_start(world: World, rid: str) -> None:
     """Add the invariants that forbid the run that has just started."""
     index = IDS.index(rid)
-    attempt, caller = world.scenario.attempts[index], world.callers[index]
+    attempt = world.scenario.attempts[index]
+    caller = world.callers[index]
     if caller.late and caller.incarnation == world.incarnation:
         world.violations.append("no start after the grace")
     if not attempt.effectful:
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -110,7 +110,8 @@
     def ask(self, rid: str) -> None:
         """A run makes its next call."""
         run = self.runs[rid]
-        run[0], run[1] = 1, run[1] + 1
+        run[0] = 1
+        run[1] = run[1] + 1
         self.send_notice("IOREQ", rid, run[1])
 
     def end(self, rid: str, status: str) -> None:
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -79,14 +79,15 @@
     return world, broken_rules(world, coverage, event[0] == "tick")
 
 
-FoundState = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the state before, rules that fell
+FoundState = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the state before, broken rules
 
 
 class Expander:
     """Expands chunks of states, in this process or in a worker."""
 
     def __init__(self, scenario: Scenario) -> None:
-        self.scenario, self.coverage = scenario, TransitionCoverage()
+        self.scenario = scenario
+        self.coverage = TransitionCoverage()
         self.sent: set[int] = set()  # what this worker has handed back already
 
     def __call__(self, chunk: list[tuple[int, bytes]]) -> tuple[list[FoundState], int]:
@@ -118,7 +119,8 @@
 def _expand(chunk: list[tuple[int, bytes]]) -> tuple[list[FoundState], int, UsedTransitions]:
     assert _expander is not None
     found, steps = _expander(chunk)
-    used_transitions, _expander.coverage.used_transitions = _expander.coverage.used_transitions, set()
+    used_transitions = _expander.coverage.used_transitions
+    _expander.coverage.used_transitions = set()
     return found, steps, used_transitions
 
 
@@ -130,7 +132,7 @@
 def explore(
     scenario: Scenario, bounds: Bounds, jobs: int = 1, progress: Callable[[ExplorationResult], None] | None = None
 ) -> ExplorationResult:
-    """Visit every state, or stop at the first rule that falls, or at a bound."""
+    """Visit every state, or stop at the first broken rule, or at a bound."""
     if jobs == 1:
         _start_worker(scenario)
         return _levels(scenario, bounds, lambda frontier: map(_expand, _chunks(frontier, CHUNK_STATES)), progress)
@@ -172,7 +174,8 @@
                 if after not in before:
                     before[after] = parent
                     following.append((after, data))
-            result.states, result.seconds = len(before), time.monotonic() - began
+            result.states = len(before)
+            result.seconds = time.monotonic() - began
             result.stopped_by = _stop(result, bounds)
             if result.stopped_by:
                 result.complete = False
@@ -193,11 +196,13 @@
 
 
 def retrace(scenario: Scenario, before: dict[int, int], last: int, violations: tuple[str, ...]) -> list[Event]:
-    """The events from the beginning to the state `last`, and the one after it with which the rules fell."""
+    """The events from the beginning to the state `last`, and the one after it that broke the rules."""
     chain = [last]
     while before[chain[-1]] != chain[-1]:
         chain.append(before[chain[-1]])
-    plain, path, coverage = thaw(freeze(begin(scenario))), list[Event](), TransitionCoverage()
+    plain = thaw(freeze(begin(scenario)))
+    path: list[Event] = []
+    coverage = TransitionCoverage()
     for wanted in reversed(chain[:-1]):
         for event in enabled_events(unpack(scenario, plain)):
             state = freeze(step(scenario, plain, event, coverage)[0])
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -39,7 +39,8 @@
 
     def take(self, row: dict[str, Any]) -> None:
         """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
-        machine, who = str(row.get("machine")), str(row.get("who"))
+        machine = str(row.get("machine"))
+        who = str(row.get("who"))
         table = NAMES.get(machine)
         if table is None:
             raise InvalidStepError(f"no machine named {machine!r}")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.fleet_change import played as lowered
+from benchmarks.fleet_change import run_once as lowered
 from myrtlespar.config import ConfigError
 from myrtlespar.fakes import ROOT
 from myrtlespar.fleet.settings import limits_fault, read_fleet
--- a/tests/traced_peers.py
+++ b/tests/traced_peers.py
@@ -58,7 +58,9 @@
     def restart(self) -> None:
         """End all runs without a notice, as a restarted engine does; notices begin with 1 again."""
         with self.lock:
-            self.notices, self.waits, self.born = [], {}, time.time()
+            self.notices = []
+            self.waits = {}
+            self.born = time.time()
             self.running.clear()
             if self.link is not None:
                 self.cut(self.link)
