--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -10,24 +10,25 @@
 from myrtlespar.state_machines.idempotency_keys import KeyState
 from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
+# Name and meaning. The names stand in saved counter-examples, so they stay as they are.
 RULES = {
-    "one answer": "What was read whole gets one final answer, never a second.",
-    "answer to nobody": "Who is known to be gone gets no answer.",
-    "answered in time": "Each owed answer comes by its due time and a slack, unless its caller is known gone.",
-    "one start a try": "An effectful try never runs twice.",
-    "one start a key": "Of the tries that one key links, one starts at the most, while the key is remembered.",
-    "no start after the grace": "Nothing that arrived later than the grace after the notice to leave runs.",
-    "no refusal after a start": "What has started and is effectful is never refused.",
-    "true answers": "No answer is served that no run made for this try or for one that its key links to it.",
+    "one answer": "A request that was read completely gets one final answer, never a second.",
+    "answer to nobody": "A caller that is known to be gone gets no answer.",
+    "answered in time": "Each owed answer comes by its due time plus a slack, unless its caller is known to be gone.",
+    "one start a try": "An effectful attempt never runs twice.",
+    "one start a key": "Of the attempts with one idempotency key, at most one starts while the key is remembered.",
+    "no start after the grace": "Nothing that arrived after the grace period of the drain notice runs.",
+    "no refusal after a start": "An effectful attempt that has started is never rejected.",
+    "true answers": "A served answer was made by a run of this attempt or of one with the same idempotency key.",
     "true replies": "A run gets the reply to the very call that it waits for.",
-    "the drain answers all": "When the process stops, all that was read has its answer.",
+    "the drain answers all": "When the process stops, every request that was read has its answer.",
     "the drain ends": "The drain ends before the kill.",
-    "books agree": "What is owed, open, and linked by keys agrees everywhere.",
+    "books agree": "What is owed, open and linked by idempotency keys agrees everywhere.",
     "no place is lost": "What counts as running runs, or something will still show that it does not.",
-    "no call is stranded": "A call that is made has an end that may come; one that waits, a connection that may.",
-    "no kernel taken for another": "The numbers of a kernel's notices never make it pass for another one.",
-    "no machine fails": "No event makes a machine fail by itself.",
-    "every step ends": "A machine comes to an end over each event.",
+    "no call is stranded": "A call that was made may still end; one that waits may still get a connection.",
+    "no kernel taken for another": "The numbers of an engine's notices never make it pass for another engine.",
+    "no machine fails": "No event makes a state machine raise an error.",
+    "every step ends": "A state machine ends its work on each event.",
     "nothing impossible": "No event comes in a state that has no row for it.",
 }
 
