--- a/myrtlespar/model_checker/mutation_testing.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -25,7 +25,7 @@
     if replay is not None:
         sys.exit(command.replay(Path(replay), False, ""))
     if MUTATIONS[name].scenario == "twins":
-        from myrtlespar.model_checker import process_pair as process_pair
+        from myrtlespar.model_checker import process_pair
 
         sys.exit(process_pair.print_mutation_result(process_pair.explore(), command.MAX_PATH_EVENTS))
     found = explore(ALL[MUTATIONS[name].scenario], Bounds(seconds))
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -86,8 +86,8 @@
                     return 2
                 try:
                     trace.take(row)
-                except InvalidStepError as odd:
-                    print(f"rejected at line {number}, step {trace.steps + 1}: {odd}")
+                except InvalidStepError as error:
+                    print(f"rejected at line {number}, step {trace.steps + 1}: {error}")
                     return 1
     except (OSError, UnicodeDecodeError) as error:
         print(f"myrtlespar: {path}: can't be read: {error}", file=sys.stderr)
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Seeded fault injection: the real program between stand-ins that fail, with errors at its system calls.
+"""Seeded fault injection: the real program between failing fakes, with errors at its system calls.
 
 One seed is one schedule of faults and of requests. What was sent, run, called and answered is traced to the requests
 that clients made: `Trial.wrong` lists every deviation, the first one first.
