--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -16,6 +16,7 @@
 import time
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import click
 import yaml
@@ -24,7 +25,9 @@
 from myrtlespar.fakes import ROOT, ServerProcess
 from myrtlespar.fault_proxy.relay import PORTS
 
-HELPERS = 6
+HELPERS = 6  # processes
+SETTLE_S = 1.0
+JOIN_TIMEOUT_S = 60.0
 
 
 def host(n: int) -> str:
@@ -120,6 +123,74 @@
     )
 
 
+def compare_without_fleet(folder: Path, off: Path) -> None:
+    """Print modules loaded and resident sizes of this tree and of another checkout, with the fleet off."""
+    print(f"modules loaded: now {imports(ROOT)}, before {imports(off)}")
+    for n in range(3):
+        servers = [
+            member(folder / f"{kind}{n}", 0, False, root) for kind, root in (("now", ROOT), ("before", off.resolve()))
+        ]
+        time.sleep(SETTLE_S)
+        now_kb, before_kb = (rss_kb(server.process.pid) for server in servers)
+        print(f"resident, fleet off: now {now_kb} kB, before {before_kb} kB")
+        for server in servers:
+            server.close()
+
+
+def start_helpers(members: int, port: int, seconds: float) -> list[subprocess.Popen[bytes]]:
+    """Processes that run all members but the first."""
+    each = -(-(members - 1) // HELPERS)
+    command = [sys.executable, "-m", "benchmarks.fleet_cost", "--helper"]
+    return [
+        subprocess.Popen([*command, f"{first},{min(each, members - first)},{port},{seconds}"], cwd=ROOT)
+        for first in range(1, members, each)
+    ]
+
+
+def members_alive(server: ServerProcess) -> int:
+    """How many members it believes to be alive, itself among them."""
+    states = [row["state"] for row in view_of(server)["members"]]
+    return states.count("alive") + 1
+
+
+def view_of(server: ServerProcess) -> dict[str, Any]:
+    """What its management address tells of the fleet."""
+    view: dict[str, Any] = json.loads(server.ask(b"MEMBERS\n").split("\n")[1])
+    return view
+
+
+def measure_member(folder: Path, members: int, seconds: float) -> None:
+    """Print CPU and resident size of a server with the fleet on and of one with it off."""
+    port = PORTS[os.getpid() % len(PORTS)]
+    helpers = start_helpers(members, port, seconds + 60)
+    servers: list[ServerProcess] = []
+    try:
+        time.sleep(3)
+        servers = [member(folder / "on", port, True), member(folder / "off", 0, False)]
+        end = time.monotonic() + JOIN_TIMEOUT_S
+        while time.monotonic() < end and members_alive(servers[0]) < members:
+            time.sleep(0.5)
+        time.sleep(5)  # until nothing new is disseminated
+        began = time.monotonic()
+        before = [cpu_s(server.process.pid) for server in servers]
+        time.sleep(seconds)
+        span = time.monotonic() - began
+        used = [100 * (cpu_s(server.process.pid) - was) / span for server, was in zip(servers, before, strict=True)]
+        view = view_of(servers[0])
+        size = [rss_kb(server.process.pid) for server in servers]
+        print(
+            f"{members_alive(servers[0])} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; "
+            f"resident {size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; "
+            f"late {view['late_ms']} ms, counts {view['counts']}"
+        )
+    finally:
+        for server in servers:
+            server.close()
+        for process in helpers:
+            process.kill()
+            process.wait()
+
+
 @click.command()
 @click.option("--members", default=200, show_default=True, type=click.IntRange(2, 1000))
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(1, 600))
@@ -134,65 +205,10 @@
         subprocess.run([sys.executable, "-m", "compileall", "-q", "myrtlespar"], cwd=root, check=True)
     with tempfile.TemporaryDirectory() as tmp:
         if off is not None:
-            print(f"modules loaded: now {imports(ROOT)}, before {imports(off)}")
-            for n in range(3):
-                servers = [
-                    member(Path(tmp) / f"{kind}{n}", 0, False, root)
-                    for kind, root in (("now", ROOT), ("before", off.resolve()))
-                ]
-                time.sleep(1)
-                print(
-                    f"resident, fleet off: now {rss_kb(servers[0].process.pid)} kB, before "
-                    f"{rss_kb(servers[1].process.pid)} kB"
-                )
-                for server in servers:
-                    server.close()
-            return None
-        port = PORTS[os.getpid() % len(PORTS)]
-        each = -(-(members - 1) // HELPERS)
-        helpers = [
-            subprocess.Popen(
-                [
-                    sys.executable,
-                    "-m",
-                    "benchmarks.fleet_cost",
-                    "--helper",
-                    f"{first},{min(each, members - first)},{port},{seconds + 60}",
-                ],
-                cwd=ROOT,
-            )
-            for first in range(1, members, each)
-        ]
-        servers = []
-        try:
-            time.sleep(3)
-            servers = [member(Path(tmp) / "on", port, True), member(Path(tmp) / "off", 0, False)]
-            end = time.monotonic() + 60
-            while time.monotonic() < end:
-                view = json.loads(servers[0].ask(b"MEMBERS\n").split("\n")[1])
-                if sum(row["state"] == "alive" for row in view["members"]) == members - 1:
-                    break
-                time.sleep(0.5)
-            time.sleep(5)  # what was new is told
-            began = time.monotonic()
-            before = [cpu_s(server.process.pid) for server in servers]
-            time.sleep(seconds)
-            span = time.monotonic() - began
-            used = [100 * (cpu_s(server.process.pid) - was) / span for server, was in zip(servers, before, strict=True)]
-            view = json.loads(servers[0].ask(b"MEMBERS\n").split("\n")[1])
-            alive = sum(row["state"] == "alive" for row in view["members"]) + 1
-            size = [rss_kb(server.process.pid) for server in servers]
-            print(
-                f"{alive} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; resident "
-                f"{size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; late {view['late_ms']} ms, "
-                f"counts {view['counts']}"
-            )
-        finally:
-            for server in servers:
-                server.close()
-            for process in helpers:
-                process.kill()
-                process.wait()
+            compare_without_fleet(Path(tmp), off)
+        else:
+            measure_member(Path(tmp), members, seconds)
+    return None
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -14,6 +14,7 @@
 import time
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import click
 
@@ -64,32 +65,9 @@
         run = FleetRun(script, seed, Path(tmp))
         try:
             run.begin()
-            time.sleep(3)
-            names = list(run.members)
-            demand = per_s * over
-            rest = demand * (1 - HOT_SHARE) / (len(names) - 1)
-            began = time.monotonic()
+            time.sleep(3)  # until the first leases are granted
             wall = time.time() * 1000
-            threads = [
-                threading.Thread(
-                    target=send_orders,
-                    args=(
-                        run,
-                        name,
-                        [
-                            (12.0, demand * HOT_SHARE if name == names[0] else rest),
-                            (22.0, demand * HOT_SHARE if name == names[-1] else rest),
-                        ],
-                        began,
-                        seed * 100 + n,
-                    ),
-                )
-                for n, name in enumerate(names)
-            ]
-            for thread in threads:
-                thread.start()
-            for thread in threads:
-                thread.join(60)
+            send_all_orders(run, per_s * over, seed)
             runs = [
                 (body, at, end or float("inf"))
                 for member in run.members.values()
@@ -97,13 +75,10 @@
             ]
         finally:
             run.close()
-    most = {
-        slack: judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack, {})[1]["order-farms"][
-            "most"
-        ]
-        for slack in (0.0, 25.0, 50.0, 100.0)
-    }  # of the way from a decision to its kernel
-    broken, _ = judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, SLACK_MS, {})
+
+    def judged(slack_ms: float) -> tuple[list[str], dict[str, Any]]:
+        return judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack_ms, {})
+
     seconds = [0] * 22
     for _, at, _ in runs:
         if 0 <= at - wall < 22_000:
@@ -114,11 +89,28 @@
         "calm": round(sum(seconds[3:12]) / 9 / per_s, 3),
         "moved": round(sum(seconds[14:22]) / 8 / per_s, 3),
         "by_second": seconds,
-        "broken": broken,
-        "most_by_slack_ms": most,
+        "broken": judged(SLACK_MS)[0],
+        # By the slack for the way from a decision to its engine.
+        "most_by_slack_ms": {slack: judged(slack)[1]["order-farms"]["most"] for slack in (0.0, 25.0, 50.0, 100.0)},
     }
 
 
+def send_all_orders(run: FleetRun, demand: float, seed: int) -> None:
+    """Send `demand` orders per second for 22 s, most of them to the first member, after 12 s to the last one."""
+    names = list(run.members)
+    hot = demand * HOT_SHARE
+    rest = demand * (1 - HOT_SHARE) / (len(names) - 1)
+    began = time.monotonic()
+    threads = []
+    for n, name in enumerate(names):
+        rates = [(12.0, hot if name == names[0] else rest), (22.0, hot if name == names[-1] else rest)]
+        threads.append(threading.Thread(target=send_orders, args=(run, name, rates, began, seed * 100 + n)))
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(60)
+
+
 def measure_decisions(count: int) -> None:
     """Print the microseconds of one decision."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
