--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -18,7 +18,7 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.quota.usage_windows import UsageWindow
 from myrtlespar.simulation.event_loop import EventLoop
-from myrtlespar.simulation.limits import SimulatedLimits
+from myrtlespar.simulation.limits import MemberSecond, SimulatedLimits
 
 PHASES = {  # first and last second
     "calm": (6, 15),
@@ -41,12 +41,12 @@
         self.names = names
         self.rates = dict.fromkeys(names, 0.0)
         self.meter = UsageWindow(float(limit.window_ms))
-        self.starts_by: Counter[tuple[str, int]] = Counter()
+        self.starts_by_member: Counter[MemberSecond] = Counter()
         self.isolated: frozenset[str] = frozenset()
         for name in names:
             self.engine.at(0.0, self._new_request, name)
 
-    def part(self, isolated: frozenset[str]) -> None:
+    def isolate(self, isolated: frozenset[str]) -> None:
         """Cut these members off from the counter, and connect all others."""
         self.isolated = isolated
 
@@ -65,10 +65,10 @@
 
     def _request_admission(self, name: str, until: float) -> None:
         now = self.engine.now
-        if self.meter.look(now) < self.limit.amount:
-            self.meter.add(now)
-            self.starts_by[name, int((now + self.hop_ms) / 1000)] += 1
-        elif (at := self.meter.room_at(now, self.limit.amount)) <= until:
+        if self.meter.in_use(now) < self.limit.amount:
+            self.meter.record(now)
+            self.starts_by_member[MemberSecond(name, int((now + self.hop_ms) / 1000))] += 1
+        elif (at := self.meter.available_at(now, self.limit.amount)) <= until:
             self.engine.at(max(at, now + 1.0), self._request_admission, name, until)
 
 
@@ -79,7 +79,7 @@
     fleet: SimulatedLimits | CentralCounter = (
         CentralCounter(names, limit, seed, 1.0, 1000.0)
         if kind == "central"
-        else SimulatedLimits(members, limit, GrantSettings(), seed, hold_ms=1000.0)
+        else SimulatedLimits(members, limit, GrantSettings(), seed, max_wait_ms=1000.0)
     )
     fleet.run(3000)
     isolated = frozenset(names[-(members // 3) :])
@@ -87,15 +87,16 @@
         for name in names:
             fleet.rates[name] = per_s * over * (HOT_SHARE if name == hot else (1 - HOT_SHARE) / (members - 1))
         fleet.run(until)
-    fleet.part(isolated)
+    fleet.isolate(isolated)
     fleet.run(39_000)
-    fleet.part(frozenset())
+    fleet.isolate(frozenset())
     fleet.run(55_000)
+    starts_by_member = fleet.starts_by_member if isinstance(fleet, CentralCounter) else fleet.result.starts_by_member
     row: dict[str, object] = {"kind": kind, "members": members, "over": over, "seed": seed}
     for phase, (first, last) in PHASES.items():
         sides = [
             sum(
-                fleet.starts_by[name, second]
+                starts_by_member[MemberSecond(name, second)]
                 for name in names
                 if (name in isolated) is side
                 for second in range(first, last)
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -18,7 +18,7 @@
 import click
 
 from myrtlespar.fault_proxy.faults import FaultRule
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.limit_invariants import check_limits
 from myrtlespar.fleet_tests.load_generator import LoadGenerator
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
@@ -41,9 +41,9 @@
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
-            run.begin()
+            run.start()
             load = LoadGenerator(run)
-            load.begin()
+            load.start()
             began = time.monotonic()
             behind: set[str] = set()
 
@@ -58,14 +58,14 @@
             lower = {"order-farms": {"per_s": 12.0, "before": 30.0}}
             wait(4)
             cut = FaultRule(frozenset(("a1", "a2", "b1", "b2")), frozenset(("c1", "c2")), False, True)
-            run.fabric.on(1, cut)
+            run.fault_proxy.on(1, cut)
             wait(5)
-            run.relimit([name for name in run.members if name != "c1"], 2, lower)
+            run.change_limits([name for name in run.members if name != "c1"], 2, lower)
             changed_at = time.time() * 1000
             wait(12)
-            run.fabric.off(1)
+            run.fault_proxy.off(1)
             wait(14)
-            run.relimit(["c1"], 2, lower)
+            run.change_limits(["c1"], 2, lower)
             changed_last_at = time.time() * 1000
             wait(24)
             load.finish()
@@ -76,16 +76,16 @@
             runs = [
                 (body, at, float("inf") if done is None else done)
                 for member in run.members.values()
-                for kernel in member.kernels
-                for body, at, done in kernel.runs
+                for engine in member.engines
+                for body, at, done in engine.runs
             ]
         finally:
             run.close()
-    holds = changed_last_at + grant_settings.lowered_ms(Limit(per_s=30.0)) + SLACK_MS
+    holds = changed_last_at + grant_settings.max_lowering_ms(Limit(per_s=30.0)) + SLACK_MS
     broken: list[str] = []
     most: dict[str, int] = {}
     for label, amount, since in (("the greater number", 30.0, 0.0), ("the lower number", 12.0, holds)):
-        lines, figures = judge_limits(
+        lines, figures = check_limits(
             {"order-farms": Limit(per_s=amount)},
             [row for row in runs if row[1] >= since],
             grant_settings,
@@ -97,9 +97,11 @@
         broken += [f"{label}: {line}" for line in lines]
         most[label] = figures["order-farms"]["most"]
     between = [
-        row for row in runs if changed_at + grant_settings.lowered_ms(Limit(per_s=30.0)) <= row[1] < changed_last_at
+        row
+        for row in runs
+        if changed_at + grant_settings.max_lowering_ms(Limit(per_s=30.0)) <= row[1] < changed_last_at
     ]
-    figures = judge_limits(
+    figures = check_limits(
         {"x": Limit(per_s=12.0)}, between, grant_settings, changed_at, changed_last_at, SLACK_MS, {}
     )[1]
     if set(versions.values()) != {(2, True)}:
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -20,9 +20,10 @@
 
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fleet_tests.invariants import SLACK_MS
-from myrtlespar.fleet_tests.limit_invariants import judge_limits
+from myrtlespar.fleet_tests.limit_invariants import check_limits
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script import parse
+from myrtlespar.quota.lease import Incarnation
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.limits import SimulatedLimits
@@ -36,7 +37,7 @@
     n = 0
     at = 0.0
     many = 1 + int(max(rate for _, rate in rates) // 20)  # a connection carries a bounded number unanswered
-    clients = [ThriftClient(run.listen(name)[1], run.listen(name)[0]) for _ in range(many)]
+    clients = [ThriftClient(run.client_address(name)[1], run.client_address(name)[0]) for _ in range(many)]
     for until, rate in rates:
         while rate > 0 and n < 200_000:
             at += random_source.expovariate(rate)
@@ -48,7 +49,7 @@
             try:
                 clients[n % many].send("order", body, peer="1")
             except OSError:  # it was idle for long, and was closed
-                clients[n % many] = ThriftClient(run.listen(name)[1], run.listen(name)[0])
+                clients[n % many] = ThriftClient(run.client_address(name)[1], run.client_address(name)[0])
                 clients[n % many].send("order", body, peer="1")
         at = until
         time.sleep(max(0.0, began + at - time.monotonic()))
@@ -64,20 +65,20 @@
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
-            run.begin()
+            run.start()
             time.sleep(3)  # until the first leases are granted
             wall = time.time() * 1000
             send_all_orders(run, per_s * over, seed)
             runs = [
                 (body, at, end or float("inf"))
                 for member in run.members.values()
-                for body, at, end in member.kernel.runs
+                for body, at, end in member.engine.runs
             ]
         finally:
             run.close()
 
     def judged(slack_ms: float) -> tuple[list[str], dict[str, Any]]:
-        return judge_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack_ms, {})
+        return check_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack_ms, {})
 
     seconds = [0] * 22
     for _, at, _ in runs:
@@ -114,27 +115,27 @@
 def measure_decisions(count: int) -> None:
     """Print the microseconds of one decision."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
-    agent = LimitCoordinator(("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
+    agent = LimitCoordinator(Incarnation("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
     for key in limits:  # alone it is its own keeper
         agent.check_admission(5000.0, key)
     for n in range(200):
         agent.tick(5000.0 + 200.0 * n)
         agent.check_admission(5000.0 + 200.0 * n, "x")
     now = 5000.0 + 200.0 * 200
-    rows: dict[str, list[float]] = {"look and use, a rate": [], "look and use, at once": [], "off": []}
+    rows: dict[str, list[float]] = {"check and consume, a rate": [], "check and consume, at once": [], "off": []}
     absent: LimitCoordinator | None = None
     for _ in range(5):
-        for name, key in (("look and use, a rate", "x"), ("look and use, at once", "y")):
+        for name, key in (("check and consume, a rate", "x"), ("check and consume, at once", "y")):
             began = time.perf_counter()
             for n in range(count // 5):
-                if agent.check_admission(now + n * 0.01, key).ok:
+                if agent.check_admission(now + n * 0.01, key).admitted:
                     agent.consume(now + n * 0.01, key)
                     if key == "y":
                         agent.run_ended(key)
             rows[name].append((time.perf_counter() - began) / (count // 5) * 1e6)
         began = time.perf_counter()
         for _ in range(count // 5):
-            _ = absent.check_admission(now, "x").ok if absent else True
+            _ = absent.check_admission(now, "x").admitted if absent else True
         rows["off"].append((time.perf_counter() - began) / (count // 5) * 1e6)
     for name, values in rows.items():
         print(f"{name}: median {sorted(values)[2]:.3f} us, {min(values):.3f} to {max(values):.3f}")
@@ -147,7 +148,7 @@
     after 12 s. Then 10,000 callers' keys are each used about once, and nothing follows.
     """
     per_s = 10.0 * size
-    fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, sizes=True, hold_ms=1000.0)
+    fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, measure_bytes=True, max_wait_ms=1000.0)
     fleet.run(3000)
     demand = per_s * 2
     began = time.monotonic()
@@ -155,18 +156,18 @@
         for n, name in enumerate(fleet.names):
             fleet.rates[name] = demand * HOT_SHARE if n == hot else demand * (1 - HOT_SHARE) / (size - 1)
         if hot:
-            before = fleet.seen.messages, fleet.seen.bytes
+            before = fleet.result.messages, fleet.result.bytes
         fleet.run(until)
-    starts = [fleet.seen.starts[n] / per_s for n in range(27)]
+    starts = [fleet.result.starts[n] / per_s for n in range(27)]
     back = next((n - 15 for n in range(15, 27) if starts[n] >= 0.9 * sum(starts[8:15]) / 7), None)
-    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, keys=10_000, sizes=True)
+    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, callers=10_000, measure_bytes=True)
     for name in cold.names:
         cold.rates[name] = 10_000 / 4 / size
     cold.run(4000)
     for name in cold.names:
         cold.rates[name] = 0.0
     cold.run(12_000)
-    quiet = cold.seen.messages
+    quiet = cold.result.messages
     cold.run(16_000)
     return {
         "members": size,
@@ -174,11 +175,11 @@
         "calm": round(sum(starts[8:15]) / 7, 3),
         "moved": round(sum(starts[19:27]) / 8, 3),
         "seconds_until_0.9_of_calm": back,
-        "most_of_limit": round(fleet.seen.most / per_s, 4),
-        "messages_s_member": round((fleet.seen.messages - before[0]) / 12 / size, 2),
-        "bytes_s_member": round((fleet.seen.bytes - before[1]) / 12 / size, 1),
-        "keys_left": sum(len(agent.grant_holder.shares) for agent in cold.agents.values()),
-        "messages_s_member_cold": round((cold.seen.messages - quiet) / 4 / size, 2),
+        "most_of_limit": round(fleet.result.max_in_window / per_s, 4),
+        "messages_s_member": round((fleet.result.messages - before[0]) / 12 / size, 2),
+        "bytes_s_member": round((fleet.result.bytes - before[1]) / 12 / size, 1),
+        "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.coordinators.values()),
+        "messages_s_member_cold": round((cold.result.messages - quiet) / 4 / size, 2),
         "real_s": round(time.monotonic() - began, 1),
     }
 
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -23,8 +23,9 @@
 from myrtlespar.fleet_tests.runner import percentile
 from myrtlespar.membership.messages import MemberState
 from myrtlespar.membership.settings import MembershipSettings
-from myrtlespar.simulation.baseline import baseline
-from myrtlespar.simulation.fleet import SimulatedFleet, real
+from myrtlespar.simulation.baseline import heartbeat_factory
+from myrtlespar.simulation.fleet import SimulatedFleet
+from myrtlespar.simulation.member_factory import membership_factory
 from myrtlespar.simulation.runner import OBSERVERS
 
 DROP_PROBABILITY = 0.05
@@ -43,19 +44,23 @@
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
     fleet = SimulatedFleet(
-        sites, baseline() if plain else real(settings or MembershipSettings()), seed, observers, sizes=sizes
+        sites,
+        heartbeat_factory() if plain else membership_factory(settings or MembershipSettings()),
+        seed,
+        observers,
+        sizes=sizes,
     )
     if plain:
-        fleet.begin(400.0 + 2 * size)
+        fleet.start(400.0 + 2 * size)
     else:
-        fleet.begin_joined()
+        fleet.start_joined()
     fleet.run(4000.0)
     return fleet
 
 
 def crash_figures(fleet: SimulatedFleet, seconds: float) -> dict[str, Any]:
     """Kill one member, run on for `seconds`, 12 at most, and tell when observers suspected it and knew of it."""
-    start = fleet.engine.now
+    start = fleet.event_loop.now
     victim = fleet.sites["b"][-1]
     fleet.down(victim)
     fleet.run(start + min(seconds, 12.0) * 1000)
@@ -75,15 +80,15 @@
     """Cut a site off for 10 s, and return the time from its healing until all views are equal; 120 s at most."""
     isolated = frozenset(fleet.sites["a"])
     rest = frozenset((*fleet.sites["b"], *fleet.sites["c"]))
-    fleet.faults.put(1, FaultRule(isolated, rest, cut=True))
-    fleet.run(fleet.engine.now + 10_000)
-    fleet.faults.drop(1)
-    healed = fleet.engine.now
-    while fleet.engine.now < healed + 120_000:
-        fleet.run(fleet.engine.now + 50)
-        if len({node.machine.view.hash for node in fleet.nodes.values()}) == 1:  # type: ignore[attr-defined]
+    fleet.network.faults.put(1, FaultRule(isolated, rest, cut=True))
+    fleet.run(fleet.event_loop.now + 10_000)
+    fleet.network.faults.drop(1)
+    healed = fleet.event_loop.now
+    while fleet.event_loop.now < healed + 120_000:
+        fleet.run(fleet.event_loop.now + 50)
+        if len({node.member.view.hash for node in fleet.nodes.values()}) == 1:  # type: ignore[attr-defined]
             break
-    return round(fleet.engine.now - healed)
+    return round(fleet.event_loop.now - healed)
 
 
 def run_part(job: tuple[str, int, int, float, bool]) -> dict[str, Any]:
@@ -91,8 +96,8 @@
     part, size, seed, seconds, plain = job
     began = time.monotonic()
     fleet = joined_fleet(size, seed, plain)
-    start = fleet.engine.now
-    events = fleet.engine.events
+    start = fleet.event_loop.now
+    events = fleet.event_loop.events
     before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": plain}
     if part == "kill":
@@ -101,16 +106,16 @@
         out["agree_ms"] = healing_ms(fleet)
     else:
         fleet.run(start + seconds * 1000)
-    span = (fleet.engine.now - start) / 1000
+    span = (fleet.event_loop.now - start) / 1000
     moved = [
         (node.sent_bytes - b, node.datagrams - d) for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
     ]
     out |= {
         "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
         "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
-        "virtual_s": round(fleet.engine.now / 1000, 1),
+        "virtual_s": round(fleet.event_loop.now / 1000, 1),
         "real_s": round(time.monotonic() - began, 1),
-        "events_per_s": round((fleet.engine.events - events) / max(1e-9, time.monotonic() - began)),
+        "events_per_s": round((fleet.event_loop.events - events) / max(1e-9, time.monotonic() - began)),
     }
     return out
 
@@ -120,20 +125,20 @@
     on, seed, seconds = job
     settings = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
-    fleet = SimulatedFleet(sites, real(settings), seed, sizes=False)
+    fleet = SimulatedFleet(sites, membership_factory(settings), seed, sizes=False)
     random_source = Random(seed)
-    fleet.begin()
+    fleet.start()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.faults.put(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
+    fleet.network.faults.put(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
         while at < 6000 + seconds * 1000:
             at += random_source.uniform(300, 3000)
             length = random_source.uniform(200, 6000)
-            fleet.engine.at(at, fleet.stop, name)
-            fleet.engine.at(at + length, fleet.go_on, name)
+            fleet.event_loop.at(at, fleet.stop, name)
+            fleet.event_loop.at(at + length, fleet.resume, name)
             at += length
     fleet.run(6000 + seconds * 1000)
     wrong = [b for b in fleet.beliefs if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick]
@@ -147,7 +152,7 @@
         "false_beliefs": len(wrong),
         "a_member_day": round(len(events) / days, 2),
         "member_days": round(days, 3),
-        "accused": fleet.notes.get("accused", 0),
+        "accused": fleet.counters.get("accused", 0),
     }
 
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -202,7 +202,7 @@
     expect(all(started.values()), f"a member started nothing: {started}")
     expect(sum(started.values()) >= 2 * STARTS_PER_S, f"leases were not renewed: {started}")
     limit = Limit(per_s=STARTS_PER_S)
-    allowed = limit.amount + GrantSettings().over(limit)
+    allowed = limit.amount + GrantSettings().max_excess(limit)
     begins = sorted(run[1] for member in members.values() for run in member.kernel.runs)
     most = most_starts(begins, limit.window_ms * WINDOW_PART)
     expect(most <= allowed, f"{most} starts within a window, {allowed} allowed")
--- a/myrtlespar/model_checker/enabled_events.py
+++ b/myrtlespar/model_checker/enabled_events.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from myrtlespar.model_checker.world import GRACE_MS, IDS, PARTLY_READ, TICK_MS, UNSENT, WAITING, Event, World
-from myrtlespar.state_machines import dependency_calls, engine_link
+from myrtlespar.state_machines import dependency_calls, dependency_tables, engine_link
 from myrtlespar.state_machines.client_connection import ConnectionState
 from myrtlespar.state_machines.process import ProcessState
 
@@ -151,14 +151,14 @@
     events: list[Event], connection: dependency_calls.DependencyConnection, can_fail: bool
 ) -> None:
     number = connection.number
-    if connection.state == dependency_calls.DependencyConnectionState.OPENING:
+    if connection.state == dependency_tables.DependencyConnectionState.OPENING:
         events.append(("wire opened", number))
         if can_fail:
             events.append(("wire refused", number))
-    elif connection.state == dependency_calls.DependencyConnectionState.SPENT:
+    elif connection.state == dependency_tables.DependencyConnectionState.SPENT:
         events.append(("wire over", number))
     else:
-        if connection.state == dependency_calls.DependencyConnectionState.BUSY:
+        if connection.state == dependency_tables.DependencyConnectionState.BUSY:
             events.append(("wire reply", number, "OK"))
             if can_fail:
                 events += [("wire reply", number, "BUSY"), ("wire doubled", number)]
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -7,7 +7,7 @@
 from myrtlespar.model_checker.world import DUE_MS, IDS, OUTCOMES, World
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines.attempts import STARTED
-from myrtlespar.state_machines.engine_link import GAP, NEXT, RENUMBERED
+from myrtlespar.state_machines.command_log import GAP, NEXT, RENUMBERED
 
 REFUSED = Answer(AnswerKind.REFUSED, retry_after_ms=500.0)
 
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlespar.state_machines import engine_link
+from myrtlespar.state_machines import command_log
 from myrtlespar.state_machines.attempts import AttemptAction
 
 Item = tuple[Any, ...]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
@@ -20,13 +20,13 @@
 )
 
 
-def line_of(effect: engine_link.LinkEffect) -> Item:
+def line_of(effect: command_log.LinkEffect) -> Item:
     """What goes to the engine for this effect."""
-    if isinstance(effect, engine_link.RequestMark):
+    if isinstance(effect, command_log.RequestMark):
         return ("MARK", effect.name)
-    if isinstance(effect, engine_link.SendOpen):
+    if isinstance(effect, command_log.SendOpen):
         return ("OPEN", effect.last_notice)
-    assert isinstance(effect, engine_link.WriteCommand)
+    assert isinstance(effect, command_log.WriteCommand)
     command = effect.command
     return ("SCHED", command.request_id) if command.is_start else ("IODONE", command.request_id, int(command.line))
 
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -4,8 +4,8 @@
 
 from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITING, World
 from myrtlespar.state_machines import TABLES
-from myrtlespar.state_machines.attempts import OWED, STARTED, AttemptState
-from myrtlespar.state_machines.dependency_calls import CallState
+from myrtlespar.state_machines.attempts import AWAITING_ANSWER, STARTED, AttemptState
+from myrtlespar.state_machines.dependency_tables import CallState
 from myrtlespar.state_machines.engine_link import CommandState, LinkState
 from myrtlespar.state_machines.idempotency_keys import KeyState
 from myrtlespar.state_machines.transition_table import Transition, TransitionTable
@@ -89,7 +89,7 @@
 
 def _has_overdue_request(world: World) -> bool:
     return any(
-        exchange.state in OWED and world.now >= exchange.due_at + OVERDUE_MS
+        exchange.state in AWAITING_ANSWER and world.now >= exchange.due_at + OVERDUE_MS
         for exchange in world.tracker.requests.values()
     )
 
@@ -118,7 +118,7 @@
 def _books_agree(world: World) -> bool:
     """Whether callers, requests, the count of unanswered ones and the key table tell the same."""
     tracker = world.tracker
-    owed = sum(exchange.state in OWED for exchange in tracker.requests.values())
+    owed = sum(exchange.state in AWAITING_ANSWER for exchange in tracker.requests.values())
     if owed != tracker.unanswered or any(exchange.state == AttemptState.OVER for exchange in tracker.requests.values()):
         return False
     waiting = sum(
--- a/myrtlespar/model_checker/mutants/connection_mutations.py
+++ b/myrtlespar/model_checker/mutants/connection_mutations.py
@@ -10,32 +10,33 @@
 MUTATIONS = (
     mutation(
         "orders repeated after a break",
-        "engine_link",
-        "command.state == SENT_DOUBTFUL and command.is_idempotent and",
-        "command.state == SENT_DOUBTFUL and",
+        "command_log",
+        "command.state == COMMAND_DOUBTFUL and command.is_idempotent and",
+        "command.state == COMMAND_DOUBTFUL and",
         "once",
     ),
     mutation(
         "repeated once the mark is back",
-        "engine_link",
-        "if command.state == SENT_DOUBTFUL and (not self.is_wanted(command.request_id)):\n"
-        "                out += self._prove(command, CommandEvent.GIVE_UP)",
-        "if command.state == SENT_DOUBTFUL:\n" "                out += self._prove(command, CommandEvent.REPEAT)",
+        "command_log",
+        "if command.state == COMMAND_DOUBTFUL and (not self.is_wanted(command.request_id)):\n"
+        "                effects += self._step_command(command, CommandEvent.GIVE_UP)",
+        "if command.state == COMMAND_DOUBTFUL:\n"
+        "                effects += self._step_command(command, CommandEvent.REPEAT)",
         "once",
     ),
     mutation(
         "replies repeated",
-        "engine_link",
-        "command.state == SENT_DOUBTFUL and command.is_idempotent and",
-        "command.state == SENT_DOUBTFUL and (command.is_idempotent or not command.is_start) and",
+        "command_log",
+        "command.state == COMMAND_DOUBTFUL and command.is_idempotent and",
+        "command.state == COMMAND_DOUBTFUL and (command.is_idempotent or not command.is_start) and",
         "calls",
     ),
     mutation("doubt forgotten", "engine_link", "(LinkAction.DOUBT, LinkAction.GREET)", "(LinkAction.GREET,)", "once"),
     mutation(
         "proof by any mark",
-        "engine_link",
-        "command.state == SENT_SENT and command.sequence_number <= newest",
-        "command.state != SENT_KEPT",
+        "command_log",
+        "command.state == COMMAND_SENT and command.sequence_number <= newest",
+        "command.state != COMMAND_KEPT",
         "once",
     ),
     mutation(
@@ -47,21 +48,21 @@
     ),
     mutation(
         "notices taken twice",
-        "engine_link",
+        "command_log",
         "if number <= self.last_notice:",
         "if number < self.last_notice:",
         "calls",
     ),
     mutation(
         "gap passed over",
-        "engine_link",
+        "command_log",
         "if number > self.last_notice + 1 and self.gap_after != self.last_notice:",
         "if False:",
         "gaps",
     ),
     mutation(
         "new kernel not noticed",
-        "engine_link",
+        "command_log",
         "        self.last_notice = 0\n        lost",
         "        lost",
         "kernels",
@@ -69,13 +70,13 @@
     mutation(
         "call twice on one connection",
         "dependency_calls",
-        "if id not in wire.recent_requests and self.is_quiet(wire):",
-        "if self.is_quiet(wire):",
+        "if id not in connection.recent_requests and self.is_quiet(connection):",
+        "if self.is_quiet(connection):",
         "store",
     ),
     mutation(
         "broken call not told",
-        "dependency_calls",
+        "dependency_tables",
         "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,))",
         "(CallState.MADE, CallEvent.CUT): Transition(CallState.OVER)",
         "store",
@@ -90,8 +91,9 @@
     mutation(
         "given-up connection used again",
         "dependency_calls",
-        "self._hear(wire, event)\n        return CloseConnection(wire, drop)",
-        "self._hear(wire, event)\n        self.idle.append(wire)\n        return CloseConnection(wire, drop)",
+        "self._step_connection(connection, event)\n        return CloseConnection(connection, cancelled_request)",
+        "self._step_connection(connection, event)\n        self.idle.append(connection)\n        "
+        "return CloseConnection(connection, cancelled_request)",
         "store",
     ),
     mutation(
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -13,12 +13,14 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.handover.keys_file import HandoverReceiver, HandoverState, answer_of, encode, known_keys
+from myrtlespar.handover.keys_file import answer_of, encode, key_outcomes
+from myrtlespar.handover.receiver import HandoverReceiver, HandoverState
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_tracker import FAILED, RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import FAILED, RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[str, ...]
 MAX_ATTEMPTS = 3  # with the key
@@ -186,11 +188,11 @@
             if action is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
                 old.stopped_reading = True
                 old.keys_left = True
-                self.file = encode(known_keys(old.tracker.keys_to_hand_over(self.now)))
+                self.file = encode(key_outcomes(old.tracker.keys_to_hand_over(self.now)))
 
     def _poll_receiver(self) -> None:
-        known, _ = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
-        for outcome in known:
+        received = self.receiver.poll(not self.old.gone, self.file, self.now, 1)
+        for outcome in received.outcomes:
             slot = (outcome.class_index, outcome.key)
             self.new.tracker.keys.import_outcome(slot, answer_of(outcome), outcome.expires_at)
         self.new.tracker.keys.awaiting_handover = self.receiver.state is HandoverState.WAITING
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -16,8 +16,8 @@
 from myrtlespar.model_checker.world import (
     World,
 )
+from myrtlespar.state_machines.command_log import CommandLog
 from myrtlespar.state_machines.dependency_calls import DependencyCalls, DependencyConnection
-from myrtlespar.state_machines.engine_link import CommandLog
 from myrtlespar.state_machines.idempotency_keys import KeyEntry
 
 Plain = tuple[Any, ...]
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -9,12 +9,13 @@
 from myrtlespar.model_checker.environment import POLICY_NEWS, EngineModel, PolicyModel, line_of
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.policy.messages import RunOutcome
-from myrtlespar.state_machines import dependency_calls, engine_link
+from myrtlespar.state_machines import command_log, dependency_calls, engine_link
 from myrtlespar.state_machines.attempts import AttemptAction, AttemptState
 from myrtlespar.state_machines.client_connection import ConnectionAction, ConnectionEvent, ConnectionLifecycle
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessLifecycle, ProcessState
-from myrtlespar.state_machines.request_tracker import RequestEffect, RequestTerms, RequestTracker
+from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[Any, ...]  # a name and its arguments, as replays store it
 TICK_MS = 1000.0
@@ -126,7 +127,7 @@
             IdempotencyKeyTable(scenario.max_keys, scenario.key_ms, scenario.max_followers, 64),
             ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0),
         )
-        self.commands = engine_link.CommandLog(self.tracker.is_wanted, 8)
+        self.commands = command_log.CommandLog(self.tracker.is_wanted, 8)
         self.calls = dependency_calls.DependencyCalls(call_limits(scenario), is_quiet)
         self.connections = [ConnectionLifecycle(IDS[n]) for n in range(len(scenario.attempts))]
         self.exchanges: list[Exchange | None] = [None for _ in scenario.attempts]
@@ -163,7 +164,7 @@
                 if self.scenario.models_dependency:
                     self.apply_call_effects(self.calls.cancel(effect.exchange.id))
             elif effect.action is AttemptAction.RESUME:
-                command = engine_link.Command(effect.exchange.id, effect.body, False)
+                command = command_log.Command(effect.exchange.id, effect.body, False)
                 self.apply_link_effects(self.commands.send(command))
 
     def _inform_policy(self, effect: RequestEffect) -> None:
@@ -182,7 +183,7 @@
         if exchange.target:
             self.workers.append(exchange.id)
         else:
-            command = engine_link.Command(exchange.id, b"", True, exchange.class_index == 0)
+            command = command_log.Command(exchange.id, b"", True, exchange.class_index == 0)
             self.apply_link_effects(self.commands.send(command))
 
     def _start_call(self, exchange: Exchange) -> None:
@@ -248,15 +249,15 @@
                     if exchange is not None:
                         self.apply_effects(self.tracker.caller_gone(exchange))
 
-    def apply_link_effects(self, effects: list[engine_link.LinkEffect]) -> None:
+    def apply_link_effects(self, effects: list[command_log.LinkEffect]) -> None:
         """Carry out what the engine link ordered, as the engine client does."""
         for effect in effects:
-            if isinstance(effect, engine_link.EndRun):
+            if isinstance(effect, command_log.EndRun):
                 self.end_run(effect.request_id, RunOutcome.MOOT, None)
-            elif isinstance(effect, engine_link.CloseLink):
+            elif isinstance(effect, command_log.CloseLink):
                 self.cut_link()
             elif self.stalled:
-                if isinstance(effect, engine_link.WriteCommand):
+                if isinstance(effect, command_log.WriteCommand):
                     self.commands.send_failed(effect.command)
             else:
                 self.engine.up.append(line_of(effect))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,36 +1,92 @@
-"""Fixtures that several test files share: the running program, a scripted engine, and folders for a hand-over."""
+"""Fixtures that several test files use."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
-from myrtlespar.fakes import ServerProcess, server_process
+from myrtlespar.fakes import (
+    FakeAjpServer,
+    ServerProcess,
+    ThriftClient,
+    server_process,
+    until,
+)
+from myrtlespar.fakes.scripted_engine import ScriptedEngine
+from myrtlespar.fleet_tests.process_launcher import FleetRun
+from myrtlespar.fleet_tests.script import parse
+from tests.ajp_operator_file import AJP_OPERATOR_FILE
+from tests.request_classes import KEYED_SETTINGS
+
+THREE_MEMBERS = "fleet: {sites: {a: 3}}\nlength_s: 5\n"
+
+
+class HandoverFolders(NamedTuple):
+    """The folders of two processes of one server."""
+
+    shared: Path  # the `$TMPDIR` of both
+    old: Path
+    new: Path
 
 
 @pytest.fixture
 def server(tmp_path: Path) -> Iterator[ServerProcess]:
-    """The running program with stand-ins for its neighbours. A file that needs other settings overrides it."""
+    """A server process with a fake of each upstream."""
     with server_process(tmp_path) as running:
         yield running
 
 
-@dataclass(frozen=True)
-class HandoverFolders:
-    """Folders of two processes on one client address: what they share ($TMPDIR), and what each has for itself."""
+@pytest.fixture
+def scripted(tmp_path: Path) -> Iterator[tuple[ServerProcess, ScriptedEngine, ThriftClient]]:
+    """A server process whose engine does only what the test says, that engine, and one client."""
+    engine = ScriptedEngine()
+    with server_process(tmp_path, kernel=engine, given=KEYED_SETTINGS) as running:
+        until(engine.hear)  # that it is up
+        until(lambda: running.event("kernel up"))
+        yield running, engine, ThriftClient(running.ports[0])
 
-    shared: Path
-    old: Path
-    new: Path
+
+@pytest.fixture
+def ajp_server(tmp_path: Path) -> Iterator[ServerProcess]:
+    """A server process with an AJP listener."""
+    with server_process(tmp_path, operator=AJP_OPERATOR_FILE) as running:
+        yield running
+
+
+@pytest.fixture
+def ajp_servers(tmp_path: Path) -> Iterator[tuple[ServerProcess, FakeAjpServer, FakeAjpServer]]:
+    """A server process whose orders run on one of two AJP servers, and these."""
+    one = FakeAjpServer("one")
+    two = FakeAjpServer("two")
+    rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n' for w in (one, two))
+    operator = (
+        AJP_OPERATOR_FILE.replace('class = "order"', 'class = "order"\nto = "pair"')
+        + rows
+        + ('[[balancer]]\nname = "pair"\nmembers = ["one", "two"]\n')
+    )
+    with server_process(tmp_path, operator=operator) as running:
+        yield running, one, two
+    one.down()
+    two.down()
 
 
 @pytest.fixture
 def handover_folders(tmp_path: Path) -> HandoverFolders:
-    """Empty folders for a hand-over from an old process to a new one."""
+    """Empty folders for an old process and its replacement."""
     folders = HandoverFolders(tmp_path / "shared", tmp_path / "old", tmp_path / "new")
-    for folder in (folders.shared, folders.old, folders.new):
+    for folder in folders:
         folder.mkdir()
     return folders
+
+
+@pytest.fixture
+def three_members(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[FleetRun]:
+    """Three members of one site, not started; the parameter holds changed keys of single members' fleet files."""
+    run = FleetRun(parse(THREE_MEMBERS), 1, tmp_path, own=getattr(request, "param", {}))
+    try:
+        yield run
+    finally:
+        run.close()
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -16,7 +16,6 @@
 from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 
 import msgspec
@@ -36,9 +35,10 @@
 from myrtlespar.net import budget_file
 from myrtlespar.net.codec import limits as limits_codec
 from myrtlespar.net.codec import peer
-from myrtlespar.net.peer_transport import PeerTransport
+from myrtlespar.net.peer_datagrams import TrafficBytes
+from myrtlespar.net.peer_sync import read_sync, write_sync
 from myrtlespar.quota import messages as limits
-from myrtlespar.quota.budget import BudgetJournal
+from myrtlespar.quota.budget_journal import BudgetJournal
 from myrtlespar.runtime.log_output import log_to_standard_output
 from myrtlespar.runtime.tracing import trace_to_log
 from myrtlespar.state_machines import TABLES
@@ -57,10 +57,10 @@
 WIRE_FIELDS: dict[type, str] = {
     membership.MemberUpdate: "name site address incarnation refutation state age_ms accuser",
     membership.ReachabilityRow: "reporter incarnation version unreachable",
-    membership.Ping: "seq",
-    membership.Ack: "seq target",
-    membership.IndirectProbe: "seq name address",
-    membership.Nack: "seq",
+    membership.Ping: "probe_id",
+    membership.Ack: "probe_id target",
+    membership.IndirectProbe: "probe_id name address",
+    membership.Nack: "probe_id",
     membership.GossipPush: "",
     membership.Packet: "fleet sequence_number sender view_hash voter_set_version body updates reachability",
     membership.ViewSync: "fleet sender updates reachability",
@@ -74,7 +74,7 @@
     limits.BudgetDrawResponse: "shard_id epoch key period drawn_total remaining",
     limits.BudgetReserveRequest: "shard_id epoch key period reserved_total",
     limits.BudgetReserveResponse: "shard_id epoch key period reserved_total",
-    keys_file.KnownKey: "class_index key kind body retry_after_ms expires_at",
+    keys_file.KeyOutcome: "class_index key kind body retry_after_ms expires_at",
 }
 
 
@@ -130,9 +130,9 @@
 
 def decode_probe(data: bytes) -> tuple[str, str]:
     """Fleet and name in the question of a second process of one name; the project itself compares whole datagrams."""
-    if not data.startswith(peer.BESIDE):
+    if not data.startswith(peer.NAME_CONFLICT_MAGIC):
         raise NotAcceptedError("no probe")
-    fleet, _, name = data.removeprefix(peer.BESIDE).decode().partition(" ")
+    fleet, _, name = data.removeprefix(peer.NAME_CONFLICT_MAGIC).decode().partition(" ")
     return fleet, name
 
 
@@ -142,7 +142,7 @@
     with reader:
         with writer:
             writer.sendall(data)
-        return PeerTransport._whole(typing.cast(PeerTransport, SimpleNamespace(read_bytes=0)), reader)
+        return read_sync(reader, TrafficBytes())
 
 
 def encode_exchange(sync: Any) -> bytes:
@@ -150,7 +150,7 @@
     reader, writer = socket.socketpair()
     with reader:
         with writer:
-            PeerTransport._write(typing.cast(PeerTransport, SimpleNamespace(sent_bytes=0)), writer, sync)
+            write_sync(writer, sync, TrafficBytes())
         return b"".join(iter(lambda: reader.recv(65536), b""))
 
 
@@ -165,7 +165,7 @@
 def encode_handover(entries: Any) -> bytes:
     """The hand-over file for entries, by way of the answers that they stand for in a process."""
     rows = [((entry.class_index, entry.key), keys_file.answer_of(entry), entry.expires_at) for entry in entries]
-    return keys_file.encode(keys_file.known_keys(rows))
+    return keys_file.encode(keys_file.key_outcomes(rows))
 
 
 def decode_budget_state(data: bytes) -> BudgetJournal:
@@ -178,7 +178,7 @@
 def encode_budget_state(vault: BudgetJournal) -> bytes:
     """What an elector writes."""
     with temporary_path("budgets") as path:
-        budget_file.write(path, vault.rows)
+        budget_file.write(path, vault.totals)
         return path.read_bytes()
 
 
@@ -281,7 +281,9 @@
     "peer datagram": StoredFormat(peer.decode, peer.encode, positional, (peer.MalformedPeerMessageError,)),
     "peer sync": StoredFormat(peer.decode_sync, peer.encode, positional, (peer.MalformedPeerMessageError,)),
     "peer exchange": StoredFormat(decode_exchange, encode_exchange, positional, (peer.MalformedPeerMessageError,)),
-    "peer probe": StoredFormat(decode_probe, lambda names: peer.beside(*names), positional, (NotAcceptedError,)),
+    "peer probe": StoredFormat(
+        decode_probe, lambda names: peer.name_conflict_probe(*names), positional, (NotAcceptedError,)
+    ),
     "limits message": StoredFormat(
         limits_codec.decode, limits_codec.encode, positional, (peer.MalformedPeerMessageError,)
     ),
@@ -289,7 +291,7 @@
     "budget state file": StoredFormat(
         decode_budget_state,
         encode_budget_state,
-        lambda vault: positional(vault.rows),
+        lambda vault: positional(vault.totals),
         (budget_file.CorruptBudgetFileError,),
     ),
     "trace": StoredFormat(decode_trace, encode_trace, trace_value, (NotAcceptedError,)),
--- a/tests/test_settings_of_others.py
+++ b/tests/test_generated_settings.py
@@ -1,4 +1,4 @@
-"""Any settings that the pages allow: the program starts, serves, reloads and drains, and keeps every rule."""
+"""Generated settings, of all kinds that are allowed: the program starts, serves, reloads and drains."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def optional(**values: st.SearchStrategy[Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """A table in which each of these may be there, null, or absent."""
+    """Return tables in which each of these may be there, null, or absent."""
     return st.fixed_dictionaries({}, optional={key: st.none() | value for key, value in values.items()})
 
 
 @st.composite
 def classes(draw: st.DrawFn) -> list[dict[str, Any]]:
-    """One class or dozens, of any effect."""
+    """Return one class or dozens, of any effect."""
     rows = []
     for name in draw(st.lists(names, min_size=1, max_size=draw(st.sampled_from([1, 3, 40])), unique=True)):
         client_timeout_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
@@ -39,8 +39,8 @@
                 "give_up_ms": client_timeout_ms,
                 **draw(
                     optional(
-                        priority_weight=numbers,
-                        late_weight=st.floats(0, 1),
+                        worth=numbers,
+                        late_worth=st.floats(0, 1),
                         window_ms=st.sampled_from([0, 80.5, 3000]),
                         aim_stretch=numbers,
                     )
@@ -50,9 +50,10 @@
     return rows
 
 
+# Long, as it lists every setting with the values that it may have.
 @st.composite
 def all_settings(draw: st.DrawFn) -> dict[str, Any]:
-    """A settings object: what the module can't do without, and any part of the rest."""
+    """Return a settings object: all that the policy requires, and any part of the rest."""
     rows = draw(classes())
     size = len(rows)
     shares = st.lists(optional(name=names, quota_rps=numbers, share=st.floats(0, 1)), max_size=4)
@@ -78,11 +79,11 @@
                     caller_idle_ms=numbers,
                     key_kb=numbers,
                     linger_ms=numbers,
-                    discovery_follows_health=st.booleans(),
+                    list_follows=st.booleans(),
                     passes_deadline=st.booleans(),
                     senders=st.integers(0, 300),
                     signal=st.sampled_from(["floor", "allowance", "weight", "silent", "odd"]),
-                    reports_cancellation=st.booleans(),
+                    tells_gone=st.booleans(),
                 )
             ),
         },
@@ -102,7 +103,7 @@
             optional(
                 areas=st.lists(names),
                 clients=optional(marks_retry=st.booleans()),
-                over_quota_weight=st.floats(0, 1),
+                over_share_worth=st.floats(0, 1),
                 permissions=optional(max_retry_after_ms=numbers, retry_after=st.booleans()),
                 projects=shares,
                 round_ms=numbers,
@@ -119,6 +120,7 @@
     }
 
 
+# Long, as one run of the process is followed from its first request to its exit: starting one is what takes time.
 @seed(20261202)
 @settings(
     max_examples=EXAMPLES,
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -10,8 +10,14 @@
 import pytest
 
 from myrtlespar.policy import messages as api
-from myrtlespar.policy.settings import read_settings
-from myrtlespar.simulator_adapter import READERS, MalformedInputError, PolicyHost, parse, serve
+from myrtlespar.policy.settings_reader import read_settings
+from myrtlespar.simulator_adapter import (
+    EVENT_READERS,
+    MalformedInputError,
+    PolicyHost,
+    parse_batch,
+    serve,
+)
 
 ROOT = Path(__file__).parent.parent
 
@@ -76,7 +82,7 @@
     again = begin()
     again["arrivals"].insert(0, {"type": "halt"})
     host.batch(batch(10, again))
-    assert not host._policies["backend/0"].jobs
+    assert not host._policies["backend/0"].table.requests
 
 
 def test_missing_setting_is_named_in_a_bug() -> None:
@@ -121,7 +127,7 @@
 )
 def test_bad_lines_are_named(line: str) -> None:
     with pytest.raises(MalformedInputError, match="input line 4"):
-        parse(line, 4)
+        parse_batch(line, 4)
 
 
 def test_bad_line_ends_the_process_with_one_plain_line() -> None:
@@ -176,7 +182,7 @@
 
 
 def test_hints_and_marks_are_passed_on_only_where_their_bits_say_so() -> None:
-    read = READERS["accept"]
+    read = EVENT_READERS["accept"]
     assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival("a", 0, 10.0, is_retry=True, cost_hint_ms=40.0)
     assert read(arrive("b", bits=4, hint_ms=40.0)) == api.Arrival("b", 0, 10.0)
     assert read(arrive("c", bits=None, hint_ms=None)) == api.Arrival("c", 0, 10.0)
