--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -30,7 +30,6 @@
         by_body: The same, by the request's body.
         runs: Body, begin and end of every run, in Unix milliseconds; the end is None while it runs.
         commands: All commands that were carried out.
-        ignored_commands: Those that arrived while it was deaf.
         notices: All notices since its start, numbered from 1.
         replies: The replies to calls, in the order of their arrival.
         waits: By request id, what a run waits for during a call.
@@ -49,7 +48,6 @@
         self.by_body: Counter[bytes] = Counter()
         self.runs: list[list[Any]] = []
         self.commands: list[dict[str, Any]] = []
-        self.ignored_commands: list[dict[str, Any]] = []
         self.notices: list[dict[str, Any]] = []
         self.replies: list[bytes] = []
         self.waits: dict[str, threading.Event] = {}
@@ -69,7 +67,6 @@
             command = json.loads(line)
             with self.lock:
                 if self.deaf:
-                    self.ignored_commands.append(command)
                     continue
                 self.commands.append(command)
                 getattr(self, command["t"].lower())(link, command)
