--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -18,7 +18,7 @@
     """One update that is being sent."""
 
     update: MemberUpdate
-    since: float
+    since: float  # when it was put here (ms); it is sent with its evidence aged by the time since
     times_sent: int = 0
 
 
@@ -33,7 +33,8 @@
     def put(self, update: MemberUpdate, now: float) -> None:
         """Send this from now on, in place of updates about the same member.
 
-        A suspicion replaces only that of the same accuser.
+        A suspicion replaces any update that is no suspicion, and the suspicion of the same accuser; those of other
+        accusers are sent beside it, as the receivers count the accusers.
         """
         suspected = update.state == SUSPECT
         label = f"{update.name}\0{update.accuser}" if suspected else update.name
@@ -65,9 +66,10 @@
     def pick(
         self, now: float, fleet_size: int, max_bytes: int, first: Iterable[MemberUpdate] = ()
     ) -> tuple[tuple[MemberUpdate, ...], tuple[ReachabilityRow, ...]]:
-        """What the next packet carries, in at most `max_bytes`: `first`, then the least sent.
+        """What the next packet carries: `first`, then the pending updates sent least often, then one row.
 
-        Returns at most `carry` updates and rows in all; each pending one is sent at most `max_times_sent` times.
+        Returns at most `carry` updates and rows in all. Pending ones are added up to `max_bytes`, and each is sent at
+        most `max_times_sent` times; `first` is always included and not counted as sent.
         """
         updates = list(first)
         max_bytes -= sum(update_size(update) for update in updates)
--- a/myrtlespar/membership/maintenance.py
+++ b/myrtlespar/membership/maintenance.py
@@ -63,7 +63,7 @@
             self.outbox.effects.append(change)
 
     def _report_one_way(self, now: float) -> None:
-        """Report members that are heard but don't answer, once until there are none."""
+        """Report failed members whose packets still arrive; the next report comes only after there were none."""
         one_way = self.reachability.one_way(self.view, now) if len(self.view.failed) else []
         if bool(one_way) == self._reported_one_way:
             return
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -1,7 +1,8 @@
 """One member of the fleet: receives packets and timer calls, returns what to send and what changed.
 
-The driver calls `tick` at `next_at()` or as soon after as it can, and `receive` for each packet. Times are monotonic
-milliseconds; the wall clock matters for incarnations only.
+The decisions are in the parts that `Member` connects; the package docstring lists them. The driver calls `tick` at
+`next_at()` or as soon after as it can, and `receive` for each packet. Times are monotonic milliseconds; the wall clock
+matters for incarnations only.
 """
 
 from __future__ import annotations
@@ -121,12 +122,12 @@
 
     @property
     def self_update(self) -> MemberUpdate:
-        """What this member says of itself."""
+        """The update that this member publishes about itself."""
         return self.outbox.self_update
 
     @property
     def leaving(self) -> bool:
-        """Whether this member has said that it leaves."""
+        """Whether this member has announced that it leaves."""
         return self.self_state.leaving
 
     def start(self, now: float) -> list[MembershipEffect]:
@@ -156,7 +157,8 @@
             return self._ignore("own_name")
         entry = self.view.entries.get(sender.name)
         if entry is not None and not entry.accept_packet(sender.incarnation, packet.sequence_number):
-            # an earlier incarnation may have started with its clock set back: it learns of the later one and passes it
+            # a new process whose clock was set back sends a lower incarnation: it learns of the higher one, and picks
+            # one above it
             if sender.incarnation < entry.packet_incarnation and self.outbox.push_budget.take(now):
                 self.outbox.send(now, sender.address, GossipPush(), sender.name, True)
             return self._ignore("replayed")
@@ -196,7 +198,7 @@
         return self.outbox.take_effects()
 
     def leave(self, now: float) -> list[MembershipEffect]:
-        """Leave the fleet: notify some members, which pass it on. Nothing is refuted any more."""
+        """Leave the fleet: notify some members, which disseminate it. Nothing is refuted any more."""
         self.self_state.leave(now)
         for name in self.view.present.sample(self.random, 4 * self.settings.fanout):
             self.outbox.send(now, self.view.entries[name].update.address, GossipPush(), name)
@@ -220,10 +222,10 @@
         return self.view_exchange.build(now)
 
     def _check_lateness(self, now: float) -> None:
-        """Postpone all waits if our own timers are late, so that nobody is blamed for our own silence.
+        """Postpone all deadlines if our own timers are late, so that no other member is failed for our own pause.
 
-        Called before anything else after a time in which the process did not run: waits begun before are postponed,
-        those that begin after are not.
+        Called first in `tick`, `receive` and `sync_received`: if the process did not run for a time, the deadlines of
+        probes and suspicions begun before are postponed, those of later ones are not.
         """
         late_ms = now - self.timers.next_at()
         if late_ms <= self.settings.late_ms:
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -14,7 +14,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; the graver state has the higher value."""
+    """What is believed of a member; the more severe state has the higher value."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -49,7 +49,7 @@
 
     @property
     def precedence(self) -> UpdatePrecedence:
-        """Which of two updates about one member is believed: the greater one."""
+        """Incarnation, refutation, state: of two updates about one member the greater tuple is believed."""
         return self.incarnation, self.refutation, self.state
 
     def with_state(self, state: MemberState, age_ms: int, accuser: str) -> MemberUpdate:
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -41,10 +41,15 @@
         return len(self.view.present) + 1
 
     def send(self, now: float, address: str, body: Body, receiver: str = "", include_receiver: bool = False) -> None:
-        """Send one packet.
+        """Add one packet with pending updates to the effects.
 
-        What is believed of the receiver goes first if it is not alive (or with `include_receiver`), so that the
-        receiver can refute it.
+        Args:
+            now: Monotonic time, ms.
+            address: Where to send it.
+            body: The packet's body.
+            receiver: Name of the member there, if known. The update that we believe about it goes first if it is not
+                alive, so that the receiver can refute it.
+            include_receiver: Send that update also if the receiver is alive.
         """
         first: tuple[MemberUpdate, ...] = ()
         entry = self.view.entries.get(receiver) if receiver else None
--- a/myrtlespar/membership/peer_search.py
+++ b/myrtlespar/membership/peer_search.py
@@ -1,4 +1,4 @@
-"""Looks for failed members, and for seeds that no present member answers at."""
+"""Contacts failed members, and seeds at whose address no present member is known, so that partitions heal."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PeerSearch:
-    """Asks seeds at the start and then, every `knock_ms`, one failed member and one missing seed."""
+    """Requests views from seeds at the start, then contacts one failed member and one missing seed every `knock_ms`."""
 
     def __init__(
         self,
@@ -40,13 +40,17 @@
         self.view_exchange = view_exchange
 
     def join(self, now: float) -> None:
-        """Request the views of up to three seeds."""
+        """Request the views of up to MAX_SEEDS_JOINED seeds."""
         few = len(self.seeds) <= MAX_SEEDS_JOINED
         for seed in self.seeds if few else self.random.sample(self.seeds, MAX_SEEDS_JOINED):
             self.view_exchange.request(now, seed)
 
     def search(self, now: float) -> None:
-        """Ping a failed member, and a seed at whose address no present member is known."""
+        """Ping a failed member, and contact a seed at whose address no present member is known.
+
+        While this member is alone, the seed's view is requested, at most once in `sync_ms`. Else the seed is pinged,
+        unless an absent member is known at its address: failed ones are pinged as such.
+        """
         self.timers.put(now + self.settings.knock_ms * (0.9 + 0.2 * self.random.random()), TimerKind.PEER_SEARCH)
         for name in self.view.failed.sample(self.random, 1):
             self._ping(now, self.view.entries[name].update.address, name)
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -17,7 +17,11 @@
 
 
 class ProbeRounds:
-    """Runs the probes of one member; `accuse` is called with the known update of one that no probe reached."""
+    """Runs the probes of one member.
+
+    `accuse` is called with the time and the known update of a member from which neither a direct nor an indirect
+    answer came in time.
+    """
 
     def __init__(
         self,
@@ -56,7 +60,10 @@
             self.outbox.send(now, update.address, Ping(probe_id), name)
 
     def direct_timeout(self, now: float, probe_id: int) -> None:
-        """No direct answer in time: request indirect probes, or notify the member that requested this one."""
+        """No direct answer in time: ping again and request indirect probes.
+
+        For a probe made for another member, that one is sent a `Nack` instead.
+        """
         probe = self.prober.probes.get(probe_id)
         if probe is None:
             return
@@ -101,7 +108,7 @@
         self.outbox.send(now, request.address, Ping(probe_id), request.name)
 
     def acknowledged(self, now: float, ack: Ack, sender: MemberEntry) -> None:
-        """The sender answered, or one that it probed for us. Also a late answer proves that it is alive."""
+        """The sender answered, or a member that it probed for us did. Even a late answer proves that it is alive."""
         probe = self.prober.probes.get(ack.probe_id)
         if ack.target == sender.update.name:
             self._acknowledged_directly(now, ack.probe_id, probe, sender)
@@ -109,7 +116,7 @@
             self._acknowledged_indirectly(now, probe)
 
     def not_acknowledged(self, probe_id: int) -> None:
-        """A helper is alive, and got no answer either."""
+        """A helper that we asked for an indirect probe is alive, but got no answer from the target."""
         probe = self.prober.probes.get(probe_id)
         if probe is not None:
             probe.nacks += 1
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -80,7 +80,7 @@
         return probe
 
     def full(self) -> bool:
-        """Whether no probe for others is taken, which bounds memory and bandwidth."""
+        """Whether so many probes are in flight that none is made for others, which bounds memory and bandwidth."""
         return len(self.probes) >= MAX_PROBES
 
     def shift(self, delay_ms: float) -> None:
@@ -96,16 +96,16 @@
         return min(max(estimate, self.settings.direct_min_ms), self.settings.direct_max_ms)
 
     def reply_ms(self, site: str) -> float:
-        """How long a probe may take in all, longer where round trips are."""
+        """How long a probe may take in all (ms), indirect answers included; longer to sites with longer round trips."""
         mean, deviation = self.round_trips.get(site, (0.0, 0.0))
         estimate = 2 * (mean + 4 * deviation)
         return min(max(estimate, self.settings.reply_ms), MAX_REPLY_FACTOR * self.settings.reply_ms)
 
-    def record_round_trip(self, site: str, ms: float) -> None:
-        """Update the smoothed round trip of a site."""
-        mean, deviation = self.round_trips.get(site, (ms, ms / 2))
-        deviation += (abs(ms - mean) - deviation) / 4
-        self.round_trips[site] = mean + (ms - mean) / 8, deviation
+    def record_round_trip(self, site: str, round_trip_ms: float) -> None:
+        """Update the smoothed round trip of a site and its deviation, with the gains of RFC 6298 (TCP)."""
+        mean, deviation = self.round_trips.get(site, (round_trip_ms, round_trip_ms / 2))
+        deviation += (abs(round_trip_ms - mean) - deviation) / 4
+        self.round_trips[site] = mean + (round_trip_ms - mean) / 8, deviation
 
     def prioritize(self, name: str) -> None:
         """Probe a member before its turn."""
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -13,7 +13,7 @@
 
 
 class QuorumStatus(IntEnum):
-    """How many voters a member believes present, itself included if it is a voter.
+    """Quorum status: how many voters a member believes present, itself included if it is a voter.
 
     The names are shown to operators and stand in logs.
     """
@@ -136,7 +136,7 @@
         return changes
 
     def set_isolated(self, isolated: bool, now: float) -> list[QuorumChanged]:
-        """Whether nobody has answered us for long; returns the changes of status that follow."""
+        """Set whether no member has answered us for `isolated_ms`; returns the changes of status that follow."""
         if isolated == self.isolated:
             return []
         self.isolated = isolated
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -1,4 +1,4 @@
-"""Broken links and differing views: which members each one reports as unreachable, and whose view differs from ours."""
+"""Broken links and differing views, for the operators and for view exchanges. No member is declared failed by these."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ReachabilityMatrix:
-    """One's own reachability row and those of the others."""
+    """This member's own reachability row and those of the others, each listing broken direct links."""
 
     def __init__(
         self, self_id: str, incarnation: int, settings: MembershipSettings, dissemination: Dissemination
@@ -79,7 +79,7 @@
             self._publish_own(view)
 
     def remove(self, view: View, name: str) -> None:
-        """A member is no longer present: drop its row and what ours says of it."""
+        """A member failed, left or has a new incarnation: drop its row and its entry in ours."""
         view.hash ^= row_hash(self.rows.pop(name, None))
         entry = view.entries.get(name)
         if entry is not None:
--- a/myrtlespar/membership/self_state.py
+++ b/myrtlespar/membership/self_state.py
@@ -1,4 +1,4 @@
-"""One's own incarnation and state, and the refutation of what others wrongly say of it."""
+"""This member's own incarnation and state, and the refutation of what others wrongly believe of it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SelfState:
-    """Publishes one's own update and replaces it with a greater one to refute."""
+    """Publishes this member's own update, and replaces it with one of higher precedence to refute."""
 
     def __init__(
         self, view: View, outbox: PacketOutbox, reachability: ReachabilityMatrix, prober: Prober, now: float
@@ -27,7 +27,7 @@
 
     @property
     def update(self) -> MemberUpdate:
-        """What this member says of itself."""
+        """The update that this member publishes about itself."""
         return self.outbox.self_update
 
     def leave(self, now: float) -> None:
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -24,11 +24,11 @@
     relays: int = 3  # members asked for an indirect probe
     suspect_min_ms: int = 1100  # from suspicion to failure, enough accusers
     suspect_max_ms: int = 1800  # the same, one accuser
-    accusers: int = 3  # further independent ones that reduce the time to its minimum
+    accusers: int = 3  # further independent accusers that reduce the time to suspect_min_ms
     health_most: int = 3  # worst local health: probes wait up to 1 + this times as long if we are slow ourselves
     late_ms: int = 60  # a timer that is so late means that we were stopped: all waits are postponed
     burst: int = 3  # probes a period beside the regular one, of members to check soon
-    verify: float = 6.0  # members (on average) that check a suspicion they hear of
+    verify: float = 6.0  # members (on average) that check a suspicion they are notified of
     fanout: int = 3  # members that new updates are pushed to at once
     push_ms: int = 10  # updates are gathered for so long before they are pushed
     push_per_s: int = 20  # datagrams a second that only push updates, beside what rides on probes
@@ -61,66 +61,67 @@
             return f"carry: expected at most {MAX_CARRY}, got {self.carry}"
         return ""
 
-    def spread_ms(self, n: int) -> float:
-        """Bound (ms) for an update to reach all n connected members, at a loss of up to 5%.
+    def spread_ms(self, member_count: int) -> float:
+        """Bound (ms) for an update to reach all `member_count` connected members, at a loss of up to 5%.
 
         Rounds of gossip, each after `push_ms` and a hop of a quarter of `direct_max_ms`, doubled for losses.
         """
-        return 2 * math.log(n + 1, 1 + self.fanout) * (self.push_ms + self.direct_max_ms / 4)
+        return 2 * math.log(member_count + 1, 1 + self.fanout) * (self.push_ms + self.direct_max_ms / 4)
 
     def pause_ms(self) -> float:
-        """A member that is silent for no longer than this (ms) is never failed by a healthy one, without loss.
+        """A member silent for no longer than this (ms) is never declared failed by a healthy one, without loss.
 
         The minimum time from the start of a probe to a failure, less the time that a refutation takes.
         """
         return self.reply_ms + self.suspect_min_ms - self.direct_max_ms
 
-    def detect_ms(self, n: int) -> float:
-        """Bound (ms) until all n members still connected know a stopped one as failed, none of them slow itself.
+    def detect_ms(self, member_count: int) -> float:
+        """Bound (ms) until all `member_count` members still connected know a stopped one as failed.
 
-        Somebody probes it, one probe fails, the longest suspicion, and the dissemination.
+        It holds if none of them is slow itself, and adds up the time until one of them probes it, one failed probe,
+        the longest suspicion and the dissemination.
         """
-        return self._first_probe_ms(n) + self.reply_ms + self.suspect_max_ms + self.spread_ms(n)
+        return self._first_probe_ms(member_count) + self.reply_ms + self.suspect_max_ms + self.spread_ms(member_count)
 
-    def standing_ms(self, n: int) -> float:
-        """Bound (ms) until a quorum status is right after the last change of links, n members in all.
+    def standing_ms(self, member_count: int) -> float:
+        """Bound (ms) until a quorum status is right after the last change of links.
 
         The first lost member is found, the others in bursts, each with a probe at the worst local health and the
         longest suspicion.
         """
-        bursts = math.ceil(n / (1 + self.burst)) * self.probe_ms
+        bursts = math.ceil(member_count / (1 + self.burst)) * self.probe_ms
         return (
-            self._first_probe_ms(n)
+            self._first_probe_ms(member_count)
             + bursts
             + self.reply_ms * (1 + self.health_most)
             + self.suspect_max_ms
-            + self.spread_ms(n)
+            + self.spread_ms(member_count)
         )
 
     def isolated_ms(self) -> float:
-        """A member without an answer from anybody for so long (ms) counts no other voter, whatever it receives.
+        """A member without an answer from any other for longer than this (ms) counts no other voter.
 
         One that receives from all but reaches nobody must not count them, though their refutations keep them alive to
         it.
         """
         return self.reply_ms * (1 + self.health_most) + self.suspect_min_ms
 
-    def heal_ms(self, n: int) -> float:
+    def heal_ms(self, member_count: int) -> float:
         """Bound (ms) until views are equal after all links work again.
 
         Each side pings a lost member every `knock_ms`, the refutations are disseminated, and complete views are
         exchanged once.
         """
-        return 2 * self.knock_ms + self.differ_ms + self.sync_every_ms(n) + 2 * self.spread_ms(n)
+        return 2 * self.knock_ms + self.differ_ms + self.sync_every_ms(member_count) + 2 * self.spread_ms(member_count)
 
-    def sync_every_ms(self, n: int) -> float:
+    def sync_every_ms(self, member_count: int) -> float:
         """Minimum time (ms) between requests of complete views, which grow with the fleet."""
-        return self.sync_ms + 5.0 * max(0, n - 50)
+        return self.sync_ms + 5.0 * max(0, member_count - 50)
 
-    def _first_probe_ms(self, n: int) -> float:
+    def _first_probe_ms(self, member_count: int) -> float:
         """Time (ms) until some member probes a given one.
 
-        Each of n - 1 members picks about one of n - 1 a period, so the chance of no probe in k periods is e^-k, and
-        e^-4 / n (0.0008 for 24 members) in these.
+        With n members, each of n - 1 picks about one of n - 1 a period. So the chance of no probe in k periods is
+        e^-k, and e^-4 / n (0.0008 for 24 members) in the returned time.
         """
-        return self.probe_ms * (4 + math.log(max(n, 2)))
+        return self.probe_ms * (4 + math.log(max(member_count, 2)))
--- a/myrtlespar/membership/suspicion.py
+++ b/myrtlespar/membership/suspicion.py
@@ -19,7 +19,10 @@
     deadline: float = 0.0
 
     def timeout_ms(self, settings: MembershipSettings, fleet_size: int) -> float:
-        """From the longest to the shortest timeout, by the logarithm of the number of independent accusers."""
+        """Time (ms) from `started` to the failure: `suspect_max_ms` with one accuser, down to `suspect_min_ms`.
+
+        It falls with the logarithm of the number of independent accusers.
+        """
         max_further = min(settings.accusers, max(fleet_size - 2, 0))  # accusers beside the first one
         progress = min(1.0, math.log(len(self.accusers)) / math.log(max_further + 1)) if max_further else 1.0
         return settings.suspect_max_ms - (settings.suspect_max_ms - settings.suspect_min_ms) * progress
--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -1,4 +1,8 @@
-"""Merges what others say of members into the view: the update that takes precedence is kept."""
+"""Decides which updates about members are believed, and which members are suspected or declared failed.
+
+A member becomes failed in the view in two ways: its suspicion ends here (`UpdateMerger.end_suspicion`), or another
+member declared it failed and the check in `_check_failure` accepts that.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,10 @@
 
 
 class UpdateMerger:
-    """Applies updates to the view, the suspicions, the quorum status and the reachability rows."""
+    """Applies updates to the view, the suspicions, the quorum status and the reachability rows.
+
+    Of two updates about one member the one with the greater `MemberUpdate.precedence` is kept.
+    """
 
     def __init__(
         self,
@@ -59,8 +66,11 @@
     def merge(self, now: float, update: MemberUpdate, direct: bool = False, from_sync: bool = False) -> None:
         """Apply an update if it takes precedence over what is believed, or count a further accuser.
 
-        `direct` says that it is the sender's own; `from_sync` that it came with a complete view, so that a member new
-        to us is not gossiped on.
+        Args:
+            now: Monotonic time, ms.
+            update: The update; about this member itself, it is refuted if need be.
+            direct: Whether it came from the member that it is about.
+            from_sync: Whether it came with a complete view; a member new to us is then not disseminated.
         """
         if update.name == self.view.self_id:
             if self.self_state.refute(now, update):
@@ -81,7 +91,7 @@
             self.gossip.schedule(now)
 
     def accuse(self, now: float, known: MemberUpdate) -> None:
-        """Suspect a member that no probe of ours reached."""
+        """Suspect a member that did not answer a probe of ours."""
         self.merge(now, known.with_state(SUSPECT, 0, self.view.self_id))
 
     def end_suspicion(self, now: float, key: TimerKey) -> None:
@@ -95,7 +105,7 @@
             return
         entry = self.view.entries[name]
         if entry.answered > suspicion.started and now - entry.answered <= self.settings.reply_ms:
-            # it answers us: it refutes the suspicion once it has been notified of it
+            # it answered us since: it refutes the suspicion once it has been notified of it
             self.suspicions.postpone(name, suspicion, now + self.settings.probe_ms)
             self.outbox.send(now, entry.update.address, GossipPush(), name)
             return
@@ -120,9 +130,12 @@
     def _check_failure(self, now: float, update: MemberUpdate, entry: MemberEntry) -> MemberUpdate | None:
         """Check a failure that another declared of a member that is present to us.
 
-        Returns None if the member answered us since, a suspicion if it was not suspected here for some time (so that
-        it can refute to us too), else the update. This prevents that one which was itself cut off or stopped fails
-        healthy members.
+        A member that was itself cut off or stopped may declare healthy members failed; this check keeps its mistakes
+        out of our view.
+
+        Returns:
+            None if the member answered us since; a suspicion, which it can refute to us, if it has not been suspected
+            here for at least half of `suspect_min_ms`; else the update.
         """
         if entry.answered > now - update.age_ms:
             self.outbox.count("outdated")
@@ -161,7 +174,11 @@
             self.outbox.count("returned")
 
     def _maybe_verify(self, now: float, update: MemberUpdate) -> None:
-        """Check a suspicion or failure ourselves, as about `verify` members do; a ping carries the accusation."""
+        """Check another member's accusation ourselves, as about `verify` members of the fleet do.
+
+        A suspected member is probed before its turn, a failed one is pinged; the packet carries the accusation, so
+        that it can be refuted.
+        """
         if self.random.random() >= self.settings.verify / self.outbox.fleet_size:
             return
         if update.state == SUSPECT:
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -29,11 +29,11 @@
     update: MemberUpdate
     since: float  # when it came to this state in our view
     evidence: float  # when the freshest evidence of this state was made
-    heard: float = float("-inf")  # last packet from the member itself
+    heard: float = float("-inf")  # when the last packet from the member itself came
     answered: float = float("-inf")  # its last answer to a probe of ours
     probed: float = float("-inf")  # start of our last probe of it
-    packet_incarnation: int = 0  # of its packets
-    highest_sequence_number: int = 0  # of its packets
+    packet_incarnation: int = 0  # the latest one that its packets stated
+    highest_sequence_number: int = 0  # of its packets within that incarnation
     received_packets: int = 0  # bit n: the packet n before the highest one was received
     missed_probes: int = 0  # direct probes in a row that only indirect ones saved
     missed_since: float = 0.0  # of the first of these
@@ -173,7 +173,7 @@
         entry.evidence = now
 
     def next_to_probe(self, random: Random, busy: Container[str]) -> str | None:
-        """Of three present members sampled that are not in `busy`, the one least recently probed.
+        """Of PROBE_CANDIDATES sampled present members that are not in `busy`, the one least recently probed.
 
         Sampling keeps the members' turns apart: in one common order all would probe one member at once, and then none
         for long.
--- a/myrtlespar/membership/view_exchange.py
+++ b/myrtlespar/membership/view_exchange.py
@@ -39,13 +39,16 @@
         self.outbox.effects.append(RequestSync(address, self.build(now)))
 
     def request_after_divergence(self, now: float, address: str) -> None:
-        """Request a view that differs from ours, more seldom in a large fleet."""
+        """Request a view that differs from ours, at most once in `sync_every_ms`, which grows with the fleet."""
         if self._may_request(now):
             self._next_request_at = now + self.settings.sync_every_ms(self.outbox.fleet_size)
             self.request(now, address)
 
     def request_while_alone(self, now: float, address: str) -> bool:
-        """Request a seed's view while no other member is present; false if it is too early."""
+        """Request a seed's view while no other member is present.
+
+        Returns false, with no request, if another member is present or the last request was too recent.
+        """
         if self.view.present or not self._may_request(now):
             return False
         self._next_request_at = now + self.settings.sync_ms
