--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -81,9 +81,9 @@
         }
     elif part == "cut":
         a, rest = frozenset(fleet.sites["a"]), frozenset(fleet.sites["b"] + fleet.sites["c"])
-        fleet.network.faults.put(1, FaultRule(a, rest, cut=True))
+        fleet.network.faults.add_rule(1, FaultRule(a, rest, cut=True))
         fleet.run(start + 10_000)
-        fleet.network.faults.drop(1)
+        fleet.network.faults.remove_rule(1)
         healed = fleet.event_loop.now
         while fleet.event_loop.now < healed + 120_000:
             fleet.run(fleet.event_loop.now + 50)
@@ -115,7 +115,7 @@
     fleet.start()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.network.faults.put(1, FaultRule(names, names, **LOSS))
+    fleet.network.faults.add_rule(1, FaultRule(names, names, **LOSS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRule:
-    """One fault on all directed links from `first` to `second` (and back unless `one_way`), names resolved."""
+    """One fault on all directed links from `first` to `second` (and back unless `one_way`).
+
+    Both are sets of members or services, not names of sites. Probabilities are from 0 to 1, times in milliseconds.
+    """
 
     first: frozenset[str]
     second: frozenset[str]
@@ -48,18 +51,18 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Whether the promises of membership cover it."""
+        """Whether the promises of membership cover the link: not cut, and within the MAX_RELIABLE bounds."""
         return (
             not self.cut and self.drop <= MAX_RELIABLE_DROP and self.delay_ms + self.jitter_ms <= MAX_RELIABLE_DELAY_MS
         )
 
     @property
     def is_good(self) -> bool:
-        """Whether members that run hardly ever have to refute a suspicion."""
+        """Whether the link is within the MAX_GOOD bounds, where healthy members hardly ever suspect each other."""
         return self.drop <= MAX_GOOD_DROP and self.delay_ms + self.jitter_ms <= MAX_GOOD_DELAY_MS
 
     def delays_ms(self, random: Random) -> list[float]:
-        """The delay of each copy of a packet that arrives; none if it is lost."""
+        """The delay (ms) of each copy of one packet; an empty list if the packet is lost."""
         if self.cut or (self.drop and random.random() < self.drop):
             return []
         delays = []
@@ -81,13 +84,13 @@
         self.rules: dict[int, FaultRule] = {}
         self._links: dict[tuple[str, str], LinkFaults] = {}  # computed since the last change
 
-    def put(self, number: int, rule: FaultRule) -> None:
-        """A rule comes into force."""
+    def add_rule(self, number: int, rule: FaultRule) -> None:
+        """Put a rule into force; `number` identifies it for `remove_rule`."""
         self.rules[number] = rule
         self._links.clear()
 
-    def drop(self, number: int) -> None:
-        """A rule ends."""
+    def remove_rule(self, number: int) -> None:
+        """End a rule; nothing happens if it is not in force."""
         self.rules.pop(number, None)
         self._links.clear()
 
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -64,7 +64,11 @@
 
 
 class FaultProxy:
-    """All sockets between the members, and the faults in force."""
+    """All sockets between the members, and the faults in force.
+
+    A datagram is lost, delayed or duplicated as the faults decide. A stream stalls while its link is cut, and lost
+    segments come late, as with TCP.
+    """
 
     def __init__(self, members: list[str], seed: int) -> None:
         self.members = members
@@ -87,14 +91,14 @@
         raise OSError("no free port for the fault proxy")
 
     def command(self, row: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one line of the control; the answer."""
+        """Carry out one line of the control, and return the answer: `done` and the counters."""
         if "on" in row:
             rule = dict(row["rule"])
             rule["first"] = frozenset(rule["first"])
             rule["second"] = frozenset(rule["second"])
-            self.faults.put(row["on"], FaultRule(**rule))
+            self.faults.add_rule(row["on"], FaultRule(**rule))
         elif "off" in row:
-            self.faults.drop(row["off"])
+            self.faults.remove_rule(row["off"])
         elif "target" in row:
             service, member, port = row["target"]
             self.targets[service, member] = port
@@ -189,7 +193,7 @@
                 gevent.killall(pumps)
 
     def _route(self, local_host: str, peer_host: str) -> StreamRoute | None:
-        """Where a connection accepted at `local_host` goes; None if no member made it."""
+        """Where a connection accepted at `local_host` goes; None if it came to a member but from none."""
         parts = local_host.split(".")
         if parts[1] == "9":
             member = self.members[int(parts[2]) - 1]
--- a/myrtlespar/fleet_tests/admin_client.py
+++ b/myrtlespar/fleet_tests/admin_client.py
@@ -1,4 +1,4 @@
-"""Asks a member's management address, as operators do."""
+"""Sends commands to a member's management address, as operators do."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 CHUNK_BYTES = 65536
 
 
-def ask(address: tuple[str, int], word: bytes, timeout_s: float = 3.0) -> str:
-    """Send one line; the complete answer, '' if there is none."""
+def ask(address: tuple[str, int], command: bytes, timeout_s: float = 3.0) -> str:
+    """Send a command as one line, and return the complete answer; '' if none comes within `timeout_s`."""
     data = b""
     with contextlib.suppress(OSError), socket.create_connection(address, timeout=timeout_s) as sock:
         sock.settimeout(timeout_s)
-        sock.sendall(word + b"\n")
+        sock.sendall(command + b"\n")
         while chunk := sock.recv(CHUNK_BYTES):
             data += chunk
     return data.decode()
 
 
-def ask_row(address: tuple[str, int], word: bytes) -> dict[str, Any] | None:
-    """The same for a command whose answer is a line of JSON; None if there is no such answer."""
-    lines = ask(address, word).split("\n")
+def ask_row(address: tuple[str, int], command: bytes) -> dict[str, Any] | None:
+    """Send a command that is answered by a line of JSON, and return its object; None if there is no such answer."""
+    lines = ask(address, command).split("\n")
     if len(lines) <= 2 or lines[0] != "done":
         return None
     row: dict[str, Any] = json.loads(lines[1])
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -24,7 +24,7 @@
 
 
 def run_demo(seed: int, keep: Path | None) -> int:
-    """Play the script and print what was observed. 0 only if every promise held."""
+    """Play the script and print what was observed. Logs are kept in the folder `keep`. 0 if every promise held."""
     script = parse(SCRIPT)
     result = play(script, seed, keep)
     if not result["judged"]:
@@ -44,7 +44,7 @@
 
 
 def observation_table(observations: list[Observation], members: tuple[str, ...]) -> Table:
-    """One row a member: when it came to each quorum status, and whom it held for failed in between."""
+    """One row a member: when it came to each quorum status, and which members it considered failed when."""
     table = Table(title="What each believed when (seconds from the script's begin)")
     for title in ("member", "standing of the fleet", "failed to it"):
         table.add_column(title)
@@ -63,7 +63,7 @@
 
 
 def _failures_text(observations: list[Observation]) -> str:
-    """The members that one observer held for failed, with the times from and until."""
+    """The members that one observer considered failed, with the times from and until."""
     times: dict[str, list[str]] = {}
     for row in observations:
         if row.kind != "member" or row.at <= 0:
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True)
 class TruthInterval:
-    """What held from `at` until the next interval.
+    """What was true from `at` until the next interval.
 
-    Members that the same rules name are one kind: links are those of kinds, so that an interval of thousands of members
-    is small.
+    Members that the same rules name are of one kind. Links are stored between kinds, not members, so that an interval
+    of thousands of members is small.
     """
 
     at: float
@@ -44,7 +44,7 @@
     reachable: Matrix  # some chain of links that are not cut leads from one to the other
 
     def linked(self, a: str, b: str) -> bool:
-        """Both run, and hear each other directly or through one other member, over reliable links."""
+        """Whether both run and reach each other directly or through one other member, over reliable links."""
         if a not in self.running or b not in self.running:
             return False
         kind_a = self.kinds[a]
@@ -57,7 +57,10 @@
         )
 
     def apart(self, a: str, b: str) -> bool:
-        """`a` runs, and `b` does not, or no chain of members leads there or none leads back."""
+        """Whether `a` runs and can't know that `b` does: `b` does not run, or a chain of links leads one way at most.
+
+        Neither `linked` nor `apart` is true where a lossy link leaves open what `a` should believe.
+        """
         if a not in self.running:
             return False
         if b not in self.running:
@@ -71,7 +74,10 @@
     """The intervals of one run."""
 
     def __init__(self, members: Sequence[str], actions: Iterable[FaultAction], end: float, short_ms: float) -> None:
-        """Pauses (SIGSTOP) of at most `short_ms` are left out: nobody may notice them."""
+        """Derive the intervals from the actions; all times are ms from the start of the run.
+
+        Pauses (SIGSTOP) of at most `short_ms` are left out: no member may be declared failed for them.
+        """
         self.members = tuple(members)
         self.end = end
         self.actions = _without_short_pauses(sorted(actions, key=lambda action: action.at), short_ms)
@@ -121,9 +127,9 @@
         elif action.kind == "resume":
             self.paused.discard(action.name)
         elif action.kind == "rule_on" and action.rule is not None:
-            self.faults.put(action.number, action.rule)
+            self.faults.add_rule(action.number, action.rule)
         else:
-            self.faults.drop(action.number)
+            self.faults.remove_rule(action.number)
 
     def interval(self, at: float) -> TruthInterval:
         """The interval that begins now."""
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -20,15 +20,16 @@
 
 @dataclass(slots=True)
 class InvariantReport:
-    """What the checks found. `broken` holds a line for each broken promise, with time and members."""
+    """What the checks found. `broken` holds a line for each broken promise, with time and members.
+
+    The texts of the promises name a quorum status "standing" and an incarnation "life", as the logs do.
+    """
 
     broken: list[str] = field(default_factory=list)
     detect_ms: list[float] = field(default_factory=list)  # a stopped member, until each survivor knew
     known_ms: list[float] = field(default_factory=list)  # a member up or linked again, until each knew
     restart_ms: list[float] = field(default_factory=list)  # a new process, until each knew of its new incarnation
-    standing_ms: list[float] = field(
-        default_factory=list
-    )  # a change of links, until a quorum status was right for good
+    standing_ms: list[float] = field(default_factory=list)  # a change of links, until a quorum status stayed right
     false_failures: int = 0
     checked: dict[str, int] = field(default_factory=dict)  # by promise: how often it was checked
 
@@ -40,16 +41,22 @@
 def check_membership(
     truth: GroundTruth,
     observations: Iterable[Observation],
-    terms: MembershipSettings,
+    settings: MembershipSettings,
     sites: Mapping[str, Sequence[str]],
     observers: Sequence[str] = (),
-    settle_ms: float = SLACK_MS,
+    slack_ms: float = SLACK_MS,
 ) -> InvariantReport:
     """Check all promises of membership.
 
-    `observers` limits whose observations are checked (all, if empty); each bound is longer by `settle_ms`.
+    Args:
+        truth: What was true when.
+        observations: What the members logged.
+        settings: Their settings, from which the bounds follow.
+        sites: The voters of each site; the fleet's are all members.
+        observers: Whose observations are checked; all members' if empty.
+        slack_ms: Added to each bound.
     """
-    checker = _MembershipChecker(truth, ObservationHistory(observations), terms, settle_ms)
+    checker = _MembershipChecker(truth, ObservationHistory(observations), settings, slack_ms)
     observers = list(observers) or list(truth.members)
     checker.no_false_failure(set(observers))
     for observer in observers:
@@ -57,16 +64,16 @@
             if observer != member:
                 checker.failure_known(observer, member)
                 checker.presence_known(observer, member)
-                checker.lives_grow(observer, member)
+                checker.incarnations_grow(observer, member)
                 checker.measure_restarts(observer, member)
     for scope, electors in {FLEET: truth.members, **sites}.items():
         for observer in observers:
-            checker.standing_right(observer, scope, electors)
+            checker.quorum_status_right(observer, scope, electors)
     return checker.report
 
 
 def present(interval: TruthInterval, observer: str, electors: Sequence[str]) -> frozenset[str] | None:
-    """The other electors that the observer should hold for present; None where a lossy link leaves it open."""
+    """The other electors that the observer should believe present; None where a lossy link leaves it open."""
     members = set()
     for name in electors:
         if name == observer:
@@ -82,18 +89,18 @@
     """The checks of one run; they add to `report`."""
 
     def __init__(
-        self, truth: GroundTruth, history: ObservationHistory, terms: MembershipSettings, slack_ms: float
+        self, truth: GroundTruth, history: ObservationHistory, settings: MembershipSettings, slack_ms: float
     ) -> None:
         self.truth = truth
         self.history = history
-        self.terms = terms
+        self.settings = settings
         self.slack_ms = slack_ms
         self.member_count = len(truth.members)
         self.report = InvariantReport()
 
     def no_false_failure(self, observers: set[str]) -> None:
-        """Promise: who ran and was linked to the observer for all of the last standing_ms(n) is not failed by it."""
-        window = self.terms.standing_ms(self.member_count) + self.slack_ms
+        """Promise: no observer fails a member that ran and was linked to it for all of standing_ms before."""
+        window = self.settings.standing_ms(self.member_count) + self.slack_ms
         for row in self.history.rows:
             if row.kind != "member" or row.state != MemberState.FAILED:
                 continue
@@ -109,11 +116,11 @@
                 )
 
     def failure_known(self, observer: str, member: str) -> None:
-        """Promise: who stopped or is cut off is not held for present later than the bound.
+        """Promise: a member that stopped or is cut off is not believed present after the bound.
 
-        That is detect_ms(n) where it does not run and the observer is linked to a majority, else standing_ms(n). Who
-        runs unheard over bad links comes back to an observer by each refutation of what others say of it; there the
-        quorum status alone is promised.
+        The bound is detect_ms where it does not run and the observer is linked to at least half of the members,
+        itself counted, else standing_ms. A member that runs cut off while other links are bad returns to an observer
+        with each refutation that reaches it; there only the quorum status is promised.
         """
         spans = self.truth.spans(
             lambda interval: (
@@ -138,8 +145,8 @@
                 )
 
     def presence_known(self, observer: str, member: str) -> None:
-        """Promise: who runs and is linked is held for present at the latest heal_ms(n) after that began."""
-        bound = self.terms.heal_ms(self.member_count) + self.slack_ms
+        """Promise: a member that runs and is linked is believed present at the latest heal_ms after that began."""
+        bound = self.settings.heal_ms(self.member_count) + self.slack_ms
         for start, end in self.truth.spans(lambda interval: interval.linked(observer, member)):
             steps = steps_during(self.history.of_member(observer, member), start, end)
             present_at = [at for at, state, _ in steps if state in PRESENT_STATES]
@@ -155,8 +162,8 @@
                     f"{start / 1000:.2f} s, bound {bound:.0f} ms"
                 )
 
-    def lives_grow(self, observer: str, member: str) -> None:
-        """Promise: an old incarnation never supersedes a new one, and no update brings back one that left."""
+    def incarnations_grow(self, observer: str, member: str) -> None:
+        """Promise: no old incarnation supersedes a new one, and one that left is not believed present again."""
         self.report.count_check("lives grow")
         newest = 0
         left = 0
@@ -202,19 +209,19 @@
             if all(interval.linked(observer, member) for interval in intervals):
                 self.report.restart_ms.append(max(0.0, known_at - action.at))
 
-    def standing_right(self, observer: str, scope: str, electors: Sequence[str]) -> None:
-        """Promise: a quorum status is right standing_ms(n) after the last change of who should be counted."""
+    def quorum_status_right(self, observer: str, scope: str, electors: Sequence[str]) -> None:
+        """Promise: a quorum status is right standing_ms after the last change of who should be counted."""
         sets = {
             present(interval, observer, electors) for interval in self.truth.intervals if observer in interval.running
         }
         for members in sorted((found for found in sets if found is not None), key=sorted):
-            self._standing_right_while(observer, scope, electors, members)
+            self._quorum_status_right_while(observer, scope, electors, members)
 
-    def _standing_right_while(
+    def _quorum_status_right_while(
         self, observer: str, scope: str, electors: Sequence[str], members: frozenset[str]
     ) -> None:
-        """The same for all spans of time in which the observer should count these members."""
-        bound = self.terms.standing_ms(self.member_count) + self.slack_ms
+        """Check the promise in all spans of time in which the observer should count exactly these members."""
+        bound = self.settings.standing_ms(self.member_count) + self.slack_ms
         wanted = quorum_status(len(electors), len(members) + int(observer in electors), len(members))
         spans = self.truth.spans(
             lambda interval: observer in interval.running and present(interval, observer, electors) == members
@@ -242,8 +249,8 @@
     def _failure_bound(self, interval: TruthInterval, observer: str, is_down: bool) -> float:
         linked = sum(interval.linked(observer, other) for other in self.truth.members)
         if is_down and linked * 2 >= self.member_count:
-            return self.terms.detect_ms(self.member_count) + self.slack_ms
-        return self.terms.standing_ms(self.member_count) + self.slack_ms
+            return self.settings.detect_ms(self.member_count) + self.slack_ms
+        return self.settings.standing_ms(self.member_count) + self.slack_ms
 
     def _measure_detection(self, steps: list[Step], start: float) -> None:
         if not _is_present_at(steps, start):
@@ -254,12 +261,12 @@
 
 
 def _is_present_at(steps: list[Step], start: float) -> bool:
-    """Whether the member was held for present at the start of a span."""
+    """Whether the observer believed the member present at the start of a span."""
     return bool(steps) and steps[0][1] in PRESENT_STATES and steps[0][0] <= start
 
 
 def _first_late(steps: list[Step], deadline: float, end: float, while_present: bool) -> float | None:
-    """The end of the first step of this presence that lasts past the deadline; None if there is none."""
+    """The end of the first step past the deadline in which the member's presence is `while_present`; else None."""
     for index, (_, state, _) in enumerate(steps):
         until = steps[index + 1][0] if index + 1 < len(steps) else end
         if (state in PRESENT_STATES) is while_present and until > deadline:
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -24,16 +24,25 @@
 def check_limits(
     limits: Mapping[str, Limit],
     runs: Iterable[Run],
-    terms: GrantSettings,
+    settings: GrantSettings,
     begin: float,
     end: float,
     slack_ms: float,
     sites: Mapping[bytes, str],
 ) -> tuple[list[str], dict[str, Any]]:
-    """Promise: in any window, started <= limit + `terms.max_excess(limit)`; runs in flight at any time likewise.
-
-    Windows are checked `slack_ms` short. Times are Unix ms; `sites` says where a body ran. Returns a line for each
-    broken promise, and figures by limit.
+    """Promise: in any window, started <= limit + `settings.max_excess(limit)`; runs in flight at any time likewise.
+
+    Args:
+        limits: The fleet's limits by name.
+        runs: What all fake engines ran. Times are Unix ms.
+        settings: From which the allowed excess follows.
+        begin: Start of the run; only figures and messages depend on it.
+        end: Its end, likewise.
+        slack_ms: Windows are checked this much shorter, as a run starts some time after its admission.
+        sites: The site at which each body ran.
+
+    Returns:
+        A line for each limit that was exceeded, and figures by limit.
     """
     ordered = sorted(runs, key=lambda run: run[1])
     broken: list[str] = []
@@ -41,7 +50,7 @@
     for name, limit in limits.items():
         parts = _runs_by_part(limit, ordered, sites)
         part, peak = _highest(limit, parts, slack_ms)
-        allowed = limit.amount + terms.max_excess(limit)
+        allowed = limit.amount + settings.max_excess(limit)
         started = sum(len(part_runs) for part_runs in parts.values())
         figures[name] = {
             "limit": limit.amount,
@@ -108,7 +117,7 @@
 def _budget_peak(limit: Limit, runs: list[Run], slack_ms: float) -> Peak:
     """The most starts in a period, and when its last was.
 
-    One that begins within the slack behind a period's begin may have been decided in the one before: it counts in
+    A run that starts within `slack_ms` after a period began may have been admitted in the period before: it counts in
     neither.
     """
     counts: Counter[int] = Counter()
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -45,7 +45,7 @@
     was_resent: bool = False  # once, as it crossed the end of a connection that announced its shutdown
 
     def is_overdue(self, after_ms: float = 0.0) -> bool:
-        """Whether its time is over `after_ms` from now."""
+        """Whether its client timeout will have passed `after_ms` from now."""
         return time.time() * 1000 + after_ms > self.created_at + TIMEOUT_MS[self.class_name]
 
 
@@ -100,7 +100,7 @@
         self._attempt(request)
 
     def _attempt(self, request: LoadRequest) -> None:
-        """Send it to a listed member that does not ask to be left alone."""
+        """Send it to the first candidate that accepts a connection; if none does, retry later."""
         request.attempts += 1
         for name in self._candidates(request)[:MAX_CONNECTION_ATTEMPTS]:
             client = self._client(name)
@@ -115,7 +115,10 @@
         self._retry(request, self.load.after_ms)
 
     def _candidates(self, request: LoadRequest) -> list[str]:
-        """Members in the order in which to try them: at random, those first choice that did not reject it."""
+        """Listed members in random order, without those that rejected it or whose Retry-After is not over.
+
+        If that leaves none, all listed members.
+        """
         now = time.monotonic()
         fresh = [
             name for name in self._listed if self._backoff_until.get(name, 0) <= now and name not in request.rejected_by
@@ -190,7 +193,7 @@
             self._retry(request, max(self.load.after_ms, 0.0))
 
     def _retry(self, request: LoadRequest, after_ms: float) -> None:
-        """Attempt it again later, unless that is too late or once too often."""
+        """Attempt it again after `after_ms`, or end it as refused if that is too late or one retry too many."""
         if self.stop.is_set() or request.is_overdue(after_ms) or request.attempts > self.load.max_retries:
             self._end(request, "refused")
             return
--- a/myrtlespar/fleet_tests/member_files.py
+++ b/myrtlespar/fleet_tests/member_files.py
@@ -55,11 +55,11 @@
     (folder / "fleet.yaml").write_text(yaml.safe_dump(rows))
 
 
-def change_limits(folder: Path, version: int, numbers: Mapping[str, Mapping[str, Any]]) -> None:
-    """Change keys of limits in a member's file."""
+def change_limits(folder: Path, version: int, changes: Mapping[str, Mapping[str, Any]]) -> None:
+    """Set `limits_version`, and change keys of limits in a member's fleet file; `changes` are by name of the limit."""
     path = folder / "fleet.yaml"
     rows = yaml.safe_load(path.read_text())
     rows["limits_version"] = version
-    for limit, keys in numbers.items():
+    for limit, keys in changes.items():
         rows["limits"][limit].update(keys)
     path.write_text(yaml.safe_dump(rows))
--- a/myrtlespar/fleet_tests/observations.py
+++ b/myrtlespar/fleet_tests/observations.py
@@ -1,4 +1,4 @@
-"""What members came to hold true of each other and of the quorum, as read from their logs.
+"""What members came to believe about each other and the quorum, as read from their logs.
 
 The log lines are read from processes of older versions too: a rolling release mixes versions.
 """
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What `observer` came to hold true: kind is begin (a new process of it), member, or standing (its quorum)."""
+    """What `observer` came to believe.
+
+    `kind` is `begin` (a new process of it, which believes nothing yet), `member` (the state of a member) or `standing`
+    (its quorum status, by the name that the log has for it).
+    """
 
     at: float
     observer: str
@@ -61,7 +65,7 @@
                 steps.append((row.at, row.state, row.incarnation))
 
     def of_member(self, observer: str, member: str) -> list[Step]:
-        """The states that the observer held the member for."""
+        """The states of the member that the observer believed, as steps."""
         return self._members.get((observer, member), [UNKNOWN])
 
     def of_quorum(self, observer: str, scope: str) -> list[Step]:
@@ -69,7 +73,7 @@
         return self._quorums.get((observer, scope), [])
 
     def _forget(self, begin: Observation) -> None:
-        """A new process knows nothing of what the one before it held true."""
+        """A new process knows nothing of what the one before it believed."""
         for table in (self._members, self._quorums):
             for (observer, _), steps in table.items():
                 if observer == begin.observer:
--- a/myrtlespar/fleet_tests/order_invariants.py
+++ b/myrtlespar/fleet_tests/order_invariants.py
@@ -14,9 +14,11 @@
 def check_orders(run: FleetRun, load: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
     """Check all promises; a line for each broken one, and how many requests had which outcome.
 
-    No request is answered twice. An order is started at most once, as its callers repeat only what was rejected or
-    never sent. What a member's engine started, that member did not reject. A member that serves all along answers in
-    time.
+    - No request is answered twice.
+    - An order is started at most once, as client proxies repeat only what was rejected or never sent.
+    - A member does not reject what its engine has started.
+    - A member that serves all along answers in time, so no request is lost there. Runs in which a service was cut off
+      are not checked for this.
     """
     broken = [
         *_orders_started_again(run),
@@ -56,7 +58,7 @@
 
 
 def _unanswered(run: FleetRun, requests: list[LoadRequest]) -> list[str]:
-    """Requests without an answer at members that served all along, with all that they need within reach."""
+    """Requests without an answer at members that served all along; empty if a rule cut their services off."""
     disturbed = {action.name for action in run.actions if action.kind in ("down", "pause", "left")}
     if any(_cuts_services(action) for action in run.actions):
         return []
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -1,6 +1,6 @@
-"""Starts a complete fleet of real processes behind the fault proxy, and does to it what a script says.
+"""Starts a complete fleet of real processes behind the fault proxy, and carries out the actions of a script.
 
-It records what was done, and what each member's log says that it observed. Times are Unix milliseconds.
+It records what was done, and what each member logged about the others. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -65,8 +65,8 @@
         }
         self.actions: list[FaultAction] = []
         self.observations: list[Observation] = []
-        self.unplayed: list[str] = []  # what could not be done as the script says
-        self.replaced = 0  # processes
+        self.unplayed: list[str] = []  # steps of the script that could not be carried out, and why
+        self.replaced = 0  # processes that were replaced and have ended
         self._lock = threading.Lock()
         self._lost: dict[int, list[str]] = {}  # members by the number of the event that lost them
         self.etcd = EtcdProcess() if script.engine else None
@@ -86,9 +86,9 @@
         member = self.members[name]
         return bind_host(member.number), self.port + 2 + member.uses_second_admin_address
 
-    def ask(self, name: str, word: bytes, timeout_s: float = 3.0) -> str:
-        """Send one line to a member's management address; its complete answer, '' if it gives none."""
-        return admin_client.ask(self.admin_address(name), word, timeout_s)
+    def ask(self, name: str, command: bytes, timeout_s: float = 3.0) -> str:
+        """Send a command to a member's management address; its complete answer, '' if it gives none."""
+        return admin_client.ask(self.admin_address(name), command, timeout_s)
 
     def view(self, name: str) -> dict[str, Any] | None:
         """A member's answer to MEMBERS, None if there is none."""
@@ -100,15 +100,18 @@
 
     def is_complete(self) -> bool:
         """Whether each member's quorum status is `whole`."""
-        return all(self.standing(name) == "whole" for name in self.members)
+        return all(self.quorum_status(name) == "whole" for name in self.members)
 
-    def standing(self, name: str) -> str | None:
-        """The last quorum status of the fleet in a member's log."""
+    def quorum_status(self, name: str) -> str | None:
+        """The last quorum status of the fleet in a member's log, in lower case; None if there is none."""
         rows = (row for row in reversed(self.members[name].log) if row["event"] == QUORUM_EVENT and not row["scope"])
         return next((row["new"] for row in rows), None)
 
     def start(self) -> None:
-        """Start all members, and wait until each sees all others. Raises where that takes too long."""
+        """Start all members, and wait until each believes all others present.
+
+        RuntimeError if a process ended, AssertionError if it took too long.
+        """
         for member in self.members.values():
             member.process = self.spawn(member)
         for member in self.members.values():
@@ -196,11 +199,11 @@
             member.is_paused = kind == "pause" or (member.is_paused and kind != "resume")
             self.record(kind, member.name, at=at)
 
-    def change_limits(self, names: Sequence[str], version: int, numbers: dict[str, dict[str, Any]]) -> None:
-        """Change numbers of limits in these members' files, and have their processes read them (SIGHUP)."""
+    def change_limits(self, names: Sequence[str], version: int, changes: dict[str, dict[str, Any]]) -> None:
+        """Change limits in these members' files, and have their processes read them (SIGHUP)."""
         for name in names:
             member = self.members[name]
-            member_files.change_limits(member.folder, version, numbers)
+            member_files.change_limits(member.folder, version, changes)
             if member.process is not None and member.is_running:
                 member.process.send_signal(signal.SIGHUP)
 
@@ -213,14 +216,14 @@
         threading.Thread(target=self._hand_over, args=(member, old, new, serving_before), daemon=True).start()
 
     def lose_members(self, names: Sequence[str], number: int) -> None:
-        """Members and their engines are gone; `number` is that of the event."""
+        """Kill members and their engines; `number` is that of the event, for `return_members`."""
         self._lost[number] = [name for name in names if self.members[name].is_running]
         for name in self._lost[number]:
             self.kill(self.members[name])
             self.members[name].engine.down()
 
     def return_members(self, number: int) -> None:
-        """Those that were lost by this event return, with fresh engines."""
+        """Start the members again that `lose_members` killed in this event, with fresh engines."""
         for name in self._lost.get(number, []):
             member = self.members[name]
             if not member.is_running:
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -56,10 +56,10 @@
 ) -> dict[str, Any]:
     """Play a script and check it, each bound longer by `slack_ms`.
 
-    Returns the figures, with `broken` the lines of broken promises. Logs and files are left in `keep`, progress goes to
-    `say`; `options` are those of FleetRun.
+    Returns the figures, with `broken` the lines of broken promises. Logs and files stay in the folder `keep`, if given.
+    `say` is called with lines on the progress; `options` are those of FleetRun.
     """
-    terms = MembershipSettings(**options.get("membership") or {})
+    settings = MembershipSettings(**options.get("membership") or {})
     with ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory()))
         folder.mkdir(parents=True, exist_ok=True)
@@ -69,11 +69,11 @@
             run.start()
         except (AssertionError, RuntimeError) as error:
             return {
-                **figures(InvariantReport(), terms, len(script.members)),
+                **figures(InvariantReport(), settings, len(script.members)),
                 "broken": [f"start: {error}"],
                 "judged": [],
             }
-        return _check(_play_steps(run, say), terms, slack_ms)
+        return _check(_play_steps(run, say), settings, slack_ms)
 
 
 def apply_step(run: FleetRun, step: ScriptStep) -> None:
@@ -124,8 +124,8 @@
     return round(sorted(values)[min(len(values) - 1, int(len(values) * share))], 1) if values else None
 
 
-def figures(report: InvariantReport, terms: MembershipSettings, member_count: int) -> dict[str, Any]:
-    """What a run's last line says of membership."""
+def figures(report: InvariantReport, settings: MembershipSettings, member_count: int) -> dict[str, Any]:
+    """The figures of membership in a run's result."""
     rows: dict[str, Any] = {}
     for name, values in (
         ("detect", report.detect_ms),
@@ -144,22 +144,25 @@
         "false_failures": report.false_failures,
         "checked": report.checked,
         "bounds_ms": {
-            "detect": round(terms.detect_ms(member_count)),
-            "standing": round(terms.standing_ms(member_count)),
-            "heal": round(terms.heal_ms(member_count)),
-            "pause": round(terms.pause_ms()),
+            "detect": round(settings.detect_ms(member_count)),
+            "standing": round(settings.standing_ms(member_count)),
+            "heal": round(settings.heal_ms(member_count)),
+            "pause": round(settings.pause_ms()),
         },
     }
 
 
-def print_result(result: dict[str, Any], seed: int, keep: Path | None) -> int:
-    """Print broken promises and the one JSON line, which is written to `keep` too; the exit status."""
+def print_result(result: dict[str, Any], seed: int, result_file: Path | None) -> int:
+    """Print broken promises and the figures as one JSON line, which is also written to `result_file`.
+
+    Returns the exit status: 0 if every promise held, else 1.
+    """
     for line in result["broken"]:
         print(f"BROKEN {line}")
     shown = {key: value for key, value in result.items() if key not in HIDDEN_KEYS}
     line = json.dumps({"seed": seed, **shown})
-    if keep is not None:
-        keep.write_text(line + "\n")
+    if result_file is not None:
+        result_file.write_text(line + "\n")
     print(line)
     sys.stdout.flush()
     return int(bool(result["broken"]))
@@ -190,15 +193,15 @@
     time.sleep(max(0.0, monotonic_s - time.monotonic()))
 
 
-def _check(played: PlayedScript, terms: MembershipSettings, slack_ms: float) -> dict[str, Any]:
+def _check(played: PlayedScript, settings: MembershipSettings, slack_ms: float) -> dict[str, Any]:
     """Check the promises that the script names; the result of the run."""
     run = played.run
     script = run.script
     actions, observations = _relative_to_begin(played)
     report = InvariantReport()
     if "members" in script.checks:
-        truth = GroundTruth(script.members, actions, played.length_ms, terms.pause_ms())
-        report = check_membership(truth, observations, terms, script.sites, (), slack_ms)
+        truth = GroundTruth(script.members, actions, played.length_ms, settings.pause_ms())
+        report = check_membership(truth, observations, settings, script.sites, (), slack_ms)
     broken_limits, limits = _check_runs(played, slack_ms)
     broken_orders: list[str] = []
     outcomes: dict[str, int] = {}
@@ -206,7 +209,7 @@
         broken_orders, outcomes = check_orders(run, played.load, played.requests)
     attempts = sum(request.attempts for request in played.requests)
     return {
-        **figures(report, terms, len(script.members)),
+        **figures(report, settings, len(script.members)),
         "broken": [*run.unplayed, *report.broken, *broken_limits, *broken_orders],
         **({"limits": limits} if limits else {}),
         "replaced": run.replaced,
--- a/myrtlespar/fleet_tests/script_model.py
+++ b/myrtlespar/fleet_tests/script_model.py
@@ -1,4 +1,4 @@
-"""A fault script as data. Names of keys in the script stand in the comments where they differ."""
+"""A fault script as data. Where a key of the script has another name, the docstring has it in parentheses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptStep:
-    """One thing done at one time: rule_on, rule_off, kill, start, pause, resume, lose, back, leave or replace."""
+    """One thing done at one time.
+
+    `kind` is `rule_on` or `rule_off` (a fault on links), `kill`, `start`, `pause`, `resume`, `lose` or `back` (members
+    with their engines), `leave` (a graceful end) or `replace` (a second process takes over).
+    """
 
     at_ms: float
     kind: str
--- a/myrtlespar/simulation/script_player.py
+++ b/myrtlespar/simulation/script_player.py
@@ -50,9 +50,9 @@
         assert step.rule is not None
         faults = self.fleet.network.faults
         if step.kind == "rule_on":
-            faults.put(step.number, step.rule)
+            faults.add_rule(step.number, step.rule)
         else:
-            faults.drop(step.number)
+            faults.remove_rule(step.number)
         self.fleet.record(step.kind, "", step.number, step.rule)
 
     def _restart(self, name: str) -> None:
--- a/tests/test_fault_scripts.py
+++ b/tests/test_fault_scripts.py
@@ -47,12 +47,12 @@
 def test_rules_of_links_add_up() -> None:
     faults = ActiveFaults()
     everyone = frozenset(("a1", "a2", "b1"))
-    faults.put(1, FaultRule(everyone, everyone, drop=0.5, delay_ms=10))
-    faults.put(2, FaultRule(frozenset(("a1",)), frozenset(("b1",)), one_way=True, cut=True))
+    faults.add_rule(1, FaultRule(everyone, everyone, drop=0.5, delay_ms=10))
+    faults.add_rule(2, FaultRule(frozenset(("a1",)), frozenset(("b1",)), one_way=True, cut=True))
     assert faults.link("a1", "b1").cut
     assert not faults.link("b1", "a1").cut
     assert faults.link("b1", "a1").drop == 0.5
     assert not faults.link("b1", "a1").is_reliable
-    faults.drop(1)
+    faults.remove_rule(1)
     assert faults.link("b1", "a1").is_reliable
     assert faults.link("a1", "b1").delays_ms(Random(1)) == []
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -80,7 +80,7 @@
     until(lambda: states(three_members, "a1") == {"a2": "alive"}, "the two of one fleet")
     until(lambda: states(three_members, "a2") == {"a1": "alive"}, "the two of one fleet")
     until(lambda: count_of(three_members, "fleet.foreign") > 0, "foreign ones counted")
-    assert three_members.standing("a1") == "majority"
+    assert three_members.quorum_status("a1") == "majority"
     assert states(three_members, "a3") == {}
 
 
@@ -218,7 +218,7 @@
     assert "more than one" in offer(2, ["a1"], "fleet reload refused")["error"]
     assert "does not follow" in offer(1, ["a1", "a2"], "fleet reload refused")["error"]
     assert offer(2, ["a1", "a2", "a3", "a4"], "fleet: roll taken over")["roll"] == 2
-    until(lambda: three_members.standing("a1") == "majority", "a4 is missed")
+    until(lambda: three_members.quorum_status("a1") == "majority", "a4 is missed")
     view = three_members.view("a1")
     assert view is not None
     assert view["roll"] == 2
