--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -6,7 +6,9 @@
 from dataclasses import dataclass
 from random import Random
 
-SERVICES = ("store", "roster", "kernel", "engine")  # what members talk to beside each other, in names of the script
+# What members connect to beside each other, as the script names it: the dependency, the service registry, the execution
+# engine, and etcd with the leases of fleet limits.
+SERVICES = ("store", "roster", "kernel", "engine")
 MAX_RELIABLE_DROP = 0.2  # nothing is promised about a link that loses or delays more than this
 MAX_RELIABLE_DELAY_MS = 200.0
 MAX_GOOD_DROP = 0.1  # up to these, members hardly ever suspect each other
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -2,7 +2,8 @@
 
 Member i binds 127.0.1.i and advertises 127.8.0.i, where the relay listens (UDP and TCP). The relay knows the sender
 by its source address and forwards from 127.8.0.sender, so each directed pair can be cut, slowed or degraded by itself.
-Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine).
+Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine); `faults.SERVICES` explains
+these names.
 
 Control: JSON lines on standard input, each answered by one on standard output. The first names the members and the
 seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends the process.
--- a/myrtlespar/fleet_tests/order_invariants.py
+++ b/myrtlespar/fleet_tests/order_invariants.py
@@ -8,7 +8,7 @@
 from myrtlespar.fleet_tests.load_generator import LoadGenerator, LoadRequest
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 
-ENGINE_SERVICES = {"store", "kernel"}  # a request can't end in time while these are cut off
+ENGINE_SERVICES = {"store", "kernel"}  # dependency and execution engine: no request ends in time without them
 
 
 def check_orders(run: FleetRun, load: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
--- a/myrtlespar/fleet_tests/script_model.py
+++ b/myrtlespar/fleet_tests/script_model.py
@@ -52,7 +52,7 @@
     load: LoadSettings
     checks: tuple[str, ...]
     limits: Mapping[str, Limit] = field(default_factory=dict)
-    engine: bool = False
+    engine: bool = False  # whether the fleet's limits take leases from an etcd, which the script calls engine
 
     @property
     def members(self) -> tuple[str, ...]:
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -1,7 +1,7 @@
 """The admin server: one line a connection, answered by `myrtlespar.admin.commands`, which is pure.
 
 It has a listener and greenlets of its own, and limits apart from those of the clients' listeners, so that neither
-many clients nor many operators' connections can use up the places of the others.
+many clients nor many operators' connections can use up the connections allowed to the others.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
             address: Where to listen.
             commands: Answers the lines.
             counters: Counts what happens.
-            is_ready: Tells whether this server takes requests.
+            is_ready: Returns whether this server takes requests.
             take_metrics: Returns the current metrics.
             limits: The process's limits.
-            give_up: Tells whether waiting for the address has become pointless.
+            give_up: Returns whether waiting for the address has become pointless.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -93,7 +93,7 @@
             sock.close()
 
     def _close_oldest(self) -> None:
-        """Close the oldest connection: callers that hold connections open may not use up the descriptors."""
+        """Close the oldest connection, so that callers that leave connections open can't use up the descriptors."""
         oldest = min(self._opened_at, key=self._opened_at.__getitem__)
         self._counters.add("mgmt.evicted")
         self._opened_at.pop(oldest, None)
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -63,7 +63,7 @@
     Attributes:
         settings: Its configuration.
         in_flight: How many requests it runs for this process.
-        unreachable_until: It is tried last until then, in Unix milliseconds.
+        unreachable_until: Until then the other servers are preferred to it; Unix milliseconds.
         idle: Connections that carry no request.
     """
 
@@ -113,7 +113,12 @@
         self._coordinator.run_ended(exchange.id, outcome, unix_ms() - started_at, answer)
 
     def _run_on_first_reachable(self, exchange: Exchange) -> Answer:
-        """Run a request on the first server that can be connected to; once sent, it is sent to no other."""
+        """Run a request on the first server that can be connected to; once sent, it is sent to no other.
+
+        Raises:
+            BackendUnreachableError: No server can be connected to.
+            OSError, ConnectionEndedError, MalformedPacketError: The request was sent, and no valid answer came.
+        """
         for backend in self._by_preference(exchange.route):
             connection = self._acquire_connection(backend)
             if connection is None:
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -31,7 +31,7 @@
     def __init__(
         self, config: Config, coordinator: RequestCoordinator, listen: Address, give_up: Callable[[], bool]
     ) -> None:
-        """Bind the address; `give_up` tells whether waiting for it has become pointless.
+        """Bind the address; `give_up` returns whether waiting for it has become pointless.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -52,7 +52,7 @@
         )
 
     def drain(self) -> None:
-        """Close idle connections; the others close with their answer."""
+        """Close idle connections, as AJP has no message for it; the others are closed after their answer."""
         for connection in list(self.connections):
             connection.close()
 
@@ -135,7 +135,10 @@
             raise codec.MalformedPacketError(f"packet of kind {kind} out of place")
 
     def _handle_ping(self) -> None:
-        """Answer a ping, which Apache sends before a request: without an answer it asks another server."""
+        """Answer a ping, which Apache sends before a request: without an answer it uses another server.
+
+        While draining or unhealthy the connection is closed instead.
+        """
         self.coordinator.counters.add("in.check.ajp")
         if self.coordinator.healthy and not self.coordinator.draining:
             self.outbox.put(codec.encode_packet(codec.TO_GATEWAY, bytes([codec.CPONG])))
@@ -169,7 +172,7 @@
     def _read_body(self) -> bytes | None:
         """Return the complete body, or reject the request and return None if it is too long.
 
-        The first part of a body with a stated length comes unasked; all other parts are asked for.
+        The first part of a body with a stated length comes without a request for it; all other parts are requested.
         """
         stated_length = self._request.header("content-length")
         chunked = "chunked" in self._request.header("transfer-encoding").lower()
@@ -180,16 +183,16 @@
             self._reply(413)
             return None
         body = b""
-        ask_for_next = chunked
+        request_next = chunked
         while chunked or len(body) < length:
-            if ask_for_next:
+            if request_next:
                 size = codec.max_body_chunk_bytes(self.limits.max_ajp_packet_bytes)
                 self.outbox.put(codec.encode_get_body_chunk(size))
             chunk = codec.decode_body_chunk(self._read_packet())
             if not chunk:
                 break
             body += chunk
-            ask_for_next = True
+            request_next = True
             if len(body) > self.limits.max_body_bytes:
                 self._reply(413)
                 return None
@@ -229,7 +232,11 @@
             self._reply(504 if answer.late else 500)
 
     def _reply(self, status: int, body: bytes = b"", headers: codec.Headers = ()) -> None:
-        """Send a complete answer; the connection can't go on behind one to a request whose body was not read."""
+        """Send a complete answer.
+
+        The connection is closed after it while draining, or if the request's body was not read: what comes next on
+        it would be that body.
+        """
         self.last_active_at = unix_ms()
         has_body = self._request.header("content-length") or self._request.header("transfer-encoding")
         request_complete = self.lifecycle.state != ConnectionState.READING
--- a/myrtlespar/net/binding.py
+++ b/myrtlespar/net/binding.py
@@ -23,11 +23,11 @@
 
 
 class AddressInUseError(MyrtlesparError):
-    """An address could not be listened on; one line that names its key."""
+    """An address could not be bound in time; the message is one line that names its key."""
 
 
 class Acceptor(StreamServer):  # type: ignore[misc]
-    """Accepts connections; an error of one of them, or a passing one of the system, does not hold up the others."""
+    """Accepts connections; an error of one of them, or a passing one of the system, does not delay the others."""
 
     min_delay = max_delay = EXHAUSTION_PAUSE_S
     free_descriptor: Callable[[], object] = staticmethod(lambda: None)  # called when the system has none left
@@ -65,7 +65,7 @@
         shared: Whether a second process of the same server may bind the address too.
         timeout_ms: For how long binding is retried.
         limits: Holds the pause between attempts.
-        give_up: Tells whether waiting for the address has become pointless.
+        give_up: Returns whether waiting for the address has become pointless.
 
     Raises:
         AddressInUseError: The address could not be bound in time; the message names `key`.
@@ -83,7 +83,7 @@
 
 
 def bind(address: Address, backlog: int, shared: bool) -> socket.socket:
-    """Return a socket that listens, or with a backlog of 0 only holds its address.
+    """Return a socket that listens, or with a backlog of 0 is only bound to its address.
 
     With `shared`, a second process of the same server may listen beside it (SO_REUSEPORT).
 
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -16,7 +16,9 @@
 class ClientConnection:
     """One client's connection.
 
-    A subclass reads the messages of its protocol and reports to the state machine what happens.
+    A subclass reads the messages of its protocol and reports to the state machine what happens. There are three ways
+    to end it from this side: `close` while idle, `end` at the end of the process, and `fail` after a fault. Only `fail`
+    blocks.
 
     Attributes:
         outbox: Sends the answers.
@@ -24,7 +26,7 @@
         lifecycle: The connection's state machine.
         last_active_at: When a message last came or went, in Unix milliseconds.
         messages_read: How many complete messages were read.
-        consecutive_rejected: How many messages in a row were rejected.
+        consecutive_rejected: How many messages in a row were rejected without reaching the coordinator.
     """
 
     def __init__(
@@ -66,15 +68,18 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close it unless a request on it is open."""
+        """Close it if it is idle; nothing happens while a request on it is open."""
         self._handle_event(ConnectionEvent.CLOSE)
 
     def end(self) -> None:
-        """Read nothing more; close it behind its last answer."""
+        """Read nothing more, not even the rest of a request, and close it after what is queued.
+
+        All requests must have been answered: while an answer is outstanding, the event is only counted as invalid.
+        """
         self._handle_event(ConnectionEvent.END)
 
     def fail(self) -> None:
-        """Read nothing more after a fault; close it once its open requests are answered."""
+        """Read nothing more after a fault; block until its open requests are answered, then close it."""
         self._stop_reading()
         self._close_after_reading()
 
@@ -92,12 +97,13 @@
     def _accepts_requests(self) -> bool:
         """Return whether a message that comes may still be handled.
 
-        Its client retries elsewhere what crosses our close; were it run here too, its answer could not even be sent.
+        A client retries elsewhere what it sent while we closed. If that ran here too, it would run twice, and its
+        answer could not be sent.
         """
         return self.lifecycle.accepts_requests and not self.outbox.finishing and not self.outbox.closed
 
     def _stop_reading(self) -> None:
-        """Read nothing more, and wait until the open requests are answered."""
+        """Read nothing more, and block until the open requests are answered."""
         self._handle_event(ConnectionEvent.SPOILT)
         self._finish_answers(self)
 
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -227,7 +227,7 @@
 
 
 def encode_get_body_chunk(size: int) -> bytes:
-    """Return a Get Body Chunk packet, which asks for `size` bytes at most."""
+    """Return a Get Body Chunk packet, which requests at most `size` bytes."""
     return encode_packet(TO_GATEWAY, struct.pack(">BH", GET_BODY, size))
 
 
--- a/myrtlespar/net/codec/engine.py
+++ b/myrtlespar/net/codec/engine.py
@@ -69,7 +69,7 @@
 
 
 def encode_call_reply(request_id: str, reply: bytes) -> bytes:
-    """Return the command that hands a run the reply to its call."""
+    """Return the command that sends a run the reply to its call."""
     return b'{"t":"IODONE","rid":"%s","b64":"%s"}\n' % (request_id.encode(), base64.b64encode(reply))
 
 
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -176,18 +176,21 @@
 
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_name(name: str) -> bool:
-    """Printable ASCII without spaces, 1 to 48 characters."""
+    """Whether it is printable ASCII without spaces, 1 to 48 characters."""
     return _NAME.fullmatch(name) is not None
 
 
 def is_valid_limit_name(name: str) -> bool:
-    """A valid name without slashes, which separate a limit's name from its key's part, and of bounded length."""
+    """Whether it is a valid name without slashes, of at most MAX_LIMIT_NAME_LENGTH.
+
+    In the keys of limits a slash separates the limit's name from what it counts separately.
+    """
     return is_valid_name(name) and "/" not in name and len(name) <= MAX_LIMIT_NAME_LENGTH
 
 
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_address(address: str) -> bool:
-    """A.B.C.D:PORT, numbers only, as there is no DNS."""
+    """Whether it is A.B.C.D:PORT; names of hosts are not valid, as there is no DNS."""
     found = _ADDRESS.fullmatch(address)
     return found is not None and all(int(part) < 256 for part in found.groups()[:4]) and 0 < int(found[5]) < 65536
 
@@ -200,5 +203,5 @@
 
 
 def name_conflict_probe(fleet: str, name: str) -> bytes:
-    """What a second process of a member sends to the first, and gets back from it."""
+    """The datagram that a second process of a member sends to the first, and gets back from it unchanged."""
     return NAME_CONFLICT_MAGIC + f"{fleet} {name}".encode()
--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -57,7 +57,7 @@
 
 
 class MalformedMessageError(MyrtlesparError):
-    """A message that can't be read, or that asks for something unknown."""
+    """A message that can't be read, or that requests something unknown."""
 
 
 class MalformedCallError(MalformedMessageError):
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -1,4 +1,7 @@
-"""Calls to the dependency that runs need, over a few connections with one call at a time on each."""
+"""Calls to the dependency that runs need, over a few connections with one call at a time on each.
+
+No call is repeated here: when a connection breaks its call ends, which is reported to the coordinator.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DependencySocket:
-    """How an open connection is written and read."""
+    """The sending and the receiving side of an open connection."""
 
     outbox: Outbox
     reader: SocketReader
@@ -69,7 +72,10 @@
             self._carry_out(self._calls.cancel(id))
 
     def move(self, address: Address | None) -> None:
-        """Make new calls at another address; calls in flight end where they are."""
+        """Make new calls at another address, after a reload; calls in flight end where they are.
+
+        None means that there is no dependency: each call then fails as one that never ran.
+        """
         if address != self._address:
             self._address = address
             self._carry_out(self._calls.change_address())
@@ -99,7 +105,10 @@
                 self._coordinator.call_ended(call.id, effect.outcome, unix_ms() - call.started_at, effect.reply)
 
     def _send_call(self, connection: DependencyConnection, call: DependencyCall) -> None:
-        """Send a call; if it can't be written, the reader sees the connection's end, and the call ends with it."""
+        """Send a call with the time left to it.
+
+        If it can't be written, `_read_reply` sees the connection's end, and the call ends with it.
+        """
         left_ms = min(call.started_at + call.limit_ms - unix_ms(), self._limits.max_dependency_call_ms)
         time_limit_ms = int(max(MIN_TIME_LIMIT_MS, left_ms))
         self._sockets[connection].outbox.put(codec.encode_call(call.id, time_limit_ms, call.body))
@@ -141,7 +150,7 @@
             log.info("store broke a call", how=how, error=error, id=call.id, rested_ms=idle_ms)
 
     def _read_reply(self, connection: DependencyConnection, reader: SocketReader) -> None:
-        """Read one reply. Replies to other calls, such as second copies, are ignored."""
+        """Read one reply. A reply to a call that this connection does not carry is counted and ignored."""
         head = codec.decode_reply_head(reader.read_line(), self._limits.max_dependency_reply_bytes)
         body = b""
         if head.body_bytes is not None:
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -1,4 +1,7 @@
-"""The link to the execution engine: reconnects, moves to another address, and repeats only what cannot run twice."""
+"""The link to the execution engine: reconnects, moves to another address, resends where no second run can do harm.
+
+`CommandLog` decides what is resent. A run that the engine lost ends in `_fail_lost_runs` or by an `EndRun` effect.
+"""
 
 from __future__ import annotations
 
@@ -67,7 +70,7 @@
         self._carry_out(self._commands.send(Command(exchange.id, line, True, is_idempotent)))
 
     def resume(self, exchange: Exchange, reply: bytes) -> None:
-        """Hand a run the reply to its call."""
+        """Send a run the reply to its call to the dependency."""
         self._carry_out(self._commands.send(Command(exchange.id, codec.encode_call_reply(exchange.id, reply), False)))
 
     def request_gauges(self) -> None:
@@ -79,7 +82,7 @@
         return self._gauges if now - self._gauges_at <= self._limits.max_gauge_age_ms else []
 
     def move(self, address: Address) -> None:
-        """Go on at another address, once the old link was read to its end: no command is unconfirmed then."""
+        """Connect to another address, after a reload, once the old link confirmed all commands or its time is over."""
         if address == self._address:
             return
         self._address = address
@@ -179,7 +182,7 @@
                 self._handle_unnumbered(notice)
 
     def _check_number(self, number: int, notice: dict[str, Any]) -> None:
-        """Handle a numbered notice, once only; a gap before it ends the link, which is replaced by one without it."""
+        """Handle a numbered notice unless it was read before; a gap before it ends the link, to request a replay."""
         position = self._commands.classify_notice(number)
         if position == RENUMBERED:
             self._coordinator.counters.add("kernel.renumbered")
@@ -215,8 +218,9 @@
     def _handle_greeting(self, notice: dict[str, Any]) -> None:
         """Find out from the engine's age whether it is a new one.
 
-        It is new only if it is younger than all that was heard of the engine before. Its age counts from our
-        greeting: after a pause of this machine, or over a slow link, the same start would otherwise look later.
+        It is new only if it started after the last notice was read, and after the known start by more than
+        `same_engine_start_ms`. Its age counts from the connection: after a pause of this machine, or over a slow
+        link, the same start would otherwise seem to be later.
         """
         age_ms = codec.finite_number(notice.get("time_ms", 0.0))
         started_at = self._connected_at - age_ms
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -33,12 +33,22 @@
 
 
 class Listener(Generic[ConnectionType]):
-    """Accepts and keeps the client connections of one protocol.
+    """Accepts the client connections of one protocol, and holds them until they end.
+
+    Its methods in the order of a graceful shutdown:
+
+    1. `stop`: accept no more; the connections already queued are served.
+    2. `drain`: ask the clients to send nothing new. Connections stay open; requests that still come are handled.
+    3. `end`: read nothing more and close each connection after what is queued, once all requests are answered.
+    4. `finish`: send what is queued and wait, for a limited time, until the clients have closed.
+
+    `server.drain`, `server.handover` and `server.shutdown` decide when. Without a replacement process, `drain` is also
+    called first.
 
     Attributes:
         name: The protocol's name in counters and log lines.
         connections: All open connections.
-        outbox_budget: What all of them may hold of unsent answers.
+        outbox_budget: Bytes of unsent answers that all of them together may queue.
         idle_timeout_ms: Idle connections are closed after this time; 0 leaves that to the clients.
     """
 
@@ -61,7 +71,7 @@
             coordinator: Takes the requests.
             max_connections: How many may be open at a time.
             open_connection: Makes the connection of an accepted socket.
-            give_up: Tells whether waiting for the address has become pointless.
+            give_up: Returns whether waiting for the address has become pointless.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -83,7 +93,7 @@
         self._server.max_accept = limits.max_accepts_per_turn
 
     def start(self) -> None:
-        """Listen. Not before: a second process whose start fails would accept connections and drop them."""
+        """Start listening. The address is bound before, but a process whose start fails must accept no connections."""
         self._socket.listen(self.coordinator.limits.accept_backlog)
         self._server.start()
         gevent.spawn(run_forever, f"{self.name}.look", self._check_connections, self.coordinator.counters)
@@ -106,20 +116,23 @@
         for sock, peer_address in self._accept_queued(listening_socket):
             self.coordinator.counters.add(f"in.taken_at_close.{self.name}")
             gevent.spawn(self._serve_then_close, sock, peer_address)
-        gevent.spawn(self.drain)  # behind those greenlets: their clients too are asked to send nothing new
+        gevent.spawn(self.drain)  # it runs after those greenlets, so that their clients are asked too
         self._server.close()
 
     def drain(self) -> None:
-        """Ask every client to send nothing new."""
+        """Ask every client to send nothing new, in the way of the protocol. May be called repeatedly."""
         raise NotImplementedError
 
     def end(self) -> None:
-        """Read nothing more on any connection."""
+        """Read nothing more on any connection, and close each after what is queued; see `ClientConnection.end`."""
         for connection in list(self.connections):
             connection.end()
 
     def finish(self, timeout_s: float) -> None:
-        """Send what is queued, then close all connections, each once its client has ended it or had time to."""
+        """Send what is queued and close all connections; block until all have ended, for `timeout_s` at most.
+
+        Each connection is closed when its client has closed its side or had the linger time to do so.
+        """
         self.end()
         for connection in list(self.connections):
             connection.outbox.finish()
@@ -128,13 +141,13 @@
             gevent.sleep(CLOSED_CHECK_S)
 
     def close_idle(self, connection: ConnectionType) -> None:
-        """Close an idle connection."""
+        """Close an idle connection and count it."""
         self.coordinator.counters.add(f"in.idle_closed.{self.name}")
         self.connections.discard(connection)
         connection.close()
 
     def finish_answers(self, connection: ClientConnection) -> None:
-        """Close a connection of which no more is read, once its requests are answered and the answers sent."""
+        """Block until the requests of a connection that is read no more are answered and the answers sent."""
         while connection.has_open_requests() and not connection.outbox.closed:
             gevent.sleep(ANSWERED_CHECK_S)
         connection.outbox.finish()
@@ -159,7 +172,7 @@
     def _check_connections(self) -> None:
         """Close connections that are idle for too long, that send nothing, or that stop within a message.
 
-        Their time is counted in checks, so that a pause of the machine does not use it up.
+        The time of unfinished messages is counted in checks, so that a pause of the machine does not use it up.
         """
         while True:
             gevent.sleep(self.coordinator.limits.idle_check_ms / 1000.0)
@@ -185,10 +198,10 @@
 
     @staticmethod
     def _is_idle(connection: ConnectionType) -> bool:
-        """Return whether it has no open request, nor one that has come and was not read yet."""
+        """Return whether it has no open request and no unread input."""
         return not connection.has_open_requests() and not connection.reader.has_unread()
 
-    def _reserve_place(self) -> bool:
+    def _can_open_connection(self) -> bool:
         """Return whether one more connection may be opened; if need be the longest idle one is closed for it."""
         return len(self.connections) < self._max_connections or self._close_longest_idle()
 
@@ -207,7 +220,7 @@
             sock.close()
 
     def _serve(self, sock: socket.socket, _: Any) -> None:
-        if not self._reserve_place():
+        if not self._can_open_connection():
             self.coordinator.counters.add(f"in.connection_refused.{self.name}")
             return
         configure_accepted(sock, self.coordinator.limits)
--- a/myrtlespar/net/name_conflict.py
+++ b/myrtlespar/net/name_conflict.py
@@ -1,4 +1,4 @@
-"""Two processes of one member name: the second finds out whether the first has the address, and waits for it.
+"""Two processes of one member name: the second finds out whether the first has the peer address, and waits for it.
 
 The second process sends a probe to its own address. An old process of the same fleet and name answers with the same
 bytes and hands the address over when it ends; any other program does not answer, and the start fails.
@@ -41,7 +41,12 @@
         return data == self.datagram and source[0] == self.address[0]
 
     def run(self, wait_s: float, bind: Callable[[], bool]) -> ProbeResult:
-        """Ask whoever has the address, for `wait_s`; `bind` tries to take it and is true once it did."""
+        """Probe the process that has the address, for `wait_s`, and attempt `bind` between the probes.
+
+        Args:
+            wait_s: For how long the probe is repeated.
+            bind: Attempts to bind the address, and returns whether it did.
+        """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind((self.address[0], 0))
             sock.settimeout(REPLY_TIMEOUT_S)
@@ -59,12 +64,12 @@
         return ProbeResult.UNKNOWN_PROGRAM
 
     def wait_for_address(self, bind_or_closed: Callable[[], bool]) -> None:
-        """Keep telling the old process that we wait, until `bind_or_closed` is true."""
+        """Repeat the probe, by which the old process knows that we wait, until `bind_or_closed` returns true."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind((self.address[0], 0))
             while not bind_or_closed():
                 try:
                     sock.sendto(self.datagram, self.address)
-                except OSError:  # it closed between the two
+                except OSError:  # the old process closed the address after `bind_or_closed` failed
                     self.counters.add("peers.old_gone")
                 gevent.sleep(RETRY_S)
--- a/myrtlespar/net/outbox.py
+++ b/myrtlespar/net/outbox.py
@@ -43,7 +43,7 @@
             max_bytes: Unsent bytes it may hold; with more, the connection is closed.
             send_timeout_ms: Time that the peer may block one send.
             linger_ms: Time for the peer to end the connection after `finish`.
-            budget: What it may hold together with others; None if it shares no budget.
+            budget: Unsent bytes that it may hold together with others; None if it shares no budget.
         """
         self._sock = sock
         self._max_bytes = max_bytes
@@ -57,10 +57,11 @@
         self.finishing = False
 
     def put(self, data: bytes) -> bool:
-        """Send a message behind those before it.
+        """Send a message after those before it.
 
         Returns:
-            False if the connection is closed or finishing, or is closed now because its peer does not read.
+            False if the message was not taken: the connection is closed or finishing, broke, or is closed now because
+            a limit of unsent bytes was exceeded.
         """
         if self.closed or self.finishing:
             return False
--- a/myrtlespar/net/peer_datagrams.py
+++ b/myrtlespar/net/peer_datagrams.py
@@ -49,7 +49,10 @@
         self._reader = gevent.spawn(self._read)
 
     def drain(self) -> None:
-        """Read what has arrived already, at most MAX_DATAGRAMS_PER_TURN, without waiting."""
+        """Read what has arrived already, at most MAX_DATAGRAMS_PER_TURN datagrams, without waiting.
+
+        It has nothing to do with the drain of a server.
+        """
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._socket is None:
                 return
--- a/myrtlespar/net/peer_sync.py
+++ b/myrtlespar/net/peer_sync.py
@@ -47,7 +47,7 @@
         self._serving = 0
 
     def request(self, effect: RequestSync) -> None:
-        """Begin an exchange in a greenlet of its own, unless MAX_EXCHANGES are under way."""
+        """Begin an exchange in a greenlet of its own; with MAX_EXCHANGES under way it is counted and dropped."""
         if self._requesting >= MAX_EXCHANGES:
             self.counters.add("peers.exchange_spared")
             return
@@ -55,7 +55,7 @@
         gevent.spawn(self._request, effect)
 
     def serve(self, sock: socket.socket, _: Any) -> None:
-        """Answer one accepted connection, and close it."""
+        """Answer one accepted connection and close it; with MAX_EXCHANGES under way it is closed without an answer."""
         if self._serving >= MAX_EXCHANGES:  # bounds descriptors and memory
             self.counters.add("peers.exchange_refused")
             sock.close()
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -1,8 +1,8 @@
-"""The peer link: carries the effects of the pure membership machine, and hands it time and messages.
+"""The peer link: sends what the pure `membership.member.Member` returns as effects, and passes it time and messages.
 
 One reader of datagrams (`peer_datagrams`), one clock, and a bounded number of short TCP exchanges (`peer_sync`), all
-greenlets. What is malformed, foreign, replayed or too much is counted and changes nothing. The transport measures how
-late the clock's ticks come, by which a saturated process comes to suspect itself before others.
+greenlets. What is malformed, foreign, replayed or too much is counted and changes nothing. A late tick of the clock
+makes the member postpone its deadlines, so that a saturated process does not declare others failed.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
 RECEIVE_BUFFER_BYTES = 1 << 20  # the system's, for datagrams that wait: a pause of some seconds fits
 LISTEN_BACKLOG = 16
 SUCCESSOR_FRESH_MS = 1000.0  # a waiting second process probes more often than this
-GOODBYE_S = 0.5  # from the goodbye to the closing of the sockets
+GOODBYE_S = 0.5  # from the announcement that this member leaves to the closing of the sockets
 
 
 def monotonic_ms() -> float:
-    """The clock that membership goes by; the wall clock may jump."""
+    """Milliseconds of the clock that membership uses, as the wall clock may jump."""
     return time.monotonic() * 1000.0
 
 
@@ -60,7 +60,7 @@
 
 
 class PeerTransport:
-    """Sockets and greenlets for one membership machine, made by `make_member` once the address is ours."""
+    """Sockets and greenlets for one `Member`, which `make_member` creates once the address is bound."""
 
     def __init__(
         self,
@@ -94,9 +94,13 @@
         self._effects_applied = Event()
 
     def open(self, wait_s: float = 1.5) -> None:
-        """Take the address, or find an old process of our name there and wait for it in the background.
+        """Bind the address, or find an old process of our name there and wait for the address in the background.
 
-        PeerAddressInUseError if another program has it.
+        Args:
+            wait_s: How long a process that has the address may take to answer the probe.
+
+        Raises:
+            PeerAddressInUseError: Another program has it.
         """
         if self._bind():
             self._begin()
@@ -115,7 +119,11 @@
         return monotonic_ms() - self._successor_seen_at < SUCCESSOR_FRESH_MS
 
     def leave(self) -> None:
-        """Hand the address to a waiting second process without a goodbye, or else say goodbye and close."""
+        """Announce that this member leaves, and close GOODBYE_S later.
+
+        If a second process of our name waits for the address, close at once without the announcement: the member stays
+        in the fleet as that process.
+        """
         if self.member is None or self.member.leaving or self.has_successor():
             self.close()
             return
@@ -139,7 +147,7 @@
             self._datagrams.send(data, entry.update.address)
 
     def _bind(self) -> bool:
-        """Bind both sockets; false if the address is in use. Other faults come as OSError."""
+        """Bind both sockets; false if the address is in use. OSError for other faults."""
         datagram_socket = blocking_socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         datagram_socket.setblocking(False)
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -200,8 +208,8 @@
             packet = decode(data)
         except UnsupportedPeerVersionError:
             return self.counters.add("peers.other_version")
-        except MalformedPeerMessageError as why:
-            return self.counters.add(f"peers.spoilt.{str(why).replace(' ', '_')}")
+        except MalformedPeerMessageError as error:
+            return self.counters.add(f"peers.spoilt.{str(error).replace(' ', '_')}")
         assert self.member is not None
         self._apply_effects(self.member.receive(now, packet))
         return None
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -20,7 +20,10 @@
 
 
 class RegistryClient:
-    """Reports often enough that the registry does not remove this server's entry."""
+    """Reports often enough that the registry does not remove this server's entry.
+
+    Nothing is reported before the execution engine was up once. While draining it reports `off`.
+    """
 
     def __init__(self, config: Config, coordinator: RequestCoordinator, engine: EngineClient) -> None:
         self._name = config.name
@@ -32,7 +35,7 @@
         self._moved = Event()
 
     def move(self, address: Address) -> None:
-        """Report to another address from now on; a report in flight ends where it is."""
+        """Report to another address from now on, after a reload; a report in flight ends where it is."""
         if address != self._address:
             self._address = address
             self._moved.set()
--- a/myrtlespar/net/socket_reader.py
+++ b/myrtlespar/net/socket_reader.py
@@ -94,7 +94,7 @@
             pass
 
     def has_unread(self) -> bool:
-        """Return whether something has come that nobody has asked for yet: bytes, or the connection's end."""
+        """Return whether something has come that was not returned by a read yet: bytes, or the connection's end."""
         return self.has_buffered() or self.is_readable()
 
     def is_readable(self) -> bool:
@@ -102,7 +102,7 @@
         return bool(self._poll.poll(0))
 
     def has_buffered(self) -> bool:
-        """Return whether bytes were read from the socket that nobody has asked for yet."""
+        """Return whether bytes were read from the socket that were not returned by a read yet."""
         return bool(self._data)
 
     def yield_if_buffered(self) -> None:
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -38,7 +38,7 @@
     """Listens for client proxies."""
 
     def __init__(self, config: Config, coordinator: RequestCoordinator, give_up: Callable[[], bool]) -> None:
-        """Bind the address; `give_up` tells whether waiting for it has become pointless.
+        """Bind the address; `give_up` returns whether waiting for it has become pointless.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -59,7 +59,7 @@
         )
 
     def drain(self) -> None:
-        """Ask every client, once, to send nothing new on its open connections."""
+        """Send `shutdown` once on each connection, which asks the client to send nothing new on it."""
         for connection in [connection for connection in self.connections if not connection.shutdown_sent]:
             connection.shutdown_sent = True
             connection.outbox.put(codec.encode("shutdown", codec.ONEWAY, 0, idl.Front.ping_args()))
@@ -121,10 +121,9 @@
         return self.reader.read_exactly(size)
 
     def _report_malformed(self, error: MalformedMessageError | ReadingStoppedError) -> None:
-        """Log what could not be read, and answer it if it is a call with a sequence number of its own.
+        """Log what could not be read, and answer it if it is a call whose sequence number no open request has.
 
-        Without such a number, or beside an open request of that number, an exception would be an answer to what
-        nobody asked, or a second one.
+        Otherwise the exception would answer no call, or be a second answer to the open request.
         """
         if self.coordinator.counters.count_and_sample("in.bad_message.thrift"):
             log.info("client's message can't be read", error=str(error)[:MAX_FAULT_CHARS])
@@ -214,11 +213,11 @@
         if self._open_requests.pop(sequence_number, None) is not None:
             self._request_answered()
 
-    def _answer_fields(self, more: dict[str, str] | None = None) -> dict[str, str]:
+    def _answer_fields(self, extra_fields: dict[str, str] | None = None) -> dict[str, str]:
         """Return the fields of an answer: those given, and the advertised value unless the settings have none."""
         if self.front.hides_advertised_value:
-            return more or {}
-        return {"hint": f"{self.coordinator.advertised_value:.4f}", **(more or {})}
+            return extra_fields or {}
+        return {"hint": f"{self.coordinator.advertised_value:.4f}", **(extra_fields or {})}
 
     def _send_result(self, sequence_number: int, result: Any) -> None:
         self.outbox.put(codec.encode("invoke", codec.REPLY, sequence_number, result))
--- a/myrtlespar/net/thrift_requests.py
+++ b/myrtlespar/net/thrift_requests.py
@@ -70,7 +70,7 @@
         if self._classes[class_index].effect is not Effect.KEYED:
             return _text(fields, self._key_field)[:MAX_KEY_CHARS] if self._key_field else ""
         token = _text(fields, TOKEN_FIELD)
-        if len(token) > MAX_KEY_CHARS:  # cut short, two of them could be one
+        if len(token) > MAX_KEY_CHARS:  # if cut off, two different tokens could become one key
             raise MalformedMessageError(f"field {TOKEN_FIELD} is too long")
         if not token:
             if exchange.is_retry:  # it could run a second time what an earlier attempt ran here
