--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -1,6 +1,6 @@
 """What was true when: which members ran, and which links held.
 
-Built from what the launcher (or the simulation) did, not from what members say. Times are milliseconds from the start
+Built from what the launcher (or the simulation) did, not from what members log. Times are milliseconds from the start
 of a run.
 """
 
@@ -43,31 +43,31 @@
     all_links_good: bool  # no link that is not cut loses or delays so much that refutations are common
     reachable: Matrix  # some chain of links that are not cut leads from one to the other
 
-    def linked(self, a: str, b: str) -> bool:
+    def linked(self, first: str, second: str) -> bool:
         """Whether both run and reach each other directly or through one other member, over reliable links."""
-        if a not in self.running or b not in self.running:
+        if first not in self.running or second not in self.running:
             return False
-        kind_a = self.kinds[a]
-        kind_b = self.kinds[b]
-        return self.reliable[kind_a][kind_b] or any(
-            self.reliable[kind_a][middle]
-            and self.reliable[middle][kind_b]
-            and count > (middle == kind_a) + (middle == kind_b)  # a member that is neither a nor b
+        first_kind = self.kinds[first]
+        second_kind = self.kinds[second]
+        return self.reliable[first_kind][second_kind] or any(
+            self.reliable[first_kind][middle]
+            and self.reliable[middle][second_kind]
+            and count > (middle == first_kind) + (middle == second_kind)  # there is a third member of that kind
             for middle, count in enumerate(self.counts)
         )
 
-    def apart(self, a: str, b: str) -> bool:
-        """Whether `a` runs and can't know that `b` does: `b` does not run, or a chain of links leads one way at most.
+    def apart(self, observer: str, member: str) -> bool:
+        """Whether the observer runs, and the member does not or a chain of links leads at most one way.
 
-        Neither `linked` nor `apart` is true where a lossy link leaves open what `a` should believe.
+        Neither `linked` nor `apart` is true where a lossy link leaves open what the observer should believe.
         """
-        if a not in self.running:
+        if observer not in self.running:
             return False
-        if b not in self.running:
+        if member not in self.running:
             return True
-        kind_a = self.kinds[a]
-        kind_b = self.kinds[b]
-        return not (self.reachable[kind_a][kind_b] and self.reachable[kind_b][kind_a])
+        observer_kind = self.kinds[observer]
+        member_kind = self.kinds[member]
+        return not (self.reachable[observer_kind][member_kind] and self.reachable[member_kind][observer_kind])
 
 
 class GroundTruth:
@@ -141,7 +141,7 @@
         for name, kind in kinds.items():
             counts[kind] += 1
             examples[kind] = name
-        # A rule holds between two members by what it says of their kinds, also within one kind.
+        # Whether a rule applies depends on the kinds of the two members alone, also within one kind.
         links = [[self.faults.link(first, second) for second in examples] for first in examples]
         return TruthInterval(
             at,
--- a/myrtlespar/membership/__init__.py
+++ b/myrtlespar/membership/__init__.py
@@ -11,7 +11,7 @@
 - `dissemination` chooses the updates that ride on a packet, `outbox` builds the packet, `gossip` pushes new updates.
 - `peer_search` contacts seeds and failed members; `view_exchange` requests complete views.
 - `quorum` counts the voters believed present, and rejects voter sets that can't follow the present one.
-- `reachability` reports broken links and views that differ; `maintenance` forgets members that are long gone.
+- `reachability` reports broken links and views that differ; `maintenance` forgets absent members.
 - `settings` holds the settings and the bounds, `messages` the wire types and the effects.
 
 Promises (see `settings.MembershipSettings` for their formulas and docs/membership.md for the table):
--- a/myrtlespar/membership/maintenance.py
+++ b/myrtlespar/membership/maintenance.py
@@ -1,4 +1,4 @@
-"""Once a second: forgets members that are long gone, and reports lasting disagreement to the operators."""
+"""Once a second: forgets members absent for `forget_ms`, and reports lasting disagreement to the operators."""
 
 from __future__ import annotations
 
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -37,7 +37,7 @@
 
     @property
     def fleet_size(self) -> int:
-        """Members believed present, oneself included."""
+        """Members believed present, this member included."""
         return len(self.view.present) + 1
 
     def send(self, now: float, address: str, body: Body, receiver: str = "", include_receiver: bool = False) -> None:
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -1,4 +1,4 @@
-"""Probe rounds: whom to probe, what an answer or its absence means, and indirect probes made for others."""
+"""Probe rounds: sends probes, and decides what an answer or its absence means; also probes on behalf of others."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self.reachability = reachability
         self.prober = prober
         self.accuse = accuse
-        self.last_answer_at = now  # when anybody last answered a probe of ours, directly or not
+        self.last_answer_at = now  # when any member last answered a probe of ours, directly or not
 
     def begin_period(self, now: float) -> None:
         """Probe those whose turn it is."""
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -30,7 +30,7 @@
 
 
 class Prober:
-    """Keeps the probes in flight and chooses whom to probe and how long to wait."""
+    """Keeps the probes in flight, chooses the members to probe and sets the timeouts."""
 
     def __init__(self, settings: MembershipSettings, random: Random) -> None:
         self.settings = settings
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -68,7 +68,7 @@
 
 
 def quorum_status(total: int, present: int, others: int) -> QuorumStatus:
-    """The status where `present` of `total` voters are believed present, `others` of them not oneself."""
+    """The status where `present` of `total` voters are believed present, `others` of them besides this member."""
     if present == total and total:
         return QuorumStatus.WHOLE
     if 2 * present > total:
@@ -81,7 +81,7 @@
     """The voters of one scope and those believed present."""
 
     voters: frozenset[str]
-    self_votes: int  # 1 if oneself is one of them
+    self_votes: int  # 1 if this member is one of them, else 0
     others_present: set[str] = field(default_factory=set)
     status: QuorumStatus = QuorumStatus.ALONE
     since: float = 0.0  # of the status, ms
@@ -98,7 +98,7 @@
     def __init__(self, self_id: str, voter_set: VoterSet, now: float) -> None:
         self.self_id = self_id
         self.voter_set = voter_set
-        self.isolated = False  # nobody has answered us for long
+        self.isolated = False  # no member has answered us for `isolated_ms`
         self.scopes: dict[str, VoteCount] = {}
         self._scopes_of: dict[str, list[str]] = {}
         self.adopt(voter_set, now)
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -9,8 +9,8 @@
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.membership.view import MemberEntry, View, row_hash
 
-ONE_WAY_SETTLE_MS = 3000  # a member that failed is reported as heard one way only after so long
-ONE_WAY_HEARD_MS = 2000  # it must have been heard within so long
+ONE_WAY_SETTLE_MS = 3000  # a link is reported as one-way only this long after the member failed
+ONE_WAY_HEARD_MS = 2000  # and only if a packet of the member came within this time
 
 
 def broken_links(rows: Mapping[str, ReachabilityRow]) -> list[str]:
@@ -21,15 +21,15 @@
     """
     reports = {(row.reporter, name): hears for row in rows.values() for name, hears in row.unreachable}
     lines: dict[tuple[str, str], str] = {}
-    for (a, b), hears in reports.items():
-        pair = (min(a, b), max(a, b))
-        back = reports.get((b, a))
-        if back is None:
-            lines[pair] = f"{a} -> {b} lost" if hears else f"{a} gets no answer from {b}"
-        elif hears and back:
+    for (reporter, target), hears in reports.items():
+        pair = (min(reporter, target), max(reporter, target))
+        target_hears = reports.get((target, reporter))
+        if target_hears is None:
+            lines[pair] = f"{reporter} -> {target} lost" if hears else f"{reporter} gets no answer from {target}"
+        elif hears and target_hears:
             lines[pair] = f"{pair[0]} <-> {pair[1]} lossy"
-        elif hears or back:
-            lines[pair] = f"{a} -> {b} lost" if hears else f"{b} -> {a} lost"
+        elif hears or target_hears:
+            lines[pair] = f"{reporter} -> {target} lost" if hears else f"{target} -> {reporter} lost"
         else:
             lines[pair] = f"{pair[0]} <-> {pair[1]} cut"
     return [lines[pair] for pair in sorted(lines)]
@@ -98,7 +98,7 @@
             self._put(view, row)
 
     def one_way(self, view: View, now: float) -> list[str]:
-        """Members believed failed whose packets still arrive: they don't receive ours, or nobody does."""
+        """Members not present whose packets still arrive: they don't receive ours, or no member's."""
         return [
             name
             for name, entry in view.entries.items()
@@ -134,7 +134,7 @@
         self.lasting: set[str] = set()
 
     def compare(self, now: float, name: str, same: bool) -> bool:
-        """Note one packet's hash; true if it has differed for so long that views should be exchanged."""
+        """Record whether a packet's hash is the same; true once it has differed for `differ_ms`."""
         if same:
             self.end(name)
             return False
@@ -146,7 +146,7 @@
         self.lasting.discard(name)
 
     def take_lasting(self, now: float, view: View) -> list[str]:
-        """Members whose difference has just become a lasting one."""
+        """Members whose views have differed for `disagree_ms`, each returned once until its view is the same again."""
         names = []
         for name, since in list(self.since.items()):
             entry = view.entries.get(name)
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -17,10 +17,10 @@
     The defaults are for one data centre or a few near ones (round trips under 100 ms).
     """
 
-    probe_ms: int = 200  # one member is probed each so often
+    probe_ms: int = 200  # period in which one member is probed in turn
     reply_ms: int = 400  # direct and indirect answers of one probe must come within this
-    direct_min_ms: int = 60  # at least so long before others are asked to probe
-    direct_max_ms: int = 200  # at most so long
+    direct_min_ms: int = 60  # minimum wait for a direct answer before indirect probes are requested
+    direct_max_ms: int = 200  # maximum of that wait
     relays: int = 3  # members asked for an indirect probe
     suspect_min_ms: int = 1100  # from suspicion to failure, enough accusers
     suspect_max_ms: int = 1800  # the same, one accuser
@@ -30,15 +30,15 @@
     burst: int = 3  # probes a period beside the regular one, of members to check soon
     verify: float = 6.0  # members (on average) that check a suspicion they are notified of
     fanout: int = 3  # members that new updates are pushed to at once
-    push_ms: int = 10  # updates are gathered for so long before they are pushed
+    push_ms: int = 10  # updates are gathered for this time before they are pushed
     push_per_s: int = 20  # datagrams a second that only push updates, beside what rides on probes
     carry: int = 8  # updates in one datagram
     repeat: float = 3.0  # an update is sent this many times log2(n + 1)
     knock_ms: int = 400  # interval of pinging a failed member, and a seed that is missing
     sync_ms: int = 1000  # minimum time between requests of complete views; grows with the fleet
-    differ_ms: int = 300  # view hashes that differ for so long lead to an exchange of complete views
-    disagree_ms: int = 10_000  # view hashes that differ for so long are reported to the operators
-    forget_ms: int = 600_000  # failed members that are no voters, and those that left, are kept for so long
+    differ_ms: int = 300  # view hashes that differ for this time lead to an exchange of complete views
+    disagree_ms: int = 10_000  # view hashes that differ for this time are reported to the operators
+    forget_ms: int = 600_000  # failed members that are no voters, and those that left, are forgotten after this time
     cannot: int = 8  # maximum number of members in one reachability row
     link_tries: int = 3  # direct probes in a row that only indirect ones saved, until a link is reported as broken
 
@@ -101,8 +101,8 @@
     def isolated_ms(self) -> float:
         """A member without an answer from any other for longer than this (ms) counts no other voter.
 
-        One that receives from all but reaches nobody must not count them, though their refutations keep them alive to
-        it.
+        One that receives packets but whose own get lost must not count the others, although their refutations keep
+        them alive in its view.
         """
         return self.reply_ms * (1 + self.health_most) + self.suspect_min_ms
 
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -85,7 +85,7 @@
 
 
 class View:
-    """All other members known to one; oneself is part of `hash` only."""
+    """All other members that this member knows; it is itself part of `hash` only."""
 
     def __init__(self, self_id: str) -> None:
         self.self_id = self_id
@@ -98,7 +98,7 @@
         self.own_precedence: UpdatePrecedence | None = None
 
     def set_self(self, precedence: UpdatePrecedence) -> None:
-        """Replace one's own part of the hash."""
+        """Replace this member's own part of the hash."""
         if self.own_precedence is not None:
             self.hash ^= entry_hash(self.self_id, self.own_precedence)
         self.own_precedence = precedence
@@ -145,9 +145,9 @@
             self.failed.discard(name)
 
     def fill(self, updates: Sequence[MemberUpdate], now: float, view_hash: int) -> None:
-        """Start with all of these alive, oneself left out; for simulations of large fleets that joined long ago.
+        """Start with all of these alive, except this member; for simulations of large fleets that joined long ago.
 
-        `view_hash` is the hash of a view of all of them, oneself included.
+        `view_hash` is the hash of a view of all of them, this member included.
         """
         for update in updates:
             if update.name != self.self_id:
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -128,7 +128,7 @@
         if kind == codec.CPING and len(payload) == 1:
             self._handle_ping()
         elif kind in (codec.SHUTDOWN, codec.PING) and len(payload) == 1:
-            self.coordinator.counters.add("in.ignored.ajp")  # nobody may stop the server from afar
+            self.coordinator.counters.add("in.ignored.ajp")  # a gateway may not stop the server
         elif kind == codec.FORWARD and self.lifecycle.state == ConnectionState.IDLE:
             self._handle_request(payload)
         else:
--- a/myrtlespar/net/name_conflict.py
+++ b/myrtlespar/net/name_conflict.py
@@ -24,7 +24,7 @@
     """Who has the address."""
 
     PREDECESSOR = auto()  # an old process of our name
-    BOUND = auto()  # nobody any more: it was bound meanwhile
+    BOUND = auto()  # this process: the address became free and was bound
     UNKNOWN_PROGRAM = auto()
 
 
