--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -80,9 +80,9 @@
     """Cut a site off for 10 s, and return the time from its healing until all views are equal; 120 s at most."""
     isolated = frozenset(fleet.sites["a"])
     rest = frozenset((*fleet.sites["b"], *fleet.sites["c"]))
-    fleet.network.faults.put(1, FaultRule(isolated, rest, cut=True))
+    fleet.network.faults.add_rule(1, FaultRule(isolated, rest, cut=True))
     fleet.run(fleet.event_loop.now + 10_000)
-    fleet.network.faults.drop(1)
+    fleet.network.faults.remove_rule(1)
     healed = fleet.event_loop.now
     while fleet.event_loop.now < healed + 120_000:
         fleet.run(fleet.event_loop.now + 50)
@@ -130,7 +130,7 @@
     fleet.start()
     fleet.run(6000)
     names = frozenset(fleet.names)
-    fleet.network.faults.put(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
+    fleet.network.faults.add_rule(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
     sick = [name for row in sites.values() for name in row[::3]]
     for name in sick:
         at = 6000.0
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -2,7 +2,8 @@
 
 Member i binds 127.0.1.i and advertises 127.8.0.i, where the relay listens (UDP and TCP). The relay knows the sender
 by its source address and forwards from 127.8.0.sender, so each directed pair can be cut, slowed or degraded by itself.
-Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine).
+Member i reaches its services at 127.9.i.1 (store), .2 (roster), .3 (kernel) and .4 (engine); `faults.SERVICES` explains
+these names.
 
 Control: JSON lines on standard input, each answered by one on standard output. The first names the members and the
 seed; the answer names the port. Later ones: `on`, `off`, `target`, `stats`. End of input ends the process.
@@ -64,7 +65,11 @@
 
 
 class FaultProxy:
-    """All sockets between the members, and the faults in force."""
+    """All sockets between the members, and the faults in force.
+
+    A datagram is lost, delayed or duplicated as the faults decide. A stream stalls while its link is cut, and lost
+    segments come late, as with TCP.
+    """
 
     def __init__(self, members: list[str], seed: int) -> None:
         self.members = members
@@ -87,14 +92,14 @@
         raise OSError("no free port for the fault proxy")
 
     def command(self, row: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one line of the control; the answer."""
+        """Carry out one line of the control, and return the answer: `done` and the counters."""
         if "on" in row:
             rule = dict(row["rule"])
             rule["first"] = frozenset(rule["first"])
             rule["second"] = frozenset(rule["second"])
-            self.faults.put(row["on"], FaultRule(**rule))
+            self.faults.add_rule(row["on"], FaultRule(**rule))
         elif "off" in row:
-            self.faults.drop(row["off"])
+            self.faults.remove_rule(row["off"])
         elif "target" in row:
             service, member, port = row["target"]
             self.targets[service, member] = port
@@ -189,7 +194,7 @@
                 gevent.killall(pumps)
 
     def _route(self, local_host: str, peer_host: str) -> StreamRoute | None:
-        """Where a connection accepted at `local_host` goes; None if no member made it."""
+        """Where a connection accepted at `local_host` goes; None if it came to a member but from none."""
         parts = local_host.split(".")
         if parts[1] == "9":
             member = self.members[int(parts[2]) - 1]
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -1,6 +1,6 @@
 """What was true when: which members ran, and which links held.
 
-Built from what the launcher (or the simulation) did, not from what members say. Times are milliseconds from the start
+Built from what the launcher (or the simulation) did, not from what members log. Times are milliseconds from the start
 of a run.
 """
 
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True)
 class TruthInterval:
-    """What held from `at` until the next interval.
+    """What was true from `at` until the next interval.
 
-    Members that the same rules name are one kind: links are those of kinds, so that an interval of thousands of members
-    is small.
+    Members that the same rules name are of one kind. Links are stored between kinds, not members, so that an interval
+    of thousands of members is small.
     """
 
     at: float
@@ -43,35 +43,41 @@
     all_links_good: bool  # no link that is not cut loses or delays so much that refutations are common
     reachable: Matrix  # some chain of links that are not cut leads from one to the other
 
-    def linked(self, a: str, b: str) -> bool:
-        """Both run, and hear each other directly or through one other member, over reliable links."""
-        if a not in self.running or b not in self.running:
+    def linked(self, first: str, second: str) -> bool:
+        """Whether both run and reach each other directly or through one other member, over reliable links."""
+        if first not in self.running or second not in self.running:
             return False
-        kind_a = self.kinds[a]
-        kind_b = self.kinds[b]
-        return self.reliable[kind_a][kind_b] or any(
-            self.reliable[kind_a][middle]
-            and self.reliable[middle][kind_b]
-            and count > (middle == kind_a) + (middle == kind_b)  # a member that is neither a nor b
+        first_kind = self.kinds[first]
+        second_kind = self.kinds[second]
+        return self.reliable[first_kind][second_kind] or any(
+            self.reliable[first_kind][middle]
+            and self.reliable[middle][second_kind]
+            and count > (middle == first_kind) + (middle == second_kind)  # there is a third member of that kind
             for middle, count in enumerate(self.counts)
         )
 
-    def apart(self, a: str, b: str) -> bool:
-        """`a` runs, and `b` does not, or no chain of members leads there or none leads back."""
-        if a not in self.running:
+    def apart(self, observer: str, member: str) -> bool:
+        """Whether the observer runs, and the member does not or a chain of links leads at most one way.
+
+        Neither `linked` nor `apart` is true where a lossy link leaves open what the observer should believe.
+        """
+        if observer not in self.running:
             return False
-        if b not in self.running:
+        if member not in self.running:
             return True
-        kind_a = self.kinds[a]
-        kind_b = self.kinds[b]
-        return not (self.reachable[kind_a][kind_b] and self.reachable[kind_b][kind_a])
+        observer_kind = self.kinds[observer]
+        member_kind = self.kinds[member]
+        return not (self.reachable[observer_kind][member_kind] and self.reachable[member_kind][observer_kind])
 
 
 class GroundTruth:
     """The intervals of one run."""
 
     def __init__(self, members: Sequence[str], actions: Iterable[FaultAction], end: float, short_ms: float) -> None:
-        """Pauses (SIGSTOP) of at most `short_ms` are left out: nobody may notice them."""
+        """Derive the intervals from the actions; all times are ms from the start of the run.
+
+        Pauses (SIGSTOP) of at most `short_ms` are left out: no member may be declared failed for them.
+        """
         self.members = tuple(members)
         self.end = end
         self.actions = _without_short_pauses(sorted(actions, key=lambda action: action.at), short_ms)
@@ -121,9 +127,9 @@
         elif action.kind == "resume":
             self.paused.discard(action.name)
         elif action.kind == "rule_on" and action.rule is not None:
-            self.faults.put(action.number, action.rule)
+            self.faults.add_rule(action.number, action.rule)
         else:
-            self.faults.drop(action.number)
+            self.faults.remove_rule(action.number)
 
     def interval(self, at: float) -> TruthInterval:
         """The interval that begins now."""
@@ -135,7 +141,7 @@
         for name, kind in kinds.items():
             counts[kind] += 1
             examples[kind] = name
-        # A rule holds between two members by what it says of their kinds, also within one kind.
+        # Whether a rule applies depends on the kinds of the two members alone, also within one kind.
         links = [[self.faults.link(first, second) for second in examples] for first in examples]
         return TruthInterval(
             at,
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -29,11 +29,11 @@
     update: MemberUpdate
     since: float  # when it came to this state in our view
     evidence: float  # when the freshest evidence of this state was made
-    heard: float = float("-inf")  # last packet from the member itself
+    heard: float = float("-inf")  # when the last packet from the member itself came
     answered: float = float("-inf")  # its last answer to a probe of ours
     probed: float = float("-inf")  # start of our last probe of it
-    packet_incarnation: int = 0  # of its packets
-    highest_sequence_number: int = 0  # of its packets
+    packet_incarnation: int = 0  # the latest one that its packets stated
+    highest_sequence_number: int = 0  # of its packets within that incarnation
     received_packets: int = 0  # bit n: the packet n before the highest one was received
     missed_probes: int = 0  # direct probes in a row that only indirect ones saved
     missed_since: float = 0.0  # of the first of these
@@ -85,7 +85,7 @@
 
 
 class View:
-    """All other members known to one; oneself is part of `hash` only."""
+    """All other members that this member knows; it is itself part of `hash` only."""
 
     def __init__(self, self_id: str) -> None:
         self.self_id = self_id
@@ -98,7 +98,7 @@
         self.own_precedence: UpdatePrecedence | None = None
 
     def set_self(self, precedence: UpdatePrecedence) -> None:
-        """Replace one's own part of the hash."""
+        """Replace this member's own part of the hash."""
         if self.own_precedence is not None:
             self.hash ^= entry_hash(self.self_id, self.own_precedence)
         self.own_precedence = precedence
@@ -145,9 +145,9 @@
             self.failed.discard(name)
 
     def fill(self, updates: Sequence[MemberUpdate], now: float, view_hash: int) -> None:
-        """Start with all of these alive, oneself left out; for simulations of large fleets that joined long ago.
+        """Start with all of these alive, except this member; for simulations of large fleets that joined long ago.
 
-        `view_hash` is the hash of a view of all of them, oneself included.
+        `view_hash` is the hash of a view of all of them, this member included.
         """
         for update in updates:
             if update.name != self.self_id:
@@ -173,7 +173,7 @@
         entry.evidence = now
 
     def next_to_probe(self, random: Random, busy: Container[str]) -> str | None:
-        """Of three present members sampled that are not in `busy`, the one least recently probed.
+        """Of PROBE_CANDIDATES sampled present members that are not in `busy`, the one least recently probed.
 
         Sampling keeps the members' turns apart: in one common order all would probe one member at once, and then none
         for long.
