--- a/myrtlespar/config/operator_file.py
+++ b/myrtlespar/config/operator_file.py
@@ -67,7 +67,9 @@
 
 def _idempotency_limits(table: ConfigTable, config: Config) -> ResourceLimits:
     """Return the limits with the operator's, but never a shorter time than the window of a class with keys."""
-    windows_ms = [kind.window_ms for kind in config.settings.classes if kind.effect is api.Effect.KEYED]
+    windows_ms = [
+        request_class.window_ms for request_class in config.settings.classes if request_class.effect is api.Effect.KEYED
+    ]
     remember_ms = table.number("remember_ms", ResourceLimits().idempotency_key_ms, 1, MAX_REMEMBER_MS)
     return replace(
         config.limits,
--- a/myrtlespar/config/platform_file.py
+++ b/myrtlespar/config/platform_file.py
@@ -101,7 +101,7 @@
 
 def _dependency_address(root: ConfigTable, settings: api.Settings) -> Address | None:
     """Return the dependency's address, which a configuration without calls does not need."""
-    required = any(kind.calls for kind in settings.classes)
+    required = any(request_class.calls for request_class in settings.classes)
     return root.address("store") if required or root.has("store") else None
 
 
@@ -111,5 +111,5 @@
     It can neither stop a run nor let one go on without its call. Were the policy to decide on such an action, nothing
     would carry it out and the run would hang.
     """
-    classes = [replace(kind, degraded_weight=0.0) for kind in settings.classes]
+    classes = [replace(request_class, degraded_weight=0.0) for request_class in settings.classes]
     return replace(settings, can_stop=False, classes=classes)
--- a/myrtlespar/config/sizing.py
+++ b/myrtlespar/config/sizing.py
@@ -41,7 +41,9 @@
     resources = root.table("limits")
     descriptors = _descriptors(resources)
     spare_memory_kb = 1024 * (resources.number("memory_mb", DEFAULT_MEMORY_MB, 1, MAX_RESOURCE) - BASE_MEMORY_MB)
-    windows_ms = [kind.window_ms for kind in settings.classes if kind.effect is api.Effect.KEYED]
+    windows_ms = [
+        request_class.window_ms for request_class in settings.classes if request_class.effect is api.Effect.KEYED
+    ]
     keys_memory_kb = spare_memory_kb * IDEMPOTENCY_KEYS_MEMORY_FRACTION if windows_ms else 0.0
     default_dependency_connections = ResourceLimits().max_dependency_connections
     dependency_connections = max(
--- a/myrtlespar/policy/admission.py
+++ b/myrtlespar/policy/admission.py
@@ -68,14 +68,16 @@
     def _set_deadlines(self, request: HeldRequest, event: Arrival) -> None:
         """Set the hard deadline, until when an answer is useful, and the cost told by the caller's hint."""
         now = self._clock.now
-        cls = request.class_index
-        caller_due = event.deadline if event.deadline > 0 else request.arrived + self._classes[cls].client_timeout_ms
+        class_index = request.class_index
+        caller_due = (
+            event.deadline if event.deadline > 0 else request.arrived + self._classes[class_index].client_timeout_ms
+        )
         request.answer_due = min(max(caller_due, now), max(now, self._drain.answers_due_at))
         age_ms = self._client_timeouts.retry_age_ms(request, event.deadline)
         request.is_retry = event.is_retry if self._marks_retries else age_ms > 0
         first_sent = request.arrived - (age_ms if request.is_retry else 0.0)
         request.relative_cost = self._costs.hints.relative_cost(request)
-        useful_until = first_sent + self._costs.objectives_ms[cls]
+        useful_until = first_sent + self._costs.objectives_ms[class_index]
         if self._is_inner_tier and event.deadline > 0:
             useful_until = request.answer_due
         caller_leaves_at = request.arrived + self._client_timeouts.timeout_ms(request)
@@ -113,12 +115,12 @@
 
     def _hold(self, request: HeldRequest) -> None:
         """Queue a request, or set it aside if it is costly and there is overload."""
-        kind = self._classes[request.class_index]
+        request_class = self._classes[request.class_index]
         request.is_over_quota = self._quotas.is_over_quota(request.tenant)
         request.lane = 2 * request.class_index + int(request.is_over_quota)
         self._costs.note_arrival(request)
-        if kind.effect is Effect.KEYED:
-            self._keys.keep(request, kind.window_ms - (self._clock.now - request.arrived) + self._round_ms)
+        if request_class.effect is Effect.KEYED:
+            self._keys.keep(request, request_class.window_ms - (self._clock.now - request.arrived) + self._round_ms)
         self._quotas.reserve(request)
         if self._overload.is_overloaded and self._costs.is_costly(request.lane):
             self._overload.set_aside(request, self._capacity.others_have_capacity(request))
--- a/myrtlespar/policy/circuit_breaker.py
+++ b/myrtlespar/policy/circuit_breaker.py
@@ -6,7 +6,7 @@
 from myrtlespar.policy.learning import FAST_WEIGHT
 from myrtlespar.policy.policy_clock import PolicyClock
 
-OPEN_FAILED_PART = 0.5  # part of calls failing at which the call is skipped where a degraded result has weight
+OPEN_FAILED_FRACTION = 0.5  # fraction of calls failing at which the call is skipped where a degraded result has weight
 
 
 class CircuitBreaker:
@@ -14,7 +14,7 @@
 
     Attributes:
         is_open: Most calls fail: calls that can be skipped are skipped.
-        failed_part: Part of calls that lately failed.
+        failed_fraction: Fraction of calls that lately failed.
         usual_call_ms: For each class how long a good call takes; 0 until one has come back.
     """
 
@@ -24,20 +24,20 @@
         self._probe_interval_ms = probe_interval_ms
         self._last_call = 0.0
         self.is_open = False
-        self.failed_part = 0.0
+        self.failed_fraction = 0.0
         self.usual_call_ms = [0.0] * classes
 
     def note_call(self) -> None:
         """A call is made; while the breaker is open it is the trial."""
         self._last_call = self._clock.now
 
-    def note_result(self, cls: int, succeeded: bool, elapsed_ms: float) -> None:
+    def note_result(self, class_index: int, succeeded: bool, elapsed_ms: float) -> None:
         """Take in how a call ended, and open or close the breaker."""
-        self.failed_part += FAST_WEIGHT * ((0.0 if succeeded else 1.0) - self.failed_part)
+        self.failed_fraction += FAST_WEIGHT * ((0.0 if succeeded else 1.0) - self.failed_fraction)
         if succeeded:
-            usual_ms = self.usual_call_ms[cls]
-            self.usual_call_ms[cls] += (FAST_WEIGHT if usual_ms else 1.0) * (elapsed_ms - usual_ms)
-        if self.is_open != (self.failed_part > OPEN_FAILED_PART):
+            usual_ms = self.usual_call_ms[class_index]
+            self.usual_call_ms[class_index] += (FAST_WEIGHT if usual_ms else 1.0) * (elapsed_ms - usual_ms)
+        if self.is_open != (self.failed_fraction > OPEN_FAILED_FRACTION):
             self.is_open = not self.is_open
             self._actions.log("dependency cut off: calls fail" if self.is_open else "dependency is back")
 
--- a/myrtlespar/policy/client_timeouts.py
+++ b/myrtlespar/policy/client_timeouts.py
@@ -8,13 +8,13 @@
 from myrtlespar.policy.learning import FAST_WEIGHT, SURE_RUNS
 from myrtlespar.policy.settings import Settings
 
-AGREEMENT_PART = 0.1  # part of a learned timeout within which departures count as agreeing with it
-MIN_AGREEMENT = 0.4  # part of a caller's departures that must agree before its timeout is believed
+AGREEMENT_FRACTION = 0.1  # fraction of a learned timeout within which departures count as agreeing with it
+MIN_AGREEMENT = 0.4  # fraction of a caller's departures that must agree before its timeout is believed
 DISAGREEMENT_WEIGHT = 0.3  # of a later departure that does not agree
 MAX_KNOWN_CALLERS = 200  # callers and classes whose timeout is remembered; the oldest goes first
-SAME_WAIT_PART = 0.01  # part by which a passed wait may differ and still be the caller's usual one
+SAME_WAIT_FRACTION = 0.01  # fraction by which a passed wait may differ and still be the caller's usual one
 MAX_KNOWN_WAITS = 4  # usual waits of a class that are remembered at a time
-RARE_WAIT_PART = 0.2  # part of the commonest wait's count below which a wait is no first attempt's
+RARE_WAIT_FRACTION = 0.2  # fraction of the commonest wait's count below which a wait is no first attempt's
 MAX_WAIT_COUNT = 5.0 * SURE_RUNS  # a usual wait counts no more than this, so that a new one can replace it
 
 
@@ -70,7 +70,7 @@
             known = self.timeouts[key] = LearnedTimeout(age_ms)
         if len(self.timeouts) > MAX_KNOWN_CALLERS:
             self.timeouts.pop(next(iter(self.timeouts)))
-        agrees = abs(age_ms - known.timeout_ms) < AGREEMENT_PART * known.timeout_ms
+        agrees = abs(age_ms - known.timeout_ms) < AGREEMENT_FRACTION * known.timeout_ms
         known.agreement += FAST_WEIGHT * (float(agrees) - known.agreement)
         weight = 1.0 if age_ms < known.timeout_ms or agrees else DISAGREEMENT_WEIGHT
         known.timeout_ms += FAST_WEIGHT * (age_ms - known.timeout_ms) * weight
@@ -83,10 +83,12 @@
         """
         if deadline <= 0 or self._is_inner_tier:
             return 0.0
-        cls = request.class_index
+        class_index = request.class_index
         wait_ms = deadline - request.arrived
-        waits = self.usual_waits[cls]
-        near = next((usual for usual in waits if abs(wait_ms - usual.wait_ms) <= SAME_WAIT_PART * usual.wait_ms), None)
+        waits = self.usual_waits[class_index]
+        near = next(
+            (usual for usual in waits if abs(wait_ms - usual.wait_ms) <= SAME_WAIT_FRACTION * usual.wait_ms), None
+        )
         if near is not None:
             near.count = min(near.count + 1.0, MAX_WAIT_COUNT)
         elif len(waits) < MAX_KNOWN_WAITS:
@@ -94,8 +96,8 @@
         else:
             for usual in waits:
                 usual.count -= 1.0
-            self.usual_waits[cls] = [usual for usual in waits if usual.count > 0]
+            self.usual_waits[class_index] = [usual for usual in waits if usual.count > 0]
         most = max((usual.count for usual in waits), default=0.0)
-        if (near.count if near is not None else 0.0) <= RARE_WAIT_PART * most - 1.0:
-            return max(0.0, self._classes[cls].client_timeout_ms - wait_ms)
+        if (near.count if near is not None else 0.0) <= RARE_WAIT_FRACTION * most - 1.0:
+            return max(0.0, self._classes[class_index].client_timeout_ms - wait_ms)
         return 0.0
--- a/myrtlespar/policy/concurrency_limit.py
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -7,13 +7,14 @@
 from myrtlespar.policy.server_capacity import ServerCapacity
 from myrtlespar.policy.settings import Settings
 
-MAX_SURVIVABLE_PART = 0.9  # part of the survivable concurrency that is used even if every call came back at once
+# Of the survivable concurrency, for runs on the cores and at calls together: all calls may come back at once.
+MAX_SURVIVABLE_FRACTION = 0.9
 MAX_LIMIT_PER_CORE = 1.2  # times the cores: the most the limit may reach; more only slows all runs
-READING_LATE_PART = 0.5  # part of the cores that runs may take while arrivals wait unread past O
+READING_LATE_FRACTION = 0.5  # fraction of the cores that runs may take while arrivals wait unread past O
 LIMIT_RISE = 1.0  # runs that the limit gains in a tick with idle cores and queued work
 LIMIT_FALL = 0.25  # runs that it loses in a tick with all cores busy
-IDLE_BELOW = 0.92  # part of the cores busy below which some idle
-BUSY_ABOVE = 0.99  # part of the cores busy above which all are taken
+IDLE_BELOW = 0.92  # fraction of the cores busy below which some idle
+BUSY_ABOVE = 0.99  # fraction of the cores busy above which all are taken
 
 
 class ConcurrencyLimit:
@@ -50,16 +51,16 @@
             speed = min(1.0, settings.cold_from + (1 - settings.cold_from) * warmed)
         return (1 + (settings.fall_multiple - 1) * speed) * self._cores
 
-    def adjust(self, busy_part: float, is_work_waiting: bool) -> None:
-        """Move the limit by the part of the cores that was busy in the last tick."""
-        if busy_part < IDLE_BELOW and is_work_waiting:
+    def adjust(self, busy_fraction: float, is_work_waiting: bool) -> None:
+        """Move the limit by the fraction of the cores that was busy in the last tick."""
+        if busy_fraction < IDLE_BELOW and is_work_waiting:
             self.limit = min(self.limit + LIMIT_RISE, MAX_LIMIT_PER_CORE * self._cores, self.survivable_concurrency())
-        elif busy_part > BUSY_ABOVE:
+        elif busy_fraction > BUSY_ABOVE:
             self.limit = max(float(self._cores), self.limit - LIMIT_FALL)
 
     def running_limit(self, is_reading_late: bool) -> float:
         """Runs that may be on the cores: fewer while arrivals wait unread, as runs slow reading too."""
-        return READING_LATE_PART * self._cores if is_reading_late else self.limit
+        return READING_LATE_FRACTION * self._cores if is_reading_late else self.limit
 
     def enter_core(self, request: HeldRequest) -> None:
         """A run starts."""
--- a/myrtlespar/policy/cost_estimates.py
+++ b/myrtlespar/policy/cost_estimates.py
@@ -9,8 +9,8 @@
 from myrtlespar.policy.settings import Settings
 
 COSTLY_FACTOR = 1.25  # times the mean cost per weight: above it a class is costly (the costliest always is)
-INNER_TIER_PART = 0.5  # part of the latency objective left for an inner tier: its caller spends the rest
-INITIAL_COST_PART = 0.1  # part of the latency objective taken as a class's core time until a run has shown it
+INNER_TIER_FRACTION = 0.5  # fraction of the latency objective left for an inner tier: its caller spends the rest
+INITIAL_COST_FRACTION = 0.1  # fraction of the latency objective taken as a class's core time until a run has shown it
 MAX_PACE_SAMPLE = 20.0  # times the usual cost: the most that one run counts in the pace
 MIN_CORE_MS = 0.001  # core time by which costs are divided at the least
 
@@ -34,9 +34,11 @@
         self._weighs_by_work = settings.weight_by_work
         self._classes = settings.classes
         self._over_quota_weight = settings.over_quota_weight
-        objective_part = INNER_TIER_PART if settings.tier > 0 else 1.0
-        self.objectives_ms = [kind.latency_objective_ms * objective_part for kind in settings.classes]
-        self.usual_core_ms = [INITIAL_COST_PART * objective for objective in self.objectives_ms]
+        objective_fraction = INNER_TIER_FRACTION if settings.tier > 0 else 1.0
+        self.objectives_ms = [
+            request_class.latency_objective_ms * objective_fraction for request_class in settings.classes
+        ]
+        self.usual_core_ms = [INITIAL_COST_FRACTION * objective for objective in self.objectives_ms]
         self.elapsed_ms = [2.0 * cost for cost in self.usual_core_ms]
         self.runs_seen = [0] * len(settings.classes)
         self.pace = 1.0
@@ -45,9 +47,9 @@
         self.mean_weight = 0.0
         self.hints = CostHints(len(settings.classes))
 
-    def core_ms(self, cls: int) -> float:
+    def core_ms(self, class_index: int) -> float:
         """Core time of a run of this class at the present pace."""
-        return self.usual_core_ms[cls] * self.pace
+        return self.usual_core_ms[class_index] * self.pace
 
     def weight(self, lane: int) -> float:
         """Priority weight of the work in a lane."""
@@ -59,7 +61,7 @@
 
     def is_costly(self, lane: int) -> bool:
         """Whether cost per weight is well above what arrives on average, or the highest of all classes."""
-        worst = min(self.weight_per_cost(2 * cls) for cls in range(len(self._classes)))
+        worst = min(self.weight_per_cost(2 * class_index) for class_index in range(len(self._classes)))
         mean = self.mean_weight / (1.0 if self._weighs_by_work else max(MIN_CORE_MS, self.mean_core_ms))
         own = self.weight_per_cost(lane)
         return own <= worst or own * COSTLY_FACTOR < mean
@@ -85,19 +87,21 @@
 
     def learn(self, request: HeldRequest, elapsed_ms: float) -> None:
         """Take in a complete run: its core time, its elapsed time, and what they say of the present pace."""
-        cls = request.class_index
-        self.runs_seen[cls] += 1
-        seen = self.runs_seen[cls]
+        class_index = request.class_index
+        self.runs_seen[class_index] += 1
+        seen = self.runs_seen[class_index]
         core_ms = request.core_ms / request.relative_cost
-        self.hints.learn(request, request.core_ms / max(MIN_CORE_MS, self.core_ms(cls)), self.runs_seen)
-        self.usual_core_ms[cls] += max(1.0 / seen, SLOW_WEIGHT) * (core_ms / self.pace - self.usual_core_ms[cls])
-        self.elapsed_ms[cls] += max(1.0 / seen, FAST_WEIGHT / 2) * (
-            elapsed_ms / request.relative_cost - self.elapsed_ms[cls]
+        self.hints.learn(request, request.core_ms / max(MIN_CORE_MS, self.core_ms(class_index)), self.runs_seen)
+        self.usual_core_ms[class_index] += max(1.0 / seen, SLOW_WEIGHT) * (
+            core_ms / self.pace - self.usual_core_ms[class_index]
+        )
+        self.elapsed_ms[class_index] += max(1.0 / seen, FAST_WEIGHT / 2) * (
+            elapsed_ms / request.relative_cost - self.elapsed_ms[class_index]
         )
         if seen > SURE_RUNS:
-            ratio = min(MAX_PACE_SAMPLE, core_ms / max(MIN_CORE_MS, self.usual_core_ms[cls]))
+            ratio = min(MAX_PACE_SAMPLE, core_ms / max(MIN_CORE_MS, self.usual_core_ms[class_index]))
             self.pace += FAST_WEIGHT / 3 * (ratio - self.pace)
 
-    def lower_elapsed(self, cls: int) -> None:
+    def lower_elapsed(self, class_index: int) -> None:
         """Doubt the elapsed time of a class: one long run must not shut it out, as no other run would correct it."""
-        self.elapsed_ms[cls] *= 1.0 - FAST_WEIGHT / 2
+        self.elapsed_ms[class_index] *= 1.0 - FAST_WEIGHT / 2
--- a/myrtlespar/policy/cost_hints.py
+++ b/myrtlespar/policy/cost_hints.py
@@ -34,10 +34,10 @@
         """Take in that a run cost `cost_ratio` times what was expected of its class."""
         if math.isnan(request.log_cost_hint):
             return
-        cls = request.class_index
-        mean = self._mean_log_hint[cls]
+        class_index = request.class_index
+        mean = self._mean_log_hint[class_index]
         deviation = 0.0 if math.isnan(mean) else request.log_cost_hint - mean
-        self._mean_log_hint[cls] = request.log_cost_hint if math.isnan(mean) else mean + FAST_WEIGHT * deviation
+        self._mean_log_hint[class_index] = request.log_cost_hint if math.isnan(mean) else mean + FAST_WEIGHT * deviation
         weight = max(SLOW_WEIGHT, 1.0 / (SURE_RUNS + sum(runs_seen)))
         self._hint_variance += weight * (deviation * deviation - self._hint_variance)
         self._hint_cost_covariance += weight * (
--- a/myrtlespar/policy/delayed_rejection.py
+++ b/myrtlespar/policy/delayed_rejection.py
@@ -9,9 +9,9 @@
 from myrtlespar.policy.policy_clock import PolicyClock
 from myrtlespar.policy.priority_queues import PriorityQueues
 
-OVERLOAD_SLACK_PART = 0.25  # O, part of the tightest slack: later answers would start to miss their objective
-ABATEMENT_PART = 0.4  # A, part of O: far enough below it that one burst moves the flag once
-T1_SLACK_PART = 0.75  # T1, part of a request's slack: time for a burst to pass, and for the rejection to be of use
+OVERLOAD_SLACK_FRACTION = 0.25  # O, fraction of the tightest slack: later answers would start to miss their objective
+ABATEMENT_FRACTION = 0.4  # A, fraction of O: far enough below it that one burst moves the flag once
+T1_SLACK_FRACTION = 0.75  # T1, fraction of a request's slack: a burst can pass, and a rejection is still of use
 MIN_OVERLOAD_MARK_MS = 1.0  # a latency objective of nothing still leaves a mark
 UNREAD_DECAY = 0.98  # what a tick leaves of the unread time
 
@@ -34,7 +34,7 @@
 
     def overload_mark_ms(self) -> float:
         """O: the wait above which this server is overloaded."""
-        return max(MIN_OVERLOAD_MARK_MS, OVERLOAD_SLACK_PART * self._costs.tightest_slack_ms())
+        return max(MIN_OVERLOAD_MARK_MS, OVERLOAD_SLACK_FRACTION * self._costs.tightest_slack_ms())
 
     def wait_ms(self, with_set_aside: bool = True) -> float:
         """Time the work now waiting would need from all cores, and what arrivals waited unread."""
@@ -60,18 +60,18 @@
         if not self.is_overloaded and wait > mark:
             self.is_overloaded = True
             self._actions.log(f"overload flag up: wait {wait:.0f} ms passed {mark:.0f} ms")
-        elif self.is_overloaded and wait < ABATEMENT_PART * mark:
+        elif self.is_overloaded and wait < ABATEMENT_FRACTION * mark:
             self.is_overloaded = False
             self._actions.log(f"overload flag down: wait {wait:.0f} ms")
 
     def set_aside(self, request: HeldRequest, others_have_capacity: bool) -> None:
         """Set a costly request aside and start its timer T1, a shorter one where others have capacity."""
-        part = T1_SLACK_PART / 3 if others_have_capacity else T1_SLACK_PART
+        fraction = T1_SLACK_FRACTION / 3 if others_have_capacity else T1_SLACK_FRACTION
         slack_ms = max(0.0, self._costs.latest_start(request) - self._clock.now)
-        request.set_aside_until = self._clock.now + part * slack_ms
+        request.set_aside_until = self._clock.now + fraction * slack_ms
         self._queues.set_aside(request)
 
     def cannot_start_in_time(self, request: HeldRequest) -> bool:
         """Whether the work that already waits takes most of what is left until the request's latest start."""
         queue_ms = self.wait_ms() - self.unread_ms
-        return queue_ms > T1_SLACK_PART * (self._costs.latest_start(request) - self._clock.now) > 0
+        return queue_ms > T1_SLACK_FRACTION * (self._costs.latest_start(request) - self._clock.now) > 0
--- a/myrtlespar/policy/dependency_calls.py
+++ b/myrtlespar/policy/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls of runs to the shared dependency: when each is made, made again or skipped, and how many are in hand."""
+"""Calls of runs to the shared dependency: when each is made, made again or skipped, and how many are in flight."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from myrtlespar.policy.server_state import ServerState
 from myrtlespar.policy.settings import Effect
 
-MAX_MEAN_PART = 0.6  # part of the share of calls in hand that their mean may use; at a moment all of it may
+MAX_MEAN_FRACTION = 0.6  # fraction of the share of calls in flight that their mean may use; at a moment all of it may
 CALL_BACKOFF_MS = 50.0  # before a call that never ran is made again; doubles
-MIN_FAILED_PART = 0.01  # of calls, by which their usual time is divided at the least
+MIN_FAILED_FRACTION = 0.01  # of calls, by which their usual time is divided at the least
 NEVER_RAN = (RunOutcome.REJECTED, RunOutcome.UNREACHABLE, RunOutcome.MOOT)
 
 
 class DependencyCalls:
-    """Runs that wait for their call, and the calls that the dependency has in hand.
+    """Runs that wait for their call, and the calls that the dependency has in flight.
 
     Attributes:
         waiting: Runs whose call is not made yet.
-        in_hand: Calls that are under way.
-        mean_in_hand: Calls in hand on average, those that linger included.
+        in_flight: Calls that are under way.
+        mean_in_flight: Calls in flight on average, those that linger included.
         breaker: The circuit breaker of the dependency.
         fleet: Limits of all servers together, or None.
     """
@@ -45,8 +45,8 @@
         self._lingering_until: deque[float] = deque()  # when abandoned calls may leave the dependency's hands
         self.breaker = breaker
         self.waiting: deque[HeldRequest] = deque()
-        self.in_hand = 0
-        self.mean_in_hand = 0.0
+        self.in_flight = 0
+        self.mean_in_flight = 0.0
         self.fleet: FleetLimitsPort | None = None
 
     def advance(self, step_ms: float) -> None:
@@ -55,7 +55,7 @@
         while lingering and lingering[0] <= self._clock.now:
             lingering.popleft()
         weight = min(1.0, step_ms / self._mean_over_ms)
-        self.mean_in_hand += (self.in_hand + len(lingering) - self.mean_in_hand) * weight
+        self.mean_in_flight += (self.in_flight + len(lingering) - self.mean_in_flight) * weight
 
     def request_call(self, request: HeldRequest) -> None:
         """A run has left its core for a call; it is failed if its answer is of no use any more."""
@@ -71,12 +71,12 @@
 
     def abandon(self, request: HeldRequest) -> None:
         """A run ends with its call under way: the call may stay in the dependency's hands for a while."""
-        self.in_hand -= 1
+        self.in_flight -= 1
         self._linger(request)
 
     def end_call(self, request: HeldRequest, event: CallEnded) -> None:
         """Let a run go on after a good call; else go on without it, wait for another one, or fail."""
-        self.in_hand -= 1
+        self.in_flight -= 1
         succeeded = event.outcome is RunOutcome.OK
         self.breaker.note_result(request.class_index, succeeded, event.elapsed_ms)
         if event.outcome is RunOutcome.TIMED_OUT:
@@ -89,10 +89,10 @@
             return
         if request.answered:
             return
-        kind = self._settings.classes[request.class_index]
-        if kind.degraded_weight > 0:
+        request_class = self._settings.classes[request.class_index]
+        if request_class.degraded_weight > 0:
             self._skip(request)
-        elif event.outcome in NEVER_RAN or kind.effect is Effect.SAFE:
+        elif event.outcome in NEVER_RAN or request_class.effect is Effect.SAFE:
             request.call_attempts += 1
             request.call_retry_at = self._clock.now + self._backoff_ms * 2**request.call_attempts
             self.waiting.append(request)
@@ -110,8 +110,8 @@
 
     def _decide(self, request: HeldRequest) -> bool:
         """Call, or go on without where a degraded result has weight and the call is unlikely to help; False to wait."""
-        kind = self._settings.classes[request.class_index]
-        if kind.degraded_weight > 0:
+        request_class = self._settings.classes[request.class_index]
+        if request_class.degraded_weight > 0:
             limit_ms = self._skippable_limit_ms(request)
             if (
                 self.breaker.blocks_call()
@@ -125,24 +125,24 @@
             if not self._has_share(1) or not self._fleet_admits(request):
                 return False
             limit_ms = request.answer_due - self._clock.now
-            if not kind.late_weight and self._settings.passes_deadline:
+            if not request_class.late_weight and self._settings.passes_deadline:
                 limit_ms = request.useful_until - self._clock.now  # passed on to the dependency
         self.breaker.note_call()
         request.state = CALLING
-        self.in_hand += 1
+        self.in_flight += 1
         self._actions.append(Call(request.id, max(self._settings.round_ms, limit_ms)))
         return True
 
     def _skippable_limit_ms(self, request: HeldRequest) -> float:
         """How long to wait for a call without which the run can still go on."""
-        cls = request.class_index
+        class_index = request.class_index
         share = self._settings.calls_share
-        limit_ms = request.useful_until - self._clock.now - self._costs.core_ms(cls) / 2
-        usual_ms = self.breaker.usual_call_ms[cls]
+        limit_ms = request.useful_until - self._clock.now - self._costs.core_ms(class_index) / 2
+        usual_ms = self.breaker.usual_call_ms[class_index]
         if usual_ms:  # calls may hang: the more fail, the shorter the wait
-            limit_ms = min(limit_ms, usual_ms / max(MIN_FAILED_PART, self.breaker.failed_part))
+            limit_ms = min(limit_ms, usual_ms / max(MIN_FAILED_FRACTION, self.breaker.failed_fraction))
         if 0 < share < self._cores:  # calls must not fill so small a share
-            limit_ms = min(limit_ms, MAX_MEAN_PART * share * self._settings.calls_over_ms / self._cores)
+            limit_ms = min(limit_ms, MAX_MEAN_FRACTION * share * self._settings.calls_over_ms / self._cores)
         return limit_ms
 
     def _skip(self, request: HeldRequest) -> None:
@@ -157,14 +157,14 @@
             self._lingering_until.append(self._clock.now + linger_ms)
 
     def _has_share(self, at_once: int) -> bool:
-        """Keep calls in hand well within the share in the mean, and at a moment within it or `at_once`.
+        """Keep calls in flight well within the share in the mean, and at a moment within it or `at_once`.
 
         Otherwise all servers may fill their shares at once, abandoned calls that linger included: the dependency
         counts those for as long as it may keep them.
         """
-        held = self.in_hand + len(self._lingering_until)
-        return held < max(at_once, self._share) and self.mean_in_hand < MAX_MEAN_PART * self._share
+        held = self.in_flight + len(self._lingering_until)
+        return held < max(at_once, self._share) and self.mean_in_flight < MAX_MEAN_FRACTION * self._share
 
     def _fleet_admits(self, request: HeldRequest) -> bool:
-        """Whether all servers together may have one more call in hand; the own share is a bound beside it."""
+        """Whether all servers together may have one more call in flight; the own share is a bound beside it."""
         return self.fleet is None or self.fleet.admit_call(request.id, request.class_index)
--- a/myrtlespar/policy/fault_detection.py
+++ b/myrtlespar/policy/fault_detection.py
@@ -10,7 +10,7 @@
 
 SLOWED_PACE = 1.7  # times the usual pace: this server itself is slow, others are likely better
 HANG_RUNS = 12  # runs of the longest class that the cores could have ended: if none moved meanwhile, they hang
-FAILING_PART = 0.5  # part of own runs failing from which on others serve a request better
+FAILING_FRACTION = 0.5  # fraction of own runs failing from which on others serve a request better
 PROBE_INTERVAL_MS = 500.0  # between trials while own runs or the dependency's calls fail
 
 
@@ -37,7 +37,7 @@
         self._probe_interval_ms = probe_interval_ms
         self._last_progress = 0.0
         self._last_admission = 0.0
-        self._failed_part = 0.0
+        self._failed_fraction = 0.0
         self.is_hanging = False
         self.is_slowed = False
 
@@ -54,7 +54,7 @@
 
     def note_outcome(self, failed: bool) -> None:
         """Take the end of a run by itself into the part that fails."""
-        self._failed_part += FAST_WEIGHT * (float(failed) - self._failed_part)
+        self._failed_fraction += FAST_WEIGHT * (float(failed) - self._failed_fraction)
 
     def note_admission(self) -> None:
         """A request was admitted; while runs fail it is the trial."""
@@ -62,7 +62,10 @@
 
     def is_failing(self) -> bool:
         """Whether most own runs fail and it is not yet time for another trial."""
-        return self._failed_part > FAILING_PART and self._clock.now - self._last_admission < self._probe_interval_ms
+        return (
+            self._failed_fraction > FAILING_FRACTION
+            and self._clock.now - self._last_admission < self._probe_interval_ms
+        )
 
     def check_pace(self) -> None:
         """Tell a slowed server by the pace of its runs."""
--- a/myrtlespar/policy/fleet_port.py
+++ b/myrtlespar/policy/fleet_port.py
@@ -8,7 +8,7 @@
 class FleetLimitsPort(Protocol):
     """Limits that hold for the whole fleet, as the policy asks for them. No method blocks; times are in ms."""
 
-    def admit(self, id: str, cls: int, sender: int) -> float:
+    def admit(self, id: str, class_index: int, sender: int) -> float:
         """Acquire capacity for a request: 0 if it was acquired, else in how many ms there may be some."""
 
     def enqueue(self, id: str, order: float) -> None:
@@ -26,7 +26,7 @@
     def release(self, id: str) -> None:
         """Release the capacity of a run that has ended, or the place of a held request that will never run."""
 
-    def admit_call(self, id: str, cls: int) -> bool:
+    def admit_call(self, id: str, class_index: int) -> bool:
         """Acquire capacity for a run's call to the dependency; False if there is none."""
 
     def release_call(self, id: str, after_ms: float) -> None:
--- a/myrtlespar/policy/fleet_queue.py
+++ b/myrtlespar/policy/fleet_queue.py
@@ -32,7 +32,7 @@
         Without this, capacity would lie free until the next request comes.
         """
         if request.state is LATE or self._clock.now + after_ms > give_up_at:
-            self._answers.reject(request, False, fleet.reject(request.id, after_ms))
+            self._answers.reject(request, last=False, after_ms=fleet.reject(request.id, after_ms))
             return
         self._answers.stop_waiting(request)  # it waits for no core
         self._memory.queued_kb += request.memory_kb
@@ -41,8 +41,8 @@
 
     def take_ready(self, fleet: FleetLimitsPort) -> None:
         """Queue what the fleet has capacity for again in front of its lane, as it came before what is there."""
-        for id in reversed(fleet.take_ready()):
-            request = self._table.requests[id]
+        for request_id in reversed(fleet.take_ready()):
+            request = self._table.requests[request_id]
             self._quotas.reserve(request)
             self._queues.prepend(request)
 
--- a/myrtlespar/policy/idle_connections.py
+++ b/myrtlespar/policy/idle_connections.py
@@ -7,10 +7,11 @@
 from myrtlespar.policy.messages import CloseIdle
 from myrtlespar.policy.settings import Settings
 
-MAX_RETURN_PART = 0.5  # part of the callers' idle time: who comes back later than that keeps no connection here
-EARLY_CLOSE_PART = 0.15  # part of the tightest objective for which a connection that is hardly used again is kept
-RETRY_STORM_PART = 0.6  # part of requests rejected from which on retries are best kept out by a full table
-RETRY_STORM_END_PART = RETRY_STORM_PART / 2
+MAX_RETURN_FRACTION = 0.5  # fraction of the callers' idle time: who comes back later than that keeps no connection here
+# Of the tightest latency objective: how long an idle connection is kept while connections are closed early.
+EARLY_CLOSE_FRACTION = 0.15
+RETRY_STORM_FRACTION = 0.6  # fraction of requests rejected from which on retries are best kept out by a full table
+RETRY_STORM_END_FRACTION = RETRY_STORM_FRACTION / 2
 
 
 class IdleConnections:
@@ -19,26 +20,28 @@
     def __init__(self, settings: Settings, actions: ActionList, tightest_objective_ms: float) -> None:
         self._actions = actions
         self._senders = max(1, settings.senders)
-        self._max_return_ms = MAX_RETURN_PART * settings.caller_idle_ms
-        self._early_close_ms = EARLY_CLOSE_PART * tightest_objective_ms
-        self._rejected_part = 0.0
+        self._max_return_ms = MAX_RETURN_FRACTION * settings.caller_idle_ms
+        self._early_close_ms = EARLY_CLOSE_FRACTION * tightest_objective_ms
+        self._rejected_fraction = 0.0
         self.is_retry_storm = False
         self.closes_early = False
 
     def note_rejected(self) -> None:
         """A request was rejected."""
-        self._rejected_part += SLOW_WEIGHT * (1.0 - self._rejected_part)
+        self._rejected_fraction += SLOW_WEIGHT * (1.0 - self._rejected_fraction)
 
     def note_started(self) -> None:
         """A request was started."""
-        self._rejected_part -= SLOW_WEIGHT * self._rejected_part
+        self._rejected_fraction -= SLOW_WEIGHT * self._rejected_fraction
 
     def update(self, arrival_gap_ms: float, arrivals: int) -> None:
         """Close idle connections early where a caller seldom comes back before it would close them.
 
         A table filled by many callers that come rarely takes work and keeps others out.
         """
-        self.is_retry_storm = self._rejected_part > (RETRY_STORM_END_PART if self.is_retry_storm else RETRY_STORM_PART)
+        self.is_retry_storm = self._rejected_fraction > (
+            RETRY_STORM_END_FRACTION if self.is_retry_storm else RETRY_STORM_FRACTION
+        )
         closes_early = not self.is_retry_storm and arrival_gap_ms * self._senders > self._max_return_ms
         if self.closes_early != closes_early and arrivals > SURE_RUNS / 4:
             self.closes_early = closes_early
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from myrtlespar.policy.delayed_rejection import ABATEMENT_PART
+from myrtlespar.policy.delayed_rejection import ABATEMENT_FRACTION
 from myrtlespar.policy.messages import Advertise
 from myrtlespar.policy.server_state import ServerState
 from myrtlespar.policy.settings import Signal
@@ -11,7 +11,7 @@
 LEVEL_FALL_PER_S = 0.25  # below A
 MAX_EXCESS = 2.0  # units of excess wait that count
 MAX_LEVEL = 0.5  # above it callers stop sending and get no newer value: all servers idle and are flooded in turns
-MIN_CHANGE_PART = 0.02  # a value that changed by less is not advertised again
+MIN_CHANGE_FRACTION = 0.02  # a value that changed by less is not advertised again
 
 
 class LoadAdvertisement:
@@ -28,7 +28,7 @@
         self._concurrency = state.concurrency
         self._faults = state.faults
         self._drain = state.drain
-        weights = [kind.priority_weight for kind in state.settings.classes]
+        weights = [request_class.priority_weight for request_class in state.settings.classes]
         self._ranks_end_at = sum(weight < max(weights) for weight in weights) / len(weights)
         self._level = 0.0
         self._advertised = -1.0
@@ -38,12 +38,12 @@
         if self._signal is Signal.NONE:
             return
         self._move_level(step_ms)
-        free_part = 0.0 if self._faults.is_hanging or self._drain.is_draining() else 1.0 - self._level
+        free_fraction = 0.0 if self._faults.is_hanging or self._drain.is_draining() else 1.0 - self._level
         if self._signal is Signal.LEVEL:
-            value = 1.0 - free_part
+            value = 1.0 - free_fraction
         else:
-            value = free_part if self._signal is Signal.WEIGHT else free_part * self._allowance()
-        if abs(value - self._advertised) > MIN_CHANGE_PART * max(1.0, value):
+            value = free_fraction if self._signal is Signal.WEIGHT else free_fraction * self._allowance()
+        if abs(value - self._advertised) > MIN_CHANGE_FRACTION * max(1.0, value):
             self._advertised = value
             self._actions.append(Advertise(value))
 
@@ -57,7 +57,7 @@
             pressure_ms = self._overload.wait_ms()
         if pressure_ms > mark_ms:
             self._level += LEVEL_RISE_PER_S * seconds * min(MAX_EXCESS, pressure_ms / mark_ms - 1)
-        elif pressure_ms < ABATEMENT_PART * mark_ms:
+        elif pressure_ms < ABATEMENT_FRACTION * mark_ms:
             self._level -= LEVEL_FALL_PER_S * seconds
         self._level = max(0.0, min(self._level, MAX_LEVEL))
 
--- a/myrtlespar/policy/memory_account.py
+++ b/myrtlespar/policy/memory_account.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-MAX_QUEUED_PART = 0.35  # part of the memory that held requests may take, so that runs find memory
-MAX_USED_PART = 0.98  # part of the memory used at all; the rest is rounding
+MAX_QUEUED_FRACTION = 0.35  # fraction of the memory that held requests may take, so that runs find memory
+MAX_USED_FRACTION = 0.98  # fraction of the memory used at all; the rest is rounding
 
 
 class MemoryAccount:
@@ -12,8 +12,8 @@
     def __init__(self, memory_kb: float) -> None:
         self.used_kb = 0.0
         self.queued_kb = 0.0
-        self.max_used_kb = memory_kb * MAX_USED_PART
-        self.max_queued_kb = memory_kb * MAX_QUEUED_PART
+        self.max_used_kb = memory_kb * MAX_USED_FRACTION
+        self.max_queued_kb = memory_kb * MAX_QUEUED_FRACTION
 
     def is_exhausted(self, additional_kb: float) -> bool:
         """Whether `additional_kb` more do not fit, or held requests take their whole part."""
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -226,11 +226,11 @@
 
     Attributes:
         good: Whether the server reports itself healthy.
-        from_store: Answer from this value, without a check of the dependency.
+        is_cached: Answer from this value, without a check of the dependency.
     """
 
     good: bool
-    from_store: bool
+    is_cached: bool
 
 
 @dataclass(slots=True)
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -4,7 +4,7 @@
 
 import math
 
-from myrtlespar.policy.concurrency_limit import MAX_SURVIVABLE_PART
+from myrtlespar.policy.concurrency_limit import MAX_SURVIVABLE_FRACTION
 from myrtlespar.policy.deadline_queue import DeadlineQueue
 from myrtlespar.policy.final_answers import FinalAnswers
 from myrtlespar.policy.fleet_port import FleetLimitsPort
@@ -54,7 +54,7 @@
         """
         self._expire()
         concurrency = self._concurrency
-        max_started = concurrency.survivable_concurrency() * MAX_SURVIVABLE_PART
+        max_started = concurrency.survivable_concurrency() * MAX_SURVIVABLE_FRACTION
         limit = concurrency.running_limit(self._overload.is_reading_late())
         while concurrency.on_cores < limit and concurrency.on_cores + concurrency.at_calls + 1 <= max_started:
             request = self._queues.next_request(self._overload.is_overloaded)
@@ -100,7 +100,7 @@
                 self._answers.reject(request, last=not self._capacity.others_have_capacity(request))
             elif state is AWAITING_FLEET and self.fleet:
                 after_ms = self.fleet.reject(request.id, self._overload.overload_mark_ms())
-                self._answers.reject(request, False, after_ms)
+                self._answers.reject(request, last=False, after_ms=after_ms)
         late = self._queues.late
         while late and late[0].answer_due - now < self._costs.elapsed_ms[late[0].class_index]:
             if (request := late.popleft()).state is LATE:
--- a/myrtlespar/policy/server_capacity.py
+++ b/myrtlespar/policy/server_capacity.py
@@ -1,4 +1,4 @@
-"""What this server can run and is asked for, next to its even part of the fleet's traffic."""
+"""What this server can run and is asked for, next to its even share of the fleet's traffic."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from myrtlespar.policy.held_request import HeldRequest
 from myrtlespar.policy.learning import FAST_WEIGHT
 
-MAX_EVEN_DEMAND = 1.25  # times the even part of the quotas: asked for more, all servers are taken for overloaded
+MAX_EVEN_DEMAND = 1.25  # times the even share of the quotas: asked for more, all servers are taken for overloaded
 READING_WEIGHT = 0.3  # of one gauge reading in the cores taken by reading requests
 
 
@@ -43,11 +43,11 @@
         return 1000.0 * (self._cores - self.reading_cores) / max(1.0, mean_ms) if mean_ms else 0.0
 
     def is_demand_even(self) -> bool:
-        """Asked for little more than its even part of the quotas: no flood, no overload of the fleet."""
+        """Asked for little more than its even share of the quotas: no flood, no overload of the fleet."""
         return MAX_EVEN_DEMAND * self._even_share_per_s * self.arrival_gap_ms > 1000.0
 
     def others_have_capacity(self, request: HeldRequest) -> bool:
-        """Whether others likely have capacity: this one cannot run its even part of the quotas, nor is asked for more.
+        """Whether others likely have capacity: this one cannot run its even share of the quotas, nor is asked for more.
 
         A slow or cold server must not hold what faster ones would serve. Asked for far more, all are taken for
         overloaded; and a retry is not sent on again.
--- a/myrtlespar/policy/server_health.py
+++ b/myrtlespar/policy/server_health.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from myrtlespar.policy.action_list import ActionList
-from myrtlespar.policy.delayed_rejection import OVERLOAD_SLACK_PART, DelayedRejection
+from myrtlespar.policy.delayed_rejection import OVERLOAD_SLACK_FRACTION, DelayedRejection
 from myrtlespar.policy.drain_deadline import DrainDeadline
 from myrtlespar.policy.messages import SetHealth
 from myrtlespar.policy.server_capacity import ServerCapacity
 
-WITHDRAW_MARKS = 1.0 / OVERLOAD_SLACK_PART  # times O that arrivals wait unread when health is withdrawn: all slack
+WITHDRAW_MARKS = 1.0 / OVERLOAD_SLACK_FRACTION  # times O that arrivals wait unread when health is withdrawn: all slack
 
 
 class ServerHealth:
@@ -31,7 +31,7 @@
 
     def report(self, good: bool) -> None:
         """Set what health checks are told; a deep check costs work and a call, so it is answered from store."""
-        self._actions.append(SetHealth(good, True))
+        self._actions.append(SetHealth(good, is_cached=True))
 
     def update(self) -> None:
         """Report bad while arrivals wait unread past the whole slack, until they wait under O.
--- a/myrtlespar/policy/server_state.py
+++ b/myrtlespar/policy/server_state.py
@@ -60,7 +60,7 @@
 def new_server_state(settings: Settings) -> ServerState:
     """The state of a server that has seen nothing yet."""
     cores = max(1, settings.cores)
-    tightest_ms = min(kind.latency_objective_ms for kind in settings.classes)
+    tightest_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
     interval_scale = max(MIN_INTERVAL_SCALE, min(1.0, tightest_ms / USUAL_OBJECTIVE_MS))
     clock = PolicyClock(settings.answer_slack_ms)
     actions = ActionList(clock)
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -34,10 +34,10 @@
         latency_objective_ms: Answers within this time are useful.
         client_timeout_ms: Callers wait this long, unless they pass a deadline.
         priority_weight: What an answer is worth, compared with other classes.
-        late_weight: Part of the weight left for an answer past the latency objective.
+        late_weight: Fraction of the weight left for an answer past the latency objective.
         window_ms: How long its idempotency keys are kept.
         calls: Its runs call the dependency.
-        degraded_weight: Part of the weight left for a result without the call; 0 if a run cannot do without.
+        degraded_weight: Fraction of the weight left for a result without the call; 0 if a run cannot do without.
     """
 
     latency_objective_ms: float
--- a/myrtlespar/policy/tenant_quotas.py
+++ b/myrtlespar/policy/tenant_quotas.py
@@ -19,7 +19,7 @@
     """Tokens of each tenant, and how many of them queued requests will take when they start.
 
     Attributes:
-        even_share_per_s: This server's even part of all quotas, in requests a second.
+        even_share_per_s: This server's even share of all quotas, in requests a second.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -86,7 +86,7 @@
     api.SetHealth: lambda action: {
         "type": "status",
         "on": action.good,
-        **({"light": True} if action.from_store else {}),
+        **({"light": True} if action.is_cached else {}),
     },
     api.CloseIdle: lambda action: {"type": "idle", "hold_for_ms": round(action.after_ms, 3)},
     api.Wake: lambda action: {"type": "sleep", "from_now_ms": round(action.after_ms, 3), "nonce": action.token},
