--- a/myrtlespar/policy/action_list.py
+++ b/myrtlespar/policy/action_list.py
@@ -1,16 +1,16 @@
-"""The actions decided since the last batch of events, in their order."""
+"""The actions that one batch of events has led to so far, in order, and the limits on log lines."""
 
 from __future__ import annotations
 
 from myrtlespar.policy.messages import Action, Log
 from myrtlespar.policy.policy_clock import PolicyClock
 
-MAX_LOG_LINES = 150  # lines an instance may print in its life
+MAX_LOG_LINES = 150  # lines that one server may log from its start to its end
 BOUND_LOG_INTERVAL_MS = 5000.0  # a bound that stays hit is logged once in this time
 
 
 class ActionList(list[Action]):
-    """What the server is asked to do next; each part of the policy appends to it."""
+    """The actions that the server is to carry out next; each component of the policy appends its own."""
 
     def __init__(self, clock: PolicyClock) -> None:
         super().__init__()
@@ -25,13 +25,19 @@
         return taken
 
     def log(self, text: str) -> None:
-        """Print a line for the on-call staff, unless too many were printed."""
+        """Add a log line for the on-call staff, up to `MAX_LOG_LINES`; further lines are dropped."""
         if self._log_lines < MAX_LOG_LINES:
             self._log_lines += 1
             self.append(Log(f"{self._clock.now:.0f} {text}"))
 
     def log_bound(self, name: str, requests: int, on_cores: int) -> None:
-        """Say that a bound was hit, at most once in `BOUND_LOG_INTERVAL_MS`."""
+        """Log that a limit was reached, at most once in `BOUND_LOG_INTERVAL_MS` for all limits together.
+
+        Args:
+            name: Which limit: "memory", or "crowd" for the survivable concurrency.
+            requests: Requests that this server has now.
+            on_cores: Runs that are on its cores now.
+        """
         if self._clock.now >= self._bound_logged_at + BOUND_LOG_INTERVAL_MS:
             self._bound_logged_at = self._clock.now
             self.log(f"{name} bound hit: {requests} requests here, {on_cores} on the cores")
--- a/myrtlespar/policy/admission.py
+++ b/myrtlespar/policy/admission.py
@@ -1,4 +1,7 @@
-"""Admission: what becomes of a request at its arrival - rejected at once, joined to another, set aside or queued."""
+"""Admission: a request is, at its arrival, rejected, joined to another attempt's run, set aside or queued.
+
+Starting a waiting request, or rejecting it later, is the task of `scheduler`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class Admission:
-    """Takes arrivals in.
+    """Decides on each request as it arrives.
 
     Attributes:
         fleet: Limits of all servers together, or None.
@@ -46,7 +49,7 @@
         self.fleet: FleetLimitsPort | None = None
 
     def arrive(self, event: Arrival) -> None:
-        """Take in an arrival; ids that are known and classes that are not are ignored."""
+        """Decide on an arrival. One with an id that is already here, or of an unknown class, is ignored: no answer."""
         if event.id in self._table.requests or not 0 <= event.class_index < len(self._classes):
             return
         request = HeldRequest(event, self._clock.now)
@@ -62,11 +65,11 @@
             self._join(request)
         elif not fleet_takes_it:
             self._answers.reject(request, last=True)
-        elif self._may_wait(request):
+        elif self._admit_or_reject(request):
             self._hold(request)
 
     def _set_deadlines(self, request: HeldRequest, event: Arrival) -> None:
-        """Set the hard deadline, until when an answer is useful, and the cost told by the caller's hint."""
+        """Set `answer_due`, `is_retry`, `relative_cost` and `useful_until` of a request."""
         now = self._clock.now
         class_index = request.class_index
         caller_due = (
@@ -84,18 +87,22 @@
         request.useful_until = min(useful_until, caller_leaves_at, request.answer_due)
 
     def _join(self, request: HeldRequest) -> None:
-        """Answer a repeat of a request whose key was kept from that request's one run; it never runs itself."""
+        """Answer a repeat of a request from that request's one run, as both have the same idempotency key.
+
+        The repeat never runs itself; without memory for its answer it is failed.
+        """
         request.state = JOINED
         if self._memory.used_kb > self._memory.max_used_kb:
             self._answers.fail(request)
             return
         self._actions.append(Reuse(request.id))
 
-    def _may_wait(self, request: HeldRequest) -> bool:
-        """Reject at once what must not or cannot be held: drain, hang, memory, no room for its key.
+    def _admit_or_reject(self, request: HeldRequest) -> bool:
+        """Return whether a request is admitted; if not, it has been rejected, and may run on another server.
 
-        So is all but a trial now and then while most own runs fail: never run, it may go elsewhere. So is what
-        a slow server would start too late while others may have capacity.
+        It is rejected while this server drains or its cores hang, without memory for it and its idempotency key,
+        while most own runs fail (except for a trial now and then), and where a slow server would start it too
+        late while others may have capacity.
         """
         is_keyed = self._classes[request.class_index].effect is Effect.KEYED
         is_full = self._memory.is_exhausted(self._keys.key_kb if is_keyed else 0.0)
@@ -114,7 +121,7 @@
         return True
 
     def _hold(self, request: HeldRequest) -> None:
-        """Queue a request, or set it aside if it is costly and there is overload."""
+        """Queue a request, or set it aside if it is costly and this server is overloaded."""
         request_class = self._classes[request.class_index]
         request.is_over_quota = self._quotas.is_over_quota(request.tenant)
         request.lane = 2 * request.class_index + int(request.is_over_quota)
--- a/myrtlespar/policy/circuit_breaker.py
+++ b/myrtlespar/policy/circuit_breaker.py
@@ -1,4 +1,8 @@
-"""The circuit breaker of the dependency: while most calls fail, a call is skipped but for a trial now and then."""
+"""The circuit breaker of the dependency: while most calls fail, runs go on without their call.
+
+It concerns only classes whose result without the call still has weight; other runs wait, back off or fail
+(`dependency_calls`). A call is still made once in a probe interval, to find out whether the dependency is back.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +14,12 @@
 
 
 class CircuitBreaker:
-    """Health of the dependency as own calls show it.
+    """Whether the dependency answers, judged by the calls of this server alone.
 
     Attributes:
-        is_open: Most calls fail: calls that can be skipped are skipped.
-        failed_fraction: Fraction of calls that lately failed.
-        usual_call_ms: For each class how long a good call takes; 0 until one has come back.
+        is_open: Whether most calls fail, so that calls that can be skipped are skipped.
+        failed_fraction: Fraction of calls that failed, a moving average.
+        usual_call_ms: For each class how long a successful call takes; 0 until one has ended.
     """
 
     def __init__(self, classes: int, clock: PolicyClock, actions: ActionList, probe_interval_ms: float) -> None:
@@ -28,11 +32,11 @@
         self.usual_call_ms = [0.0] * classes
 
     def note_call(self) -> None:
-        """A call is made; while the breaker is open it is the trial."""
+        """Record that a call is made; while the breaker is open it is the trial."""
         self._last_call = self._clock.now
 
     def note_result(self, class_index: int, succeeded: bool, elapsed_ms: float) -> None:
-        """Take in how a call ended, and open or close the breaker."""
+        """Record how a call ended, and open or close the breaker."""
         self.failed_fraction += FAST_WEIGHT * ((0.0 if succeeded else 1.0) - self.failed_fraction)
         if succeeded:
             usual_ms = self.usual_call_ms[class_index]
--- a/myrtlespar/policy/client_timeouts.py
+++ b/myrtlespar/policy/client_timeouts.py
@@ -10,7 +10,7 @@
 
 AGREEMENT_FRACTION = 0.1  # fraction of a learned timeout within which departures count as agreeing with it
 MIN_AGREEMENT = 0.4  # fraction of a caller's departures that must agree before its timeout is believed
-DISAGREEMENT_WEIGHT = 0.3  # of a later departure that does not agree
+DISAGREEMENT_WEIGHT = 0.3  # of a departure that is later than learned and does not agree
 MAX_KNOWN_CALLERS = 200  # callers and classes whose timeout is remembered; the oldest goes first
 SAME_WAIT_FRACTION = 0.01  # fraction by which a passed wait may differ and still be the caller's usual one
 MAX_KNOWN_WAITS = 4  # usual waits of a class that are remembered at a time
@@ -19,7 +19,7 @@
 
 
 class LearnedTimeout:
-    """When the callers of one kind leave, and what part of their departures agrees."""
+    """How long one caller waits for one class, and which fraction of its departures agrees with that."""
 
     __slots__ = ("agreement", "timeout_ms")
 
@@ -29,7 +29,7 @@
 
 
 class UsualWait:
-    """A wait that callers of a class pass with their first attempts, and how often it was seen."""
+    """A time until the deadline that callers of a class pass with first attempts, and how often it was seen."""
 
     __slots__ = ("count", "wait_ms")
 
@@ -42,8 +42,8 @@
     """Timeouts of callers, and the usual waits that tell a retry from a first attempt.
 
     Attributes:
-        timeouts: For each caller and class, what its departures told.
-        usual_waits: For each class the waits that first attempts pass.
+        timeouts: What was learned for each (sender, class index).
+        usual_waits: For each class the times left, in ms, that callers pass with first attempts.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -76,10 +76,14 @@
         known.timeout_ms += FAST_WEIGHT * (age_ms - known.timeout_ms) * weight
 
     def retry_age_ms(self, request: HeldRequest, deadline: float) -> float:
-        """How old a retry is, from a wait that no first attempt of its class has: what its caller has left; else 0.
+        """How long ago the first attempt of this retry was sent; 0 if it seems to be a first attempt.
 
-        A retry whose latency objective, counted from the first attempt, has passed must not run. Learned from
-        all callers, as a server may never see one of many twice; each habit has a wait of its own.
+        Callers pass the deadline of the first attempt with each retry, so that a retry has less time left than
+        first attempts of its class usually have. The time left that is missing from the class's client timeout
+        is the age.
+
+        A retry whose latency objective, counted from the first attempt, has passed must not run. The usual waits
+        are learned from all callers together, as a server may see each caller only once.
         """
         if deadline <= 0 or self._is_inner_tier:
             return 0.0
--- a/myrtlespar/policy/concurrency_limit.py
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: how many requests run at once, and how many may be started in all."""
+"""The concurrency limit: how many runs may be on the cores at once, and how many may be started and not ended."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         limit: Runs that may be on the cores at once. It starts at the cores, its floor.
         on_cores: Runs that are on the cores or wait for one.
         at_calls: Runs that wait for a call to the dependency, off the cores.
-        core_clock_ms: Core time that each run on the cores has been given so far.
+        core_clock_ms: Core time that a run would have had if it had been on the cores since the start.
     """
 
     def __init__(self, settings: Settings, cores: int, clock: PolicyClock, capacity: ServerCapacity) -> None:
@@ -38,7 +38,7 @@
         self.core_clock_ms = 0.0
 
     def advance(self, step_ms: float) -> None:
-        """Share out the core time of `step_ms`; a standstill of the process gives none."""
+        """Share the core time of `step_ms` among the runs; the time of a standstill of the process is left out."""
         runs_per_core = max(1.0, (self.on_cores + self._capacity.reading_cores) / self._cores)
         self.core_clock_ms += min(step_ms, self._clock.max_step_ms) / runs_per_core
 
@@ -63,13 +63,13 @@
         return READING_LATE_FRACTION * self._cores if is_reading_late else self.limit
 
     def enter_core(self, request: HeldRequest) -> None:
-        """A run starts."""
+        """Record that a run starts."""
         request.state = RUNNING
         request.core_clock_start = self.core_clock_ms
         self.on_cores += 1
 
     def leave(self, request: HeldRequest) -> None:
-        """A run ends, or leaves its core for a call."""
+        """Record that a run ends, or leaves its core for a call."""
         if request.state is RUNNING:
             self.on_cores -= 1
             request.core_ms += self.core_clock_ms - request.core_clock_start
@@ -77,6 +77,6 @@
             self.at_calls -= 1
 
     def return_to_core(self, request: HeldRequest) -> None:
-        """A run goes on after its call."""
+        """Record that a run goes on after its call."""
         self.at_calls -= 1
         self.enter_core(request)
--- a/myrtlespar/policy/cost_estimates.py
+++ b/myrtlespar/policy/cost_estimates.py
@@ -1,4 +1,4 @@
-"""What a request of each class costs: core time, elapsed time, the server's present pace, value per cost."""
+"""What a request of each class costs: core time, elapsed time, the server's present pace, weight per cost."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 INNER_TIER_FRACTION = 0.5  # fraction of the latency objective left for an inner tier: its caller spends the rest
 INITIAL_COST_FRACTION = 0.1  # fraction of the latency objective taken as a class's core time until a run has shown it
 MAX_PACE_SAMPLE = 20.0  # times the usual cost: the most that one run counts in the pace
+MIN_SLACK_FRACTION = 0.2  # of the latency objective, left for waiting however long runs take
 MIN_CORE_MS = 0.001  # core time by which costs are divided at the least
 
 
@@ -20,13 +21,14 @@
 
     Attributes:
         objectives_ms: Latency objective of each class as it holds on this tier.
-        usual_core_ms: Core time of a run at the server's usual pace.
-        elapsed_ms: Time from start to end of a run.
-        runs_seen: Runs that the estimates rest on.
-        pace: Present core time of runs as a multiple of the usual one; above 1 this server is slowed.
+        usual_core_ms: Core time of a run at the server's usual pace, for each class.
+        elapsed_ms: Time from start to end of a run, for each class.
+        runs_seen: Completed runs of each class that the estimates rest on.
+        pace: Present core time of runs as a multiple of the usual one: 2 means twice the core time.
         arrivals: Requests that were taken into the queues so far.
         mean_core_ms: Core time of an arrival on average.
         mean_weight: Priority weight of an arrival on average.
+        hints: How far callers' cost hints are believed.
     """
 
     def __init__(self, settings: Settings, drain: DrainDeadline) -> None:
@@ -56,7 +58,7 @@
         return self._classes[lane >> 1].priority_weight * (self._over_quota_weight if lane & 1 else 1.0)
 
     def weight_per_cost(self, lane: int) -> float:
-        """Priority weight for each ms of core time; the weight alone where the settings weigh by work."""
+        """Priority weight for each ms of core time; the weight alone if the settings state weights for each ms."""
         return self.weight(lane) / (1.0 if self._weighs_by_work else max(MIN_CORE_MS, self.core_ms(lane >> 1)))
 
     def is_costly(self, lane: int) -> bool:
@@ -72,10 +74,14 @@
         return useful_until - self.elapsed_ms[request.class_index] * request.relative_cost
 
     def tightest_slack_ms(self) -> float:
-        """The least time that a class leaves for waiting; a slowed server keeps some it can still get below."""
+        """The least time that a class leaves for waiting: latency objective less elapsed time of a run.
+
+        At least a fifth of an objective: on a slowed server a run may take longer than its objective, and without
+        any slack the overload flag could hardly fall again.
+        """
         return min(
-            max(objective * 0.2, objective - spent)
-            for objective, spent in zip(self.objectives_ms, self.elapsed_ms, strict=True)
+            max(objective * MIN_SLACK_FRACTION, objective - elapsed)
+            for objective, elapsed in zip(self.objectives_ms, self.elapsed_ms, strict=True)
         )
 
     def note_arrival(self, request: HeldRequest) -> None:
@@ -103,5 +109,8 @@
             self.pace += FAST_WEIGHT / 3 * (ratio - self.pace)
 
     def lower_elapsed(self, class_index: int) -> None:
-        """Doubt the elapsed time of a class: one long run must not shut it out, as no other run would correct it."""
+        """Lower the elapsed time of a class of which a request could not start, though it hardly waited.
+
+        If one long run has made the estimate too long, no other run would ever start to correct it.
+        """
         self.elapsed_ms[class_index] *= 1.0 - FAST_WEIGHT / 2
--- a/myrtlespar/policy/cost_hints.py
+++ b/myrtlespar/policy/cost_hints.py
@@ -1,4 +1,7 @@
-"""How far callers' cost hints predict cost: the slope of the cost of own runs over the hints, in logarithms."""
+"""How far callers' cost hints predict cost: a linear regression of the cost of own runs on the hints.
+
+Both are taken as logarithms, so that the slope is the exponent with which a hint changes the expected cost.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from myrtlespar.policy.held_request import HeldRequest
 from myrtlespar.policy.learning import FAST_WEIGHT, SLOW_WEIGHT, SURE_RUNS
 
-MAX_LOG_DEVIATION = 4.0  # natural logarithms by which a hint may move a cost either way
+MAX_LOG_DEVIATION = 4.0  # natural logarithm of the factor by which a hint may change a cost, up or down
 
 
 class CostHints:
@@ -19,19 +22,25 @@
         self._hint_cost_covariance = 0.0
 
     def relative_cost(self, request: HeldRequest) -> float:
-        """Cost as a multiple of the class's mean, as far as hints have told costs of own runs apart.
+        """Return the expected cost as a multiple of the class's mean, as far as hints have predicted costs so far.
 
-        In sixteenths, so that sums of them are exact. Without hints or runs it is 1: the ordinary path.
+        A multiple of 1/16, so that sums of many are exact. It is 1 without a hint or without runs to learn from.
         """
         mean = self._mean_log_hint[request.class_index]
         if math.isnan(request.log_cost_hint) or math.isnan(mean):
             return 1.0
-        trust = max(0.0, min(self._hint_cost_covariance / self._hint_variance, 1.0))
+        slope = max(0.0, min(self._hint_cost_covariance / self._hint_variance, 1.0))
         deviation = max(-MAX_LOG_DEVIATION, min(request.log_cost_hint - mean, MAX_LOG_DEVIATION))
-        return max(1.0, round(16 * math.exp(trust * deviation))) / 16
+        return max(1.0, round(16 * math.exp(slope * deviation))) / 16
 
     def learn(self, request: HeldRequest, cost_ratio: float, runs_seen: list[int]) -> None:
-        """Take in that a run cost `cost_ratio` times what was expected of its class."""
+        """Learn from a completed run.
+
+        Args:
+            request: The request that ran.
+            cost_ratio: Its core time as a multiple of what was expected of its class.
+            runs_seen: Completed runs of each class.
+        """
         if math.isnan(request.log_cost_hint):
             return
         class_index = request.class_index
--- a/myrtlespar/policy/deadline_queue.py
+++ b/myrtlespar/policy/deadline_queue.py
@@ -1,4 +1,4 @@
-"""Requests in the order of a time each is to be looked at."""
+"""Requests in the order of the time at which each is due for a check."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 class DeadlineQueue:
     """A heap of requests by time in ms; equal times come in the order of entry.
 
-    Nothing is taken out early: whoever pops an entry checks that it still holds.
+    An entry stays until its time, even if the request has ended or its time has changed: callers check whether a
+    request that they pop is still due. A request may be in the queue more than once.
     """
 
     def __init__(self) -> None:
         self.entries: list[tuple[float, int, HeldRequest]] = []
         self._serial = 0
 
-    def push(self, at: float, request: HeldRequest) -> None:
-        """Have `request` come up at `at`."""
+    def push(self, due_at: float, request: HeldRequest) -> None:
+        """Add a request that is due at `due_at`, in ms on the policy's clock."""
         self._serial += 1
-        heapq.heappush(self.entries, (at, self._serial, request))
+        heapq.heappush(self.entries, (due_at, self._serial, request))
 
     def pop_due(self, now: float) -> HeldRequest | None:
-        """Take the first request whose time has come, or None."""
+        """Remove and return the first request that is due; None if none is."""
         if self.entries and self.entries[0][0] <= now:
             return heapq.heappop(self.entries)[2]
         return None
--- a/myrtlespar/policy/dependency_calls.py
+++ b/myrtlespar/policy/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls of runs to the shared dependency: when each is made, made again or skipped, and how many are in flight."""
+"""Calls of runs to the shared dependency: when each is made, retried or skipped, and how many are in flight."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from myrtlespar.policy.settings import Effect
 
 MAX_MEAN_FRACTION = 0.6  # fraction of the share of calls in flight that their mean may use; at a moment all of it may
-CALL_BACKOFF_MS = 50.0  # before a call that never ran is made again; doubles
-MIN_FAILED_FRACTION = 0.01  # of calls, by which their usual time is divided at the least
+CALL_BACKOFF_MS = 50.0  # doubled with each retry of a call: the first waits 100 ms, for the usual objectives
+MIN_FAILED_FRACTION = 0.01  # lower bound where the usual time of a call is divided by the fraction that fails
 NEVER_RAN = (RunOutcome.REJECTED, RunOutcome.UNREACHABLE, RunOutcome.MOOT)
 
 
 class DependencyCalls:
-    """Runs that wait for their call, and the calls that the dependency has in flight.
+    """Runs that wait for their call, and the calls in flight.
 
     Attributes:
-        waiting: Runs whose call is not made yet.
-        in_flight: Calls that are under way.
-        mean_in_flight: Calls in flight on average, those that linger included.
+        waiting: Runs whose call is not made yet, or is to be retried.
+        in_flight: Calls that were made and have not ended.
+        mean_in_flight: Calls in flight on average, with abandoned ones that the dependency may still work on.
         breaker: The circuit breaker of the dependency.
         fleet: Limits of all servers together, or None.
     """
@@ -42,7 +42,7 @@
         is_shared = state.settings.shared_dependency and state.settings.calls_share > 0
         self._share = state.settings.calls_share if is_shared else math.inf
         self._mean_over_ms = max(1.0, state.settings.calls_over_ms / 2)
-        self._lingering_until: deque[float] = deque()  # when abandoned calls may leave the dependency's hands
+        self._lingering_until: deque[float] = deque()  # when the dependency has dropped each abandoned call
         self.breaker = breaker
         self.waiting: deque[HeldRequest] = deque()
         self.in_flight = 0
@@ -50,7 +50,7 @@
         self.fleet: FleetLimitsPort | None = None
 
     def advance(self, step_ms: float) -> None:
-        """Take `step_ms` into the mean, and let abandoned calls go whose time has passed."""
+        """Update the mean for `step_ms`, and drop abandoned calls whose linger time has passed."""
         lingering = self._lingering_until
         while lingering and lingering[0] <= self._clock.now:
             lingering.popleft()
@@ -58,7 +58,7 @@
         self.mean_in_flight += (self.in_flight + len(lingering) - self.mean_in_flight) * weight
 
     def request_call(self, request: HeldRequest) -> None:
-        """A run has left its core for a call; it is failed if its answer is of no use any more."""
+        """Let a run that has left its core wait for its call, or fail it if its answer is of no use any more."""
         request.state = WAITING_FOR_CALL
         request.call_retry_at = self._clock.now
         request.call_attempts = 0
@@ -70,12 +70,12 @@
         self.waiting.append(request)
 
     def abandon(self, request: HeldRequest) -> None:
-        """A run ends with its call under way: the call may stay in the dependency's hands for a while."""
+        """Record that a run ends during its call: the dependency may work on the call for a while yet."""
         self.in_flight -= 1
         self._linger(request)
 
     def end_call(self, request: HeldRequest, event: CallEnded) -> None:
-        """Let a run go on after a good call; else go on without it, wait for another one, or fail."""
+        """Let a run go on after a successful call; after another one go on without it, wait for a retry, or fail."""
         self.in_flight -= 1
         succeeded = event.outcome is RunOutcome.OK
         self.breaker.note_result(request.class_index, succeeded, event.elapsed_ms)
@@ -105,11 +105,14 @@
             request = self.waiting.popleft()
             if request.state is not WAITING_FOR_CALL or request.answered:
                 continue
-            if request.call_retry_at > self._clock.now or not self._decide(request):
+            if request.call_retry_at > self._clock.now or not self._call_or_skip(request):
                 self.waiting.append(request)
 
-    def _decide(self, request: HeldRequest) -> bool:
-        """Call, or go on without where a degraded result has weight and the call is unlikely to help; False to wait."""
+    def _call_or_skip(self, request: HeldRequest) -> bool:
+        """Make or skip the call of a run; return False, having done nothing, if the run is to wait.
+
+        A call is skipped only where a degraded result has weight, and there it is never waited for.
+        """
         request_class = self._settings.classes[request.class_index]
         if request_class.degraded_weight > 0:
             limit_ms = self._skippable_limit_ms(request)
@@ -134,14 +137,14 @@
         return True
 
     def _skippable_limit_ms(self, request: HeldRequest) -> float:
-        """How long to wait for a call without which the run can still go on."""
+        """Return how long the result of a call is waited for, if the run can go on without it."""
         class_index = request.class_index
         share = self._settings.calls_share
         limit_ms = request.useful_until - self._clock.now - self._costs.core_ms(class_index) / 2
         usual_ms = self.breaker.usual_call_ms[class_index]
         if usual_ms:  # calls may hang: the more fail, the shorter the wait
             limit_ms = min(limit_ms, usual_ms / max(MIN_FAILED_FRACTION, self.breaker.failed_fraction))
-        if 0 < share < self._cores:  # calls must not fill so small a share
+        if 0 < share < self._cores:  # lasting calls must not use up so small a share
             limit_ms = min(limit_ms, MAX_MEAN_FRACTION * share * self._settings.calls_over_ms / self._cores)
         return limit_ms
 
@@ -157,14 +160,16 @@
             self._lingering_until.append(self._clock.now + linger_ms)
 
     def _has_share(self, at_once: int) -> bool:
-        """Keep calls in flight well within the share in the mean, and at a moment within it or `at_once`.
+        """Return whether one more call keeps within this server's share of the calls in flight.
+
+        Their mean stays well below the share; at one moment there may be as many as the share, or `at_once`.
 
-        Otherwise all servers may fill their shares at once, abandoned calls that linger included: the dependency
-        counts those for as long as it may keep them.
+        Abandoned calls count until the dependency has dropped them. A mean at the share itself would let all servers
+        together reach the dependency's limit.
         """
         held = self.in_flight + len(self._lingering_until)
         return held < max(at_once, self._share) and self.mean_in_flight < MAX_MEAN_FRACTION * self._share
 
     def _fleet_admits(self, request: HeldRequest) -> bool:
-        """Whether all servers together may have one more call in flight; the own share is a bound beside it."""
+        """Return whether the limits of the fleet admit the call; this acquires capacity."""
         return self.fleet is None or self.fleet.admit_call(request.id, request.class_index)
--- a/myrtlespar/policy/drain_deadline.py
+++ b/myrtlespar/policy/drain_deadline.py
@@ -9,7 +9,12 @@
 
 
 class DrainDeadline:
-    """When this server began to drain and when its answers are due, both infinity until it drains."""
+    """When this server got the notice to drain and when its answers are due, in ms on the policy's clock.
+
+    Attributes:
+        drain_at: When the notice to drain came; infinity before.
+        answers_due_at: When every answer must have been sent; infinity before the notice.
+    """
 
     def __init__(self, settings: Settings, clock: PolicyClock) -> None:
         self._clock = clock
@@ -19,10 +24,11 @@
         self.answers_due_at = float("inf")
 
     def start(self, kill_at: float) -> None:
-        """Drain before `kill_at`; a second notice moves nothing later.
+        """Begin to drain, as the process is killed at `kill_at`; a later notice never moves a time back.
 
-        A process may have stood still: the notice is taken for as old as the last moment seen awake, and
-        answers are due before a standstill as long as the longest so far could cover the kill.
+        The process may stand still at times. The notice may therefore be as old as the previous batch of events,
+        and answers are due early enough that a standstill as long as the longest so far would not cover the kill,
+        but at most half of the time left earlier.
         """
         clock = self._clock
         self.drain_at = min(self.drain_at, clock.previous)
@@ -31,9 +37,9 @@
         self.answers_due_at = min(self.answers_due_at, kill_at - margin_ms)
 
     def is_draining(self) -> bool:
-        """Whether the notice to drain has come."""
+        """Return whether the notice to drain has come."""
         return self.drain_at <= self._clock.now
 
     def came_too_late(self, arrived: float) -> bool:
-        """Whether a request arrived past the grace after the notice, so that it must not run."""
+        """Return whether a request arrived after the grace period that follows the notice, so that it must not run."""
         return arrived > self.drain_at + self._grace_ms - self._round_ms
--- a/myrtlespar/policy/fault_detection.py
+++ b/myrtlespar/policy/fault_detection.py
@@ -1,4 +1,4 @@
-"""Detection of a slow server, of cores that hang and of runs that fail."""
+"""Detection of faults of this server: slow runs, cores that hang, runs that fail. Other servers are not judged."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from myrtlespar.policy.learning import FAST_WEIGHT, SURE_RUNS
 from myrtlespar.policy.policy_clock import PolicyClock
 
-SLOWED_PACE = 1.7  # times the usual pace: this server itself is slow, others are likely better
+SLOWED_PACE = 1.7  # times the usual pace: from here on this server is reported as slow
 HANG_RUNS = 12  # runs of the longest class that the cores could have ended: if none moved meanwhile, they hang
 FAILING_FRACTION = 0.5  # fraction of own runs failing from which on others serve a request better
-PROBE_INTERVAL_MS = 500.0  # between trials while own runs or the dependency's calls fail
+PROBE_INTERVAL_MS = 500.0  # between trials while own runs, or calls to the dependency, fail
 
 
 class FaultDetection:
-    """What is wrong with this server itself.
+    """Faults of this server, judged by its own runs.
 
     Attributes:
-        is_hanging: No run has moved for so long that the cores are taken to hang.
-        is_slowed: Runs take far more core time than usual.
+        is_hanging: Runs have made no progress for so long that the cores are taken to hang.
+        is_slowed: Whether runs take far more core time than usual; it is logged, no decision rests on it.
     """
 
     def __init__(
@@ -46,18 +46,18 @@
         self._last_progress = self._clock.now
 
     def note_progress(self) -> None:
-        """A run has moved: it ended or reached its call."""
+        """Record that a run made progress: it ended or reached its call."""
         self._last_progress = self._clock.now
         if self.is_hanging:
             self.is_hanging = False
             self._actions.log("runs move again")
 
     def note_outcome(self, failed: bool) -> None:
-        """Take the end of a run by itself into the part that fails."""
+        """Record whether a run that ended by itself failed."""
         self._failed_fraction += FAST_WEIGHT * (float(failed) - self._failed_fraction)
 
     def note_admission(self) -> None:
-        """A request was admitted; while runs fail it is the trial."""
+        """Record that a request was admitted; while runs fail it is the trial."""
         self._last_admission = self._clock.now
 
     def is_failing(self) -> bool:
@@ -68,14 +68,14 @@
         )
 
     def check_pace(self) -> None:
-        """Tell a slowed server by the pace of its runs."""
+        """Update `is_slowed` from the pace of the runs."""
         pace = self._costs.pace
         if self.is_slowed != (pace > SLOWED_PACE):
             self.is_slowed = not self.is_slowed
             self._actions.log(f"this server is {'slowed' if self.is_slowed else 'at its usual pace'}: {pace:.1f}")
 
     def check_progress(self, cores: int) -> None:
-        """Tell cores that hang while events go on; few cores end few runs, so they wait longer."""
+        """Update `is_hanging`: with fewer runs on the cores, fewer are expected to end, so it takes longer."""
         longest_ms = max(self._costs.elapsed_ms)
         if min(self._costs.runs_seen) < SURE_RUNS:
             longest_ms = max(longest_ms, max(self._costs.objectives_ms))
--- a/myrtlespar/policy/final_answers.py
+++ b/myrtlespar/policy/final_answers.py
@@ -22,13 +22,13 @@
 
 
 class FinalAnswers:
-    """Answers requests that get no result.
+    """Sends the final answer of requests that get no result.
 
     A request that never started is rejected; one that ran, or joined a run, is failed. Each gets one answer.
 
     Attributes:
-        due: Requests by their hard deadline.
-        objectives: Runs without weight for late answers, by the end of their latency objective.
+        due: All requests, by their hard deadline (`answer_due`).
+        objectives: Runs of classes without late weight, by the time until which an answer is useful.
         fleet: Limits of all servers together, or None.
     """
 
@@ -53,8 +53,9 @@
 
         Args:
             request: The request.
-            last: The caller shall not try another server: in overload that one would just read it too.
-            after_ms: When a limit of the fleet may have capacity; 0 advises as long as the waiting work needs.
+            last: Tell the caller not to retry on another server, as in overload the others are overloaded too. Without
+                it, the retry budget of the fleet decides.
+            after_ms: Retry-After, if a limit of the fleet gives one; at 0 it is the time that the waiting work needs.
         """
         retry_after_ms = after_ms or max(self._overload.wait_ms(), self._overload.overload_mark_ms())
         is_last = last or (self.fleet is not None and not self.fleet.may_retry())
@@ -63,12 +64,15 @@
         self._end_waiting(request)
 
     def fail(self, request: HeldRequest) -> None:
-        """Answer with an error, which promises nothing about effects."""
+        """Answer with an error: the request may or may not have had an effect."""
         self._actions.append(Fail(request.id))
         self.close(request)
 
     def close(self, request: HeldRequest) -> None:
-        """No answer is owed any more; core, call and memory of a run are given back by its end."""
+        """Record that no answer is owed any more: it was sent, or the caller has gone.
+
+        A waiting request ends here. A run stays in the table, with its core, call and memory, until `RunEnded`.
+        """
         if request.state not in STARTED_STATES:
             self._end_waiting(request)
             return
@@ -77,16 +81,16 @@
             self._actions.append(Stop(request.id))
 
     def stop_waiting(self, request: HeldRequest) -> None:
-        """Take a waiting request off the sums of the queues, its tenant's tokens and the memory of held requests."""
+        """Remove a waiting request from the sums of queued work, reserved tokens and queued memory."""
         self._queues.leave(request)
         if request.state is QUEUED or request.state is SET_ASIDE:
             self._quotas.release(request)
         self._memory.queued_kb -= request.memory_kb
 
     def fail_useless(self) -> None:
-        """Fail what is past its latency objective, where it waits for a call or can be stopped.
+        """Fail runs whose answer is of no use any more, where they wait for a call or can be stopped.
 
-        Runs that nobody can use must not keep cores and memory, whatever made them late.
+        They would only take cores, calls and memory from requests that are still useful.
         """
         while (request := self.objectives.pop_due(self._clock.now)) is not None:
             at_call = request.state is WAITING_FOR_CALL or request.state is CALLING
@@ -94,7 +98,7 @@
                 self.fail(request)
 
     def answer_due(self) -> None:
-        """Keep the hard deadline: what never ran is rejected, what ran or joined a run is failed."""
+        """Answer what has reached its hard deadline: reject what never ran, fail what ran or joined a run."""
         while (request := self.due.pop_due(self._clock.now)) is not None:
             if request.state is ENDED or request.answered or request.answer_due > self._clock.now:
                 continue
@@ -104,7 +108,7 @@
                 self.fail(request)
 
     def bring_forward(self, answers_due_at: float) -> None:
-        """Let no open request be due after `answers_due_at`."""
+        """Move the hard deadline of every unanswered request to `answers_due_at`, unless it is earlier."""
         for request in self._table.requests.values():
             if not request.answered and request.answer_due > answers_due_at:
                 request.answer_due = max(self._clock.now, answers_due_at)
--- a/myrtlespar/policy/fleet_queue.py
+++ b/myrtlespar/policy/fleet_queue.py
@@ -1,4 +1,4 @@
-"""Requests for which the limits of the whole fleet have no capacity yet."""
+"""Holds requests that could start on this server, but for which the limits of the fleet have no capacity yet."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from myrtlespar.policy.messages import Wake
 from myrtlespar.policy.server_state import ServerState
 
-FLEET_CAPACITY_TOKEN = 1  # of ticks that are asked for only to start what the fleet has capacity for again
-MIN_WAKE_MS = 1.0
+FLEET_CAPACITY_TOKEN = 1  # token of ticks that only retry the admission of queued requests
+MIN_WAKE_MS = 1.0  # a shorter wake-up would come before the fleet has capacity
 
 
 class FleetQueue:
-    """Holds requests until the fleet has capacity for them; their order is kept by the port itself."""
+    """Moves requests out of this server's queues and back; `FleetLimitsPort` keeps them and their order meanwhile."""
 
     def __init__(self, state: ServerState, answers: FinalAnswers) -> None:
         self._clock = state.clock
@@ -27,9 +27,13 @@
         self._wake_at = -1.0
 
     def hold(self, fleet: FleetLimitsPort, request: HeldRequest, after_ms: float, give_up_at: float) -> None:
-        """Hold a request if the fleet has capacity before `give_up_at`, else reject it at once.
+        """Hold a request if the fleet may have capacity by `give_up_at`, else reject it at once.
 
-        Without this, capacity would lie free until the next request comes.
+        Args:
+            fleet: The limits that did not admit it.
+            request: The request, at the head of its queue.
+            after_ms: In how many ms there may be capacity.
+            give_up_at: When the request can no longer start in time, in ms on the policy's clock.
         """
         if request.state is LATE or self._clock.now + after_ms > give_up_at:
             self._answers.reject(request, last=False, after_ms=fleet.reject(request.id, after_ms))
@@ -40,14 +44,14 @@
         fleet.enqueue(request.id, self._costs.latest_start(request))
 
     def take_ready(self, fleet: FleetLimitsPort) -> None:
-        """Queue what the fleet has capacity for again in front of its lane, as it came before what is there."""
+        """Put requests that may be admitted now back at the front of their lane: they arrived before those there."""
         for request_id in reversed(fleet.take_ready()):
             request = self._table.requests[request_id]
             self._quotas.reserve(request)
             self._queues.prepend(request)
 
     def wake_when_ready(self, fleet: FleetLimitsPort, next_tick_at: float) -> None:
-        """Ask for a tick when the first held request may have capacity, if that is before the next tick."""
+        """Request a tick for when the first held request may be admitted, if that is before `next_tick_at`."""
         after_ms = fleet.next_ready_ms()
         now = self._clock.now
         if now + after_ms < next_tick_at and (now + after_ms < self._wake_at or self._wake_at <= now):
--- a/myrtlespar/policy/held_request.py
+++ b/myrtlespar/policy/held_request.py
@@ -9,13 +9,13 @@
 
 
 class RequestState(enum.Enum):
-    """Where a request stands from its arrival until its memory is free again."""
+    """The states of a request from its arrival until its memory is free again."""
 
     NEW = "new"
     QUEUED = "queued"
     SET_ASIDE = "set aside"
     LATE = "late"  # past its latency objective; it runs when nothing else waits
-    JOINED = "joined"  # repeats a request whose key is known, and takes that one's answer
+    JOINED = "joined"  # has the idempotency key of another request, and gets that one's answer
     RUNNING = "running"
     WAITING_FOR_CALL = "waiting for call"  # off the cores, its call to the dependency is not made yet
     CALLING = "calling"
@@ -39,17 +39,23 @@
 
 
 class HeldRequest:
-    """One request that was read here, until its memory is free again. Times are in ms on the policy's clock.
+    """One request that was read here, until its memory is free again. Moments are in ms on the policy's clock.
 
     Attributes:
+        arrived: When it reached this server, before it was read.
         lane: The priority queue it belongs to: twice its class, plus one for work over its tenant's quota.
         answer_due: The hard deadline: an answer is sent by then.
         useful_until: When its latency objective, or its caller's learned timeout, ends: later answers are of no use.
         set_aside_until: When delayed rejection (timer T1) rejects it; 0 if it was not set aside.
-        relative_cost: Its cost as a multiple of its class's mean, as told by its cost hint.
-        core_clock_start: Reading of the core clock when it last went on a core.
+        relative_cost: Its cost as a multiple of its class's mean, as predicted from its cost hint.
+        core_clock_start: Value of `ConcurrencyLimit.core_clock_ms` when it last went on a core.
         core_ms: Core time that it has had so far.
         call_retry_at: When its call to the dependency may be made.
+        call_attempts: Failed attempts at its present call.
+        answered: No answer is owed any more; the run itself may go on.
+        key_is_kept: Its idempotency key is remembered on account of this request.
+        prior: Id of the first request with its idempotency key; empty if there is none.
+        log_cost_hint: Natural logarithm of its cost hint in ms; NaN without a valid one.
     """
 
     __slots__ = (
--- a/myrtlespar/policy/idempotency_keys.py
+++ b/myrtlespar/policy/idempotency_keys.py
@@ -1,4 +1,8 @@
-"""Retention of idempotency keys: which keys are remembered, for how long, and in how much memory."""
+"""Which idempotency keys are remembered, for how long, and in how much memory.
+
+A key is accounted for under the id of the first request that had it. Finding a key is left to the server, which sets
+`Arrival.prior`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class IdempotencyKeys:
-    """The keys that are remembered, with the time each expires; every key takes `key_kb` of memory."""
+    """The remembered keys and when each expires; each takes `key_kb` KB of the memory account."""
 
     def __init__(self, key_kb: float, clock: PolicyClock, actions: ActionList, memory: MemoryAccount) -> None:
         self.key_kb = key_kb
@@ -23,12 +27,12 @@
         self._remembered: set[str] = set()
 
     def expire(self, now: float) -> None:
-        """Give back the memory of keys whose time has passed."""
+        """Free the memory of keys whose time has passed."""
         while self._expiries and self._expiries[0][0] <= now:
             self._release(heapq.heappop(self._expiries)[1])
 
     def keep(self, request: HeldRequest, for_ms: float) -> None:
-        """Remember the key from the first sight on, so that a repeat of a held request is known too."""
+        """Remember the key of a request for `for_ms`, from its admission on: a repeat may arrive before its run."""
         keep_ms = max(0.0, for_ms)
         request.key_is_kept = True
         self._actions.append(Keep(request.id, keep_ms))
@@ -37,7 +41,7 @@
         self._memory.used_kb += self.key_kb
 
     def forget(self, request: HeldRequest) -> None:
-        """Drop the key of a request that never ran: a repeat of it may run."""
+        """Drop the key of a request that never ran, so that a repeat may run."""
         self._actions.append(Forget(request.id))
         self._release(request.id)
 
--- a/myrtlespar/policy/idle_connections.py
+++ b/myrtlespar/policy/idle_connections.py
@@ -1,4 +1,4 @@
-"""How long idle connections are kept, by how often callers come back and whether a retry storm is on."""
+"""Whether idle connections are closed early: where callers seldom come back, but not during a retry storm."""
 
 from __future__ import annotations
 
@@ -10,12 +10,19 @@
 MAX_RETURN_FRACTION = 0.5  # fraction of the callers' idle time: who comes back later than that keeps no connection here
 # Of the tightest latency objective: how long an idle connection is kept while connections are closed early.
 EARLY_CLOSE_FRACTION = 0.15
-RETRY_STORM_FRACTION = 0.6  # fraction of requests rejected from which on retries are best kept out by a full table
+RETRY_STORM_FRACTION = (
+    0.6  # fraction of requests rejected from which on retries are best kept out by a full connection table
+)
 RETRY_STORM_END_FRACTION = RETRY_STORM_FRACTION / 2
 
 
 class IdleConnections:
-    """Whether idle connections are closed early (`closes_early`), and whether rejections amount to a retry storm."""
+    """Decides how long connections without requests are kept.
+
+    Attributes:
+        is_retry_storm: So many requests are rejected that their retries are taken for the load.
+        closes_early: Idle connections are closed by this server, and not left to the callers.
+    """
 
     def __init__(self, settings: Settings, actions: ActionList, tightest_objective_ms: float) -> None:
         self._actions = actions
@@ -27,17 +34,22 @@
         self.closes_early = False
 
     def note_rejected(self) -> None:
-        """A request was rejected."""
+        """Record that a request was rejected."""
         self._rejected_fraction += SLOW_WEIGHT * (1.0 - self._rejected_fraction)
 
     def note_started(self) -> None:
-        """A request was started."""
+        """Record that a request was started."""
         self._rejected_fraction -= SLOW_WEIGHT * self._rejected_fraction
 
     def update(self, arrival_gap_ms: float, arrivals: int) -> None:
-        """Close idle connections early where a caller seldom comes back before it would close them.
+        """Close idle connections early if callers seldom send again before they would close them themselves.
+
+        Many callers that rarely send would fill the connection table and keep others out. In a retry storm that is
+        wanted.
 
-        A table filled by many callers that come rarely takes work and keeps others out.
+        Args:
+            arrival_gap_ms: Mean time between arrivals.
+            arrivals: Requests admitted so far; with few, nothing is changed.
         """
         self.is_retry_storm = self._rejected_fraction > (
             RETRY_STORM_END_FRACTION if self.is_retry_storm else RETRY_STORM_FRACTION
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -1,4 +1,4 @@
-"""The load that is advertised to callers along with every answer."""
+"""The load value that callers get with every answer, so that they send less to a loaded server."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from myrtlespar.policy.server_state import ServerState
 from myrtlespar.policy.settings import Signal
 
-LEVEL_RISE_PER_S = 0.5  # per unit of excess wait
-LEVEL_FALL_PER_S = 0.25  # below A
-MAX_EXCESS = 2.0  # units of excess wait that count
+LEVEL_RISE_PER_S = 0.5  # for a wait of 2 O; in proportion to the excess over O
+LEVEL_FALL_PER_S = 0.25  # while the wait is below A
+MAX_EXCESS = 2.0  # excess of the wait over O, in multiples of O, beyond which the level rises no faster
 MAX_LEVEL = 0.5  # above it callers stop sending and get no newer value: all servers idle and are flooded in turns
 MIN_CHANGE_FRACTION = 0.02  # a value that changed by less is not advertised again
 
 
 class LoadAdvertisement:
-    """The load level, moved once a tick, and the value last advertised."""
+    """Keeps a load level from 0 (send as usual) to `MAX_LEVEL`, and advertises it in the form that callers use."""
 
     def __init__(self, state: ServerState) -> None:
         self._signal = state.settings.signal
@@ -29,12 +29,12 @@
         self._faults = state.faults
         self._drain = state.drain
         weights = [request_class.priority_weight for request_class in state.settings.classes]
-        self._ranks_end_at = sum(weight < max(weights) for weight in weights) / len(weights)
+        self._lighter_classes_fraction = sum(weight < max(weights) for weight in weights) / len(weights)
         self._level = 0.0
         self._advertised = -1.0
 
     def update(self, step_ms: float) -> None:
-        """Move the level by what `step_ms` brought, and advertise the value if it changed enough."""
+        """Move the level for the `step_ms` since the last update, and advertise the value if it changed enough."""
         if self._signal is Signal.NONE:
             return
         self._move_level(step_ms)
@@ -48,10 +48,14 @@
             self._actions.append(Advertise(value))
 
     def _move_level(self, step_ms: float) -> None:
-        """Up past O, down below A; where ranks no longer tell classes apart, cheap work alone moves it up."""
+        """Raise the level while work waits longer than O, lower it while below A.
+
+        With `Signal.LEVEL` callers hold back the classes of lower weight first. Once the level covers all of these,
+        set-aside work and unread arrivals count no more: only queued work raises it further.
+        """
         mark_ms = self._overload.overload_mark_ms()
         seconds = step_ms / 1000
-        if self._signal is Signal.LEVEL and self._level >= self._ranks_end_at:
+        if self._signal is Signal.LEVEL and self._level >= self._lighter_classes_fraction:
             pressure_ms = self._overload.wait_ms(with_set_aside=False) - self._overload.unread_ms
         else:
             pressure_ms = self._overload.wait_ms()
@@ -62,9 +66,11 @@
         self._level = max(0.0, min(self._level, MAX_LEVEL))
 
     def _allowance(self) -> float:
-        """Requests each caller may have here: runs, calls and what can wait under O, split by use."""
+        """Return how many requests each caller may have here: capacity divided by the effective number of callers."""
+        # Runs, calls, and what may wait without the wait passing O.
         waiting = self._cores * self._overload.overload_mark_ms() / max(1.0, self._costs.mean_core_ms)
         capacity = self._cores + self._concurrency.at_calls + waiting
         used = self._table.open_by_sender.values()
+        # Equals the number of callers if all use the same; few heavy callers count for nearly all.
         callers = sum(used) ** 2 / sum(n * n for n in used) if used else float(self._senders)
         return capacity / max(1.0, callers)
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -1,8 +1,8 @@
 """The interface of the overload controller: the events that it takes and the actions that it answers with.
 
-Times are milliseconds on the caller's clock, memory is in kilobytes, classes and tenants are positions in
-the settings. The types of the settings and the fleet's port are offered here
-too, so that callers import from one place.
+Times are in milliseconds and moments on the clock of whoever calls `Policy.handle`; memory is in kilobytes; classes and
+tenants are positions in the settings. The types of the settings and the fleet's port are exported here too, so that
+callers import from one place.
 """
 
 from __future__ import annotations
@@ -49,7 +49,8 @@
 class RunOutcome(enum.Enum):
     """How a run or a call ended.
 
-    REJECTED, UNREACHABLE and MOOT mean that it never ran; ERROR, TIMED_OUT, CUT_OFF and STOPPED promise nothing.
+    REJECTED, UNREACHABLE and MOOT mean that it never ran; after ERROR, TIMED_OUT, CUT_OFF or STOPPED it may or may not
+    have had effects.
     """
 
     OK = "ok"
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request was read and is held from now on; an answer is owed.
+    """A request was read; from now on an answer is owed.
 
     Attributes:
         class_index: Position of its class in the settings.
@@ -72,7 +73,7 @@
         deadline: When its caller stops waiting, on the policy's clock; 0 if the caller did not say.
         tenant: Position of its tenant in the settings.
         sender: The caller that sent it.
-        rank: Its rank as the caller gave it; not used.
+        rank: Its rank as the caller gave it; no decision rests on it.
         prior: Id of the request of the same idempotency key that was read before; empty if there is none.
         is_retry: Marked as a retry by its caller.
         cost_hint_ms: The caller's guess of its cost; 0 if there is none.
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run, or an answer taken from another request's result, is over."""
+    """A run has ended, or a repeat has got its answer after `Reuse`."""
 
     id: str
     outcome: RunOutcome
@@ -102,14 +103,14 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run waits, off the cores, until its call to the dependency is made or skipped."""
+    """A run has left its core, and waits until its call to the dependency is made or skipped."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CallEnded:
-    """A call came back; anything but OK leaves the run waiting at it."""
+    """A call has ended; after any outcome but OK the run waits for another `Call`, `SkipCall` or `Fail`."""
 
     id: str
     outcome: RunOutcome
@@ -118,14 +119,14 @@
 
 @dataclass(slots=True)
 class CallerGone:
-    """Nobody waits for this request any longer."""
+    """The caller of this request does not wait for its answer any longer."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Drain:
-    """This server drains: its process is killed at `kill_at`."""
+    """The notice to drain: this server's process is killed at `kill_at`."""
 
     kill_at: float
 
@@ -143,18 +144,18 @@
 
 @dataclass(slots=True)
 class Run:
-    """Start a held request."""
+    """Start a waiting request."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, never ran.
+    """Final answer: the request is rejected, and never ran here.
 
     Attributes:
         retry_after_ms: When a retry may find capacity; 0 gives no advice.
-        last: The caller shall not try another server.
+        last: The caller shall not retry on another server.
     """
 
     id: str
@@ -164,7 +165,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error, which promises nothing about effects."""
+    """Final answer: an error; the request may or may not have had an effect."""
 
     id: str
 
@@ -178,14 +179,14 @@
 
 @dataclass(slots=True)
 class Reuse:
-    """Answer a repeat from the result of the request it repeats."""
+    """Answer a repeat with the result of the request of the same idempotency key, now or when that ends."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Keep:
-    """Remember a request's idempotency key for `for_ms`."""
+    """Remember a request's idempotency key for `for_ms` from now on."""
 
     id: str
     for_ms: float
@@ -215,7 +216,7 @@
 
 @dataclass(slots=True)
 class Advertise:
-    """Set the value that goes along with every later answer."""
+    """Set the load value that is sent with every later answer; `Settings.signal` says what it means."""
 
     value: float
 
@@ -226,7 +227,7 @@
 
     Attributes:
         good: Whether the server reports itself healthy.
-        is_cached: Answer from this value, without a check of the dependency.
+        is_cached: Health checks are answered from this value, without a check of the dependency.
     """
 
     good: bool
@@ -235,7 +236,7 @@
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close connections that carried nothing for `after_ms`; 0 leaves closing them to the callers."""
+    """Close connections that were idle for `after_ms`; 0 leaves closing them to the callers."""
 
     after_ms: float
 
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -1,4 +1,4 @@
-"""The overload controller of one server. The types it speaks are in myrtlespar/policy/messages.py.
+"""The overload controller of one server. Its events and actions are in myrtlespar/policy/messages.py.
 
 The mechanism is delayed rejection: while an overload flag is up, costly arrivals are set aside and rejected
 only after a timer, cheap work runs first, and set-aside work still gets a forced turn. See docs/design.md.
@@ -23,18 +23,18 @@
 from myrtlespar.policy.server_health import ServerHealth
 from myrtlespar.policy.server_state import new_server_state
 
-HOUSEKEEPING_TOKEN = 0
+HOUSEKEEPING_TOKEN = 0  # token of the periodic ticks, against `FLEET_CAPACITY_TOKEN`
 
 
 class Policy:
-    """The controller of one server: feed it events, carry out its actions.
+    """The controller of one server: the caller passes events to `handle` and carries out the actions it returns.
 
-    It hands each event to the parts concerned. These own the state and decide; each is an attribute, and is
+    It passes each event to the components concerned. These own the state and decide; each is an attribute, and is
     described in its own module.
 
     Attributes:
         seed: The seed that the server was given; no decision is random.
-        next_wake: When the next housekeeping tick was asked for, in ms.
+        next_wake: For when the next housekeeping tick was requested, in ms.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -134,9 +134,9 @@
         self.health.report(True)
 
     def _advance(self, now: float) -> None:
-        """Let time pass for the parts that count it."""
+        """Move all components that depend on time to `now`."""
         step_ms = self._clock.advance(now)
-        if step_ms > self._clock.max_step_ms:  # not the runs alone stood still: no hang
+        if step_ms > self._clock.max_step_ms:  # the whole process stood still, which is no hang of the cores
             self.faults.restart()
         self.concurrency.advance(step_ms)
         self.dependency.advance(step_ms)
@@ -167,7 +167,7 @@
         self.table.end(request)
 
     def _leave_core(self, request: HeldRequest) -> None:
-        """A run ends or reaches its call."""
+        """Record that a run ends or reaches its call."""
         self.concurrency.leave(request)
         if request.state is CALLING:
             self.dependency.abandon(request)
@@ -191,7 +191,7 @@
             self.answers.close(request)
 
     def _tick(self, event: api.Tick) -> None:
-        """Housekeeping, but for ticks that only start what the fleet has capacity for."""
+        """Do the periodic work; a tick of the fleet queue needs none, as `handle` itself starts what may start."""
         if event.token == FLEET_CAPACITY_TOKEN:
             return
         step_ms = self._clock.now - self._last_tick
@@ -207,7 +207,7 @@
         self.advertisement.update(step_ms)
 
     def _drain(self, event: api.Drain) -> None:
-        """Advise callers to stay away; all answers are due a little before the process is killed."""
+        """Begin to drain: report bad health, and bring deadlines forward to before the process is killed."""
         self.drain.start(event.kill_at)
         self._actions.log(f"draining: {len(self.table.requests)} requests to answer")
         self.health.report(False)
--- a/myrtlespar/policy/policy_clock.py
+++ b/myrtlespar/policy/policy_clock.py
@@ -1,22 +1,24 @@
-"""Time as the policy is told of it: it never reads a clock of its own."""
+"""The time as the caller of the policy passes it; the policy reads no clock."""
 
 from __future__ import annotations
 
 import math
 
 MAX_TICK_MS = 50.0  # between housekeeping ticks; also at most half the answer slack, so no due time is missed
-STANDSTILL_TICKS = 2.0  # ticks without an event from which on the whole process is taken to have stood still
+STANDSTILL_TICKS = 2.0  # ticks without an event, after which the whole process is taken to have stood still
 
 
 class PolicyClock:
     """The present moment, and how long the process has stood still.
 
     Attributes:
-        now: The latest time told, in ms. It never goes back.
-        previous: What `now` was at the event batch before.
-        started_at: When the first batch came.
+        now: The latest time passed, in ms. It never goes back.
+        previous: What `now` was at the previous batch of events.
+        started_at: Time of the first batch; -1 before it.
         resumed_at: End of the latest standstill of the process; minus infinity before the first.
-        longest_standstill_ms: The longest time without an event beyond a tick.
+        longest_standstill_ms: The longest time between two batches, less one tick.
+        tick_ms: Time between housekeeping ticks.
+        max_step_ms: A longer time between two batches is taken for a standstill of the process.
     """
 
     def __init__(self, answer_slack_ms: float) -> None:
--- a/myrtlespar/policy/priority_queues.py
+++ b/myrtlespar/policy/priority_queues.py
@@ -7,17 +7,17 @@
 from myrtlespar.policy.cost_estimates import CostEstimates
 from myrtlespar.policy.held_request import LATE, QUEUED, SET_ASIDE, HeldRequest, RequestState
 
-FORCED_TURN_STARTS = 9  # starts of cheap work before set-aside work gets a turn
+FORCED_TURN_STARTS = 9  # starts of queued work before set-aside work gets a turn
 
 
 class PriorityQueues:
     """Queued, set-aside and late requests, and how much work they are.
 
-    A request leaves a queue by its state: the queue drops it when it comes to its head.
+    A request leaves a queue when its state changes: it is dropped only when it comes to the head.
 
     Attributes:
-        queued_work: For each lane the sum of relative costs of queued requests. Exact: see `CostHints`.
-        set_aside_work: The same of requests that were set aside.
+        queued_work: For each lane the sum of relative costs of queued requests, without rounding: see `CostHints`.
+        set_aside_work: The same for requests that were set aside.
         late: Requests past their latency objective whose late answers still have weight.
     """
 
@@ -39,7 +39,7 @@
         self.queued_work[request.lane] += request.relative_cost
 
     def prepend(self, request: HeldRequest) -> None:
-        """Queue a request in front of its lane."""
+        """Queue a request at the front of its lane."""
         request.state = QUEUED
         self._queued[request.lane].appendleft(request)
         self.queued_work[request.lane] += request.relative_cost
@@ -51,19 +51,19 @@
         self.set_aside_work[request.lane] += request.relative_cost
 
     def append_late(self, request: HeldRequest) -> None:
-        """Let a request wait until nothing else does."""
+        """Let a request wait until no other request does."""
         request.state = LATE
         self.late.append(request)
 
     def leave(self, request: HeldRequest) -> None:
-        """Take the work of a request that waits no longer off the sums."""
+        """Subtract the work of a request that waits no longer from the sums; call it before the state changes."""
         if request.state is QUEUED:
             self.queued_work[request.lane] -= request.relative_cost
         elif request.state is SET_ASIDE:
             self.set_aside_work[request.lane] -= request.relative_cost
 
     def core_ms_per_core(self, with_set_aside: bool) -> float:
-        """Time in ms that the waiting work needs from all cores together."""
+        """Return the time in ms that all cores together need for the waiting work."""
         usual = self._costs.usual_core_ms
         pace = self._costs.pace
         work = sum([amount * (usual[lane >> 1] * pace) for lane, amount in enumerate(self.queued_work)])
@@ -72,9 +72,10 @@
         return work / self._cores
 
     def next_request(self, is_overloaded: bool) -> HeldRequest | None:
-        """Choose what starts next: cheap work first, by weight per cost in overload, by urgency else.
+        """Choose the request to start next: queued work first, by weight per cost in overload, else by latest start.
 
-        Set-aside work has its turn when no cheap work waits, or after `FORCED_TURN_STARTS` starts of it.
+        Set-aside work has a turn when nothing is queued, or after `FORCED_TURN_STARTS` starts of queued work. The
+        request stays in its queue until its state changes; None if no request waits.
         """
         costs = self._costs
         queued = _heads(self._queued, QUEUED)
@@ -91,7 +92,7 @@
 
 
 def _heads(lanes: list[deque[HeldRequest]], state: RequestState) -> list[HeldRequest]:
-    """The first request of each lane that is still in `state`; drops what stands before it."""
+    """Return the first request in `state` of each lane that has one; requests before it are dropped."""
     heads = []
     for lane in lanes:
         while lane and lane[0].state is not state:
--- a/myrtlespar/policy/request_table.py
+++ b/myrtlespar/policy/request_table.py
@@ -1,4 +1,4 @@
-"""All requests that were read here and whose memory is not free yet."""
+"""The table of all requests that were read here and whose memory is not free yet."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         self.open_by_sender: dict[int, int] = {}
 
     def add(self, request: HeldRequest) -> None:
-        """Enter a request that was read; an answer is owed."""
+        """Add a request that was read; an answer is owed."""
         self.requests[request.id] = request
         self._memory.used_kb += request.memory_kb
         self._memory.queued_kb += request.memory_kb
         self.open_by_sender[request.sender] = self.open_by_sender.get(request.sender, 0) + 1
 
     def mark_answered(self, request: HeldRequest) -> None:
-        """No answer is owed any more."""
+        """Record that no answer is owed any more; the request stays in the table."""
         if request.answered:
             return
         request.answered = True
@@ -37,7 +37,7 @@
             del self.open_by_sender[request.sender]
 
     def end(self, request: HeldRequest) -> None:
-        """Nothing of the request is left but, perhaps, its idempotency key."""
+        """Remove a request and free its memory; its idempotency key, if any, is accounted for elsewhere."""
         if request.state in STARTED_STATES:
             self._memory.used_kb -= request.memory_kb * self._run_memory_factor
         else:
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -1,4 +1,4 @@
-"""Starts waiting requests within the concurrency limit, and gives up those that can no longer start in time."""
+"""Starts waiting requests within the concurrency limit, and rejects those that can no longer start in time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Decides when a waiting request starts, and when it has waited too long.
 
     Attributes:
-        give_ups: Waiting requests by the time at which they can no longer start in time, or T1 ends.
+        give_ups: Waiting requests, by when they can no longer start in time or timer T1 ends.
         fleet: Limits of all servers together, or None.
     """
 
@@ -44,13 +44,14 @@
         self.fleet: FleetLimitsPort | None = None
 
     def watch(self, request: HeldRequest) -> None:
-        """Give up a waiting request when its time to start is over."""
+        """Check a waiting request when it can no longer start in time, or T1 ends."""
         self.give_ups.push(self._give_up_at(request), request)
 
     def start_work(self) -> None:
-        """Start what the limit allows.
+        """Start requests up to the concurrency limit, as far as memory and the limits of the fleet allow.
 
-        Fewer start while arrivals wait unread past O: runs slow reading, the one thing that all arrivals need.
+        The limit is lower while arrivals wait unread for longer than O: runs take the cores from reading, which every
+        arrival needs.
         """
         self._expire()
         concurrency = self._concurrency
@@ -87,7 +88,7 @@
         return min(request.set_aside_until or math.inf, self._costs.latest_start(request))
 
     def _expire(self) -> None:
-        """Reject what can no longer start in time (the sojourn bound) and what T1 has run out for."""
+        """Reject requests that can no longer start in time (the sojourn bound) and those whose timer T1 has ended."""
         now = self._clock.now
         while (request := self.give_ups.pop_due(now)) is not None:
             state = request.state
@@ -107,7 +108,10 @@
                 self._answers.reject(request, last=True)
 
     def _miss_objective(self, request: HeldRequest) -> None:
-        """Past its objective a request is rejected, unless a late answer has weight and there is no overload."""
+        """Reject a queued request that would miss its objective, or let it wait on if a late answer has weight.
+
+        In overload it is rejected in any case.
+        """
         has_late_weight = self._classes[request.class_index].late_weight > 0
         if has_late_weight and not self._overload.is_overloaded and self._drain.answers_due_at > request.answer_due:
             self._answers.stop_waiting(request)
--- a/myrtlespar/policy/server_health.py
+++ b/myrtlespar/policy/server_health.py
@@ -1,4 +1,4 @@
-"""What health checks are told: good, unless this server drains or reads its arrivals far too late."""
+"""What health checks report: good, unless this server drains or reads its arrivals far too late."""
 
 from __future__ import annotations
 
@@ -8,11 +8,17 @@
 from myrtlespar.policy.messages import SetHealth
 from myrtlespar.policy.server_capacity import ServerCapacity
 
-WITHDRAW_MARKS = 1.0 / OVERLOAD_SLACK_FRACTION  # times O that arrivals wait unread when health is withdrawn: all slack
+WITHDRAW_MARKS = (
+    1.0 / OVERLOAD_SLACK_FRACTION
+)  # multiple of O for which arrivals wait unread when health turns bad: all slack
 
 
 class ServerHealth:
-    """Whether this server has withdrawn its good health (`is_withdrawn`), so that discovery sends nobody here."""
+    """Decides what health checks report.
+
+    Attributes:
+        is_withdrawn: Bad health is reported because of unread arrivals, so that service discovery sends no callers.
+    """
 
     def __init__(
         self,
@@ -30,13 +36,14 @@
         self.is_withdrawn = False
 
     def report(self, good: bool) -> None:
-        """Set what health checks are told; a deep check costs work and a call, so it is answered from store."""
+        """Set what health checks report. It answers deep checks too, as a real one would cost work and a call."""
         self._actions.append(SetHealth(good, is_cached=True))
 
     def update(self) -> None:
-        """Report bad while arrivals wait unread past the whole slack, until they wait under O.
+        """Report bad health once arrivals wait unread for the whole slack, until they wait for less than O.
 
-        Callers must not go on sending to a slowed or cold server; in a flood that would only move it on.
+        Callers then turn to other servers. In an overload of the whole fleet health does not turn bad, as that
+        would only move the load to others.
         """
         if not self._discovery_follows_health:
             return
--- a/myrtlespar/policy/server_state.py
+++ b/myrtlespar/policy/server_state.py
@@ -21,12 +21,12 @@
 from myrtlespar.policy.tenant_quotas import TenantQuotas
 
 USUAL_OBJECTIVE_MS = 1100.0  # where the tightest latency objective is shorter, call backoff and trials follow it
-MIN_INTERVAL_SCALE = 0.01  # an objective of nothing still leaves an interval
+MIN_INTERVAL_SCALE = 0.01  # keeps intervals above 0 even for a latency objective of 0
 
 
 @dataclass(slots=True, frozen=True)
 class ServerState:
-    """The parts that count and estimate. Each owns its values; the parts that decide (admission, ...) are given all.
+    """The components that count and estimate. Each owns its values; those that decide (admission, ...) get them all.
 
     Attributes:
         cores: Cores of this server, at least one.
@@ -58,7 +58,7 @@
 
 
 def new_server_state(settings: Settings) -> ServerState:
-    """The state of a server that has seen nothing yet."""
+    """Return the state of a server that has had no event yet."""
     cores = max(1, settings.cores)
     tightest_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
     interval_scale = max(MIN_INTERVAL_SCALE, min(1.0, tightest_ms / USUAL_OBJECTIVE_MS))
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -1,6 +1,7 @@
-"""The settings of a server: the classes of requests, its capacity and the rules that it keeps.
+"""The settings of the policy of one server: request classes, capacity, and what callers and the platform support.
 
-Times are in milliseconds and memory is in kilobytes. Classes and tenants are positions in the lists.
+Times are in milliseconds and memory is in kilobytes. Classes and tenants are positions in the lists. The
+keys of the settings file are other words: `settings_reader` has them.
 """
 
 from __future__ import annotations
@@ -33,10 +34,11 @@
     Attributes:
         latency_objective_ms: Answers within this time are useful.
         client_timeout_ms: Callers wait this long, unless they pass a deadline.
-        priority_weight: What an answer is worth, compared with other classes.
+        priority_weight: Value of an answer in time, compared with other classes.
         late_weight: Fraction of the weight left for an answer past the latency objective.
+        effect: Whether a request may run again.
         window_ms: How long its idempotency keys are kept.
-        calls: Its runs call the dependency.
+        calls: Whether its runs call the dependency.
         degraded_weight: Fraction of the weight left for a result without the call; 0 if a run cannot do without.
     """
 
@@ -52,7 +54,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What the policy of one server goes by; fixed for its life.
+    """What the policy of one server is given at its start; it never changes afterwards.
 
     Attributes:
         memory_kb: Memory for requests, runs and idempotency keys.
@@ -60,21 +62,22 @@
         over_quota_weight: Factor of the priority weight of work over its tenant's quota.
         senders: Callers that may send here.
         tier: 0 for the servers that clients call; above, servers that are called by other tiers.
-        cold: The server may be cold at its start, and warms up within `warm_up_ms` from `cold_from` on.
+        cold: The server may start cold: its speed then rises from the fraction `cold_from` to 1 within `warm_up_ms`.
         fall_multiple: Times the cores: the concurrency at which the server breaks down when warm.
         answer_slack_ms: How much later than due an answer may be.
         drain_grace_ms: Arrivals within this time after the notice to drain still run.
         run_memory_factor: Memory of a run as a multiple of its request's.
         key_kb: Memory of a remembered idempotency key.
-        calls_share: Calls that this server may have in the shared dependency's hands on average; 0 for no limit.
+        calls_share: Calls to the shared dependency that this server may have in flight on average; 0 for no limit.
         calls_over_ms: Time over which that average is taken.
         linger_ms: How long the dependency may keep an abandoned call.
-        passes_deadline: Callers pass their deadline, and it is passed on to the dependency.
-        reports_cancellation: Callers that leave are noticed.
-        discovery_follows_health: A server that reports itself unhealthy gets no new requests.
+        passes_deadline: Callers pass their deadline, and calls pass it on to the dependency.
+        reports_cancellation: There is a `CallerGone` event for each caller that leaves.
+        discovery_follows_health: Service discovery sends no callers to a server that reports bad health.
         can_stop: A run can be taken off its core.
         marks_retries: Callers mark their retries.
         weight_by_work: Weight counts for each ms of work and not for each request.
+        signal: What the advertised value means to callers.
         caller_idle_ms: After this time callers close idle connections.
         max_retry_after_ms: The longest Retry-After; 0 gives none.
         gauges: Names of the gauges that come with each tick.
--- a/myrtlespar/policy/settings_reader.py
+++ b/myrtlespar/policy/settings_reader.py
@@ -1,4 +1,7 @@
-"""Reads the JSON settings object of a server into `Settings`; the simulator's adapter and the server share it."""
+"""Reads the JSON settings object of a server into `Settings`, for the simulator's adapter and for the server.
+
+The keys are the platform's: `read_settings` and `_class` show which field each of them fills.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 def _require(table: Json, key: str, path: str) -> Any:
-    """A value that must be there; raises an error that names its key."""
+    """Return a value that must be there; errors name its key."""
     if not isinstance(table, dict):
         raise InvalidSettingError(
             f"{path.rstrip('.') or 'settings'}: expected a table, got {table!r}"[:MAX_ERROR_LENGTH]
@@ -37,20 +40,20 @@
 
 
 def _number(value: Any, name: str, low: float = 0.0) -> float:
-    """A finite number from `low` on."""
+    """Return a finite number that is at least `low`."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= sys.float_info.max:
         raise InvalidSettingError(f"{name}: expected a number from {low:g}, got {value!r}"[:MAX_ERROR_LENGTH])
     return float(value)
 
 
 def _optional(table: Json, key: str, default: float, path: str) -> float:
-    """A number that may be absent, or null, which means the same."""
+    """Return a number, or the default if it is absent or null."""
     value = table.get(key)
     return default if value is None else _number(value, path + key)
 
 
 def _list(table: Json, key: str, path: str) -> list[Any]:
-    """A list that may be absent."""
+    """Return a list, an empty one if it is absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, list):
         raise InvalidSettingError(f"{path}{key}: expected a list, got {value!r}"[:MAX_ERROR_LENGTH])
@@ -58,7 +61,7 @@
 
 
 def _table(table: Json, key: str) -> Json:
-    """A table that may be absent."""
+    """Return a table, an empty one if it is absent."""
     value = table.get(key)
     if value is not None and not isinstance(value, dict):
         raise InvalidSettingError(f"{key}: expected a table, got {value!r}"[:MAX_ERROR_LENGTH])
@@ -89,14 +92,14 @@
 
 
 def _max_retry_after_ms(permissions: Json) -> float:
-    """The longest Retry-After that is allowed; 0 if none is."""
+    """Return the longest Retry-After that is allowed; 0 if none is."""
     if not permissions.get("retry_after", True):
         return 0.0
     return _optional(permissions, "max_retry_after_ms", 0.0, "permissions.")
 
 
 def _tenants(params: Json) -> list[Json]:
-    """The table of each tenant."""
+    """Return the table of each tenant."""
     tenants = _list(params, "projects", "")
     for index, tenant in enumerate(tenants):
         if not isinstance(tenant, dict):
@@ -105,7 +108,7 @@
 
 
 def _class_rows(params: Json) -> list[Any]:
-    """The classes, at least one."""
+    """Return the table of each class; there is at least one."""
     rows = _require(params, "classes", "")
     if not isinstance(rows, list) or not rows:
         raise InvalidSettingError(f"classes: expected at least one class, got {rows!r}"[:MAX_ERROR_LENGTH])
--- a/myrtlespar/policy/tenant_quotas.py
+++ b/myrtlespar/policy/tenant_quotas.py
@@ -7,16 +7,16 @@
 from myrtlespar.policy.held_request import HeldRequest
 from myrtlespar.policy.settings import Settings
 
-BURST_WINDOW_S = 5.0  # over which a tenant's arrivals are held against its quota
+BURST_WINDOW_S = 5.0  # time over which a tenant's arrivals are compared with its quota
 
 
 def _bucket_depth(rate_per_s: float) -> float:
-    # Twice the noise of chance arrivals: the few of a small quota must not look like an overrun.
+    # Twice the standard deviation of random arrivals: the few of a small quota must not look like an overrun.
     return 1.0 + 2.0 * math.sqrt(BURST_WINDOW_S * rate_per_s)
 
 
 class TenantQuotas:
-    """Tokens of each tenant, and how many of them queued requests will take when they start.
+    """Tokens of each tenant, and how many of them are reserved for requests that wait.
 
     Attributes:
         even_share_per_s: This server's even share of all quotas, in requests a second.
@@ -34,24 +34,24 @@
     def refill(self, step_ms: float, capacity_per_s: float) -> None:
         """Add the tokens of `step_ms`, given how many requests a second this server can run.
 
-        A tenant's rate is its part of the quota or of what can be run here, whichever is more: callers may
-        spread traffic unevenly, and a busy server must not see everybody over quota.
+        A tenant's rate is this server's even share of its quota, or its share of what can be run here if that is more:
+        callers may spread traffic unevenly, and a busy server must not see every tenant over quota.
         """
         for tenant, quota in enumerate(self._quotas_per_s):
             rate = max(quota / self._servers, quota / self._total_per_s * capacity_per_s)
             self._tokens[tenant] = min(_bucket_depth(rate), self._tokens[tenant] + step_ms * rate / 1000)
 
     def is_over_quota(self, tenant: int) -> bool:
-        """Whether no token is left for one more request of this tenant; tenants without a quota never are."""
+        """Return whether a tenant has no token for one more request; one without a quota always has one."""
         return tenant < len(self._tokens) and self._tokens[tenant] - self._reserved[tenant] < 1.0
 
     def reserve(self, request: HeldRequest) -> None:
-        """Set a token apart for a request that waits."""
+        """Reserve a token for a request that waits."""
         if not request.is_over_quota and request.tenant < len(self._reserved):
             self._reserved[request.tenant] += 1
 
     def release(self, request: HeldRequest) -> None:
-        """Give back the token of a request that waits no longer."""
+        """Cancel the reservation of a request that waits no longer."""
         if not request.is_over_quota and request.tenant < len(self._reserved):
             self._reserved[request.tenant] -= 1
 
