--- a/myrtlespar/config/__init__.py
+++ b/myrtlespar/config/__init__.py
@@ -1,7 +1,11 @@
-"""Configuration of one server process: the only place where the environment and configuration files are read.
+"""Configuration of one server process, from the environment, the platform's file and the operator's file.
 
 `load` reads the platform's JSON file and, if there is one, the operator's TOML file, checks every value and returns
 one immutable `Config`. The first fault found is raised as a `ConfigError` of one line that names the faulty key.
+
+No other package of the server reads the environment or these files. The fleet's YAML file is not read here: `Config`
+has its path, and `myrtlespar.fleet.settings` reads it. Nor does this package carry out a reload: it reads a new
+`Config` and tells which of its changes need a restart, and `myrtlespar.server.reload` applies or rejects it.
 """
 
 from __future__ import annotations
--- a/myrtlespar/config/files.py
+++ b/myrtlespar/config/files.py
@@ -1,4 +1,4 @@
-"""Reading of whole configuration files."""
+"""Reading of the content of configuration files, with errors as `ConfigError`."""
 
 from __future__ import annotations
 
--- a/myrtlespar/config/loader.py
+++ b/myrtlespar/config/loader.py
@@ -1,4 +1,4 @@
-"""Loading of the complete configuration."""
+"""Loading of the complete configuration from both files, at the start and for a reload."""
 
 from __future__ import annotations
 
@@ -14,6 +14,9 @@
 def load(env: Mapping[str, str] = os.environ) -> Config:
     """Return the configuration that the environment and the files named in it describe.
 
+    Args:
+        env: The environment variables.
+
     Raises:
         ConfigError: The first fault found, in one line that names its key.
     """
--- a/myrtlespar/config/operator_file.py
+++ b/myrtlespar/config/operator_file.py
@@ -1,4 +1,8 @@
-"""Reads the operator's TOML file: AJP listener, path rules, AJP servers, idempotency keys and tracing."""
+"""Reads the operator's optional TOML file: AJP listener, path rules, AJP servers, idempotency keys and tracing.
+
+Its tables are `[ajp]`, `[[ajp.map]]`, `[[worker]]`, `[[balancer]]`, `[idempotency]` and `[trace]`; unlike in the
+platform's file, a key that is unknown is a fault.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +18,10 @@
 from myrtlespar.resource_limits import ResourceLimits
 
 PATH_VARIABLE = "MYRTLESPAR_OPERATOR"
+# Ranges of the values; the units are those of the keys.
 MAX_REMEMBER_MS = 1e8
 MAX_KEYS = 1e6
-MAX_PRIORITY_WEIGHT = 0.999999
+MAX_PRIORITY_WEIGHT = 0.999999  # below 1, which ranks are
 MIN_MEMORY_KB = 0.001
 MAX_MEMORY_KB = 2000
 MIN_FACTOR = 0.001
@@ -66,7 +71,10 @@
 
 
 def _idempotency_limits(table: ConfigTable, config: Config) -> ResourceLimits:
-    """Return the limits with the operator's, but never a shorter time than the window of a class with keys."""
+    """Return the limits with the operator's values for idempotency keys.
+
+    A key is remembered at least for the longest window of the classes with keys, whatever the operator sets.
+    """
     windows_ms = [
         request_class.window_ms for request_class in config.settings.classes if request_class.effect is api.Effect.KEYED
     ]
--- a/myrtlespar/config/platform_file.py
+++ b/myrtlespar/config/platform_file.py
@@ -20,7 +20,7 @@
 
 
 def read_platform_file(env: Mapping[str, str]) -> Config:
-    """Return the configuration without the operator's part.
+    """Return the configuration of the platform's file; what the operator's file may set has its default.
 
     Raises:
         ConfigError: The file can't be read, or one of its keys or an environment variable is faulty.
@@ -64,7 +64,7 @@
 
 
 def _read_settings(root: ConfigTable) -> api.Settings:
-    """Return the policy's settings; its errors become faults that name the key below `settings`."""
+    """Return the policy's settings; their errors become a `ConfigError` that names the key below `settings`."""
     try:
         return read_settings(root.table("settings").rows)
     except MissingSettingError as error:
@@ -76,7 +76,7 @@
 
 
 def _class_names(root: ConfigTable) -> tuple[str, ...]:
-    """Return the classes' names on the wire; two classes of one name could not be told apart."""
+    """Return the classes' names on the wire; two classes must not have the same name."""
     names: list[str] = []
     for index, row in enumerate(root.rows["settings"]["classes"]):
         name = _class_name(row, index)
--- a/myrtlespar/config/reload.py
+++ b/myrtlespar/config/reload.py
@@ -10,9 +10,14 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """Return the keys that differ in a new configuration but are read at a start only."""
+    """Return the keys that differ in a new configuration and take effect at a restart only.
+
+    Args:
+        old: The configuration that the process was started with.
+        new: The configuration that was read for a reload.
+    """
     return [
-        row.name
-        for row in fields(Config)
-        if row.name not in RELOADABLE_KEYS and getattr(old, row.name) != getattr(new, row.name)
+        setting.name
+        for setting in fields(Config)
+        if setting.name not in RELOADABLE_KEYS and getattr(old, setting.name) != getattr(new, setting.name)
     ]
--- a/myrtlespar/config/sizing.py
+++ b/myrtlespar/config/sizing.py
@@ -9,10 +9,10 @@
 from myrtlespar.policy import messages as api
 from myrtlespar.resource_limits import ResourceLimits
 
-MIN_DESCRIPTORS = 24
-MIN_CONNECTIONS = 4  # allowed even with less memory than the program itself takes: nothing else serves here
+MIN_DESCRIPTORS = 24  # of the setting `limits.sockets`
+MIN_CONNECTIONS = 4  # allowed even with less memory than the program itself takes, as it could not serve otherwise
 RESERVED_DESCRIPTORS = 48  # for upstream connections, listeners, log and event loop
-DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12
+DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12  # one connection to the dependency is allowed for so many descriptors
 
 BASE_MEMORY_MB = 22.0  # what the program takes with a few connections
 CONNECTION_MEMORY_KB = 24.0  # what one connection may add: its greenlet, and part of a message
@@ -29,7 +29,7 @@
 
 
 def size_limits(root: ConfigTable, settings: api.Settings) -> ResourceLimits:
-    """Return the limits that follow from the process's resources and from how long requests may be repeated.
+    """Return the limits that follow from the descriptors, the memory and the windows of idempotency keys.
 
     Args:
         root: The platform's configuration; `limits` and `stop_ms` are read from it.
--- a/myrtlespar/config/table.py
+++ b/myrtlespar/config/table.py
@@ -1,4 +1,4 @@
-"""Typed access to a JSON or TOML table; each fault is reported with the full name of its key."""
+"""Typed access to a JSON or TOML table, with errors that give the full name of the key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from myrtlespar.config.types import Address, ConfigError, parse_address
 
-MAX_FAULT_CHARS = 200
+MAX_FAULT_CHARS = 200  # of an error text that shows a table or list, which may be long
 
 
 class ConfigTable:
@@ -32,7 +32,7 @@
         return self.rows.get(name) is not None
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Return a text."""
+        """Return a string."""
         value = self._get(name, default)
         if not isinstance(value, str):
             raise ConfigError(f"{self.key(name)}: expected a text, got {value!r}")
@@ -46,14 +46,14 @@
         return float(value)
 
     def flag(self, name: str, default: bool) -> bool:
-        """Return a truth value."""
+        """Return a boolean."""
         value = self._get(name, default)
         if not isinstance(value, bool):
             raise ConfigError(f"{self.key(name)}: expected true or false, got {value!r}")
         return value
 
     def address(self, name: str) -> Address:
-        """Return a host and a port."""
+        """Return the host and port of a string `HOST:PORT`."""
         return parse_address(self._get(name, None), self.key(name))
 
     def table(self, name: str) -> ConfigTable:
@@ -68,7 +68,7 @@
         return [ConfigTable(row, f"{self.key(name)}[{index}]") for index, row in enumerate(rows)]
 
     def texts(self, name: str) -> tuple[str, ...]:
-        """Return a list of texts, an empty one if it is absent."""
+        """Return a list of strings, an empty one if it is absent."""
         rows = self._get(name, [])
         if not isinstance(rows, list) or not all(isinstance(row, str) for row in rows):
             raise ConfigError(f"{self.key(name)}: expected a list of texts, got {rows!r}"[:MAX_FAULT_CHARS])
--- a/myrtlespar/config/types.py
+++ b/myrtlespar/config/types.py
@@ -15,7 +15,7 @@
 
 
 class ConfigError(MyrtlesparError):
-    """A fault of the configuration, in one line that names the faulty key."""
+    """The configuration is faulty; the text is one line that names the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     Attributes:
         path: The path, from its leading slash on.
         class_index: Position of their request class in `Config.class_names`.
-        priority_weight: Their rank in the admission queue, from 0 to under 1.
+        priority_weight: Their rank (`Arrival.rank`), from 0 to below 1. The policy does not use it.
         memory_kb: Memory booked for each of them, in KB.
         target: Name of an AJP server or balancer; empty for the execution engine.
     """
@@ -62,9 +62,9 @@
 
     Attributes:
         listen: Address of the AJP listener; None if there is none.
-        secret: The secret that gateways must send; empty if none is asked for.
+        secret: The secret that gateways must send; empty if none is required.
         route: The session route of this server.
-        key_header: Lower-case name of the header that holds an idempotency key; empty if none does.
+        key_header: Lowercase name of the header that holds an idempotency key; empty if none does.
         path_rules: How requests are handled, by path.
         backends: The AJP servers.
         balancers: Names of each balancer's members.
@@ -98,9 +98,9 @@
         thrift_key: Field of a Thrift request that holds an idempotency key; empty if none does.
         ajp: The AJP listener and AJP servers.
         trace: Whether each transition of each state machine is logged.
-        mgmt: Address of the admin server; None: there is none, and SIGTERM drains.
-        tmpdir: Folder for handing over to a second process of this server; empty without an admin server.
-        fleet: Path of the fleet's YAML file; empty: no part of the fleet is loaded.
+        mgmt: Address of the admin server; None if there is none: then SIGTERM begins the drain.
+        tmpdir: Directory for handing over to a second process of this server; empty without an admin server.
+        fleet: Path of the fleet's YAML file; empty if this server is in no fleet, and no module of it is imported.
     """
 
     name: str
@@ -121,10 +121,10 @@
 
 
 def parse_address(text: Any, key: str) -> Address:
-    """Return the host and port in a text `HOST:PORT`; an IPv6 host may stand in brackets.
+    """Return the host and port in a string `HOST:PORT`; an IPv6 host may be in brackets.
 
     Raises:
-        ConfigError: The text is no such address; the message names `key`.
+        ConfigError: `text` is no such address; the message names `key`.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -70,7 +70,11 @@
         # Runs, calls, and what may wait without the wait passing O.
         waiting = self._cores * self._overload.overload_mark_ms() / max(1.0, self._costs.mean_core_ms)
         capacity = self._cores + self._concurrency.at_calls + waiting
-        used = self._table.open_by_sender.values()
+        open_requests = self._table.open_by_sender.values()
         # Equals the number of callers if all use the same; few heavy callers count for nearly all.
-        callers = sum(used) ** 2 / sum(n * n for n in used) if used else float(self._senders)
+        callers = (
+            sum(open_requests) ** 2 / sum(count * count for count in open_requests)
+            if open_requests
+            else float(self._senders)
+        )
         return capacity / max(1.0, callers)
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -81,6 +81,8 @@
         caller_idle_ms: After this time callers close idle connections.
         max_retry_after_ms: The longest Retry-After; 0 gives none.
         gauges: Names of the gauges that come with each tick.
+
+    `fall_ms`, `heeded_ms`, `deep_checks` and `reports_cancellation` are read and checked, but no decision uses them.
     """
 
     classes: list[RequestClass]
--- a/myrtlespar/resource_limits.py
+++ b/myrtlespar/resource_limits.py
@@ -1,4 +1,8 @@
-"""Every limit of the server process (sizes, counts, times) in one value, handed down at the start."""
+"""The limits of one server process (sizes, counts, times) in one value, which its components get at the start.
+
+The limits on running requests are not here: the policy adjusts them (`myrtlespar.policy.concurrency_limit`). Those of
+the fleet are in its own settings. `myrtlespar.config.sizing` replaces defaults by what descriptors and memory allow.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +18,16 @@
 
     # The process: start, reload, drain, handover to a second process.
     stop_ms: float = 3000.0  # from the notice to drain (SIGTERM) to SIGKILL
-    bind_timeout_ms: float = 15000.0  # an address in use is retried for so long at the start
+    bind_timeout_ms: float = 15000.0  # at the start, binding an address that is in use is retried for so long
     admin_bind_timeout_ms: float = 1000.0  # shorter: another running process may rightly hold the admin address
     bind_retry_ms: float = 50.0
-    flush_timeout_ms: float = 300.0  # at most, to send the last answers before the exit
-    # SIGKILL follows SIGTERM in a handover after the longest deadline, of which at most the first counts, plus the
-    # second.
+    flush_timeout_ms: float = 300.0  # for sending the last answers before the exit
+    # In a handover SIGKILL follows SIGTERM after the longest client timeout, or `handover_max_deadline_ms` if that is
+    # shorter, plus `handover_margin_ms`.
     handover_max_deadline_ms: float = 3000.0
     handover_margin_ms: float = 700.0
     reload_retry_ms: float = 50.0  # between attempts to read a faulty file, which may be half written
-    reload_timeout_ms: float = 3000.0  # for so long: the registry keeps an entry without a report as long
+    reload_timeout_ms: float = 3000.0  # until the last such attempt; the registry keeps a silent entry as long
 
     # Clients' connections, over all listeners.
     max_connections: int = 900
@@ -36,7 +40,7 @@
     max_outbox_bytes: int = 65536  # unsent answers of one connection; more means that the client does not read
     max_total_outbox_bytes: int = 1 << 24  # unsent answers of all connections of one listener
     send_buffer_bytes: int = 131072  # the system's buffer of one connection
-    send_timeout_ms: float = 5000.0  # a peer may block one send for so long
+    send_timeout_ms: float = 5000.0  # the longest time for which a peer may block one send
     max_consecutive_rejected: int = 500  # rejected messages in a row, after which the connection is closed
     message_timeout_ms: float = 2000.0  # for a client's first message, and for each from its first byte to its last
     idle_check_ms: float = 250.0  # between checks for idle connections
@@ -54,16 +58,16 @@
     reconnect_ms: float = 50.0  # between attempts to reach the execution engine
 
     # The execution engine.
-    engine_silence_timeout_ms: float = 10000.0  # gauges unanswered for so long, pauses included: the link is dead
+    engine_silence_timeout_ms: float = 10000.0  # without an answer to a request for gauges; then the link is closed
     engine_move_timeout_ms: float = 300.0  # to read an old link to its end when a reload moves it
     unconfirmed_check_ms: float = 120.0  # between marks that show which commands a broken link has lost
     max_engine_outbox_bytes: int = 1 << 20  # unsent commands
     max_engine_line_bytes: int = 1 << 20
     max_pending_engine_marks: int = 256  # gauges requested and not yet answered
-    same_engine_start_ms: float = 100.0  # two readings of one start of the engine differ by less
+    same_engine_start_ms: float = 100.0  # two measurements of the time at which one engine started differ by less
     gauge_lead_ms: float = 4.0  # gauges are requested so long before a tick
     max_gauge_age_ms: float = 500.0  # older gauges are not passed on
-    lost_run_ms: float = 1000.0  # twice the age of a gauge: the engine has had fewer runs than counted for so long
+    lost_run_ms: float = 1000.0  # runs missing at the engine for so long are lost; twice `max_gauge_age_ms`
 
     # The dependency.
     max_dependency_connections: int = 32  # each with one call at a time
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""Hosts the overload controller in the simulator: reads batches of JSON, writes the actions of each instance.
+"""Runs the overload controller in the simulator: reads batches of events as JSON, writes the actions as JSON.
 
-One line of input is a batch of events of all instances; one line of output has their actions. It translates and
-nothing else: every decision is made in `myrtlespar.policy`.
+One line of input is a batch of events of all instances (simulated servers); one line of output has their actions. This
+module only translates: every decision is made in `myrtlespar.policy`. An error in one instance becomes an action "bug"
+of that instance; only a line that is no batch ends the program.
 """
 
 from __future__ import annotations
@@ -27,13 +28,13 @@
     307: api.RunOutcome.MOOT,
 }
 
-
+# In the field `bits` of an arrival.
 HINT_VALID_BIT = 1
 IS_RETRY_BIT = 2
 
 
 class MalformedInputError(MyrtlesparError):
-    """A line that is not a batch of events."""
+    """A line of input is not a batch of events."""
 
 
 def _read_arrival(event: Json) -> api.Arrival:
@@ -101,16 +102,16 @@
         self._policies: dict[str, Policy] = {}
 
     def batch(self, batch: Json) -> Json:
-        """Hand each instance its events, and return the actions of those that have any."""
+        """Pass its events to each instance, and return the actions of those that have any."""
         now = float(batch["sim_time_ms"])
         replies = []
         for row in batch["backends"]:
-            out = self._instance(now, row["backend"], row["arrivals"])
-            if out:
-                replies.append({"backend": row["backend"], "out": out})
+            actions = self._actions_or_bug(now, row["backend"], row["arrivals"])
+            if actions:
+                replies.append({"backend": row["backend"], "out": actions})
         return {"backends": replies}
 
-    def _instance(self, now: float, name: str, rows: list[Json]) -> list[Json]:
+    def _actions_or_bug(self, now: float, name: str, rows: list[Json]) -> list[Json]:
         try:
             return self._decide(now, name, rows)
         except (MissingSettingError, InvalidSettingError) as error:
