--- a/myrtlespar/config/__init__.py
+++ b/myrtlespar/config/__init__.py
@@ -5,7 +5,7 @@
 
 No other package of the server reads the environment or these files. The fleet's YAML file is not read here: `Config`
 has its path, and `myrtlespar.fleet.settings` reads it. Nor does this package carry out a reload: it reads a new
-`Config` and tells which of its changes need a restart, and `myrtlespar.server.reload` applies or rejects it.
+`Config` and lists the changes that need a restart, and `myrtlespar.server.reload` applies or rejects it.
 """
 
 from __future__ import annotations
--- a/myrtlespar/policy/admission.py
+++ b/myrtlespar/policy/admission.py
@@ -56,7 +56,7 @@
         self._capacity.note_arrival(request.arrived)
         self._connections.update(self._capacity.arrival_gap_ms, self._costs.arrivals)
         self._set_deadlines(request, event)
-        self._answers.due.push(request.answer_due, request)
+        self._answers.answer_deadlines.push(request.answer_due, request)
         self._table.add(request)
         self._overload.note_unread(request.arrived)
         # A retry that the fleet does not take would feed an overload.
--- a/myrtlespar/policy/client_timeouts.py
+++ b/myrtlespar/policy/client_timeouts.py
@@ -39,7 +39,7 @@
 
 
 class ClientTimeouts:
-    """Timeouts of callers, and the usual waits that tell a retry from a first attempt.
+    """Timeouts of callers, and the usual waits by which a retry differs from a first attempt.
 
     Attributes:
         timeouts: What was learned for each (sender, class index).
--- a/myrtlespar/policy/final_answers.py
+++ b/myrtlespar/policy/final_answers.py
@@ -27,8 +27,8 @@
     A request that never started is rejected; one that ran, or joined a run, is failed. Each gets one answer.
 
     Attributes:
-        due: All requests, by their hard deadline (`answer_due`).
-        objectives: Runs of classes without late weight, by the time until which an answer is useful.
+        answer_deadlines: All requests, by their hard deadline (`answer_due`).
+        usefulness_deadlines: Runs of classes without late weight, by the time until which an answer is useful.
         fleet: Limits of all servers together, or None.
     """
 
@@ -44,8 +44,8 @@
         self._queues = state.queues
         self._overload = state.overload
         self._connections = state.connections
-        self.due = DeadlineQueue()
-        self.objectives = DeadlineQueue()
+        self.answer_deadlines = DeadlineQueue()
+        self.usefulness_deadlines = DeadlineQueue()
         self.fleet: FleetLimitsPort | None = None
 
     def reject(self, request: HeldRequest, last: bool, after_ms: float = 0.0) -> None:
@@ -92,14 +92,14 @@
 
         They would only take cores, calls and memory from requests that are still useful.
         """
-        while (request := self.objectives.pop_due(self._clock.now)) is not None:
+        while (request := self.usefulness_deadlines.pop_due(self._clock.now)) is not None:
             at_call = request.state is WAITING_FOR_CALL or request.state is CALLING
             if (self._can_stop or at_call) and not request.answered:
                 self.fail(request)
 
-    def answer_due(self) -> None:
+    def enforce_deadlines(self) -> None:
         """Answer what has reached its hard deadline: reject what never ran, fail what ran or joined a run."""
-        while (request := self.due.pop_due(self._clock.now)) is not None:
+        while (request := self.answer_deadlines.pop_due(self._clock.now)) is not None:
             if request.state is ENDED or request.answered or request.answer_due > self._clock.now:
                 continue
             if request.state in NEVER_STARTED_STATES:
@@ -112,7 +112,7 @@
         for request in self._table.requests.values():
             if not request.answered and request.answer_due > answers_due_at:
                 request.answer_due = max(self._clock.now, answers_due_at)
-                self.due.push(request.answer_due, request)
+                self.answer_deadlines.push(request.answer_due, request)
 
     def _end_waiting(self, request: HeldRequest) -> None:
         if request.state is not JOINED and request.key_is_kept:
--- a/myrtlespar/policy/idle_connections.py
+++ b/myrtlespar/policy/idle_connections.py
@@ -10,9 +10,8 @@
 MAX_RETURN_FRACTION = 0.5  # fraction of the callers' idle time: who comes back later than that keeps no connection here
 # Of the tightest latency objective: how long an idle connection is kept while connections are closed early.
 EARLY_CLOSE_FRACTION = 0.15
-RETRY_STORM_FRACTION = (
-    0.6  # fraction of requests rejected from which on retries are best kept out by a full connection table
-)
+# Of requests, rejected: from here on a connection table that is full keeps out retries, which is wanted.
+RETRY_STORM_FRACTION = 0.6
 RETRY_STORM_END_FRACTION = RETRY_STORM_FRACTION / 2
 
 
@@ -20,7 +19,7 @@
     """Decides how long connections without requests are kept.
 
     Attributes:
-        is_retry_storm: So many requests are rejected that their retries are taken for the load.
+        is_retry_storm: So many requests are rejected that most arrivals are taken to be retries.
         closes_early: Idle connections are closed by this server, and not left to the callers.
     """
 
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -101,7 +101,7 @@
         for event in events:
             self._handlers[type(event)](event)
         self.answers.fail_useless()
-        self.answers.answer_due()
+        self.answers.enforce_deadlines()
         self.overload.update_flag()
         if self._fleet:
             self.fleet_queue.take_ready(self._fleet)
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -80,7 +80,7 @@
             self._faults.restart()
         self._concurrency.enter_core(request)
         if not self._classes[request.class_index].late_weight:
-            self._answers.objectives.push(request.useful_until, request)
+            self._answers.usefulness_deadlines.push(request.useful_until, request)
         self._actions.append(Run(request.id))
         self._connections.note_started()
 
--- a/myrtlespar/policy/tenant_quotas.py
+++ b/myrtlespar/policy/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: a token bucket for each tenant tells work within its quota from work over it."""
+"""Tenant quotas: a token bucket for each tenant decides which work is over its quota."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_bounded_state.py
+++ b/tests/policy/test_bounded_state.py
@@ -18,8 +18,8 @@
     assert len(policy.client_timeouts.timeouts) <= 200
     assert not policy.table.requests
     assert not policy.table.open_by_sender
-    assert not policy.answers.due.entries
-    assert not policy.answers.objectives.entries
+    assert not policy.answers.answer_deadlines.entries
+    assert not policy.answers.usefulness_deadlines.entries
     assert not policy.scheduler.give_ups.entries
     assert len(policy.dependency.waiting) == 0
     assert policy.memory.used_kb == pytest.approx(0.0)
