--- a/tests/policy/test_cost_hints.py
+++ b/tests/policy/test_cost_hints.py
@@ -15,7 +15,7 @@
         server.at(now, api.RunEnded(f"h{n}", RunOutcome.OK, 500.0 if long else 50.0))
 
 
-def test_hints_are_trusted_as_far_as_they_told_costs_apart() -> None:
+def test_hints_count_as_far_as_they_have_predicted_costs() -> None:
     good = PolicyServer()
     none = PolicyServer()
     run_with_hints(good, {0: 40.0, 1: 400.0})
--- a/tests/policy/test_dependency_calls.py
+++ b/tests/policy/test_dependency_calls.py
@@ -97,7 +97,7 @@
     assert len(server.actions(api.Call)) == 2
 
 
-def test_mean_of_calls_in_flight_leaves_room_below_the_share() -> None:
+def test_mean_of_calls_in_flight_stays_well_below_the_share() -> None:
     server = PolicyServer(classes=[api.RequestClass(20000, 60000, calls=True)], shared_dependency=True, calls_share=2.0)
     server.policy.dependency.mean_in_flight = 1.3
     server.arrive(10, "a")
--- a/tests/policy/test_idempotency_keys.py
+++ b/tests/policy/test_idempotency_keys.py
@@ -34,7 +34,7 @@
     assert not server.actions(api.Forget, "ran")
 
 
-def test_no_room_for_a_key_means_no_run() -> None:
+def test_request_is_rejected_without_memory_for_its_key() -> None:
     server = PolicyServer(key_kb=1e9)
     server.arrive(10, "k", 2)
     assert server.actions(api.Reject, "k")
--- a/tests/policy/test_memory_account.py
+++ b/tests/policy/test_memory_account.py
@@ -1,15 +1,15 @@
-"""The bound on memory."""
+"""The limit on memory."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
 
 
-def test_a_bound_that_is_hit_is_logged_and_not_too_often() -> None:
+def test_memory_limit_that_is_reached_is_logged_and_not_too_often() -> None:
     server = PolicyServer(memory_kb=200.0)
     for n in range(40):
         server.arrive(10 + n, f"r{n}")
-    told = [a.text for a in server.actions(api.Log) if "memory bound hit" in a.text]
-    assert len(told) == 1
+    lines = [a.text for a in server.actions(api.Log) if "memory bound hit" in a.text]
+    assert len(lines) == 1
 
 
 def test_memory_is_never_exceeded() -> None:
@@ -20,7 +20,7 @@
     assert len(server.actions(api.Run)) <= 400 / 80
 
 
-def test_no_run_starts_without_room_for_its_memory() -> None:
+def test_no_run_starts_without_memory_for_it() -> None:
     server = PolicyServer(memory_kb=200.0, cores=4)
     for n in range(3):
         server.arrive(10 + n, f"r{n}")
