--- a/myrtlespar/config/platform_file.py
+++ b/myrtlespar/config/platform_file.py
@@ -20,7 +20,7 @@
 
 
 def read_platform_file(env: Mapping[str, str]) -> Config:
-    """Return the configuration without the operator's part.
+    """Return the configuration of the platform's file; what the operator's file may set has its default.
 
     Raises:
         ConfigError: The file can't be read, or one of its keys or an environment variable is faulty.
@@ -64,7 +64,7 @@
 
 
 def _read_settings(root: ConfigTable) -> api.Settings:
-    """Return the policy's settings; its errors become faults that name the key below `settings`."""
+    """Return the policy's settings; their errors become a `ConfigError` that names the key below `settings`."""
     try:
         return read_settings(root.table("settings").rows)
     except MissingSettingError as error:
@@ -76,7 +76,7 @@
 
 
 def _class_names(root: ConfigTable) -> tuple[str, ...]:
-    """Return the classes' names on the wire; two classes of one name could not be told apart."""
+    """Return the classes' names on the wire; two classes must not have the same name."""
     names: list[str] = []
     for index, row in enumerate(root.rows["settings"]["classes"]):
         name = _class_name(row, index)
@@ -101,7 +101,7 @@
 
 def _dependency_address(root: ConfigTable, settings: api.Settings) -> Address | None:
     """Return the dependency's address, which a configuration without calls does not need."""
-    required = any(kind.calls for kind in settings.classes)
+    required = any(request_class.calls for request_class in settings.classes)
     return root.address("store") if required or root.has("store") else None
 
 
@@ -111,5 +111,5 @@
     It can neither stop a run nor let one go on without its call. Were the policy to decide on such an action, nothing
     would carry it out and the run would hang.
     """
-    classes = [replace(kind, degraded_weight=0.0) for kind in settings.classes]
+    classes = [replace(request_class, degraded_weight=0.0) for request_class in settings.classes]
     return replace(settings, can_stop=False, classes=classes)
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -1,10 +1,10 @@
-"""Starts waiting requests within the concurrency limit, and gives up those that can no longer start in time."""
+"""Starts waiting requests within the concurrency limit, and rejects those that can no longer start in time."""
 
 from __future__ import annotations
 
 import math
 
-from myrtlespar.policy.concurrency_limit import MAX_SURVIVABLE_PART
+from myrtlespar.policy.concurrency_limit import MAX_SURVIVABLE_FRACTION
 from myrtlespar.policy.deadline_queue import DeadlineQueue
 from myrtlespar.policy.final_answers import FinalAnswers
 from myrtlespar.policy.fleet_port import FleetLimitsPort
@@ -18,7 +18,7 @@
     """Decides when a waiting request starts, and when it has waited too long.
 
     Attributes:
-        give_ups: Waiting requests by the time at which they can no longer start in time, or T1 ends.
+        give_ups: Waiting requests, by when they can no longer start in time or timer T1 ends.
         fleet: Limits of all servers together, or None.
     """
 
@@ -44,17 +44,18 @@
         self.fleet: FleetLimitsPort | None = None
 
     def watch(self, request: HeldRequest) -> None:
-        """Give up a waiting request when its time to start is over."""
+        """Check a waiting request when it can no longer start in time, or T1 ends."""
         self.give_ups.push(self._give_up_at(request), request)
 
     def start_work(self) -> None:
-        """Start what the limit allows.
+        """Start requests up to the concurrency limit, as far as memory and the limits of the fleet allow.
 
-        Fewer start while arrivals wait unread past O: runs slow reading, the one thing that all arrivals need.
+        The limit is lower while arrivals wait unread for longer than O: runs take the cores from reading, which every
+        arrival needs.
         """
         self._expire()
         concurrency = self._concurrency
-        max_started = concurrency.survivable_concurrency() * MAX_SURVIVABLE_PART
+        max_started = concurrency.survivable_concurrency() * MAX_SURVIVABLE_FRACTION
         limit = concurrency.running_limit(self._overload.is_reading_late())
         while concurrency.on_cores < limit and concurrency.on_cores + concurrency.at_calls + 1 <= max_started:
             request = self._queues.next_request(self._overload.is_overloaded)
@@ -79,7 +80,7 @@
             self._faults.restart()
         self._concurrency.enter_core(request)
         if not self._classes[request.class_index].late_weight:
-            self._answers.objectives.push(request.useful_until, request)
+            self._answers.usefulness_deadlines.push(request.useful_until, request)
         self._actions.append(Run(request.id))
         self._connections.note_started()
 
@@ -87,7 +88,7 @@
         return min(request.set_aside_until or math.inf, self._costs.latest_start(request))
 
     def _expire(self) -> None:
-        """Reject what can no longer start in time (the sojourn bound) and what T1 has run out for."""
+        """Reject requests that can no longer start in time (the sojourn bound) and those whose timer T1 has ended."""
         now = self._clock.now
         while (request := self.give_ups.pop_due(now)) is not None:
             state = request.state
@@ -100,14 +101,17 @@
                 self._answers.reject(request, last=not self._capacity.others_have_capacity(request))
             elif state is AWAITING_FLEET and self.fleet:
                 after_ms = self.fleet.reject(request.id, self._overload.overload_mark_ms())
-                self._answers.reject(request, False, after_ms)
+                self._answers.reject(request, last=False, after_ms=after_ms)
         late = self._queues.late
         while late and late[0].answer_due - now < self._costs.elapsed_ms[late[0].class_index]:
             if (request := late.popleft()).state is LATE:
                 self._answers.reject(request, last=True)
 
     def _miss_objective(self, request: HeldRequest) -> None:
-        """Past its objective a request is rejected, unless a late answer has weight and there is no overload."""
+        """Reject a queued request that would miss its objective, or let it wait on if a late answer has weight.
+
+        In overload it is rejected in any case.
+        """
         has_late_weight = self._classes[request.class_index].late_weight > 0
         if has_late_weight and not self._overload.is_overloaded and self._drain.answers_due_at > request.answer_due:
             self._answers.stop_waiting(request)
