--- a/myrtlespar/coordinator/effect_executor.py
+++ b/myrtlespar/coordinator/effect_executor.py
@@ -32,7 +32,10 @@
 
 
 class EffectExecutor:
-    """Owns the counts of answers and runs by request class, since the start of the process.
+    """Carries out the effects of the request tracker, and counts answers and runs by request class.
+
+    The counts are totals since the start of the process. Each delivered answer also updates
+    `ProcessLifecycle.average_answer_ms`, which sets the last moment for answers in a shutdown.
 
     `post` queues an event for the policy. `engines` is shared with the coordinator; the empty name is the execution
     engine, other names are back ends.
--- a/myrtlespar/coordinator/lost_run_search.py
+++ b/myrtlespar/coordinator/lost_run_search.py
@@ -12,9 +12,10 @@
 class LostRunSearch:
     """Compares the tracked runs with the engine's gauge.
 
-    Only runs that no client waits for are taken for lost: the others are failed at their due time. `window_ms` is how
-    long more runs must be tracked than the gauge shows, and `gauge_names` the gauges in the order of their values.
-    Times are Unix milliseconds.
+    Only runs that no client waits for are treated as lost, since the others are failed at their due time. The oldest of
+    them are lost if for `window_ms` more runs are tracked than the gauge shows. A run at a dependency call, which the
+    gauge does not count, is lost after twice its client timeout; so is any run where the engine has no such gauge.
+    `gauge_names` are the gauges in the order of their values. Times are Unix milliseconds.
     """
 
     def __init__(self, tracker: RequestTracker, window_ms: float, gauge_names: list[str]) -> None:
@@ -25,7 +26,7 @@
     def find_lost(self, now: float, gauges: list[float]) -> list[Exchange]:
         """Return the runs that are lost; `gauges` are the latest values, empty if there are no fresh ones."""
         running, unwanted = self._tracker.runs_on_cores()
-        # No gauge counts the runs that wait at a call, so only time tells.
+        # No gauge counts the runs that wait at a call, so their age decides.
         lost = [exchange for exchange in self._tracker.abandoned_runs_at_calls() if _is_long_overdue(exchange, now)]
         if not unwanted:
             return lost
--- a/myrtlespar/coordinator/ports.py
+++ b/myrtlespar/coordinator/ports.py
@@ -8,7 +8,7 @@
 
 
 class ExecutionEngine(Protocol):
-    """Runs requests."""
+    """Runs requests: the execution engine, or a pool of back ends."""
 
     def run(self, exchange: Exchange) -> None:
         """Start a run; its end is reported by `RequestCoordinator.run_ended`."""
@@ -18,7 +18,10 @@
 
 
 class Dependency(Protocol):
-    """Answers the calls that runs make."""
+    """Answers the calls that runs make.
+
+    `id` names the request; `limit_ms` is the time limit of the call in milliseconds.
+    """
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
         """Make a call for a request; its end is reported by `RequestCoordinator.call_ended`."""
@@ -28,7 +31,7 @@
 
 
 class GaugeSource(Protocol):
-    """Provides the gauges of the execution engine for ticks of the policy."""
+    """Provides the gauges of the execution engine for ticks of the policy. Times are Unix milliseconds."""
 
     def request_gauges(self) -> None:
         """Request fresh values."""
--- a/myrtlespar/coordinator/tick_schedule.py
+++ b/myrtlespar/coordinator/tick_schedule.py
@@ -14,9 +14,10 @@
 
 
 class TickSchedule:
-    """Owns the scheduled ticks. The gauges are requested `gauge_lead_ms` before a tick with token 0.
+    """The scheduled ticks, in no particular order.
 
-    Ticks with another token need no gauges. Times are Unix milliseconds.
+    Token 0 is the regular tick of the policy; the gauges are requested `gauge_lead_ms` before it is due. Ticks with
+    another token need no gauges. Times are Unix milliseconds.
     """
 
     def __init__(self, first_tick_at: float, gauge_lead_ms: float) -> None:
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -1,4 +1,4 @@
-"""One request between its client side and its server side, and its final answer."""
+"""One attempt of a request, as it passes from a front to the engine that runs it, and its final answer."""
 
 from __future__ import annotations
 
@@ -8,22 +8,32 @@
 
 
 class AnswerKind(enum.Enum):
-    """The three kinds of final answers."""
+    """The three kinds of final answers. The values stand in counters and in the hand-over file."""
 
     SERVED = "served"
-    REFUSED = "refused"
-    FAILED = "failed"
+    REFUSED = "refused"  # rejected: it certainly did not run
+    FAILED = "failed"  # it may have run
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A final answer. `status` and `headers` are set only by back ends whose answers have them."""
+    """A final answer.
+
+    Attributes:
+        kind: Whether the request was served, rejected or failed.
+        body: The result of the run; empty for a rejection.
+        retry_after_ms: For a rejection, how long the client should wait before a retry; 0 for no advice.
+        last: Whether this is a final rejection: the client should not retry elsewhere.
+        late: Whether this is a failure because the due time passed.
+        status: The HTTP status; 0 unless a back end set it.
+        headers: The HTTP headers; empty unless a back end set them.
+    """
 
     kind: AnswerKind
     body: bytes = b""
     retry_after_ms: float = 0.0
-    last: bool = False  # a final rejection: the client should not retry elsewhere
-    late: bool = False  # a failure because the due time passed
+    last: bool = False
+    late: bool = False
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
 
@@ -31,8 +41,8 @@
 class Exchange:
     """One attempt of a request: what it asks for, when it arrived, and its `AttemptState`.
 
-    Only the request tracker changes `state`. It ensures that `deliver` is called at most once. Times are Unix
-    milliseconds.
+    The front creates it and sets what the client sent; the request tracker alone changes `state` and `due_at`, and
+    causes at most one call of `deliver`. Times are Unix milliseconds.
     """
 
     __slots__ = (
@@ -67,16 +77,16 @@
         arrived_at: float,
         deliver: Callable[[Exchange, Answer], None],
     ) -> None:
-        self.id = id
-        self.front = front
-        self.class_index = class_index
+        self.id = id  # unique among the open attempts; not the idempotency key
+        self.front = front  # "thrift" or "ajp"; part of counter names
+        self.class_index = class_index  # of the request class, by its position in the settings
         self.body = body
         self.arrived_at = arrived_at
         self.deliver = deliver
         self.memory_kb = 1.0
-        self.rank = 0.0
-        self.sender = 0
-        self.is_retry = False
+        self.rank = 0.0  # the priority that the client or the route gives it
+        self.sender = 0  # number of the client that sent it
+        self.is_retry = False  # whether the client marked it as a retry
         self.due_at = 0.0  # set by the request tracker, from the request class
         self.key = ""  # idempotency key, where the front supplies one
         self.target = ""  # the back end that runs it; empty is the execution engine
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -1,4 +1,8 @@
-"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format."""
+"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format.
+
+A request comes in through `submit`. The request tracker (`myrtlespar.state_machines`) holds its state, the policy
+(`myrtlespar.policy`) decides when it runs or is rejected, and `myrtlespar.coordinator` holds the other parts.
+"""
 
 from __future__ import annotations
 
@@ -39,8 +43,10 @@
 class RequestCoordinator:
     """One greenlet that passes events to the policy in batches and applies its decisions.
 
-    The network side reports events by the methods `submit` to `drain`; their effects are carried out at once, and the
-    events that they cause for the policy are queued for the next batch.
+    The network side and the signal handlers report events by the public methods under "Events from the network side".
+    Their effects are carried out at once; the events that they cause for the policy are queued for the next batch.
+    Independently of the policy, a check every `overdue_check_ms` fails overdue requests and ends lost runs. Times are
+    Unix milliseconds.
     """
 
     def __init__(self, settings: api.Settings, seed: int, limits: ResourceLimits, counters: Counters) -> None:
@@ -51,7 +57,7 @@
         self.engines: dict[str, ExecutionEngine] = {}  # by target; the empty name is the execution engine
         self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
-        self.advertised_value = 1.0  # the load hint that goes out with every answer
+        self.advertised_value = 1.0  # the load hint that the fronts send with every answer
         self.policy_healthy = True
         self.admin = AdminCommands()  # the pause that operators request on the management address
         self.process = ProcessLifecycle(
@@ -101,11 +107,11 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the process has begun to shut down."""
+        """Whether the process has begun a graceful shutdown or a hand-over."""
         return self.process.draining
 
     def metrics_snapshot(self, names: Sequence[str]) -> MetricsSnapshot:
-        """Return the present counts for the management address, with these names of the request classes."""
+        """Return the current counts for the management address; `names` are those of the request classes."""
         return MetricsSnapshot(
             names,
             [list(counts) for counts in self._executor.answer_counts],
@@ -114,13 +120,13 @@
         )
 
     def counter_report(self) -> dict[str, int]:
-        """Return all counters, those of invalid transitions included."""
+        """Return all counters, including those of invalid transitions (`impossible.MACHINE.STATE.EVENT`)."""
         return {**self.counters.report(), **report_invalid_transitions(TABLES)}
 
     # Events from the network side.
 
     def submit(self, exchange: Exchange) -> bool:
-        """Take a complete request. Returns False, and takes nothing, if its id is in use."""
+        """Accept a complete request. Returns False, with no effect, if its id is in use."""
         effects = self.tracker.submit(exchange)
         if effects is None:
             return False
@@ -131,17 +137,17 @@
         return True
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Handle that no client waits for this request any longer."""
+        """Handle the disconnection of the client, or its cancellation of this request."""
         if exchange.state in AWAITING_ANSWER:
             self.counters.add(f"answer.gone.{exchange.front}")
         self._execute(self.tracker.caller_gone(exchange))
 
     def run_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
-        """Handle the end of a run; `answer` is its result, or how it failed."""
+        """Handle the end of a run; `answer` is its result, or how it failed, and None stands for a plain failure."""
         self._execute(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
 
     def call_needed(self, id: str, body: bytes) -> None:
-        """Handle that a run waits for a dependency call with this body."""
+        """Handle a run that waits for a dependency call with this body."""
         self._execute(self.tracker.call_needed(id, body))
 
     def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
@@ -157,7 +163,7 @@
         return ProcessAction.ASK_CLIENTS in actions
 
     def fail_unanswered(self) -> None:
-        """Fail all requests that await their answer, as the process ends without the time for a graceful shutdown."""
+        """Fail all requests that still await their answer, because the process ends now."""
         effects = self.tracker.fail_all(unix_ms())
         if effects:
             self.counters.add("answer.at_stop", sum(effect.action is ACTION_DELIVER for effect in effects))
@@ -181,7 +187,7 @@
             self._ready.clear()
 
     def stop(self) -> None:
-        """End `run` after the present batch."""
+        """End `run` after the current batch."""
         self._stopping = True
         self._ready.set()
 
@@ -190,6 +196,7 @@
         return min(self._next_sweep_at, self._ticks.next_due_at())
 
     def _process_batch(self) -> None:
+        """Pass the queued events and the ticks that are due to the policy, and apply its decisions."""
         now = unix_ms()
         self.counters.add("core.turn")
         if self._ticks.begin_gauge_request(now) and self.gauges:
@@ -219,15 +226,16 @@
         return self.gauges.latest(now) if self.gauges else []
 
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Return the decisions of the policy. If it fails there are none, and the sweep answers the requests."""
+        """Return the decisions of the policy. If it raises there are none, and `_sweep` fails the requests later."""
         try:
             return self.policy.handle(now, events)
-        except Exception:  # a fault of the policy must not end the coordinator, which still owes its answers
+        except Exception:  # a fault of the policy must not end the coordinator, which still has requests to answer
             self.counters.add("core.fault")
             log.exception("the module failed", events=len(events))
             return []
 
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
+        """Return the event that reports this attempt to the policy, with the time since its arrival."""
         return api.Arrival(
             exchange.id,
             exchange.class_index,
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -21,25 +21,25 @@
     CALLING = auto()  # the dependency call is in flight
     RUNNING_UNWANTED = auto()  # answered, or its caller is gone; the run can't be cancelled
     AT_CALL_UNWANTED = auto()  # the same, and the run waits at a dependency call
-    OVER = auto()
+    OVER = auto()  # answered, and no run of it goes on
 
 
 class AttemptEvent(IntEnum):
     """What happens to an attempt."""
 
-    ADMIT = 0
-    FOLLOW = auto()
+    ADMIT = 0  # it has no idempotency key, or owns its key
+    FOLLOW = auto()  # another attempt owns its key
     KNOWN = auto()  # the outcome of its key is known, or the key table has no capacity for it
-    START = auto()
+    START = auto()  # the policy starts it
     BAR = auto()  # the policy starts it, and the graceful shutdown forbids that
     REFUSE = auto()  # the policy rejects it
-    FAIL = auto()
+    FAIL = auto()  # the policy fails it
     GONE = auto()  # the caller disconnected or cancelled
-    CALL_NEEDED = auto()
-    CALL = auto()
+    CALL_NEEDED = auto()  # the run waits for a dependency call
+    CALL = auto()  # the policy lets the call be made
     CALL_OK = auto()
-    CALL_BAD = auto()
-    ENDED = auto()
+    CALL_BAD = auto()  # the call failed; the policy may make another one
+    ENDED = auto()  # the run ended
     NEVER_RAN = auto()  # the run ended, and it is certain that it never began
     OVERDUE = auto()  # its due time passed
     SHARE = auto()  # the attempt that it follows has an outcome
@@ -92,7 +92,7 @@
     }
 )
 
-# Effects of the end of a run, by whether a client still waits (else LATE) and whether the run began.
+# Effects of the end of a run. LATE: no client waits any longer. NEVER: the run never began.
 _END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
 _NEVER = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 _LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -11,7 +11,7 @@
     """The state of a client connection."""
 
     IDLE = 0  # no answer is outstanding
-    READING = auto()  # part of a request has arrived (only on fronts that can tell)
+    READING = auto()  # part of a request has arrived (only on fronts that detect this)
     OWING = auto()  # answers are outstanding
     ENDING = auto()  # nothing more is read; outstanding answers are still sent
     CLOSED = auto()
@@ -25,7 +25,7 @@
     ANSWERED = auto()  # one of several outstanding answers was sent
     LAST_ANSWERED = auto()  # the last outstanding answer was sent
     TURNED_AWAY = auto()  # the request being read is answered without the request coordinator
-    SPOILT = auto()  # malformed or truncated input
+    SPOILT = auto()  # malformed or truncated input, after which nothing more can be read
     CLOSE = auto()  # the server wants it closed, for example in a graceful shutdown or as idle
     END = auto()  # the process ends: nothing more is accepted, not even a request half read
     RESET = auto()  # the client closed it
@@ -85,7 +85,10 @@
 
 
 class ConnectionLifecycle:
-    """The state of one client connection. A front reports events to it and carries out the actions it returns."""
+    """The state of one client connection. A front reports events to it and carries out the actions it returns.
+
+    `name` names the connection in traces.
+    """
 
     __slots__ = ("name", "state")
 
--- a/myrtlespar/state_machines/command_log.py
+++ b/myrtlespar/state_machines/command_log.py
@@ -1,4 +1,10 @@
-"""The log of commands to the execution engine: which it certainly read, which may be lost, what is sent again."""
+"""The log of commands to the execution engine: which it certainly read, which may be lost, what is sent again.
+
+The engine acknowledges no command. Two things prove that it read one: a notice of the run that the command concerns,
+and a mark. A mark is a request for the gauges under a name of its own; as the engine reads in order, the answer to it
+confirms all commands sent before. Notices are numbered, so that missing ones can be replayed after a break of the link.
+`engine_link` explains which commands are sent again.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +54,7 @@
 class SendOpen:
     """Effect: send OPEN with this number, so that the engine replays all later notices."""
 
-    last_notice: int
+    last_notice: int  # number of the last notice read
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRun:
-    """Effect: report this run as over. It was not started, or nothing can tell what became of it."""
+    """Effect: report this run as ended. It was not started, or nothing shows what became of it."""
 
     request_id: str
 
@@ -71,7 +77,7 @@
     """What the number of a notice says about it."""
 
     OLD = 0  # it was read before
-    NEXT = auto()
+    NEXT = auto()  # it follows the last one, or a replay did not fill the gap before it
     GAP = auto()  # notices before it are missing
     RENUMBERED = auto()  # it comes from another engine process
 
@@ -92,10 +98,10 @@
 
 
 class CommandLog:
-    """All unconfirmed commands of one server incarnation, and the state of the link that carries them.
+    """All unconfirmed commands of one server process, and the state of the link that carries them.
 
     Every public method takes one event and returns its effects in order. `is_wanted` returns whether a client waits
-    for a request; `max_marks` bounds the marks that are requested and not yet received.
+    for a request; `max_marks` bounds the marks that are requested and not yet received (see the module's docstring).
     """
 
     def __init__(self, is_wanted: IsWanted, max_marks: int) -> None:
@@ -119,13 +125,13 @@
     # Requests of the server.
 
     def send(self, command: Command) -> list[LinkEffect]:
-        """Send a command, or queue it until there is a link. It replaces an earlier one of the same request."""
+        """Send a command, or queue it until the link is READY. It replaces an earlier one of the same request."""
         self.unconfirmed.pop(command.request_id, None)
         self.unconfirmed[command.request_id] = command
         return self._step_command(command, EVENT_SEND) if self.state == LINK_READY else []
 
     def send_failed(self, command: Command) -> None:
-        """Queue a command again that the link accepted no byte of."""
+        """Queue a command again because the link accepted no byte of it."""
         self._step_command(command, CommandEvent.UNSENT)
 
     def request_gauges(self) -> list[LinkEffect]:
@@ -133,7 +139,7 @@
         return [self._request_mark("gauges")] if self._may_request_mark() else []
 
     def request_doubt_mark(self) -> list[LinkEffect]:
-        """Request a mark if a command is in doubt. Once it comes, unwanted commands in doubt are abandoned."""
+        """Request a mark if a command is in doubt. When it arrives, the unwanted ones are abandoned."""
         doubtful = any(command.state == COMMAND_DOUBTFUL for command in self.unconfirmed.values())
         return [self._request_mark("doubt")] if doubtful and self._may_request_mark() else []
 
@@ -144,21 +150,21 @@
     # Events from the link.
 
     def connected(self) -> list[LinkEffect]:
-        """Handle that a link is open."""
+        """Handle the opening of a link."""
         self.fresh = True
         self.sent_before_link = self.sent_count
         return self._step_link(LinkEvent.CONNECTED)
 
     def broken(self) -> None:
-        """Handle that the link is over."""
+        """Handle the loss of the link."""
         self._step_link(LinkEvent.BROKEN)
 
     def booted(self) -> list[LinkEffect]:
-        """Handle that the engine reports it is up. A second report on one link is ignored."""
+        """Handle the engine's report that it is up. A second report on one link is ignored."""
         return self._step_link(LinkEvent.BOOTED) if self.state == LinkState.GREETING else []
 
     def restarted(self) -> list[str]:
-        """Handle that this is a new engine process, and return the requests whose commands were lost with the old one.
+        """Handle the start of a new engine process; returns the requests whose commands were lost with the old one.
 
         Starts that are queued or were sent on this link reach the new process. Every reply is for a run that is lost.
         """
@@ -175,7 +181,7 @@
     def classify_notice(self, number: int) -> NoticeKind:
         """Classify a notice by its number, and record it as read if it is the next one.
 
-        A replay after a gap is requested only once, as the engine does not keep all notices for ever. RENUMBERED
+        A replay after a gap is requested only once, as the engine discards old notices. RENUMBERED
         proves another engine process: the same one would continue after the last notice that OPEN named.
         """
         fresh = self.fresh
@@ -197,7 +203,10 @@
             self._step_command(command, EVENT_READ)
 
     def mark_received(self, mark: str) -> list[LinkEffect] | None:
-        """Handle a mark, which confirms all commands sent before its request. None: not requested on this link."""
+        """Handle the answer to a mark, which confirms all commands sent before its request.
+
+        Returns None if this link did not request the mark.
+        """
         newest = self.pending_marks.pop(mark, None)
         if newest is None:
             return None
@@ -212,9 +221,9 @@
         return self._abandon_unwanted() if kind == "doubt" else []
 
     def mark_rejected(self) -> list[LinkEffect]:
-        """Handle that a mark was read and rejected, as a site may not provide gauges.
+        """Handle the rejection of a mark by an engine that provides no gauges.
 
-        Commands are read in order, so it is the oldest mark, and the rejection confirms as much as an answer.
+        Commands are read in order, so this concerns the oldest mark, and the rejection confirms as much as an answer.
         """
         oldest = next(iter(self.pending_marks), None)
         return [] if oldest is None else self.mark_received(oldest) or []
@@ -262,13 +271,14 @@
             if command.state == COMMAND_DOUBTFUL and command.is_idempotent and self.is_wanted(command.request_id):
                 effects += self._step_command(command, CommandEvent.REPEAT)
             elif command.state == COMMAND_KEPT:
-                # A start that was never sent and that nobody waits for.
+                # A start that was never sent and that nobody waits for need not run. A reply is sent all the same, as
+                # its run waits for it.
                 stale = command.is_start and not self.is_wanted(command.request_id)
                 effects += self._step_command(command, CommandEvent.GIVE_UP if stale else EVENT_SEND)
         return effects
 
     def _abandon_unwanted(self) -> list[LinkEffect]:
-        """Abandon the commands in doubt that nobody waits for. The run of a wanted one may still be reported."""
+        """Abandon the commands in doubt that no client waits for. The run of a wanted one may still be reported."""
         effects: list[LinkEffect] = []
         for command in list(self.unconfirmed.values()):
             if command.state == COMMAND_DOUBTFUL and not self.is_wanted(command.request_id):
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency: one at a time on each connection of a small pool."""
+"""Calls to the dependency (the `store` of the settings): one at a time on each connection of a small pool."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     max_waiting: int  # calls that wait for a connection
     max_idle_ms: float  # the dependency may have forgotten a connection that was idle for longer
     max_recent_requests: int  # latest requests of a connection, to whose calls a duplicate reply may come
-    grace_ms: float  # a call is timed out so long after its limit
+    grace_ms: float  # from the time limit of a call until it is timed out here
 
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class DependencyCalls:
-    """All dependency calls of one server incarnation, and the pool of connections that carries them.
+    """All dependency calls of one server process, and the pool of connections that carries them.
 
     Every public method takes one event and returns its effects in order. `is_quiet` returns whether a connection has
     no unread input. Times are Unix milliseconds.
@@ -110,7 +110,7 @@
     limits: CallLimits
     is_quiet: Callable[[DependencyConnection], bool]
     calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request
-    idle: deque[DependencyConnection] = field(default_factory=deque)  # the last one used is used first
+    idle: deque[DependencyConnection] = field(default_factory=deque)  # the one that became idle last is used first
     waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
     connection_count: int = 0  # connections open or being opened
     serial: int = 0  # the number of the last connection
@@ -152,12 +152,12 @@
     # Events from the network.
 
     def opened(self, connection: DependencyConnection, now: float) -> list[CallEffect]:
-        """Handle that a connection is open. It carries the next call that waits."""
+        """Handle an opened connection. It carries the next call that waits."""
         self._step_connection(connection, DependencyConnectionEvent.OPENED)
         return self._release(connection, now)
 
     def open_failed(self, connection: DependencyConnection) -> list[CallEffect]:
-        """Handle that a connection could not be opened. The next call that waits ends as unreachable."""
+        """Handle a connection that could not be opened. The next call that waits ends as unreachable."""
         self._step_connection(connection, DependencyConnectionEvent.REFUSED)
         self.connection_count -= 1
         call = self._next_waiting_call()
@@ -180,7 +180,7 @@
         return [*self._release(connection, now), EndCall(call, outcome, body)]
 
     def connection_lost(self, connection: DependencyConnection) -> list[CallEffect]:
-        """Handle that a connection is closed, by either side. If calls wait, another one is opened."""
+        """Handle a connection that was closed, by either side. If calls wait, another one is opened."""
         call = connection.call
         connection.call = None
         if connection in self.idle:
@@ -247,7 +247,7 @@
         """Remove an idle connection from the pool for a call of this request, or return None.
 
         Connections that were idle for too long are not used, as the dependency may have forgotten them. Neither is one
-        that recently carried a call of the same request: a duplicate of that reply would pass for this one.
+        that recently carried a call of the same request: a duplicate of that reply would be taken for this one.
         """
         idle_since_min = now - self.limits.max_idle_ms
         for connection in reversed(self.idle):
--- a/myrtlespar/state_machines/dependency_tables.py
+++ b/myrtlespar/state_machines/dependency_tables.py
@@ -1,4 +1,4 @@
-"""The transition tables of a connection to the dependency and of a call, and the outcome that each end proves."""
+"""The transition tables of a connection to the dependency and of a call, and the outcome of each kind of end."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     PUT = 0  # sent on a connection
     ANSWERED = auto()
     CUT = auto()  # its connection closed
-    UNREACHED = auto()  # no connection could be had
+    UNREACHED = auto()  # no connection could be opened, or too many calls wait
     OUT_OF_TIME = auto()
     GIVEN_UP = auto()  # cancelled
 
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -1,6 +1,6 @@
 """The transition tables of the link to the execution engine and of a command sent on it.
 
-When the link breaks, the last commands may be lost, and nothing tells how many. A start may be sent again only if a
+When the link breaks, an unknown number of the last commands may be lost. A start may be sent again only if a
 second run does no harm. The start of an effectful request is never sent again: its run may end while the second start
 is on its way, and the engine would run it anew. Neither is a reply to a dependency call: the run may be at its next
 call when the second reply comes. Those commands are sent once, and a lost one is abandoned when nobody waits for it.
@@ -18,7 +18,7 @@
 
     DOWN = 0
     GREETING = auto()  # open; the engine has not yet reported that it is up
-    REPLAYING = auto()  # notices from before the link come in; a mark requested after them shows their end
+    REPLAYING = auto()  # the engine sends the notices missed since the last link; a mark requested now shows their end
     READY = auto()  # commands are sent
     MOVING = auto()  # to another address, once a last mark shows that nothing more comes on this link
 
@@ -41,7 +41,7 @@
     DOUBT = auto()  # commands that were sent and not confirmed may be lost
     MARK_SYNC = auto()  # request the mark after the replayed notices
     MARK_MOVE = auto()  # request the mark before a move
-    RELEASE = auto()  # send the commands that waited, and again the idempotent ones in doubt
+    RELEASE = auto()  # send the queued commands, and the idempotent ones in doubt again
     CLOSE = auto()
 
 
@@ -91,7 +91,7 @@
     """The effects of a transition of a command."""
 
     WRITE = 0  # send it on the link
-    END = auto()  # report its run as over: lost, or never begun
+    END = auto()  # report its run as ended: lost, or never begun
 
 
 COMMAND_TABLE = TransitionTable(
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -1,4 +1,8 @@
-"""Idempotency keys: link the attempts of one key, so that a retry of a started request never starts it again."""
+"""Idempotency keys: link the attempts of one key, so that a retry of a started request never starts it again.
+
+The first attempt owns its key and may run. Attempts with the same key that arrive meanwhile follow it and share its
+answer, later ones get the cached outcome.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +26,13 @@
     """What happens to an idempotency key."""
 
     TRY = 0  # an attempt arrives
-    FULL_TRY = auto()  # an attempt arrives with a new key while the table is full
+    FULL_TRY = auto()  # an attempt arrives with a new key that the table does not accept; see `register`
     CROWDED_TRY = auto()  # an attempt arrives, and the key has its maximum of followers
     OUTCOME = auto()  # the owner ran
     NEVER_RAN = auto()  # the owner is over and certainly did not run
     OWNER_LEFT = auto()  # the owner left before it ran, followers wait
     LAST_LEFT = auto()  # the owner left before it ran, no follower waits
-    EXPIRE = auto()  # the outcome was cached for its whole time
+    EXPIRE = auto()  # the outcome has been cached for `key_ms`
 
 
 class KeyAction(IntEnum):
@@ -78,8 +82,11 @@
 class IdempotencyKeyTable:
     """All idempotency keys in use.
 
-    `capacity` bounds the number of keys, `key_ms` is how long an outcome is cached, `max_followers` bounds the
-    retries that wait for one run, and longer answers than `max_result_bytes` are not cached.
+    Args:
+        capacity: The maximum number of keys.
+        key_ms: How long an outcome is cached, in milliseconds.
+        max_followers: The maximum number of retries that wait for one run.
+        max_result_bytes: Longer answers are not cached.
     """
 
     def __init__(self, capacity: int, key_ms: float, max_followers: int, max_result_bytes: int) -> None:
@@ -92,7 +99,11 @@
         self.awaiting_handover = False  # while the keys of an earlier process are awaited, no new key is accepted
 
     def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
-        """Register a new attempt: OWN, FOLLOW, TURN_AWAY, FAIL, or ANSWER with the cached outcome."""
+        """Register a new attempt.
+
+        Returns:
+            OWN, FOLLOW, TURN_AWAY, FAIL or ANSWER, and for ANSWER the cached outcome.
+        """
         key_id = (exchange.class_index, exchange.key)
         entry = self.entries.get(key_id)
         if entry is None:
@@ -158,7 +169,10 @@
         return entry is not None and entry.owner is exchange
 
     def known_outcomes(self) -> list[tuple[KeyId, Answer, float]]:
-        """Return the keys that a successor process must not run again, with outcome and expiry time, oldest first."""
+        """Return the keys that a replacement process must not run again, with outcome and expiry time.
+
+        The earliest expiry time comes first.
+        """
         return [
             (key_id, entry.outcome, expires_at)
             for expires_at, key_id in self.expiry
@@ -166,13 +180,16 @@
         ]
 
     def import_outcome(self, key_id: KeyId, outcome: Answer, expires_at: float) -> None:
-        """Import a key from an earlier process. Call in order of expiry, before any new key is registered."""
+        """Import a key from an earlier process. Call in order of expiry, before any new key is registered.
+
+        A key that is known here, or for which the table has no capacity, is left out.
+        """
         if key_id not in self.entries and len(self.entries) < self.capacity:
             self.entries[key_id] = KeyEntry(KeyState.KNOWN, None, [], outcome)
             self.expiry.append((expires_at, key_id))
 
     def expire(self, now: float) -> None:
-        """Forget the outcomes that were cached for their whole time."""
+        """Remove the outcomes that have been cached for `key_ms`."""
         while self.expiry and self.expiry[0][0] <= now:
             key_id = self.expiry.popleft()[1]
             if KEY_TABLE.step(self.entries[key_id].state, KeyEvent.EXPIRE, key_id[1]).next_state == KeyState.FREE:
--- a/myrtlespar/state_machines/lost_runs.py
+++ b/myrtlespar/state_machines/lost_runs.py
@@ -1,8 +1,8 @@
 """Detection of lost runs: runs that the execution engine no longer has, although their end was never reported.
 
 The report of an end can be lost for good, after an unnoticed restart of the engine or when the engine no longer keeps
-it. Such a run would use its capacity for ever, and with enough of them nothing could start. The engine's gauge counts
-at least every run on its cores, so runs counted here in excess of the gauge for a whole window are lost.
+it. Such a run would use capacity for ever, and with enough of them no request could start. The engine's gauge counts at
+least every run on its cores, so runs counted here in excess of the gauge for a whole window are lost.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LostRunDetector:
-    """Compares the number of runs counted here with the gauge of the engine, check by check. Times in milliseconds."""
+    """Compares the number of runs counted here with the engine's gauge at each check. Times are Unix milliseconds."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
@@ -19,7 +19,10 @@
         self._min_surplus = 0.0  # the smallest surplus since then
 
     def count_lost(self, now: float, counted: int, gauge: float | None) -> int:
-        """Return how many of the runs counted are certainly lost; `gauge` is None if there is no fresh value."""
+        """Return how many of the counted runs are lost: the smallest surplus of a window in which each check found one.
+
+        `gauge` is None if there is no fresh value, which ends the window.
+        """
         surplus = 0.0 if gauge is None else counted - gauge
         if surplus < 1.0:
             self._surplus_since = math.inf
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -1,4 +1,8 @@
-"""The lifecycle of the server process: serving, draining, listeners closed, flushing the last answers, stopped."""
+"""The lifecycle of the server process, from serving through a graceful shutdown or hand-over to its end.
+
+A graceful shutdown passes DRAINING, CROSSING and FLUSHING; a hand-over to a replacement starts at CROSSING. See
+`ProcessLifecycle.poll` for the conditions on which each stage ends.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
     SERVING = 0
     DRAINING = auto()  # shutdown was announced; requests that arrive within the grace period may still run
-    CROSSING = auto()  # the listeners are closed; requests that crossed the close are answered
+    CROSSING = auto()  # listeners closed; requests that clients sent before they noticed that are still answered
     FLUSHING = auto()  # the last answers are being sent
     STOPPED = auto()
 
@@ -24,11 +28,11 @@
     """What happens to the process."""
 
     NOTICE = 0  # the signal for a graceful shutdown
-    RELOAD = auto()
-    BAD_RELOAD = auto()  # the new configuration is invalid
-    EMPTY = auto()  # no answer is outstanding, and no new request may run
+    RELOAD = auto()  # a reload was requested, and the configuration is valid
+    BAD_RELOAD = auto()  # a reload was requested, and the configuration is invalid
+    EMPTY = auto()  # no answer is outstanding, and the grace period for new requests has passed
     KILL_NEAR = auto()  # the time until the kill is nearly used up
-    CROSSED = auto()  # all requests that crossed the close of the listeners are answered
+    CROSSED = auto()  # all requests that crossed the close of the listeners are answered, or the kill is due
     FLUSHED = auto()  # the last answers are sent
     HANDOVER = auto()  # SIGTERM while a second process serves: stop listening at once, answer all that was read
 
@@ -62,7 +66,7 @@
         (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
         (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
         (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING),
-        # Runs still end over the new links.
+        # A reload moves the links in a shutdown too, as the remaining runs end over the new ones.
         (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)),
         (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(
             ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)
@@ -88,10 +92,14 @@
 class ProcessLifecycle:
     """The state of the server process and the deadlines of its graceful shutdown.
 
-    Times are Unix milliseconds, durations are milliseconds. `stop_ms` runs from the shutdown signal to the kill; what
-    arrives within `grace_ms` of the signal may still run; `sweep_ms` is the time between two checks for overdue
-    requests; `flush_ms` is reserved for the last answers; `crossing_ms` is how long requests may cross the close of
-    the listeners.
+    Times are Unix milliseconds. "The kill" is the SIGKILL that the platform sends.
+
+    Args:
+        stop_ms: From the signal for a graceful shutdown to the kill.
+        grace_ms: A request that arrives within this time after the signal may still run.
+        sweep_ms: Between two checks for overdue requests.
+        flush_ms: Reserved before the kill for the last answers.
+        crossing_ms: How long after the close of the listeners a request may still arrive on an open connection.
     """
 
     def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float, crossing_ms: float) -> None:
@@ -101,14 +109,14 @@
         self.flush_ms = flush_ms
         self.crossing_ms = crossing_ms
         self.state: int = ProcessState.SERVING
-        self.average_answer_ms = 0.0  # how long delivering one answer took lately
+        self.average_answer_ms = 0.0  # moving average of the time to deliver one answer
         self.notice_at = float("inf")  # the shutdown signal
         self.kill_at = float("inf")
         self.closed_at = float("inf")  # the close of the listeners
 
     @property
     def draining(self) -> bool:
-        """Whether the process has begun to shut down."""
+        """Whether the process has begun a graceful shutdown or a hand-over."""
         return self.state != ProcessState.SERVING
 
     def handle(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
@@ -136,7 +144,12 @@
         return self.handle(ProcessEvent.HANDOVER)
 
     def poll(self, now: float, unanswered: int) -> tuple[ProcessAction, ...]:
-        """Enter the next stage of the shutdown if it is time; `unanswered` counts the outstanding answers."""
+        """Enter the next stage of the shutdown if it is due; `unanswered` counts the outstanding answers.
+
+        DRAINING ends when the grace period has passed and no answer is outstanding, at the latest twice `flush_ms`
+        before the kill. CROSSING ends when `crossing_ms` have passed and no
+        answer is outstanding, at the latest at the kill. FLUSHING ends with the event FLUSHED.
+        """
         if self.state == ProcessState.DRAINING:
             if now > self.notice_at + self.grace_ms and not unanswered:
                 self.closed_at = now
@@ -153,17 +166,19 @@
     def may_start(self, arrived: float) -> bool:
         """Return whether a request that arrived at this time may start.
 
-        It may not after the grace period, nor once the idempotency keys are handed to the next process.
+        It may not if it arrived after the grace period, nor once the process is in FLUSHING: the replacement then has
+        the idempotency keys and would not know this run.
         """
         return arrived <= self.notice_at + self.grace_ms and self.state < FLUSHING
 
     def answer_reserve_ms(self, unanswered: int) -> float:
         """Return how long before the kill this many outstanding answers must be begun.
 
-        A check may come one sweep late, and each answer takes its delivery and as long again to decide on.
+        A check for overdue requests may come one interval late. Each answer takes its delivery and as long again to
+        decide on.
         """
         return 2 * self.sweep_ms + 2 * self.average_answer_ms * unanswered
 
     def answer_deadline(self, unanswered: int = 0) -> float:
-        """Return when this many outstanding answers must be given, whatever their own due times."""
+        """Return when this many outstanding answers must be begun before the kill, whatever their own due times."""
         return self.kill_at - self.answer_reserve_ms(unanswered)
--- a/myrtlespar/state_machines/request_effects.py
+++ b/myrtlespar/state_machines/request_effects.py
@@ -42,7 +42,7 @@
 class RequestTerms:
     """The settings of the request tracker. Times in milliseconds."""
 
-    client_timeout_ms: Sequence[float]  # by request class: due so long after the arrival
+    client_timeout_ms: Sequence[float]  # by request class: from the arrival to the due time
     effectful: Sequence[bool]  # by request class: must not run twice
-    overdue_ms: float  # an attempt is failed so long after its due time, whatever else was decided
+    overdue_ms: float  # from the due time until an attempt is failed, whatever else was decided
     retry_after_ms: float  # Retry-After when the key table is full or a start is too late
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -1,4 +1,4 @@
-"""The request tracker: all attempts of one server incarnation, their idempotency keys and the process lifecycle.
+"""The request tracker: all attempts of one server process, and their idempotency keys.
 
 Each event becomes a list of effects for the request coordinator, in the order in which they apply.
 """
@@ -69,7 +69,7 @@
     """Owns every attempt until it is answered and no longer running.
 
     Every public method takes one event and returns its effects in order. Unknown ids are ignored: they belong to
-    attempts that are over, or to an earlier incarnation of the server. Times are Unix milliseconds.
+    attempts that are over, or to an earlier process of this server. Times are Unix milliseconds.
     """
 
     def __init__(self, settings: RequestTerms, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
@@ -91,7 +91,7 @@
     # Events from the network side.
 
     def submit(self, exchange: Exchange) -> list[RequestEffect] | None:
-        """Take a complete request. Returns None, and takes nothing, if its id is in use."""
+        """Accept a complete request. Returns None, with no effect, if its id is in use."""
         if exchange.id in self.requests:
             return None
         exchange.due_at = exchange.arrived_at + self.settings.client_timeout_ms[exchange.class_index]
@@ -110,11 +110,11 @@
         return self._step(exchange, EVENT_KNOWN, EventDetails(outcome or FAILED))
 
     def caller_gone(self, exchange: Exchange) -> list[RequestEffect]:
-        """Handle that no client waits for this attempt any longer."""
+        """Handle the disconnection of the client, or its cancellation of this attempt."""
         return self._step(exchange, EVENT_GONE) if self.requests.get(exchange.id) is exchange else []
 
     def call_needed(self, id: str, body: bytes) -> list[RequestEffect]:
-        """Handle that a run waits for a dependency call with this body."""
+        """Handle a run that waits for a dependency call with this body."""
         exchange = self.requests.get(id)
         if exchange is None:
             return []
@@ -163,7 +163,10 @@
         return len(running), [exchange for exchange in running if exchange.state == STATE_RUNNING_UNWANTED]
 
     def abandoned_runs_at_calls(self) -> list[Exchange]:
-        """Return the runs at a call that nobody waits for. The execution engine ends and reports them by itself."""
+        """Return the runs at a dependency call whose answer nobody waits for, in the execution engine only.
+
+        The engine usually ends and reports them by itself.
+        """
         return [
             exchange
             for exchange in self.requests.values()
@@ -171,7 +174,7 @@
         ]
 
     def fail_all(self, now: float) -> list[RequestEffect]:
-        """Fail every attempt that awaits its answer, as the process ends."""
+        """Fail every attempt that awaits its answer, because the process ends."""
         effects: list[RequestEffect] = []
         for exchange in list(self.requests.values()):
             if exchange.state in AWAITING_ANSWER:  # a follower may have been answered with its owner meanwhile
@@ -181,8 +184,8 @@
     def keys_to_hand_over(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Return the keys for the process that takes over, each with its outcome and expiry time.
 
-        A run that nobody waits for goes on in the execution engine without this process. Its key gets a failure as
-        its outcome, since its real one will not be known.
+        A run that has not ended goes on in the execution engine without this process. Its key gets a failure as its
+        outcome, since the real one will not be known.
         """
         running = [
             ((exchange.class_index, exchange.key), FAILED, now + self.keys.key_ms)
@@ -208,12 +211,12 @@
         return [] if exchange is None else self._step(exchange, EVENT_REFUSE, EventDetails(answer), now)
 
     def fail(self, id: str, now: float) -> list[RequestEffect]:
-        """Fail the attempt as late."""
+        """Fail the attempt with the answer `LATE`."""
         exchange = self.requests.get(id)
         return [] if exchange is None else self._step(exchange, EVENT_FAIL, EventDetails(LATE), now)
 
     def start_call(self, id: str, limit_ms: float) -> list[RequestEffect]:
-        """Make the dependency call that the run waits for."""
+        """Make the dependency call that the run waits for, with a time limit in milliseconds."""
         exchange = self.requests.get(id)
         return [] if exchange is None else self._step(exchange, EVENT_CALL, EventDetails(duration_ms=limit_ms))
 
@@ -252,7 +255,7 @@
         now: float,
         effects: list[RequestEffect],
     ) -> None:
-        """Carry out an action of the tracker itself; what follows for the coordinator is appended to `effects`."""
+        """Carry out an action of the tracker itself, and append the effects for the coordinator to `effects`."""
         if action is ACTION_LEAVE:
             del self.requests[exchange.id]
         elif action is ACTION_WITHDRAW:
