--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -1,4 +1,6 @@
-"""Operators' commands: one line in, one reply out, and the pause that drains this process by its health.
+"""Operators' commands: one line in, one reply out.
+
+PAUSE makes the health check fail until RESUME, so that clients move to other servers; requests are still served.
 
 Replies begin with `done` or `error`. The reply to `METRICS` is a `done` line, the metrics in the Prometheus text
 exposition format and a line `end`. Times are Unix milliseconds.
@@ -29,8 +31,8 @@
 
     Attributes:
         paused: Whether the last of PAUSE and RESUME was PAUSE.
-        paused_at: When the latest pause began.
-        resumed_at: When the latest pause ended.
+        paused_at: When the latest pause began; infinity before the first.
+        resumed_at: When the latest pause ended; minus infinity before the first end.
         pause_count: PAUSE lines that began a pause.
         extra_commands: Further commands, each with the function that returns the lines of its reply.
     """
--- a/myrtlespar/admin/metrics.py
+++ b/myrtlespar/admin/metrics.py
@@ -1,4 +1,7 @@
-"""The metrics of one process in the Prometheus text exposition format."""
+"""The metrics of one process in the Prometheus text exposition format.
+
+The names `app_*` are an interface to operators and stay fixed.
+"""
 
 from __future__ import annotations
 
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -29,7 +29,7 @@
     """Receives the keys that the previous process published, and publishes those of this one at its end.
 
     While the folder can't be used, an old process may run unnoticed. Requests with a key are then rejected for as long
-    as a key is remembered, because they could run a second time.
+    as an outcome is cached (`limits.idempotency_key_ms`), because they could run a second time.
     """
 
     def __init__(self, coordinator: RequestCoordinator, folder: HandoverFolder) -> None:
@@ -47,9 +47,9 @@
         gevent.spawn(self._wait_for_handover)
 
     def publish_keys(self) -> None:
-        """Write the outcomes of this process's keys for its replacement; a failure is logged."""
+        """Write the outcomes of this process's keys for its replacement; a failure is logged and not raised."""
         rows = self._coordinator.tracker.keys_to_hand_over(unix_ms())
-        outcomes = key_outcomes((slot, answer, to_wall(expires_at)) for slot, answer, expires_at in rows)
+        outcomes = key_outcomes((key_id, answer, to_wall(expires_at)) for key_id, answer, expires_at in rows)
         try:
             self._folder.write_keys(encode(outcomes))
             log.info("keys left for the next process", keys=len(outcomes))
@@ -86,7 +86,7 @@
             log.info(received.log_message)
         if self._receiver.rejection != rejection_before:
             self._coordinator.counters.add("handover.refused")
-            # Without a usable file, the end of the old process decides at once.
+            # Without a usable file, requests with a key may run as soon as the old process has ended.
             self._receiver.poll(content.old_process_alive, None, now, class_count)
         for outcome in received.outcomes:
             self._coordinator.tracker.keys.import_outcome(
@@ -96,7 +96,7 @@
     def _read_folder(self) -> FolderContent:
         """Read the folder; a failure is logged, counted, and treated as an old process that may still live."""
         try:
-            # The lock before the file: an old process that has ended had completed its file before.
+            # The lock comes before the file: an old process writes its file before its end releases the lock.
             old_process_alive = not self._folder.acquire_lock()
             return FolderContent(self._folder.read_keys(), old_process_alive)
         except OSError as error:
--- a/myrtlespar/handover/folder.py
+++ b/myrtlespar/handover/folder.py
@@ -1,7 +1,8 @@
-"""The storage of a hand-over: the `$TMPDIR` that two processes of one server share.
+"""The storage of a hand-over: the folder (`$TMPDIR`) that two processes of one server share.
 
-It holds a lock that belongs to the living process, and the file of keys that an old process writes for its replacement.
-Every method may raise OSError: the folder can be missing or full, or hold something else under these names.
+It contains a lock that the running process holds, and the file of keys that an old process writes for its replacement.
+Every method except `remove_keys` may raise OSError: the folder can be missing or full, or contain something else under
+these names.
 """
 
 from __future__ import annotations
@@ -23,8 +24,7 @@
 class HandoverFolder:
     """The files `$TMPDIR/myrtlespar-NAME.lock` and `.keys` of the server NAME.
 
-    The lock is an flock held for the life of the process, so the operating system releases it however the process
-    ends.
+    The lock is an flock held until the process ends, so the operating system releases it even after a crash.
     """
 
     def __init__(self, tmpdir: str, name: str) -> None:
@@ -34,7 +34,7 @@
         self._lock_descriptor = NO_DESCRIPTOR
 
     def acquire_lock(self) -> bool:
-        """Try to take the lock without waiting; False while an older process holds it."""
+        """Take the lock without waiting. Returns False while another process holds it."""
         if self._lock_descriptor != NO_DESCRIPTOR:
             return True
         descriptor = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK, 0o600)
@@ -69,7 +69,7 @@
     def remove_keys(self) -> None:
         """Remove the keys file, so that no later start reads it again.
 
-        If that fails, the keys in it still expire.
+        A failure is ignored, as the keys in the file still expire.
         """
         with contextlib.suppress(OSError):
             self.keys_path.unlink()
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -1,8 +1,8 @@
-"""The format of the hand-over file, with which a process passes its idempotency keys to its replacement.
+"""The format of the hand-over file, in which a process passes its idempotency keys to its replacement.
 
 The file is a header line `myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, one key with its
 outcome each. A file that is truncated, corrupt or of another version is rejected as a whole. Times are Unix
-milliseconds. Pure: no I/O and no clock.
+milliseconds by the wall clock, as two processes compare them. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 def answer_of(outcome: KeyOutcome) -> Answer:
-    """The answer to a repeated request with this key."""
+    """Return the answer to a retry with this key."""
     return Answer(AnswerKind(outcome.kind), outcome.body, outcome.retry_after_ms)
 
 
--- a/myrtlespar/handover/receiver.py
+++ b/myrtlespar/handover/receiver.py
@@ -14,7 +14,7 @@
 class HandoverState(Enum):
     """Whether the replacement may run requests with an idempotency key."""
 
-    WAITING = "waiting"  # the old process lives: a request with a key is rejected, as it could run in both processes
+    WAITING = "waiting"  # the old process may run: a request with a key is rejected, as it could run in both processes
     OPEN = "open"
 
 
@@ -30,8 +30,8 @@
 class HandoverReceiver:
     """Decides when the replacement accepts requests with a key.
 
-    It does so once it has read a complete hand-over file, or once the old process has ended. A file that is rejected
-    is reported once; after it only the end of the old process counts.
+    It does so as soon as it has read a complete hand-over file, or once the old process has ended. A file that is
+    rejected is reported once and not read again; after it only the end of the old process counts.
 
     Attributes:
         state: Whether requests with a key may run.
@@ -44,7 +44,7 @@
     received_count: int = 0
 
     def poll(self, old_process_alive: bool, data: bytes | None, now: float, class_count: int) -> ReceivedKeys:
-        """Take note of the shared folder's content.
+        """Evaluate one read of the shared folder.
 
         Args:
             old_process_alive: Whether the old process still holds its lock.
--- a/myrtlespar/runtime/counters.py
+++ b/myrtlespar/runtime/counters.py
@@ -4,19 +4,19 @@
 
 from collections import Counter
 
-ALWAYS_LOGGED_COUNT = 20  # the first events of a name, each worth a log line
-SAMPLING_INTERVAL = 100  # later only every so many-th event is worth one
+ALWAYS_LOGGED_COUNT = 20  # this many first events of a name are all logged
+SAMPLING_INTERVAL = 100  # of the later events, one in this many is logged
 
 
 class Counters:
-    """Counts events by name; a name is `part.kind` or `part.kind.front`."""
+    """Counts events by name; a name is `part.kind` or `part.kind.front`, for example `reload.refused`."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
-    def add(self, name: str, by: int = 1) -> None:
-        """Count `by` events."""
-        self._counts[name] += by
+    def add(self, name: str, count: int = 1) -> None:
+        """Count this many events."""
+        self._counts[name] += count
 
     def count_and_sample(self, name: str) -> bool:
         """Count one event of a kind that may occur in great numbers.
--- a/myrtlespar/runtime/log_output.py
+++ b/myrtlespar/runtime/log_output.py
@@ -39,7 +39,7 @@
     """Writes lines to one descriptor, in order and complete, without blocking.
 
     Attributes:
-        lost: Lines that could not be written.
+        lost: How many lines could not be written.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -49,7 +49,7 @@
         self._backlog: deque[bytes] = deque()
         self._backlog_bytes = 0
         self.lost = 0
-        self._reported_lost = 0  # lost lines that a line of the log reports
+        self._reported_lost = 0  # how many of them a line of the log has reported
         self._failing = False  # whether the last write failed
 
     def write(self, line: str) -> None:
@@ -73,7 +73,7 @@
                 written = os.write(self._descriptor, head[:MAX_WRITE_BYTES])
             except BlockingIOError:
                 return
-            except OSError:  # no reader or no space: this line is lost, the next one is tried all the same
+            except OSError:  # no reader or no space: this line is lost, and the next one is written all the same
                 written = len(head)
                 self.lost += 1
                 self._failing = True
--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -1,6 +1,6 @@
-"""Collects signals from the first moment of the process until the server can handle them.
+"""Collects signals from the start of the process until the server can handle them.
 
-A signal during the start then neither kills the process nor is lost. The module imports only the standard library, so
+So a signal during the start neither kills the process nor is lost. The module imports only the standard library, so
 that it is loaded before everything that takes time to load.
 """
 
--- a/myrtlespar/runtime/supervision.py
+++ b/myrtlespar/runtime/supervision.py
@@ -1,6 +1,7 @@
 """Handling of unexpected exceptions.
 
-Each is logged with its traceback and counted, and ends no more than the connection, call or greenlet that raised it.
+An exception is logged with its traceback and counted. It ends the connection, call or greenlet that raised it, and
+nothing else.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     By default gevent prints them to standard error, which blocks the process when nobody reads that stream.
     """
     hub = gevent.get_hub()
-    hub.exception_stream = None
+    hub.exception_stream = None  # no output of gevent's own
     handle_system_error = hub.handle_error
 
     def handle_error(
@@ -43,14 +44,14 @@
 
 
 def run_forever(name: str, function: Callable[[], None], counters: Counters) -> None:
-    """Call a function again and again for the life of the process.
+    """Call a function again whenever it ends, until the process ends.
 
-    An exception, such as one caused by a peer's unexpected message, ends one call and not the service of that peer.
+    An exception, such as one caused by a peer's unexpected message, ends one call; the next one follows after a pause.
 
     Args:
-        name: Of the part, in its counter `fault.NAME` and in the log.
+        name: Names the part in the counter `fault.NAME` and in the log.
         function: Usually has a loop of its own and returns or raises only after a fault.
-        counters: Count the exceptions.
+        counters: Counts the exceptions.
     """
     while True:
         try:
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -36,8 +36,8 @@
 class Application:
     """The connected parts of one server process.
 
-    The constructor creates the parts in the order of the start and takes the addresses of the fronts and of the admin
-    server. No client connection is accepted before `start`.
+    The constructor creates the parts in the order of the start, binds the addresses of the fronts and of the admin
+    server, and begins to receive the keys of the previous process. No client connection is accepted before `start`.
 
     Args:
         config: The configuration of this process.
@@ -83,7 +83,7 @@
             calls_share=self.config.settings.calls_share,
             shared=self.config.settings.shared_dependency,
         )
-        gc.freeze()
+        gc.freeze()  # the objects of the start live as long as the process, so the collector need not visit them
 
     def raise_if_coordinator_ended(self) -> None:
         """Raise the exception that ended the coordinator's greenlet, if it has ended.
@@ -157,7 +157,10 @@
 
 
 def _open_fleet(config: Config, coordinator: RequestCoordinator, counters: Counters) -> FleetNode:
-    """Start this server's part of the fleet. Its modules are imported only here, so that others need not load them."""
+    """Start this server's part of the fleet.
+
+    The modules of the fleet are imported only here, so that a server outside of a fleet does not load them.
+    """
     from myrtlespar.fleet import open_fleet
 
     def key_of(id: str) -> str:
--- a/myrtlespar/server/drain.py
+++ b/myrtlespar/server/drain.py
@@ -10,9 +10,9 @@
 
 
 def begin_drain(application: Application) -> None:
-    """Ask the clients to send nothing new. A repeated call has no further effect.
+    """Begin the shutdown: notify the policy, ask the clients to send nothing new, and leave the fleet.
 
-    The shutdown sequence carries out the later stages.
+    A repeated call has no further effect. `ShutdownSequence` carries out the later stages.
     """
     coordinator = application.coordinator
     if not coordinator.draining:
--- a/myrtlespar/server/handover.py
+++ b/myrtlespar/server/handover.py
@@ -14,7 +14,8 @@
 def begin_handover(application: Application) -> None:
     """Close the listeners and ask the clients to connect again, which leads them to the replacement.
 
-    The shutdown sequence carries out the later stages.
+    Unlike in a graceful shutdown, requests already read still start and the health check does not change.
+    `ShutdownSequence` carries out the later stages, in which the idempotency keys are published.
     """
     coordinator = application.coordinator
     actions = coordinator.process.handover(unix_ms(), _time_until_kill_ms(application))
@@ -27,7 +28,7 @@
 
 
 def _time_until_kill_ms(application: Application) -> float:
-    """How long after SIGTERM the platform sends SIGKILL: the longest client timeout, capped, and a fixed reserve."""
+    """How long after SIGTERM the platform sends SIGKILL: the longest client timeout, up to a maximum, plus a margin."""
     limits = application.config.limits
     longest_timeout_ms = max(request_class.client_timeout_ms for request_class in application.config.settings.classes)
     return min(longest_timeout_ms, limits.handover_max_deadline_ms) + limits.handover_margin_ms
--- a/myrtlespar/server/reload.py
+++ b/myrtlespar/server/reload.py
@@ -16,8 +16,10 @@
 class ConfigReloader:
     """Reads the configuration again and applies the addresses in it.
 
-    A faulty file changes nothing and is named in the log. As the file may still be incomplete when the signal
-    arrives, it is read repeatedly until it is valid, `reload_ms` have passed or another reload is requested.
+    A faulty file changes nothing. As the file may still be incomplete when the signal arrives, it is read repeatedly
+    until it is valid, `limits.reload_timeout_ms` have passed or another reload is requested. Each faulty read counts as
+    `reload.refused`; the log names a fault when it differs from that of the read before. In the last stage of a
+    shutdown, when the last answers are sent, a valid file is not applied either.
     """
 
     def __init__(self, application: Application) -> None:
@@ -35,7 +37,7 @@
         self._apply(new_config)
 
     def _read_valid_config(self) -> Config | None:
-        """The new configuration; None if it stayed faulty or another reload replaces this one."""
+        """Return the new configuration, or None if it stayed faulty or another reload replaces this one."""
         self._latest_request += 1
         request = self._latest_request
         limits = self._application.config.limits
@@ -52,7 +54,7 @@
                 return None
 
     def _reject(self, fault: str, reported_fault: str) -> None:
-        """Count a faulty file, and log its fault unless it was the last one logged."""
+        """Count a faulty read, and log its fault unless it equals `reported_fault`, the one logged last."""
         self._application.counters.add("reload.refused")
         if fault == reported_fault:
             return
@@ -60,7 +62,7 @@
             log.error("reload refused", error=fault)
 
     def _apply(self, new_config: Config) -> None:
-        """Move the connections to the upstream servers; the other settings wait for a restart."""
+        """Move the connections to the upstream servers and reload the fleet's file; other settings need a restart."""
         application = self._application
         application.counters.add("reload.done")
         application.engine_client.move(new_config.kernel)
--- a/myrtlespar/server/shutdown.py
+++ b/myrtlespar/server/shutdown.py
@@ -13,7 +13,10 @@
 
 
 class ShutdownSequence:
-    """Polls the process lifecycle while the application serves, and carries out the actions that are due."""
+    """Polls the process lifecycle from the start of the application on, and carries out the actions that are due.
+
+    The lifecycle decides when a stage ends; see `ProcessLifecycle.poll`.
+    """
 
     def __init__(self, application: Application, output: LogOutput) -> None:
         self._application = application
--- a/myrtlespar/server/signal_handlers.py
+++ b/myrtlespar/server/signal_handlers.py
@@ -18,7 +18,7 @@
 
 
 class SignalHandlers:
-    """Calls the operation of each signal in a greenlet of its own, from construction until `ignore_further_signals`.
+    """Runs the operation of each signal in a greenlet of its own, from construction until `ignore_further_signals`.
 
     Signals that arrived during the start are handled too.
     """
