--- a/myrtlespar/server/handover.py
+++ b/myrtlespar/server/handover.py
@@ -14,7 +14,8 @@
 def begin_handover(application: Application) -> None:
     """Close the listeners and ask the clients to connect again, which leads them to the replacement.
 
-    Unlike in a graceful shutdown, requests already read still start and the health check does not change.
+    Unlike in a graceful shutdown, every request that was read may start and Thrift pings still report good health; AJP
+    pings are no longer answered.
     `ShutdownSequence` carries out the later stages, in which the idempotency keys are published.
     """
     coordinator = application.coordinator
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -135,8 +135,8 @@
     def handover(self, now: float, kill_in_ms: float) -> tuple[ProcessAction, ...]:
         """Handle SIGTERM while a second process serves beside this one.
 
-        This is not a graceful shutdown: starts are not barred and the health check stays good. The listeners close
-        now, and all that was read is answered before the kill.
+        Unlike in a graceful shutdown, the policy is not notified and every request that was read may start. The
+        listeners close now, and all that was read is answered at the latest at the kill, `kill_in_ms` from now.
         """
         if self.state in (ProcessState.SERVING, ProcessState.DRAINING):
             self.closed_at = now
