--- a/myrtlespar/coordinator/ports.py
+++ b/myrtlespar/coordinator/ports.py
@@ -23,10 +23,10 @@
     `id` names the request; `limit_ms` is the time limit of the call in milliseconds.
     """
 
-    def call(self, id: str, limit_ms: float, body: bytes) -> None:
+    def call(self, request_id: str, limit_ms: float, body: bytes) -> None:
         """Make a call for a request; its end is reported by `RequestCoordinator.call_ended`."""
 
-    def drop(self, id: str) -> None:
+    def drop(self, request_id: str) -> None:
         """Cancel the call of a request."""
 
 
--- a/myrtlespar/model_checker/mutants.py
+++ b/myrtlespar/model_checker/mutants.py
@@ -55,8 +55,8 @@
         _mutation(
             "answered twice",
             "attempts",
-            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
-            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER",
+            "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+            "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER",
             "quick",
         ),
         _mutation(
@@ -77,8 +77,8 @@
         _mutation(
             "followers not shared with",
             "attempts",
-            "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)",
-            "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)",
+            "_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)",
+            "_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)",
             "quick",
         ),
         _mutation(
@@ -93,8 +93,8 @@
         _mutation(
             "a run frees its key",
             "attempts",
-            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
-            "_LATE_END = (AttemptAction.LEAVE, AttemptAction.FREE_KEY",
+            "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+            "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.FREE_KEY",
             "quick",
         ),
         _mutation(
@@ -168,8 +168,8 @@
         _mutation(
             "grace one step too long",
             "process",
-            "return arrived <= self.notice_at + self.grace_ms",
-            "return arrived <= self.notice_at + 2 * self.grace_ms",
+            "return arrived_at <= self.notice_at + self.grace_ms",
+            "return arrived_at <= self.notice_at + 2 * self.grace_ms",
             "quick",
         ),
         _mutation(
@@ -279,7 +279,7 @@
         _mutation(
             "call twice on one connection",
             "dependency_calls",
-            "if id not in connection.recent_requests and self.is_quiet(connection):",
+            "if request_id not in connection.recent_requests and self.is_quiet(connection):",
             "if self.is_quiet(connection):",
             "store",
         ),
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -110,7 +110,13 @@
             ]
         ),
         tuple(keys.expiry),
-        (int(c.state), c.last_notice, c.gap_after, c.fresh, sum(rank <= c.sent_before_link for rank in ranks)),
+        (
+            int(c.state),
+            c.last_notice,
+            c.gap_after,
+            c.awaits_first_notice,
+            sum(rank <= c.sent_before_link for rank in ranks),
+        ),
         tuple(
             [
                 (
@@ -140,11 +146,11 @@
 
 def _pack_calls(c: DependencyCalls, wires: list[DependencyConnection]) -> Plain:
     if not wires and not c.calls and not c.waiting:
-        return (c.connection_count, c.serial, c.address_epoch)
+        return (c.connection_count, c.last_connection_number, c.address_epoch)
     every = {call: n for n, call in enumerate(dict.fromkeys((*c.calls.values(), *c.waiting)))}
     return (
         c.connection_count,
-        c.serial,
+        c.last_connection_number,
         c.address_epoch,
         tuple(
             [
@@ -244,11 +250,11 @@
     w.tracker.unanswered = owed
     w.tracker.requests = {id: named[id] for id in opened}
     c = w.commands = CommandLog(w.tracker.is_wanted, 8)
-    c.state, c.last_notice, c.gap_after, c.fresh, c.sent_before_link = link
+    c.state, c.last_notice, c.gap_after, c.awaits_first_notice, c.sent_before_link = link
     c.unconfirmed = {
         rid: Command(rid, line, start, harmless, sent, state) for rid, line, start, harmless, sent, state in commands
     }
-    c.pending_marks, c.serial, c.sent_count = dict(marks), len(marks), len(commands)
+    c.pending_marks, c.last_mark_number, c.sent_count = dict(marks), len(marks), len(commands)
     w.calls, w.wires = _unpack_calls(s, calls)
     w.deaf = deaf
     return w
@@ -268,7 +274,9 @@
 
 
 def _unpack_calls(s: Scenario, plain: Plain) -> tuple[DependencyCalls, list[DependencyConnection]]:
-    out = DependencyCalls(bounds(s), quiet, connection_count=plain[0], serial=plain[1], address_epoch=plain[2])
+    out = DependencyCalls(
+        bounds(s), quiet, connection_count=plain[0], last_connection_number=plain[1], address_epoch=plain[2]
+    )
     if len(plain) == 3:
         return out, []
     rows, by_id, waiting, wires, idle = plain[3:]
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -67,27 +67,13 @@
             limits.flush_timeout_ms,
             limits.close_linger_ms,
         )
-        self.tracker = RequestTracker(
-            RequestTerms(
-                [request_class.client_timeout_ms for request_class in settings.classes],
-                [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
-                limits.overdue_grace_ms,
-                settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
-            ),
-            IdempotencyKeyTable(
-                limits.max_idempotency_keys,
-                limits.idempotency_key_ms,
-                limits.max_waiting_repeats,
-                limits.max_result_bytes,
-            ),
-            self.process,
-        )
+        self.tracker = _create_tracker(settings, limits, self.process)
         self._inbox: list[api.Event | Exchange] = []  # for the next batch
         self._executor = EffectExecutor(len(settings.classes), self.engines, self.process, counters, self._post)
         self._execute = self._executor.execute_all
         self._lost_run_search = LostRunSearch(self.tracker, limits.lost_run_ms, settings.gauges)
         self._ticks = TickSchedule(unix_ms(), limits.gauge_lead_ms)
-        self._next_sweep_at = 0.0
+        self._next_overdue_check_at = 0.0  # of `_close_stuck_requests`
         self._ready = Event()
         self._stopping = False
 
@@ -142,18 +128,18 @@
             self.counters.add(f"answer.gone.{exchange.front}")
         self._execute(self.tracker.caller_gone(exchange))
 
-    def run_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
+    def run_ended(self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
         """Handle the end of a run; `answer` is its result, or how it failed, and None stands for a plain failure."""
-        self._execute(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
+        self._execute(self.tracker.run_ended(request_id, outcome, elapsed_ms, answer, unix_ms()))
 
-    def call_needed(self, id: str, body: bytes) -> None:
+    def call_needed(self, request_id: str, body: bytes) -> None:
         """Handle a run that waits for a dependency call with this body."""
-        self._execute(self.tracker.call_needed(id, body))
+        self._execute(self.tracker.call_needed(request_id, body))
 
-    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
+    def call_ended(self, request_id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
         """Handle the end of a dependency call."""
         self.counters.add(f"store.{outcome.value.replace(' ', '_')}")
-        self._execute(self.tracker.call_ended(id, outcome, elapsed_ms, reply))
+        self._execute(self.tracker.call_ended(request_id, outcome, elapsed_ms, reply))
 
     def drain(self) -> bool:
         """Begin a graceful shutdown. Returns whether clients have to be notified."""
@@ -193,7 +179,7 @@
 
     def _next_batch_at(self) -> float:
         """Return when something is due if no event comes. A batch any earlier would find nothing to do."""
-        return min(self._next_sweep_at, self._ticks.next_due_at())
+        return min(self._next_overdue_check_at, self._ticks.next_due_at())
 
     def _process_batch(self) -> None:
         """Pass the queued events and the ticks that are due to the policy, and apply its decisions."""
@@ -218,15 +204,18 @@
                 self._apply(action, now)
             if self._ticks.is_empty:  # the policy must get a tick again, even after a fault that lost its request
                 self._ticks.add(now + self.limits.overdue_check_ms, 0)
-        if now >= self._next_sweep_at:
-            self._next_sweep_at = now + self.limits.overdue_check_ms
-            self._sweep(now)
+        if now >= self._next_overdue_check_at:
+            self._next_overdue_check_at = now + self.limits.overdue_check_ms
+            self._close_stuck_requests(now)
 
     def _latest_gauges(self, now: float) -> list[float]:
         return self.gauges.latest(now) if self.gauges else []
 
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Return the decisions of the policy. If it raises there are none, and `_sweep` fails the requests later."""
+        """Return the decisions of the policy.
+
+        If it raises there are none, and `_close_stuck_requests` fails the requests at their due times.
+        """
         try:
             return self.policy.handle(now, events)
         except Exception:  # a fault of the policy must not end the coordinator, which still has requests to answer
@@ -249,15 +238,15 @@
     def _apply(self, action: api.Action, now: float) -> None:
         """Apply one decision of the policy on a request."""
         match action:
-            case api.Run(id):
-                self._execute(self.tracker.start(id, now))
-            case api.Reject(id, retry_after_ms, last):
+            case api.Run(request_id):
+                self._execute(self.tracker.start(request_id, now))
+            case api.Reject(request_id, retry_after_ms, last):
                 answer = Answer(AnswerKind.REFUSED, retry_after_ms=retry_after_ms, last=last)
-                self._execute(self.tracker.reject(id, answer, now))
-            case api.Fail(id):
-                self._execute(self.tracker.fail(id, now))
-            case api.Call(id, limit_ms):
-                self._execute(self.tracker.start_call(id, limit_ms))
+                self._execute(self.tracker.reject(request_id, answer, now))
+            case api.Fail(request_id):
+                self._execute(self.tracker.fail(request_id, now))
+            case api.Call(request_id, limit_ms):
+                self._execute(self.tracker.start_call(request_id, limit_ms))
             case api.Keep() | api.Forget():
                 pass  # the tracker links the attempts of one key by itself, from the first one on
             case _:
@@ -279,7 +268,7 @@
             case _:  # stops, shared runs and skipped calls: `config` reads no setting that leads to them
                 log.error("action not served", action=repr(action))
 
-    def _sweep(self, now: float) -> None:
+    def _close_stuck_requests(self, now: float) -> None:
         """End lost runs and fail overdue requests, so that no fault elsewhere leaves a request open."""
         for exchange in self._lost_run_search.find_lost(now, self._latest_gauges(now)):
             self.counters.add("run.lost")
@@ -288,3 +277,20 @@
         if effects:
             self.counters.add("answer.overdue", sum(effect.action is ACTION_DELIVER for effect in effects))
             self._execute(effects)
+
+
+def _create_tracker(settings: api.Settings, limits: ResourceLimits, process: ProcessLifecycle) -> RequestTracker:
+    """Return a tracker without requests, with the settings of the policy and the limits of this process."""
+    terms = RequestTerms(
+        [request_class.client_timeout_ms for request_class in settings.classes],
+        [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
+        limits.overdue_grace_ms,
+        settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
+    )
+    keys = IdempotencyKeyTable(
+        limits.max_idempotency_keys,
+        limits.idempotency_key_ms,
+        limits.max_waiting_repeats,
+        limits.max_result_bytes,
+    )
+    return RequestTracker(terms, keys, process)
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -163,8 +163,8 @@
     """
     from myrtlespar.fleet import open_fleet
 
-    def key_of(id: str) -> str:
-        exchange = coordinator.tracker.find(id)
+    def key_of(request_id: str) -> str:
+        exchange = coordinator.tracker.find(request_id)
         return exchange.key if exchange is not None else ""
 
     fleet = open_fleet(config, counters, key_of)
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -92,11 +92,11 @@
     }
 )
 
-# Effects of the end of a run. LATE: no client waits any longer. NEVER: the run never began.
-_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
-_NEVER = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
-_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
-_LATE_NEVER = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
+# Effects of the end of a run; UNWANTED: no client waits any longer.
+_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_NEVER_RAN = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
+_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_UNWANTED_NEVER_RAN = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 
 ATTEMPT_TABLE = TransitionTable(
     "try",  # the name of an attempt in recorded traces and counters
@@ -141,8 +141,8 @@
         (AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(
             AttemptState.AT_CALL, (AttemptAction.TELL_CALL_NEEDED,)
         ),
-        (AttemptState.RUNNING, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
-        (AttemptState.RUNNING, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _NEVER),
+        (AttemptState.RUNNING, AttemptEvent.ENDED): Transition(AttemptState.OVER, _ENDED),
+        (AttemptState.RUNNING, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _NEVER_RAN),
         (AttemptState.RUNNING, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)),
         (AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(
             AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER_FAILED,)
@@ -154,7 +154,7 @@
             AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)
         ),
         (AttemptState.AT_CALL, AttemptEvent.CALL): Transition(AttemptState.CALLING, (AttemptAction.MAKE_CALL,)),
-        (AttemptState.AT_CALL, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
+        (AttemptState.AT_CALL, AttemptEvent.ENDED): Transition(AttemptState.OVER, _ENDED),
         (AttemptState.AT_CALL, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER,)),
         (AttemptState.AT_CALL, AttemptEvent.REFUSE): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER_FAILED,)
@@ -171,7 +171,7 @@
         (AttemptState.CALLING, AttemptEvent.CALL_BAD): Transition(
             AttemptState.AT_CALL, (AttemptAction.TELL_CALL_ENDED,)
         ),
-        (AttemptState.CALLING, AttemptEvent.ENDED): Transition(AttemptState.OVER, (AttemptAction.DROP_CALL, *_END)),
+        (AttemptState.CALLING, AttemptEvent.ENDED): Transition(AttemptState.OVER, (AttemptAction.DROP_CALL, *_ENDED)),
         (AttemptState.CALLING, AttemptEvent.FAIL): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER, AttemptAction.DROP_CALL)
         ),
@@ -187,12 +187,12 @@
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.CALL_NEEDED): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.TELL_CALL_NEEDED,)
         ),
-        (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
-        (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _LATE_NEVER),
+        (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
+        (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _UNWANTED_NEVER_RAN),
         # The policy decided this before it was notified that the caller is gone: the first end is final.
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
-        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
+        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
         # The policy decided these before it was notified that the caller is gone.
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
--- a/myrtlespar/state_machines/command_log.py
+++ b/myrtlespar/state_machines/command_log.py
@@ -110,10 +110,10 @@
         self.state: int = LinkState.DOWN
         self.last_notice = 0  # number of the last notice read
         self.gap_after = -1  # the last notice before a gap for which a replay was requested
-        self.fresh = False  # no numbered notice has come on this link yet
+        self.awaits_first_notice = False  # whether no numbered notice has come on this link yet
         self.unconfirmed: dict[str, Command] = {}  # by request, which has one at a time; in the order of sending
         self.pending_marks: dict[str, int] = {}  # by name: how many commands were sent when the mark was requested
-        self.serial = 0  # number of the last mark
+        self.last_mark_number = 0
         self.sent_count = 0  # commands sent, on all links
         self.sent_before_link = 0  # commands sent before the present link opened
 
@@ -151,7 +151,7 @@
 
     def connected(self) -> list[LinkEffect]:
         """Handle the opening of a link."""
-        self.fresh = True
+        self.awaits_first_notice = True
         self.sent_before_link = self.sent_count
         return self._step_link(LinkEvent.CONNECTED)
 
@@ -184,9 +184,9 @@
         A replay after a gap is requested only once, as the engine discards old notices. RENUMBERED
         proves another engine process: the same one would continue after the last notice that OPEN named.
         """
-        fresh = self.fresh
-        self.fresh = False
-        if fresh and 1 <= number <= self.last_notice:
+        is_first = self.awaits_first_notice
+        self.awaits_first_notice = False
+        if is_first and 1 <= number <= self.last_notice:
             return RENUMBERED
         if number <= self.last_notice:
             return OLD
@@ -237,8 +237,8 @@
         return self.is_synchronized and len(self.pending_marks) < self.max_marks
 
     def _request_mark(self, kind: str) -> RequestMark:
-        self.serial += 1
-        name = f"{kind}-{self.serial}"
+        self.last_mark_number += 1
+        name = f"{kind}-{self.last_mark_number}"
         self.pending_marks[name] = self.sent_count
         return RequestMark(name)
 
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -113,17 +113,17 @@
     idle: deque[DependencyConnection] = field(default_factory=deque)  # the one that became idle last is used first
     waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
     connection_count: int = 0  # connections open or being opened
-    serial: int = 0  # the number of the last connection
+    last_connection_number: int = 0
     address_epoch: int = 0  # counts the changes of address
 
     # Requests of the server.
 
-    def start_call(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
+    def start_call(self, request_id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
         """Make a call. A second call for one request replaces the first."""
-        effects = self.cancel(id)
-        call = DependencyCall(id, body, now, limit_ms)
-        self.calls[id] = call
-        connection = self._take_idle_connection(id, now)
+        effects = self.cancel(request_id)
+        call = DependencyCall(request_id, body, now, limit_ms)
+        self.calls[request_id] = call
+        connection = self._take_idle_connection(request_id, now)
         if connection is not None:
             return [*effects, self._send(connection, call, now)]
         if self.connection_count < self.limits.max_connections:
@@ -135,14 +135,14 @@
         # The bound on waiting calls prevents unbounded memory use when the dependency accepts calls and never replies.
         return effects + self._end(call, CallEvent.UNREACHED)
 
-    def cancel(self, id: str) -> list[CallEffect]:
+    def cancel(self, request_id: str) -> list[CallEffect]:
         """Cancel a call that is no longer needed. Its connection closes, as the reply may come late or never."""
-        call = self.calls.get(id)
+        call = self.calls.get(request_id)
         if call is None:
             return []
         connection = call.connection
         self._end(call, CallEvent.GIVEN_UP)
-        return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, id)]
+        return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, request_id)]
 
     def change_address(self) -> list[CallEffect]:
         """Send new calls to another address. Calls in flight end at the old one."""
@@ -168,11 +168,11 @@
         return effects
 
     def reply_received(
-        self, connection: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
+        self, connection: DependencyConnection, request_id: str, outcome: RunOutcome, body: bytes, now: float
     ) -> list[CallEffect] | None:
         """Handle a reply. Returns None if it belongs to no call in flight here, as a duplicate does."""
         call = connection.call
-        if connection.state != CONNECTION_BUSY or call is None or call.id != id:
+        if connection.state != CONNECTION_BUSY or call is None or call.id != request_id:
             return None
         connection.call = None
         self._step_connection(connection, CONNECTION_REPLY)
@@ -223,9 +223,9 @@
 
     def _open(self) -> OpenConnection:
         self.connection_count += 1
-        self.serial += 1
+        self.last_connection_number += 1
         recent_requests: deque[str] = deque(maxlen=self.limits.max_recent_requests)
-        return OpenConnection(DependencyConnection(self.serial, self.address_epoch, recent_requests))
+        return OpenConnection(DependencyConnection(self.last_connection_number, self.address_epoch, recent_requests))
 
     def _send(self, connection: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
         self._step_connection(connection, CONNECTION_TAKE)
@@ -243,7 +243,7 @@
         self._step_connection(connection, event)
         return CloseConnection(connection, cancelled_request)
 
-    def _take_idle_connection(self, id: str, now: float) -> DependencyConnection | None:
+    def _take_idle_connection(self, request_id: str, now: float) -> DependencyConnection | None:
         """Remove an idle connection from the pool for a call of this request, or return None.
 
         Connections that were idle for too long are not used, as the dependency may have forgotten them. Neither is one
@@ -253,7 +253,7 @@
         for connection in reversed(self.idle):
             if connection.idle_since < idle_since_min:
                 break
-            if id not in connection.recent_requests and self.is_quiet(connection):
+            if request_id not in connection.recent_requests and self.is_quiet(connection):
                 self.idle.remove(connection)
                 return connection
         return None
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -97,15 +97,17 @@
     Args:
         stop_ms: From the signal for a graceful shutdown to the kill.
         grace_ms: A request that arrives within this time after the signal may still run.
-        sweep_ms: Between two checks for overdue requests.
+        overdue_check_ms: Between two checks for overdue requests.
         flush_ms: Reserved before the kill for the last answers.
         crossing_ms: How long after the close of the listeners a request may still arrive on an open connection.
     """
 
-    def __init__(self, stop_ms: float, grace_ms: float, sweep_ms: float, flush_ms: float, crossing_ms: float) -> None:
+    def __init__(
+        self, stop_ms: float, grace_ms: float, overdue_check_ms: float, flush_ms: float, crossing_ms: float
+    ) -> None:
         self.stop_ms = stop_ms
         self.grace_ms = grace_ms
-        self.sweep_ms = sweep_ms
+        self.overdue_check_ms = overdue_check_ms
         self.flush_ms = flush_ms
         self.crossing_ms = crossing_ms
         self.state: int = ProcessState.SERVING
@@ -163,13 +165,13 @@
                 return self.handle(ProcessEvent.CROSSED)
         return ()
 
-    def may_start(self, arrived: float) -> bool:
+    def may_start(self, arrived_at: float) -> bool:
         """Return whether a request that arrived at this time may start.
 
         It may not if it arrived after the grace period, nor once the process is in FLUSHING: the replacement then has
         the idempotency keys and would not know this run.
         """
-        return arrived <= self.notice_at + self.grace_ms and self.state < FLUSHING
+        return arrived_at <= self.notice_at + self.grace_ms and self.state < FLUSHING
 
     def answer_reserve_ms(self, unanswered: int) -> float:
         """Return how long before the kill this many outstanding answers must be begun.
@@ -177,7 +179,7 @@
         A check for overdue requests may come one interval late. Each answer takes its delivery and as long again to
         decide on.
         """
-        return 2 * self.sweep_ms + 2 * self.average_answer_ms * unanswered
+        return 2 * self.overdue_check_ms + 2 * self.average_answer_ms * unanswered
 
     def answer_deadline(self, unanswered: int = 0) -> float:
         """Return when this many outstanding answers must be begun before the kill, whatever their own due times."""
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -79,13 +79,13 @@
         self.requests: dict[str, Exchange] = {}  # by id
         self.unanswered = 0  # attempts without their final answer
 
-    def find(self, id: str) -> Exchange | None:
+    def find(self, request_id: str) -> Exchange | None:
         """Return the attempt with this id, or None if it is over."""
-        return self.requests.get(id)
+        return self.requests.get(request_id)
 
-    def is_wanted(self, id: str) -> bool:
+    def is_wanted(self, request_id: str) -> bool:
         """Return whether a client still waits for this attempt."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return exchange is not None and exchange.state in AWAITING_ANSWER
 
     # Events from the network side.
@@ -113,27 +113,29 @@
         """Handle the disconnection of the client, or its cancellation of this attempt."""
         return self._step(exchange, EVENT_GONE) if self.requests.get(exchange.id) is exchange else []
 
-    def call_needed(self, id: str, body: bytes) -> list[RequestEffect]:
+    def call_needed(self, request_id: str, body: bytes) -> list[RequestEffect]:
         """Handle a run that waits for a dependency call with this body."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         exchange.call_body = body
         return self._step(exchange, EVENT_CALL_NEEDED)
 
-    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> list[RequestEffect]:
+    def call_ended(
+        self, request_id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b""
+    ) -> list[RequestEffect]:
         """Handle the end of a dependency call."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         event = EVENT_CALL_OK if outcome is RunOutcome.OK else EVENT_CALL_BAD
         return self._step(exchange, event, _new_tuple(EventDetails, (None, outcome, elapsed_ms, reply)))
 
     def run_ended(
-        self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
+        self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
     ) -> list[RequestEffect]:
         """Handle the end of a run. A rejection or NEVER_RAN as its answer proves that it never began."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None or exchange.state not in STARTED:
             return []
         final = answer or FAILED
@@ -196,28 +198,28 @@
 
     # Decisions of the policy.
 
-    def start(self, id: str, now: float) -> list[RequestEffect]:
+    def start(self, request_id: str, now: float) -> list[RequestEffect]:
         """Start the run, or reject the attempt if it arrived too late in a graceful shutdown."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         if not self.process.may_start(exchange.arrived_at):
             return self._step(exchange, EVENT_BAR, EventDetails(self._rejection(), RunOutcome.MOOT), now)
         return self._step(exchange, EVENT_START)
 
-    def reject(self, id: str, answer: Answer, now: float) -> list[RequestEffect]:
+    def reject(self, request_id: str, answer: Answer, now: float) -> list[RequestEffect]:
         """Reject the attempt with this answer. An attempt that has started fails instead."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_REFUSE, EventDetails(answer), now)
 
-    def fail(self, id: str, now: float) -> list[RequestEffect]:
+    def fail(self, request_id: str, now: float) -> list[RequestEffect]:
         """Fail the attempt with the answer `LATE`."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_FAIL, EventDetails(LATE), now)
 
-    def start_call(self, id: str, limit_ms: float) -> list[RequestEffect]:
+    def start_call(self, request_id: str, limit_ms: float) -> list[RequestEffect]:
         """Make the dependency call that the run waits for, with a time limit in milliseconds."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_CALL, EventDetails(duration_ms=limit_ms))
 
     # Steps.
--- a/tests/test_coordinator_turns.py
+++ b/tests/test_coordinator_turns.py
@@ -23,7 +23,7 @@
 )
 def test_the_coordinator_runs_no_earlier_than_something_is_due(asked: bool, wake: float, turn: float) -> None:
     coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
-    coordinator._next_sweep_at = 1000.0
+    coordinator._next_overdue_check_at = 1000.0
     coordinator._ticks = TickSchedule(wake, coordinator.limits.gauge_lead_ms)
     coordinator._ticks.gauges_requested = asked
     assert coordinator._next_batch_at() == turn
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,11 +31,13 @@
 
 
 def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
-    process = ProcessLifecycle(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
+    process = ProcessLifecycle(
+        stop_ms=10000.0, grace_ms=1000.0, overdue_check_ms=50.0, flush_ms=300.0, crossing_ms=50.0
+    )
     assert process.handover(1000.0, 3700.0) == (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
     assert process.state == ProcessState.CROSSING
     assert process.may_start(9000.0)
-    assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
+    assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a check may come one interval late
     assert process.handover(1200.0, 3700.0) == ()
     assert process.kill_at == 4700.0
     assert process.poll(1040.0, unanswered=0) == ()
