--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -70,14 +70,14 @@
 
     def __init__(
         self,
-        id: str,
+        request_id: str,
         front: str,
         class_index: int,
         body: bytes,
         arrived_at: float,
         deliver: Callable[[Exchange, Answer], None],
     ) -> None:
-        self.id = id  # unique among the open attempts; not the idempotency key
+        self.id = request_id  # unique among the open attempts; not the idempotency key
         self.front = front  # "thrift" or "ajp"; part of counter names
         self.class_index = class_index  # of the request class, by its position in the settings
         self.body = body
--- a/myrtlespar/server/reload.py
+++ b/myrtlespar/server/reload.py
@@ -39,7 +39,7 @@
     def _read_valid_config(self) -> Config | None:
         """Return the new configuration, or None if it stayed faulty or another reload replaces this one."""
         self._latest_request += 1
-        request = self._latest_request
+        request_number = self._latest_request
         limits = self._application.config.limits
         reported_fault = ""
         deadline = unix_ms() + limits.reload_timeout_ms
@@ -50,7 +50,7 @@
                 self._reject(str(error), reported_fault)
                 reported_fault = str(error)
             gevent.sleep(limits.reload_retry_ms / 1000.0)
-            if request != self._latest_request or unix_ms() > deadline:
+            if request_number != self._latest_request or unix_ms() > deadline:
                 return None
 
     def _reject(self, fault: str, reported_fault: str) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,8 +26,8 @@
 
 KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
 MAX_REQUESTS_PER_THREAD = 2000  # of a load that is stopped much sooner
-CONNECT_INTERVAL_S = 0.008  # between connections during the life of a process that fails to start
-MAX_CONNECTIONS = 400  # during that life
+CONNECT_INTERVAL_S = 0.008  # between connections while a process runs that fails to start
+MAX_CONNECTIONS = 400  # in that time
 
 
 def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
