--- a/myrtlespar/coordinator/ports.py
+++ b/myrtlespar/coordinator/ports.py
@@ -8,7 +8,7 @@
 
 
 class ExecutionEngine(Protocol):
-    """Runs requests."""
+    """Runs requests: the execution engine, or a pool of back ends."""
 
     def run(self, exchange: Exchange) -> None:
         """Start a run; its end is reported by `RequestCoordinator.run_ended`."""
@@ -18,17 +18,20 @@
 
 
 class Dependency(Protocol):
-    """Answers the calls that runs make."""
+    """Answers the calls that runs make.
 
-    def call(self, id: str, limit_ms: float, body: bytes) -> None:
+    `id` names the request; `limit_ms` is the time limit of the call in milliseconds.
+    """
+
+    def call(self, request_id: str, limit_ms: float, body: bytes) -> None:
         """Make a call for a request; its end is reported by `RequestCoordinator.call_ended`."""
 
-    def drop(self, id: str) -> None:
+    def drop(self, request_id: str) -> None:
         """Cancel the call of a request."""
 
 
 class GaugeSource(Protocol):
-    """Provides the gauges of the execution engine for ticks of the policy."""
+    """Provides the gauges of the execution engine for ticks of the policy. Times are Unix milliseconds."""
 
     def request_gauges(self) -> None:
         """Request fresh values."""
--- a/myrtlespar/model_checker/mutants/attempt_mutations.py
+++ b/myrtlespar/model_checker/mutants/attempt_mutations.py
@@ -29,8 +29,8 @@
     mutation(
         "answered twice",
         "attempts",
-        "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
-        "_LATE_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER",
+        "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+        "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER",
         "quick",
     ),
     mutation(
@@ -51,8 +51,8 @@
     mutation(
         "followers not shared with",
         "attempts",
-        "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)",
-        "_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)",
+        "_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)",
+        "_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)",
         "quick",
     ),
     mutation(
@@ -67,8 +67,8 @@
     mutation(
         "a run frees its key",
         "attempts",
-        "_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
-        "_LATE_END = (AttemptAction.LEAVE, AttemptAction.FREE_KEY",
+        "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER",
+        "_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.FREE_KEY",
         "quick",
     ),
     mutation(
--- a/myrtlespar/model_checker/mutants/connection_mutations.py
+++ b/myrtlespar/model_checker/mutants/connection_mutations.py
@@ -70,7 +70,7 @@
     mutation(
         "call twice on one connection",
         "dependency_calls",
-        "if id not in connection.recent_requests and self.is_quiet(connection):",
+        "if request_id not in connection.recent_requests and self.is_quiet(connection):",
         "if self.is_quiet(connection):",
         "store",
     ),
--- a/myrtlespar/model_checker/state_decoding.py
+++ b/myrtlespar/model_checker/state_decoding.py
@@ -141,19 +141,23 @@
 
 def _unpack_commands(log: CommandLog, row: Plain) -> None:
     link, commands, marks = row
-    log.state, log.last_notice, log.gap_after, log.fresh, log.sent_before_link = link
+    log.state, log.last_notice, log.gap_after, log.awaits_first_notice, log.sent_before_link = link
     log.unconfirmed = {
         rid: Command(rid, line, is_start, is_idempotent, sequence_number, state)
         for rid, line, is_start, is_idempotent, sequence_number, state in commands
     }
     log.pending_marks = dict(marks)
-    log.serial = len(marks)
+    log.last_mark_number = len(marks)
     log.sent_count = len(commands)
 
 
 def _unpack_calls(scenario: Scenario, plain: Plain) -> tuple[DependencyCalls, list[DependencyConnection]]:
     out = DependencyCalls(
-        call_limits(scenario), is_quiet, connection_count=plain[0], serial=plain[1], address_epoch=plain[2]
+        call_limits(scenario),
+        is_quiet,
+        connection_count=plain[0],
+        last_connection_number=plain[1],
+        address_epoch=plain[2],
     )
     if len(plain) == 3:
         return out, []
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -119,7 +119,7 @@
     ranks = sorted(command.sequence_number for command in log.unconfirmed.values() if command.sequence_number)
     sent_before_link = sum(rank <= log.sent_before_link for rank in ranks)
     return (
-        (int(log.state), log.last_notice, log.gap_after, log.fresh, sent_before_link),
+        (int(log.state), log.last_notice, log.gap_after, log.awaits_first_notice, sent_before_link),
         tuple(
             [
                 (
@@ -147,11 +147,11 @@
 
 def _pack_calls(calls: DependencyCalls, connections: list[DependencyConnection]) -> Plain:
     if not connections and not calls.calls and not calls.waiting:
-        return (calls.connection_count, calls.serial, calls.address_epoch)
+        return (calls.connection_count, calls.last_connection_number, calls.address_epoch)
     numbers = {call: n for n, call in enumerate(dict.fromkeys((*calls.calls.values(), *calls.waiting)))}
     return (
         calls.connection_count,
-        calls.serial,
+        calls.last_connection_number,
         calls.address_epoch,
         tuple(
             [
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -1,4 +1,8 @@
-"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format."""
+"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format.
+
+A request comes in through `submit`. The request tracker (`myrtlespar.state_machines`) holds its state, the policy
+(`myrtlespar.policy`) decides when it runs or is rejected, and `myrtlespar.coordinator` holds the other parts.
+"""
 
 from __future__ import annotations
 
@@ -39,8 +43,10 @@
 class RequestCoordinator:
     """One greenlet that passes events to the policy in batches and applies its decisions.
 
-    The network side reports events by the methods `submit` to `drain`; their effects are carried out at once, and the
-    events that they cause for the policy are queued for the next batch.
+    The network side and the signal handlers report events by the public methods under "Events from the network side".
+    Their effects are carried out at once; the events that they cause for the policy are queued for the next batch.
+    Independently of the policy, a check every `overdue_check_ms` fails overdue requests and ends lost runs. Times are
+    Unix milliseconds.
     """
 
     def __init__(self, settings: api.Settings, seed: int, limits: ResourceLimits, counters: Counters) -> None:
@@ -51,7 +57,7 @@
         self.engines: dict[str, ExecutionEngine] = {}  # by target; the empty name is the execution engine
         self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
-        self.advertised_value = 1.0  # the load hint that goes out with every answer
+        self.advertised_value = 1.0  # the load hint that the fronts send with every answer
         self.policy_healthy = True
         self.admin = AdminCommands()  # the pause that operators request on the management address
         self.process = ProcessLifecycle(
@@ -61,27 +67,13 @@
             limits.flush_timeout_ms,
             limits.close_linger_ms,
         )
-        self.tracker = RequestTracker(
-            RequestTerms(
-                [request_class.client_timeout_ms for request_class in settings.classes],
-                [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
-                limits.overdue_grace_ms,
-                settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
-            ),
-            IdempotencyKeyTable(
-                limits.max_idempotency_keys,
-                limits.idempotency_key_ms,
-                limits.max_waiting_repeats,
-                limits.max_result_bytes,
-            ),
-            self.process,
-        )
+        self.tracker = _create_tracker(settings, limits, self.process)
         self._inbox: list[api.Event | Exchange] = []  # for the next batch
         self._executor = EffectExecutor(len(settings.classes), self.engines, self.process, counters, self._post)
         self._execute = self._executor.execute_all
         self._lost_run_search = LostRunSearch(self.tracker, limits.lost_run_ms, settings.gauges)
         self._ticks = TickSchedule(unix_ms(), limits.gauge_lead_ms)
-        self._next_sweep_at = 0.0
+        self._next_overdue_check_at = 0.0  # of `_close_stuck_requests`
         self._ready = Event()
         self._stopping = False
 
@@ -101,11 +93,11 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the process has begun to shut down."""
+        """Whether the process has begun a graceful shutdown or a hand-over."""
         return self.process.draining
 
     def metrics_snapshot(self, names: Sequence[str]) -> MetricsSnapshot:
-        """Return the present counts for the management address, with these names of the request classes."""
+        """Return the current counts for the management address; `names` are those of the request classes."""
         return MetricsSnapshot(
             names,
             [list(counts) for counts in self._executor.answer_counts],
@@ -114,13 +106,13 @@
         )
 
     def counter_report(self) -> dict[str, int]:
-        """Return all counters, those of invalid transitions included."""
+        """Return all counters, including those of invalid transitions (`impossible.MACHINE.STATE.EVENT`)."""
         return {**self.counters.report(), **report_invalid_transitions(TABLES)}
 
     # Events from the network side.
 
     def submit(self, exchange: Exchange) -> bool:
-        """Take a complete request. Returns False, and takes nothing, if its id is in use."""
+        """Accept a complete request. Returns False, with no effect, if its id is in use."""
         effects = self.tracker.submit(exchange)
         if effects is None:
             return False
@@ -131,23 +123,23 @@
         return True
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Handle that no client waits for this request any longer."""
+        """Handle the disconnection of the client, or its cancellation of this request."""
         if exchange.state in AWAITING_ANSWER:
             self.counters.add(f"answer.gone.{exchange.front}")
         self._execute(self.tracker.caller_gone(exchange))
 
-    def run_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
-        """Handle the end of a run; `answer` is its result, or how it failed."""
-        self._execute(self.tracker.run_ended(id, outcome, elapsed_ms, answer, unix_ms()))
+    def run_ended(self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
+        """Handle the end of a run; `answer` is its result, or how it failed, and None stands for a plain failure."""
+        self._execute(self.tracker.run_ended(request_id, outcome, elapsed_ms, answer, unix_ms()))
 
-    def call_needed(self, id: str, body: bytes) -> None:
-        """Handle that a run waits for a dependency call with this body."""
-        self._execute(self.tracker.call_needed(id, body))
+    def call_needed(self, request_id: str, body: bytes) -> None:
+        """Handle a run that waits for a dependency call with this body."""
+        self._execute(self.tracker.call_needed(request_id, body))
 
-    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
+    def call_ended(self, request_id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> None:
         """Handle the end of a dependency call."""
         self.counters.add(f"store.{outcome.value.replace(' ', '_')}")
-        self._execute(self.tracker.call_ended(id, outcome, elapsed_ms, reply))
+        self._execute(self.tracker.call_ended(request_id, outcome, elapsed_ms, reply))
 
     def drain(self) -> bool:
         """Begin a graceful shutdown. Returns whether clients have to be notified."""
@@ -157,7 +149,7 @@
         return ProcessAction.ASK_CLIENTS in actions
 
     def fail_unanswered(self) -> None:
-        """Fail all requests that await their answer, as the process ends without the time for a graceful shutdown."""
+        """Fail all requests that still await their answer, because the process ends now."""
         effects = self.tracker.fail_all(unix_ms())
         if effects:
             self.counters.add("answer.at_stop", sum(effect.action is ACTION_DELIVER for effect in effects))
@@ -181,15 +173,16 @@
             self._ready.clear()
 
     def stop(self) -> None:
-        """End `run` after the present batch."""
+        """End `run` after the current batch."""
         self._stopping = True
         self._ready.set()
 
     def _next_batch_at(self) -> float:
         """Return when something is due if no event comes. A batch any earlier would find nothing to do."""
-        return min(self._next_sweep_at, self._ticks.next_due_at())
+        return min(self._next_overdue_check_at, self._ticks.next_due_at())
 
     def _process_batch(self) -> None:
+        """Pass the queued events and the ticks that are due to the policy, and apply its decisions."""
         now = unix_ms()
         self.counters.add("core.turn")
         if self._ticks.begin_gauge_request(now) and self.gauges:
@@ -211,23 +204,27 @@
                 self._apply(action, now)
             if self._ticks.is_empty:  # the policy must get a tick again, even after a fault that lost its request
                 self._ticks.add(now + self.limits.overdue_check_ms, 0)
-        if now >= self._next_sweep_at:
-            self._next_sweep_at = now + self.limits.overdue_check_ms
-            self._sweep(now)
+        if now >= self._next_overdue_check_at:
+            self._next_overdue_check_at = now + self.limits.overdue_check_ms
+            self._close_stuck_requests(now)
 
     def _latest_gauges(self, now: float) -> list[float]:
         return self.gauges.latest(now) if self.gauges else []
 
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Return the decisions of the policy. If it fails there are none, and the sweep answers the requests."""
+        """Return the decisions of the policy.
+
+        If it raises there are none, and `_close_stuck_requests` fails the requests at their due times.
+        """
         try:
             return self.policy.handle(now, events)
-        except Exception:  # a fault of the policy must not end the coordinator, which still owes its answers
+        except Exception:  # a fault of the policy must not end the coordinator, which still has requests to answer
             self.counters.add("core.fault")
             log.exception("the module failed", events=len(events))
             return []
 
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
+        """Return the event that reports this attempt to the policy, with the time since its arrival."""
         return api.Arrival(
             exchange.id,
             exchange.class_index,
@@ -241,15 +238,15 @@
     def _apply(self, action: api.Action, now: float) -> None:
         """Apply one decision of the policy on a request."""
         match action:
-            case api.Run(id):
-                self._execute(self.tracker.start(id, now))
-            case api.Reject(id, retry_after_ms, last):
+            case api.Run(request_id):
+                self._execute(self.tracker.start(request_id, now))
+            case api.Reject(request_id, retry_after_ms, last):
                 answer = Answer(AnswerKind.REFUSED, retry_after_ms=retry_after_ms, last=last)
-                self._execute(self.tracker.reject(id, answer, now))
-            case api.Fail(id):
-                self._execute(self.tracker.fail(id, now))
-            case api.Call(id, limit_ms):
-                self._execute(self.tracker.start_call(id, limit_ms))
+                self._execute(self.tracker.reject(request_id, answer, now))
+            case api.Fail(request_id):
+                self._execute(self.tracker.fail(request_id, now))
+            case api.Call(request_id, limit_ms):
+                self._execute(self.tracker.start_call(request_id, limit_ms))
             case api.Keep() | api.Forget():
                 pass  # the tracker links the attempts of one key by itself, from the first one on
             case _:
@@ -271,7 +268,7 @@
             case _:  # stops, shared runs and skipped calls: `config` reads no setting that leads to them
                 log.error("action not served", action=repr(action))
 
-    def _sweep(self, now: float) -> None:
+    def _close_stuck_requests(self, now: float) -> None:
         """End lost runs and fail overdue requests, so that no fault elsewhere leaves a request open."""
         for exchange in self._lost_run_search.find_lost(now, self._latest_gauges(now)):
             self.counters.add("run.lost")
@@ -280,3 +277,20 @@
         if effects:
             self.counters.add("answer.overdue", sum(effect.action is ACTION_DELIVER for effect in effects))
             self._execute(effects)
+
+
+def _create_tracker(settings: api.Settings, limits: ResourceLimits, process: ProcessLifecycle) -> RequestTracker:
+    """Return a tracker without requests, with the settings of the policy and the limits of this process."""
+    terms = RequestTerms(
+        [request_class.client_timeout_ms for request_class in settings.classes],
+        [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
+        limits.overdue_grace_ms,
+        settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
+    )
+    keys = IdempotencyKeyTable(
+        limits.max_idempotency_keys,
+        limits.idempotency_key_ms,
+        limits.max_waiting_repeats,
+        limits.max_result_bytes,
+    )
+    return RequestTracker(terms, keys, process)
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -21,25 +21,25 @@
     CALLING = auto()  # the dependency call is in flight
     RUNNING_UNWANTED = auto()  # answered, or its caller is gone; the run can't be cancelled
     AT_CALL_UNWANTED = auto()  # the same, and the run waits at a dependency call
-    OVER = auto()
+    OVER = auto()  # answered, and no run of it goes on
 
 
 class AttemptEvent(IntEnum):
     """What happens to an attempt."""
 
-    ADMIT = 0
-    FOLLOW = auto()
+    ADMIT = 0  # it has no idempotency key, or owns its key
+    FOLLOW = auto()  # another attempt owns its key
     KNOWN = auto()  # the outcome of its key is known, or the key table has no capacity for it
-    START = auto()
+    START = auto()  # the policy starts it
     BAR = auto()  # the policy starts it, and the graceful shutdown forbids that
     REFUSE = auto()  # the policy rejects it
-    FAIL = auto()
+    FAIL = auto()  # the policy fails it
     GONE = auto()  # the caller disconnected or cancelled
-    CALL_NEEDED = auto()
-    CALL = auto()
+    CALL_NEEDED = auto()  # the run waits for a dependency call
+    CALL = auto()  # the policy lets the call be made
     CALL_OK = auto()
-    CALL_BAD = auto()
-    ENDED = auto()
+    CALL_BAD = auto()  # the call failed; the policy may make another one
+    ENDED = auto()  # the run ended
     NEVER_RAN = auto()  # the run ended, and it is certain that it never began
     OVERDUE = auto()  # its due time passed
     SHARE = auto()  # the attempt that it follows has an outcome
@@ -92,11 +92,11 @@
     }
 )
 
-# Effects of the end of a run, by whether a client still waits (else LATE) and whether the run began.
-_END = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
-_NEVER = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
-_LATE_END = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
-_LATE_NEVER = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
+# Effects of the end of a run; UNWANTED: no client waits any longer.
+_ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_NEVER_RAN = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
+_UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
+_UNWANTED_NEVER_RAN = (AttemptAction.LEAVE, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 
 ATTEMPT_TABLE = TransitionTable(
     "try",  # the name of an attempt in recorded traces and counters
@@ -141,8 +141,8 @@
         (AttemptState.RUNNING, AttemptEvent.CALL_NEEDED): Transition(
             AttemptState.AT_CALL, (AttemptAction.TELL_CALL_NEEDED,)
         ),
-        (AttemptState.RUNNING, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
-        (AttemptState.RUNNING, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _NEVER),
+        (AttemptState.RUNNING, AttemptEvent.ENDED): Transition(AttemptState.OVER, _ENDED),
+        (AttemptState.RUNNING, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _NEVER_RAN),
         (AttemptState.RUNNING, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)),
         (AttemptState.RUNNING, AttemptEvent.REFUSE): Transition(
             AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER_FAILED,)
@@ -154,7 +154,7 @@
             AttemptState.RUNNING_UNWANTED, (AttemptAction.DELIVER,)
         ),
         (AttemptState.AT_CALL, AttemptEvent.CALL): Transition(AttemptState.CALLING, (AttemptAction.MAKE_CALL,)),
-        (AttemptState.AT_CALL, AttemptEvent.ENDED): Transition(AttemptState.OVER, _END),
+        (AttemptState.AT_CALL, AttemptEvent.ENDED): Transition(AttemptState.OVER, _ENDED),
         (AttemptState.AT_CALL, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER,)),
         (AttemptState.AT_CALL, AttemptEvent.REFUSE): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER_FAILED,)
@@ -171,7 +171,7 @@
         (AttemptState.CALLING, AttemptEvent.CALL_BAD): Transition(
             AttemptState.AT_CALL, (AttemptAction.TELL_CALL_ENDED,)
         ),
-        (AttemptState.CALLING, AttemptEvent.ENDED): Transition(AttemptState.OVER, (AttemptAction.DROP_CALL, *_END)),
+        (AttemptState.CALLING, AttemptEvent.ENDED): Transition(AttemptState.OVER, (AttemptAction.DROP_CALL, *_ENDED)),
         (AttemptState.CALLING, AttemptEvent.FAIL): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.DELIVER, AttemptAction.DROP_CALL)
         ),
@@ -187,12 +187,12 @@
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.CALL_NEEDED): Transition(
             AttemptState.AT_CALL_UNWANTED, (AttemptAction.TELL_CALL_NEEDED,)
         ),
-        (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
-        (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _LATE_NEVER),
+        (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
+        (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _UNWANTED_NEVER_RAN),
         # The policy decided this before it was notified that the caller is gone: the first end is final.
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
-        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _LATE_END),
+        (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
         # The policy decided these before it was notified that the caller is gone.
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency: one at a time on each connection of a small pool."""
+"""Calls to the dependency (the `store` of the settings): one at a time on each connection of a small pool."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     max_waiting: int  # calls that wait for a connection
     max_idle_ms: float  # the dependency may have forgotten a connection that was idle for longer
     max_recent_requests: int  # latest requests of a connection, to whose calls a duplicate reply may come
-    grace_ms: float  # a call is timed out so long after its limit
+    grace_ms: float  # from the time limit of a call until it is timed out here
 
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class DependencyCalls:
-    """All dependency calls of one server incarnation, and the pool of connections that carries them.
+    """All dependency calls of one server process, and the pool of connections that carries them.
 
     Every public method takes one event and returns its effects in order. `is_quiet` returns whether a connection has
     no unread input. Times are Unix milliseconds.
@@ -110,20 +110,20 @@
     limits: CallLimits
     is_quiet: Callable[[DependencyConnection], bool]
     calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request
-    idle: deque[DependencyConnection] = field(default_factory=deque)  # the last one used is used first
+    idle: deque[DependencyConnection] = field(default_factory=deque)  # the one that became idle last is used first
     waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
     connection_count: int = 0  # connections open or being opened
-    serial: int = 0  # the number of the last connection
+    last_connection_number: int = 0
     address_epoch: int = 0  # counts the changes of address
 
     # Requests of the server.
 
-    def start_call(self, id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
+    def start_call(self, request_id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
         """Make a call. A second call for one request replaces the first."""
-        effects = self.cancel(id)
-        call = DependencyCall(id, body, now, limit_ms)
-        self.calls[id] = call
-        connection = self._take_idle_connection(id, now)
+        effects = self.cancel(request_id)
+        call = DependencyCall(request_id, body, now, limit_ms)
+        self.calls[request_id] = call
+        connection = self._take_idle_connection(request_id, now)
         if connection is not None:
             return [*effects, self._send(connection, call, now)]
         if self.connection_count < self.limits.max_connections:
@@ -135,14 +135,14 @@
         # The bound on waiting calls prevents unbounded memory use when the dependency accepts calls and never replies.
         return effects + self._end(call, CallEvent.UNREACHED)
 
-    def cancel(self, id: str) -> list[CallEffect]:
+    def cancel(self, request_id: str) -> list[CallEffect]:
         """Cancel a call that is no longer needed. Its connection closes, as the reply may come late or never."""
-        call = self.calls.get(id)
+        call = self.calls.get(request_id)
         if call is None:
             return []
         connection = call.connection
         self._end(call, CallEvent.GIVEN_UP)
-        return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, id)]
+        return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, request_id)]
 
     def change_address(self) -> list[CallEffect]:
         """Send new calls to another address. Calls in flight end at the old one."""
@@ -152,12 +152,12 @@
     # Events from the network.
 
     def opened(self, connection: DependencyConnection, now: float) -> list[CallEffect]:
-        """Handle that a connection is open. It carries the next call that waits."""
+        """Handle an opened connection. It carries the next call that waits."""
         self._step_connection(connection, DependencyConnectionEvent.OPENED)
         return self._release(connection, now)
 
     def open_failed(self, connection: DependencyConnection) -> list[CallEffect]:
-        """Handle that a connection could not be opened. The next call that waits ends as unreachable."""
+        """Handle a connection that could not be opened. The next call that waits ends as unreachable."""
         self._step_connection(connection, DependencyConnectionEvent.REFUSED)
         self.connection_count -= 1
         call = self._next_waiting_call()
@@ -168,11 +168,11 @@
         return effects
 
     def reply_received(
-        self, connection: DependencyConnection, id: str, outcome: RunOutcome, body: bytes, now: float
+        self, connection: DependencyConnection, request_id: str, outcome: RunOutcome, body: bytes, now: float
     ) -> list[CallEffect] | None:
         """Handle a reply. Returns None if it belongs to no call in flight here, as a duplicate does."""
         call = connection.call
-        if connection.state != CONNECTION_BUSY or call is None or call.id != id:
+        if connection.state != CONNECTION_BUSY or call is None or call.id != request_id:
             return None
         connection.call = None
         self._step_connection(connection, CONNECTION_REPLY)
@@ -180,7 +180,7 @@
         return [*self._release(connection, now), EndCall(call, outcome, body)]
 
     def connection_lost(self, connection: DependencyConnection) -> list[CallEffect]:
-        """Handle that a connection is closed, by either side. If calls wait, another one is opened."""
+        """Handle a connection that was closed, by either side. If calls wait, another one is opened."""
         call = connection.call
         connection.call = None
         if connection in self.idle:
@@ -223,9 +223,9 @@
 
     def _open(self) -> OpenConnection:
         self.connection_count += 1
-        self.serial += 1
+        self.last_connection_number += 1
         recent_requests: deque[str] = deque(maxlen=self.limits.max_recent_requests)
-        return OpenConnection(DependencyConnection(self.serial, self.address_epoch, recent_requests))
+        return OpenConnection(DependencyConnection(self.last_connection_number, self.address_epoch, recent_requests))
 
     def _send(self, connection: DependencyConnection, call: DependencyCall, now: float) -> SendCall:
         self._step_connection(connection, CONNECTION_TAKE)
@@ -243,17 +243,17 @@
         self._step_connection(connection, event)
         return CloseConnection(connection, cancelled_request)
 
-    def _take_idle_connection(self, id: str, now: float) -> DependencyConnection | None:
+    def _take_idle_connection(self, request_id: str, now: float) -> DependencyConnection | None:
         """Remove an idle connection from the pool for a call of this request, or return None.
 
         Connections that were idle for too long are not used, as the dependency may have forgotten them. Neither is one
-        that recently carried a call of the same request: a duplicate of that reply would pass for this one.
+        that recently carried a call of the same request: a duplicate of that reply would be taken for this one.
         """
         idle_since_min = now - self.limits.max_idle_ms
         for connection in reversed(self.idle):
             if connection.idle_since < idle_since_min:
                 break
-            if id not in connection.recent_requests and self.is_quiet(connection):
+            if request_id not in connection.recent_requests and self.is_quiet(connection):
                 self.idle.remove(connection)
                 return connection
         return None
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -1,4 +1,4 @@
-"""The request tracker: all attempts of one server incarnation, their idempotency keys and the process lifecycle.
+"""The request tracker: all attempts of one server process, and their idempotency keys.
 
 Each event becomes a list of effects for the request coordinator, in the order in which they apply.
 """
@@ -69,7 +69,7 @@
     """Owns every attempt until it is answered and no longer running.
 
     Every public method takes one event and returns its effects in order. Unknown ids are ignored: they belong to
-    attempts that are over, or to an earlier incarnation of the server. Times are Unix milliseconds.
+    attempts that are over, or to an earlier process of this server. Times are Unix milliseconds.
     """
 
     def __init__(self, settings: RequestTerms, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
@@ -79,19 +79,19 @@
         self.requests: dict[str, Exchange] = {}  # by id
         self.unanswered = 0  # attempts without their final answer
 
-    def find(self, id: str) -> Exchange | None:
+    def find(self, request_id: str) -> Exchange | None:
         """Return the attempt with this id, or None if it is over."""
-        return self.requests.get(id)
+        return self.requests.get(request_id)
 
-    def is_wanted(self, id: str) -> bool:
+    def is_wanted(self, request_id: str) -> bool:
         """Return whether a client still waits for this attempt."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return exchange is not None and exchange.state in AWAITING_ANSWER
 
     # Events from the network side.
 
     def submit(self, exchange: Exchange) -> list[RequestEffect] | None:
-        """Take a complete request. Returns None, and takes nothing, if its id is in use."""
+        """Accept a complete request. Returns None, with no effect, if its id is in use."""
         if exchange.id in self.requests:
             return None
         exchange.due_at = exchange.arrived_at + self.settings.client_timeout_ms[exchange.class_index]
@@ -110,30 +110,32 @@
         return self._step(exchange, EVENT_KNOWN, EventDetails(outcome or FAILED))
 
     def caller_gone(self, exchange: Exchange) -> list[RequestEffect]:
-        """Handle that no client waits for this attempt any longer."""
+        """Handle the disconnection of the client, or its cancellation of this attempt."""
         return self._step(exchange, EVENT_GONE) if self.requests.get(exchange.id) is exchange else []
 
-    def call_needed(self, id: str, body: bytes) -> list[RequestEffect]:
-        """Handle that a run waits for a dependency call with this body."""
-        exchange = self.requests.get(id)
+    def call_needed(self, request_id: str, body: bytes) -> list[RequestEffect]:
+        """Handle a run that waits for a dependency call with this body."""
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         exchange.call_body = body
         return self._step(exchange, EVENT_CALL_NEEDED)
 
-    def call_ended(self, id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b"") -> list[RequestEffect]:
+    def call_ended(
+        self, request_id: str, outcome: RunOutcome, elapsed_ms: float, reply: bytes = b""
+    ) -> list[RequestEffect]:
         """Handle the end of a dependency call."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         event = EVENT_CALL_OK if outcome is RunOutcome.OK else EVENT_CALL_BAD
         return self._step(exchange, event, _new_tuple(EventDetails, (None, outcome, elapsed_ms, reply)))
 
     def run_ended(
-        self, id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
+        self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
     ) -> list[RequestEffect]:
         """Handle the end of a run. A rejection or NEVER_RAN as its answer proves that it never began."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None or exchange.state not in STARTED:
             return []
         final = answer or FAILED
@@ -163,7 +165,10 @@
         return len(running), [exchange for exchange in running if exchange.state == STATE_RUNNING_UNWANTED]
 
     def abandoned_runs_at_calls(self) -> list[Exchange]:
-        """Return the runs at a call that nobody waits for. The execution engine ends and reports them by itself."""
+        """Return the runs at a dependency call whose answer nobody waits for, in the execution engine only.
+
+        The engine usually ends and reports them by itself.
+        """
         return [
             exchange
             for exchange in self.requests.values()
@@ -171,7 +176,7 @@
         ]
 
     def fail_all(self, now: float) -> list[RequestEffect]:
-        """Fail every attempt that awaits its answer, as the process ends."""
+        """Fail every attempt that awaits its answer, because the process ends."""
         effects: list[RequestEffect] = []
         for exchange in list(self.requests.values()):
             if exchange.state in AWAITING_ANSWER:  # a follower may have been answered with its owner meanwhile
@@ -181,8 +186,8 @@
     def keys_to_hand_over(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Return the keys for the process that takes over, each with its outcome and expiry time.
 
-        A run that nobody waits for goes on in the execution engine without this process. Its key gets a failure as
-        its outcome, since its real one will not be known.
+        A run that has not ended goes on in the execution engine without this process. Its key gets a failure as its
+        outcome, since the real one will not be known.
         """
         running = [
             ((exchange.class_index, exchange.key), FAILED, now + self.keys.key_ms)
@@ -193,28 +198,28 @@
 
     # Decisions of the policy.
 
-    def start(self, id: str, now: float) -> list[RequestEffect]:
+    def start(self, request_id: str, now: float) -> list[RequestEffect]:
         """Start the run, or reject the attempt if it arrived too late in a graceful shutdown."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         if exchange is None:
             return []
         if not self.process.may_start(exchange.arrived_at):
             return self._step(exchange, EVENT_BAR, EventDetails(self._rejection(), RunOutcome.MOOT), now)
         return self._step(exchange, EVENT_START)
 
-    def reject(self, id: str, answer: Answer, now: float) -> list[RequestEffect]:
+    def reject(self, request_id: str, answer: Answer, now: float) -> list[RequestEffect]:
         """Reject the attempt with this answer. An attempt that has started fails instead."""
-        exchange = self.requests.get(id)
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_REFUSE, EventDetails(answer), now)
 
-    def fail(self, id: str, now: float) -> list[RequestEffect]:
-        """Fail the attempt as late."""
-        exchange = self.requests.get(id)
+    def fail(self, request_id: str, now: float) -> list[RequestEffect]:
+        """Fail the attempt with the answer `LATE`."""
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_FAIL, EventDetails(LATE), now)
 
-    def start_call(self, id: str, limit_ms: float) -> list[RequestEffect]:
-        """Make the dependency call that the run waits for."""
-        exchange = self.requests.get(id)
+    def start_call(self, request_id: str, limit_ms: float) -> list[RequestEffect]:
+        """Make the dependency call that the run waits for, with a time limit in milliseconds."""
+        exchange = self.requests.get(request_id)
         return [] if exchange is None else self._step(exchange, EVENT_CALL, EventDetails(duration_ms=limit_ms))
 
     # Steps.
@@ -252,7 +257,7 @@
         now: float,
         effects: list[RequestEffect],
     ) -> None:
-        """Carry out an action of the tracker itself; what follows for the coordinator is appended to `effects`."""
+        """Carry out an action of the tracker itself, and append the effects for the coordinator to `effects`."""
         if action is ACTION_LEAVE:
             del self.requests[exchange.id]
         elif action is ACTION_WITHDRAW:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,16 +26,18 @@
 
 KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
 MAX_REQUESTS_PER_THREAD = 2000  # of a load that is stopped much sooner
-CONNECT_INTERVAL_S = 0.008  # between connections during the life of a process that fails to start
-MAX_CONNECTIONS = 400  # during that life
+CONNECT_INTERVAL_S = 0.008  # between connections while a process runs that fails to start
+MAX_CONNECTIONS = 400  # in that time
 
 
 def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
-    process = ProcessLifecycle(stop_ms=10000.0, grace_ms=1000.0, sweep_ms=50.0, flush_ms=300.0, crossing_ms=50.0)
+    process = ProcessLifecycle(
+        stop_ms=10000.0, grace_ms=1000.0, overdue_check_ms=50.0, flush_ms=300.0, crossing_ms=50.0
+    )
     assert process.handover(1000.0, 3700.0) == (ProcessAction.CLOSE_LISTENERS, ProcessAction.ASK_CLIENTS)
     assert process.state == ProcessState.CROSSING
     assert process.may_start(9000.0)
-    assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a sweep may come one sweep late
+    assert process.answer_deadline() == 1000.0 + 3700.0 - 2 * 50.0  # a check may come one interval late
     assert process.handover(1200.0, 3700.0) == ()
     assert process.kill_at == 4700.0
     assert process.poll(1040.0, unanswered=0) == ()
