--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -83,11 +83,11 @@
             kind, repeated = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
             expect(kind == "success", f"the repeated order got {kind}")
             expect(repeated.body == answer.body, f"the repeated order got {repeated.body!r}, not {answer.body!r}")
-            runs = first.kernel.by_body[b"ms=5 once"], second.kernel.by_body[b"ms=5 once"]
+            runs = first.engine.by_body[b"ms=5 once"], second.engine.by_body[b"ms=5 once"]
             expect(runs == (1, 0), f"runs at the first and second engine: {runs}")
             kind, _ = ThriftClient(port).ask("order", b"ms=5 other", key="k-2")
             expect(kind == "success", f"another order at the second process got {kind}")
-            expect(second.kernel.by_body[b"ms=5 other"] == 1, "another order did not run at the second engine")
+            expect(second.engine.by_body[b"ms=5 other"] == 1, "another order did not run at the second engine")
     return "known outcome returned, one run in all"
 
 
@@ -198,12 +198,12 @@
         loader.start()
     for loader in loaders:
         loader.join(LOAD_S + STOP_TIMEOUT_S)
-    started = {name: len(member.kernel.runs) for name, member in members.items()}
+    started = {name: len(member.engine.runs) for name, member in members.items()}
     expect(all(started.values()), f"a member started nothing: {started}")
     expect(sum(started.values()) >= 2 * STARTS_PER_S, f"leases were not renewed: {started}")
     limit = Limit(per_s=STARTS_PER_S)
     allowed = limit.amount + GrantSettings().max_excess(limit)
-    begins = sorted(run[1] for member in members.values() for run in member.kernel.runs)
+    begins = sorted(run[1] for member in members.values() for run in member.engine.runs)
     most = most_starts(begins, limit.window_ms * WINDOW_PART)
     expect(most <= allowed, f"{most} starts within a window, {allowed} allowed")
     return f"at most {most} starts within a window, {allowed} allowed; started by member: {json.dumps(started)}"
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -57,7 +57,7 @@
             while self.inbox and (self.free or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
                 self.take()
             while self.outbox and (self.free or self.outbox[0]["t"] == "INFO"):
-                self.tell(self.link, self.outbox.pop(0))
+                self.send_line(self.link, self.outbox.pop(0))
 
     def take(self) -> None:
         """Carry out the first command of the inbox."""
@@ -116,7 +116,7 @@
         with self.lock:
             if not self.outbox:
                 return False
-            self.tell(self.link, self.outbox.pop(0))
+            self.send_line(self.link, self.outbox.pop(0))
             self.pump()
         time.sleep(REACTION_S)
         return True
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -55,9 +55,9 @@
     """The program, with a fake of each neighbour.
 
     Attributes:
-        kernel: The fake engine.
-        store: The fake dependency.
-        roster: The fake registry.
+        engine: The fake engine.
+        dependency: The fake dependency.
+        registry: The fake registry.
         ports: The ports it listens on, once it serves.
         mgmt: The port of the management address, if it has one.
         log: Its log lines, parsed.
@@ -67,9 +67,9 @@
         self,
         tmp: Path,
         operator: str = "",
-        late_kernel: bool = False,
+        late_engine: bool = False,
         sockets: int = 1024,
-        kernel: FakeEngine | None = None,
+        engine: FakeEngine | None = None,
         program: Sequence[str] = ("myrtlespar",),
         root: Path = ROOT,
         mgmt: bool = False,
@@ -87,9 +87,9 @@
         Args:
             tmp: The folder of its files, and its $TMPDIR unless `shared` is given.
             operator: The content of the operators' file; empty: none.
-            late_kernel: The fake engine greets only after `kernel.up` is set.
+            late_engine: The fake engine greets only after `engine.up` is set.
             sockets: The limit of sockets in its configuration.
-            kernel: A fake engine to use instead of a plain one.
+            engine: A fake engine to use instead of a plain one.
             program: Module and arguments for `python -m`.
             root: The checkout that it is started in.
             mgmt: It gets a management address.
@@ -103,9 +103,9 @@
             env: Additions to the environment.
         """
         # Longer than other functions for its parameters, each of which some test needs alone.
-        self.kernel = kernel or FakeEngine()
-        self.store = FakeDependency()
-        self.roster = FakeRegistry()
+        self.engine = engine or FakeEngine()
+        self.dependency = FakeDependency()
+        self.registry = FakeRegistry()
         self.config = {**self._configuration(listen, sockets, mgmt), **given}
         self.path = tmp / "config.json"
         self.path.write_text(json.dumps(self.config))
@@ -113,8 +113,8 @@
         if operator:
             (tmp / "operator.toml").write_text(operator)
             environment["MYRTLESPAR_OPERATOR"] = str(tmp / "operator.toml")
-        if late_kernel:
-            self.kernel.up.clear()
+        if late_engine:
+            self.engine.up.clear()
         self.ports: list[int] = []
         self.mgmt: int | None = None
         self._command = list(command) or [sys.executable, *([start] if start else ["-m", *program])]
@@ -127,7 +127,7 @@
             serving = until(lambda: self.event("serving"), "start")
             self.ports = serving["ports"]
             self.mgmt = serving.get("mgmt")
-        if wait and not late_kernel and kernel is None:
+        if wait and not late_engine and engine is None:
             until(lambda: self.event("kernel up"), "kernel link")
 
     def _configuration(self, listen: str, sockets: int, mgmt: bool) -> dict[str, Any]:
@@ -135,9 +135,9 @@
         rows: dict[str, Any] = {
             "name": "n3",
             "listen": listen,
-            "kernel": self.kernel.address,
-            "store": self.store.address,
-            "roster": self.roster.address,
+            "kernel": self.engine.address,
+            "store": self.dependency.address,
+            "roster": self.registry.address,
             "seed": "8c1f30d27a5be964",
             "stop_ms": 2500,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -179,7 +179,7 @@
 
     def move(self) -> None:
         """Give each neighbour a new address and reload (SIGHUP). Open connections go on for a while."""
-        for name, fake in (("kernel", self.kernel), ("store", self.store), ("roster", self.roster)):
+        for name, fake in (("kernel", self.engine), ("store", self.dependency), ("roster", self.registry)):
             fake.relisten()
             self.config[name] = fake.address
         self.path.write_text(json.dumps(self.config))
@@ -212,7 +212,7 @@
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait(WAIT_S)
-        for server in (self.kernel, self.store, self.roster):
+        for server in (self.engine, self.dependency, self.registry):
             server.down()
 
 
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -38,7 +38,7 @@
         self.count: Counter[int] = Counter()
         self.answers: dict[int, tuple[str, Any]] = {}
         self.times: dict[int, float] = {}
-        self.told: list[str] = []
+        self.one_way_messages: list[str] = []
         self.ended = threading.Event()
         threading.Thread(target=self._read, daemon=True).start()
 
@@ -49,7 +49,7 @@
                 protocol = TBinaryProtocol(TMemoryBuffer(frame), strict_read=True)
                 name, kind, seq = protocol.read_message_begin()
                 if kind == TMessageType.ONEWAY:
-                    self.told.append(name)
+                    self.one_way_messages.append(name)
                     continue
                 if kind == TMessageType.EXCEPTION:
                     answer: tuple[str, Any] = ("exception", None)
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -71,7 +71,7 @@
                 self.commands.append(command)
                 getattr(self, command["t"].lower())(link, command)
 
-    def tell(self, link: socket.socket | None, row: dict[str, Any]) -> None:
+    def send_line(self, link: socket.socket | None, row: dict[str, Any]) -> None:
         """Write one line, unless there is no connection or the engine is mute."""
         with self.lock, contextlib.suppress(OSError):
             if link is not None and not self.mute:
@@ -90,9 +90,9 @@
         if old is not None:
             self.cut(old)
         age = int((time.time() - self.born) * 1000)
-        self.tell(link, {"t": "BOOTED", "status": "LOADED", "time_ms": age})
+        self.send_line(link, {"t": "BOOTED", "status": "LOADED", "time_ms": age})
         for row in self.notices[command["no"] :]:
-            self.tell(link, row)
+            self.send_line(link, row)
         return None
 
     def _open_later(self, link: socket.socket, command: dict[str, Any]) -> None:
@@ -102,13 +102,13 @@
     def sysinfo(self, link: socket.socket, command: dict[str, Any]) -> None:
         """Answer with the gauges."""
         busy = min(1.0, len(self.running) / 2)
-        self.tell(link, {"t": "INFO", "mark": command["mark"], "v": [busy, len(self.running), 0.1, 3]})
+        self.send_line(link, {"t": "INFO", "mark": command["mark"], "v": [busy, len(self.running), 0.1, 3]})
 
     def sched(self, link: socket.socket, command: dict[str, Any]) -> None:
         """Start a run, unless the request runs already."""
         body = base64.b64decode(command["b64"])
         if body.startswith(b"alien"):  # of no request that came to this server
-            self.tell(link, {"t": "EINVAL", "status": "SCHED", "rid": command["rid"]})
+            self.send_line(link, {"t": "EINVAL", "status": "SCHED", "rid": command["rid"]})
         elif command["rid"] not in self.running:
             self.starts[command["rid"]] += 1
             self.by_body[body] += 1
@@ -127,7 +127,7 @@
         """Number a notice, keep it and send it."""
         with self.lock:
             self.notices.append({**row, "no": len(self.notices) + 1})
-            self.tell(self.link, self.notices[-1])
+            self.send_line(self.link, self.notices[-1])
 
     def _run(self, command: dict[str, Any], row: list[Any]) -> None:
         rid = command["rid"]
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -140,7 +140,7 @@
     def _client(self, name: str) -> ThriftClient | None:
         """A connection to a member; None if it does not accept one."""
         client = self._clients.get(name)
-        if client is not None and (client.ended.is_set() or "shutdown" in client.told):
+        if client is not None and (client.ended.is_set() or "shutdown" in client.one_way_messages):
             self._clients.pop(name)
             client = None
         if client is None:
@@ -169,7 +169,7 @@
             self._end(request, "none")
 
     def _connection_ended(self, request: LoadRequest, client: ThriftClient) -> None:
-        if "shutdown" in client.told and not request.was_resent:
+        if "shutdown" in client.one_way_messages and not request.was_resent:
             request.was_resent = True
             request.client = None
             request.attempts -= 1
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -43,7 +43,7 @@
         self.scenario = scenario
         self.engine = ScriptedEngine()
         program = ("myrtlespar.model_checker.mutants", mutation) if mutation else ("myrtlespar",)
-        self.server = server_process(tmp, operator=OPERATOR, kernel=self.engine, program=program)
+        self.server = server_process(tmp, operator=OPERATOR, engine=self.engine, program=program)
         self.clients: dict[int, ThriftClient | FakeGateway] = {}
         self.sent: set[int] = set()
 
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -38,9 +38,9 @@
         self.source = random.Random(self.seed)
         start = self.tmp / "faulty.py"
         start.write_text(FAULTY_START.format(seed=self.seed, chance=self.chance))
-        self.kernel = TracedKernel()
+        self.engine = TracedKernel()
         self.all_clients: list[TracedClient] = []
-        running = ServerProcess(self.tmp, kernel=self.kernel, start=str(start), wait=False)
+        running = ServerProcess(self.tmp, engine=self.engine, start=str(start), wait=False)
         try:
             serving = until(lambda: running.event("serving"), "start")
             self.port = serving["ports"][0]
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -20,46 +20,46 @@
 
 
 def kernel_link_cut(trial: Trial, running: ServerProcess) -> None:
-    if trial.kernel.link is not None:
-        trial.kernel.cut(trial.kernel.link)
+    if trial.engine.link is not None:
+        trial.engine.cut(trial.engine.link)
 
 
 def kernel_link_cut_inside_a_notice(trial: Trial, running: ServerProcess) -> None:
-    with trial.kernel.lock:
-        link = trial.kernel.link
+    with trial.engine.lock:
+        link = trial.engine.link
         if link is not None:
             try:
                 link.sendall(b'{"t":"REAP","no":')
             except OSError:
                 return
-            trial.kernel.cut(link)
+            trial.engine.cut(link)
 
 
 def kernel_starts_anew(trial: Trial, running: ServerProcess) -> None:
-    trial.kernel.restart()
+    trial.engine.restart()
 
 
 def kernel_sends_odd_lines(trial: Trial, running: ServerProcess) -> None:
     odd = [b"[" * 5000, b"{}", b'{"t":"INFO","mark":"gauges-1","v":[1e999]}', b"\xff\xfe", b'{"t":7,"no":"x"}', b""]
-    with trial.kernel.lock:
-        if trial.kernel.link is not None:
+    with trial.engine.lock:
+        if trial.engine.link is not None:
             try:
-                trial.kernel.link.sendall(trial.source.choice(odd) + b"\n")
+                trial.engine.link.sendall(trial.source.choice(odd) + b"\n")
             except OSError:
                 return
 
 
 def store_fails(trial: Trial, running: ServerProcess) -> None:
     kinds = ["BUSY", "ERR", "LATE", "VOID", "cut", "hang", "noise", "short", "copy", "stray", "slow", "endless"]
-    running.store.script += [trial.source.choice(kinds) for _ in range(trial.source.randrange(1, 5))]
+    running.dependency.script += [trial.source.choice(kinds) for _ in range(trial.source.randrange(1, 5))]
 
 
 def store_links_cut(trial: Trial, running: ServerProcess) -> None:
-    running.store.cut()
+    running.dependency.cut()
 
 
 def roster_fails(trial: Trial, running: ServerProcess) -> None:
-    running.roster.mode = trial.source.choice(["", "silent", "down", "cut inside", "upgrade"])
+    running.registry.mode = trial.source.choice(["", "silent", "down", "cut inside", "upgrade"])
 
 
 def client_leaves(trial: Trial, running: ServerProcess) -> None:
--- a/tests/test_ajp_backends.py
+++ b/tests/test_ajp_backends.py
@@ -23,7 +23,7 @@
         request = wire.decode_forward_request(servlet.seen[0])
         assert request.attributes == {"jvm_route": servlet.name, "query_string": "q=1", "secret": "w"}
         assert (request.method, request.uri) == ("POST", "/order/x")
-    assert not server.kernel.starts
+    assert not server.engine.starts
 
 
 @pytest.mark.parametrize(("step", "status"), [("cut", 500), ("hang", 504), ("500", 500), ("404", 404)])
--- a/tests/test_ajp_front.py
+++ b/tests/test_ajp_front.py
@@ -26,8 +26,8 @@
             b"result of " + body,
             True,
         )
-    assert ajp_server.kernel.by_body[body] == 2
-    assert {row["route"] for row in ajp_server.kernel.commands if row["t"] == "SCHED"} == {"order"}
+    assert ajp_server.engine.by_body[body] == 2
+    assert {row["route"] for row in ajp_server.engine.commands if row["t"] == "SCHED"} == {"order"}
 
 
 def test_without_a_body_the_engine_gets_path_and_query_and_head_gets_no_body(ajp_server: ServerProcess) -> None:
@@ -43,7 +43,7 @@
 
 
 def test_what_is_not_done_by_the_due_time_is_504(ajp_server: ServerProcess) -> None:
-    ajp_server.store.script = ["hang"]
+    ajp_server.dependency.script = ["hang"]
     assert FakeGateway(ajp_server.ports[1]).ask("/fetch", b"calls=1 ms=5")[0] == 504
 
 
@@ -55,7 +55,7 @@
     ajp_server: ServerProcess, uri: str, secret: str, status: int
 ) -> None:
     assert FakeGateway(ajp_server.ports[1], secret).ask(uri)[0] == status
-    assert not ajp_server.kernel.starts
+    assert not ajp_server.engine.starts
 
 
 @pytest.mark.parametrize(
@@ -131,21 +131,21 @@
     busy = [FakeGateway(ajp_server.ports[1]) for _ in range(3)]
     for gateway in busy:
         gateway.forward("/render", b"ms=1000")
-    until(lambda: ajp_server.kernel.starts)
+    until(lambda: ajp_server.engine.starts)
     leaver = FakeGateway(ajp_server.ports[1])
     leaver.forward("/order", b"never")
     until(lambda: ajp_server.counters().get("in.request.ajp") == 4)
     leaver.sock.close()
     assert [gateway.answer()[0] for gateway in busy] == [200] * 3
     assert ajp_server.counters()["answer.gone.ajp"] == 1
-    assert b"never" not in ajp_server.kernel.by_body
+    assert b"never" not in ajp_server.engine.by_body
 
 
 def test_drain_answers_and_closes_gateways(ajp_server: ServerProcess) -> None:
     idle = FakeGateway(ajp_server.ports[1])
     busy = FakeGateway(ajp_server.ports[1])
     busy.forward("/render", b"ms=500")
-    until(lambda: ajp_server.kernel.starts)
+    until(lambda: ajp_server.engine.starts)
     ajp_server.process.terminate()
     assert idle.sock.recv(1) == b""
     status, _, body, reuse = busy.answer()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -54,7 +54,7 @@
 def test_bytes_that_are_no_message_close_only_their_link(server: ServerProcess, data: bytes) -> None:
     client = ThriftClient(server.ports[0])
     open_one = client.send("render", b"ms=3000" if len(data) < 10 else b"ms=400")
-    until(lambda: server.kernel.starts)
+    until(lambda: server.engine.starts)
     client.sock.sendall(data)
     assert client.answer(open_one)[0] == "success"
     assert client.ended.wait(20)
@@ -71,7 +71,7 @@
     assert asked.ask("fetch")[0] == "success"
     assert silent.ended.wait(20)
     assert not silent.answers
-    assert not silent.told
+    assert not silent.one_way_messages
     assert asked.ask("fetch")[0] == "success"
 
 
@@ -79,7 +79,7 @@
     with server_process(tmp_path, sockets=100) as running:
         busy = ThriftClient(running.ports[0])
         answer = busy.send("order", b"ms=1500")
-        until(lambda: running.kernel.starts)
+        until(lambda: running.engine.starts)
         idle = []
         for _ in range(44):
             idle.append(ThriftClient(running.ports[0]))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -41,10 +41,10 @@
         client = ThriftClient(running.ports[0])
         assert client.ask("fetch", b"calls=1")[0] == "success"
         in_flight = client.send("order", b"ms=1500 calls=1")
-        until(lambda: len(running.store.calls) == 2)
-        running.store.script = ["hang"]
+        until(lambda: len(running.dependency.calls) == 2)
+        running.dependency.script = ["hang"]
         without_reply = client.send("fetch", b"calls=1")
-        until(lambda: len(running.store.calls) == 3)
+        until(lambda: len(running.dependency.calls) == 3)
         stepped_at_ms = time.time() * 1000
         step_clock(running)
         stamp = str(int((time.time() + step_s) * 1000))
@@ -52,5 +52,5 @@
         assert client.answer(in_flight)[0] == "success"
         assert client.answer(without_reply)[0] in ("failed", "refused", "success")
         assert client.times[without_reply] - stepped_at_ms < FETCH_TIMEOUT_MS + MAX_DELAY_MS
-        assert len(running.roster.reports) >= 2
+        assert len(running.registry.reports) >= 2
         assert running.stop() == 0
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -28,18 +28,18 @@
 def test_an_orders_call_is_repeated_only_on_proof(
     server: ServerProcess, script: list[str], kind: str, calls: int
 ) -> None:
-    server.store.script = script
+    server.dependency.script = script
     assert ThriftClient(server.ports[0]).ask("order", b"calls=1")[0] == kind
-    assert len(server.store.calls) == calls
+    assert len(server.dependency.calls) == calls
 
 
 @pytest.mark.parametrize("malformed", ["noise", "endless", "short", "huge", "cut"])
 def test_a_malformed_reply_ends_its_own_call_only(server: ServerProcess, malformed: str) -> None:
     client = ThriftClient(server.ports[0])
-    server.store.script = ["slow"]
+    server.dependency.script = ["slow"]
     slow = client.send("order", b"calls=1 slow")
-    until(lambda: server.store.calls)
-    server.store.script = [malformed, malformed]
+    until(lambda: server.dependency.calls)
+    server.dependency.script = [malformed, malformed]
     assert client.ask("order", b"calls=1")[0] == "failed"  # it may have had its effect
     assert client.ask("render", b"calls=1")[0] == "success"  # a read's call is made again
     assert client.answer(slow)[0] == "success"
@@ -48,39 +48,39 @@
 
 @pytest.mark.parametrize("more", ["copy", "stray"])
 def test_replies_that_carry_more_than_is_theirs_are_still_good(server: ServerProcess, more: str) -> None:
-    server.store.script = [more] * 4
+    server.dependency.script = [more] * 4
     assert ThriftClient(server.ports[0]).ask("order", b"calls=4")[0] == "success"
-    assert server.kernel.replies == [b"reply\r\nto call %d of calls=4" % n for n in range(4)]
+    assert server.engine.replies == [b"reply\r\nto call %d of calls=4" % n for n in range(4)]
 
 
 def test_a_dependency_that_is_down_proves_that_no_call_ran(server: ServerProcess) -> None:
-    port = server.store.port
-    server.store.down()
+    port = server.dependency.port
+    server.dependency.down()
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
     until(lambda: server.counters().get("store.unreachable"))
-    server.store = FakeDependency(port)
+    server.dependency = FakeDependency(port)
     assert client.answer(seq)[0] == "success"
 
 
 def test_a_call_that_nobody_needs_is_dropped(server: ServerProcess) -> None:
-    server.store.script = ["hang"]
+    server.dependency.script = ["hang"]
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
-    until(lambda: server.store.calls)
+    until(lambda: server.dependency.calls)
     client.say("abort", seqid=seq)
-    assert until(lambda: server.store.drops) == [server.store.calls[0][0]]
+    assert until(lambda: server.dependency.drops) == [server.dependency.calls[0][0]]
 
 
 def test_a_reply_for_a_dropped_call_changes_nothing_that_comes_later(tmp_path: Path) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
-        running.store.script = ["slow"]  # its reply comes when nobody waits for it
+        running.dependency.script = ["slow"]  # its reply comes when nobody waits for it
         seq = client.send("render", b"calls=1 dropped")
-        until(lambda: running.store.calls)
+        until(lambda: running.dependency.calls)
         client.say("abort", seqid=seq)
-        until(lambda: running.store.drops)
+        until(lambda: running.dependency.drops)
         assert [client.ask("render", b"calls=2 later")[0] for _ in range(3)] == ["success"] * 3
-        replies = [reply for reply in running.kernel.replies if b"dropped" in reply]
+        replies = [reply for reply in running.engine.replies if b"dropped" in reply]
         assert not replies
-        assert len(running.kernel.replies) == 6
+        assert len(running.engine.replies) == 6
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -23,36 +23,36 @@
 def test_drain_notifies_clients_answers_all_and_exits_clean(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     seqs = [client.send("render", b"ms=700") for _ in range(10)]
-    until(lambda: server.kernel.starts)
+    until(lambda: server.engine.starts)
     server.process.terminate()
-    until(lambda: client.told == ["shutdown"])
+    until(lambda: client.one_way_messages == ["shutdown"])
     late = ThriftClient(server.ports[0])
     early = late.send("fetch", b"in grace")
     time.sleep(1.1)
     beyond = late.send("fetch", b"past grace")
     assert late.answer(early)[0] in ("success", "refused")
     assert late.answer(beyond)[0] == "refused"
-    assert b"past grace" not in server.kernel.by_body
+    assert b"past grace" not in server.engine.by_body
     assert all(client.answer(seq)[0] in ("success", "refused", "failed") for seq in seqs)
     assert server.process.wait(20) == 0
     assert client.ended.wait(20)
     assert late.ended.wait(20)
-    assert client.told == late.told == ["shutdown"]
+    assert client.one_way_messages == late.one_way_messages == ["shutdown"]
     assert until(lambda: server.event("counters"))["answer.refused.thrift"] >= 1
 
 
 @pytest.mark.parametrize("engine", ["down", "silent", "late"])
 def test_a_notice_before_the_engine_is_up_answers_all_and_ends_clean(tmp_path: Path, engine: str) -> None:
-    with server_process(tmp_path, late_kernel=True, given={"stop_ms": 1500}) as running:
+    with server_process(tmp_path, late_engine=True, given={"stop_ms": 1500}) as running:
         if engine == "down":
-            running.kernel.down()
+            running.engine.down()
         client = ThriftClient(running.ports[0])
         seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
         assert client.answer(client.say("ping", full=False))  # read behind them
         running.process.terminate()
-        until(lambda: client.told)
+        until(lambda: client.one_way_messages)
         if engine == "late":
-            running.kernel.up.set()
+            running.engine.up.set()
         kinds = [client.answer(seq)[0] for seq in seqs]
         assert kinds == ["success"] * 2 if engine == "late" else set(kinds) <= {"failed", "refused"}
         assert running.process.wait(20) == 0
@@ -68,7 +68,7 @@
         running.process.terminate()
         running.process.send_signal(signal.SIGCONT)
         assert all(client.answer(seq)[0] == "success" for client, seq in zip(clients, seqs, strict=True))
-        assert all(client.ended.wait(20) and client.told == ["shutdown"] for client in clients)
+        assert all(client.ended.wait(20) and client.one_way_messages == ["shutdown"] for client in clients)
         assert running.process.wait(20) == 0
 
 
@@ -81,7 +81,7 @@
     ) as running:
         client = ThriftClient(running.ports[0])
         seq = client.send("slow", b"ms=60000")
-        until(lambda: running.kernel.starts)
+        until(lambda: running.engine.starts)
         deaf = socket.create_connection(("127.0.0.1", running.ports[0]))
         ping = encode("ping", 1, 1, idl.Front.ping_args(full=False))
         with contextlib.suppress(OSError):
@@ -89,7 +89,7 @@
             for _ in range(40):
                 deaf.sendall(ping * 500)
         running.process.terminate()
-        until(lambda: client.told)
+        until(lambda: client.one_way_messages)
         while running.process.poll() is None:  # at every moment of it, its end included
             running.process.send_signal(again)
         assert running.process.returncode == 0
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -24,13 +24,13 @@
     client = ThriftClient(server.ports[0])
     order = client.send("order", b"ms=300 calls=1")
     read = client.send("render", b"ms=300 calls=1")
-    until(lambda: len(server.kernel.replies) == 2)
-    assert server.kernel.link is not None
-    server.kernel.cut(server.kernel.link)
+    until(lambda: len(server.engine.replies) == 2)
+    assert server.engine.link is not None
+    server.engine.cut(server.engine.link)
     assert client.answer(order)[0] == client.answer(read)[0] == "success"
-    assert server.kernel.by_body[b"ms=300 calls=1"] == 2
-    assert server.kernel.commands[0]["no"] == 0
-    opens = [row["no"] for row in server.kernel.commands if row["t"] == "OPEN"]
+    assert server.engine.by_body[b"ms=300 calls=1"] == 2
+    assert server.engine.commands[0]["no"] == 0
+    opens = [row["no"] for row in server.engine.commands if row["t"] == "OPEN"]
     assert len(opens) >= 2
     assert opens[-1] == 2
 
@@ -58,7 +58,7 @@
     tmp_path: Path, method: str, kind: str, runs: int
 ) -> None:
     engine = LosingEngine()
-    with server_process(tmp_path, kernel=engine) as server:
+    with server_process(tmp_path, engine=engine) as server:
         until(lambda: server.event("kernel up"))
         client = ThriftClient(server.ports[0])
         with engine.lock:  # no command is being handled
@@ -76,53 +76,53 @@
 @pytest.mark.parametrize("body", [b"ms=1", b"ms=500"])
 def test_an_order_whose_link_broke_after_its_start_runs_once(server: ServerProcess, body: bytes) -> None:
     client = ThriftClient(server.ports[0])
-    server.kernel.mute = True  # reads and runs, but nothing it writes arrives
+    server.engine.mute = True  # reads and runs, but nothing it writes arrives
     seq = client.send("order", body)
-    until(lambda: server.kernel.by_body[body])
-    server.kernel.mute = False
-    assert server.kernel.link is not None
-    server.kernel.cut(server.kernel.link)
+    until(lambda: server.engine.by_body[body])
+    server.engine.mute = False
+    assert server.engine.link is not None
+    server.engine.cut(server.engine.link)
     assert client.answer(seq)[0] == "success"
     time.sleep(0.3)  # well past the time after which it would be sent again: that nothing happens takes time
-    assert server.kernel.by_body[body] == 1
+    assert server.engine.by_body[body] == 1
 
 
 def test_a_notice_lost_on_the_way_is_asked_for_again(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
-    server.kernel.mute = True
+    server.engine.mute = True
     lost = client.send("order", b"ms=1")
-    until(lambda: server.kernel.notices)
-    server.kernel.mute = False
+    until(lambda: server.engine.notices)
+    server.engine.mute = False
     assert client.ask("fetch")[0] == client.answer(lost)[0] == "success"
 
 
 def test_an_engine_that_starts_anew_fails_its_old_runs_at_once(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
-    server.store.script = ["hang"]
-    until(lambda: server.kernel.starts)
-    server.kernel.born = time.time() + 5
-    server.kernel.notices = []
-    assert server.kernel.link is not None
-    server.kernel.cut(server.kernel.link)
+    server.dependency.script = ["hang"]
+    until(lambda: server.engine.starts)
+    server.engine.born = time.time() + 5
+    server.engine.notices = []
+    assert server.engine.link is not None
+    server.engine.cut(server.engine.link)
     assert client.answer(seq)[0] == "failed"
     assert client.ask("fetch", b"after")[0] == "success"
 
 
 def test_an_engine_that_comes_late_is_waited_for(tmp_path: Path) -> None:
-    with server_process(tmp_path, late_kernel=True) as running:
+    with server_process(tmp_path, late_engine=True) as running:
         client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))[1].good
-        assert not running.roster.reports
-        running.kernel.up.set()
-        until(lambda: running.roster.reports)
+        assert not running.registry.reports
+        running.engine.up.set()
+        until(lambda: running.registry.reports)
         assert client.ask("order")[0] == "success"
 
 
 def test_an_engine_that_is_gone_again_before_its_first_word_is_reached_again(tmp_path: Path) -> None:
     engine = FakeEngine()
     engine.leaves = 3
-    with server_process(tmp_path, kernel=engine) as running:
+    with server_process(tmp_path, engine=engine) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("order", b"held meanwhile")[0] == "success"
         assert not engine.leaves
@@ -149,11 +149,11 @@
 sys.argv[:] = ["myrtlespar"]
 runpy.run_module("myrtlespar", run_name="__main__")
 """)
-    with server_process(tmp_path, late_kernel=True, start=str(tmp_path / "held.py")) as running:
+    with server_process(tmp_path, late_engine=True, start=str(tmp_path / "held.py")) as running:
         until(lambda: running.event("connected"))
-        old = running.kernel
-        running.kernel = FakeEngine()
-        running.config["kernel"] = running.kernel.address
+        old = running.engine
+        running.engine = FakeEngine()
+        running.config["kernel"] = running.engine.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
         assert ThriftClient(running.ports[0]).ask("order", b"at the new address")[0] == "success"
@@ -183,7 +183,7 @@
             running.process.send_signal(signal.SIGCONT)
         assert client.ask("fetch", b"ms=1")[0] == "success"
         until(lambda: running.event("kernel up"))
-        assert [row["t"] for row in running.kernel.commands].count("OPEN") == 1
+        assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
 
 
 def test_an_engine_whose_answers_wait_to_be_read_is_not_taken_for_silent(tmp_path: Path) -> None:
@@ -202,4 +202,4 @@
         client = ThriftClient(running.ports[0])
         assert client.ask("order", b"ms=1")[0] == "success"
         assert client.ask("render", b"ms=1")[0] == "success"
-        assert [row["t"] for row in running.kernel.commands].count("OPEN") == 1
+        assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -30,8 +30,8 @@
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("fetch")[0] == "success"
-        assert running.kernel.link
-        running.kernel.link.sendall(line + b"\n")
+        assert running.engine.link
+        running.engine.link.sendall(line + b"\n")
         for _ in range(3):
             assert client.ask("fetch", b"calls=1")[0] == "success"
 
@@ -49,9 +49,9 @@
             else:
                 super().sysinfo(link, command)
 
-    with server_process(tmp_path, kernel=OddGaugesEngine()) as running:
+    with server_process(tmp_path, engine=OddGaugesEngine()) as running:
         client = ThriftClient(running.ports[0])
-        until(lambda: sum(row["t"] == "SYSINFO" for row in running.kernel.commands) > 3)
+        until(lambda: sum(row["t"] == "SYSINFO" for row in running.engine.commands) > 3)
         assert [client.ask("order", b"calls=1")[0] for _ in range(5)] == ["success"] * 5
 
 
@@ -63,7 +63,7 @@
 def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, malformed: dict[str, str]) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
-        engine = running.kernel
+        engine = running.engine
         seq = client.send("render", b"ms=60000")
         until(lambda: engine.running)
         rid = next(iter(engine.running))
@@ -91,15 +91,15 @@
 
     class GaugesRejectingEngine(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
-            self.tell(link, {"t": "EINVAL", "status": "SYSINFO", "rid": ""})
+            self.send_line(link, {"t": "EINVAL", "status": "SYSINFO", "rid": ""})
 
     given = settings()
     given["family_info"]["gauges"] = gauges
-    with server_process(tmp_path, kernel=GaugesRejectingEngine(), given={"settings": given}) as running:
+    with server_process(tmp_path, engine=GaugesRejectingEngine(), given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
-        assert running.kernel.link is not None
-        running.kernel.cut(running.kernel.link)
+        assert running.engine.link is not None
+        running.engine.cut(running.engine.link)
         assert client.ask("order", b"calls=1")[0] == "success"
         running.move()
         until(lambda: running.event("reloaded"))
@@ -113,29 +113,29 @@
     class MalformingEngine(FakeEngine):
         left = 2
 
-        def tell(self, link: Any, row: dict[str, Any]) -> None:
+        def send_line(self, link: Any, row: dict[str, Any]) -> None:
             if row["t"] == malformed and self.left:
                 self.left -= 1
                 link.sendall(b'{"t":"' + malformed.encode() + b'",}\n{"t":"DMESG","status":"x"}\n')
             else:
-                super().tell(link, row)
+                super().send_line(link, row)
 
-    with server_process(tmp_path, kernel=MalformingEngine()) as running:
+    with server_process(tmp_path, engine=MalformingEngine()) as running:
         client = ThriftClient(running.ports[0])
         sent = time.time()
         assert client.ask("order", b"calls=1")[0] == "success"
         assert time.time() - sent < 2.0
-        assert [row["t"] for row in running.kernel.commands].count("OPEN") == 3
+        assert [row["t"] for row in running.engine.commands].count("OPEN") == 3
 
 
 @pytest.mark.parametrize(
     "unexpected", [b"remark\n", b"[1]\n", b'{"t":"DMESG","status":"x"}\n', b'{"t":"INFO","v":7}\n']
 )
 def test_an_unexpected_line_of_the_engine_changes_nothing(server: ServerProcess, unexpected: bytes) -> None:
-    assert server.kernel.link
-    server.kernel.link.sendall(unexpected)
+    assert server.engine.link
+    server.engine.link.sendall(unexpected)
     assert ThriftClient(server.ports[0]).ask("order", b"calls=1")[0] == "success"
-    assert len([row for row in server.kernel.commands if row["t"] == "OPEN"]) == 1
+    assert len([row for row in server.engine.commands if row["t"] == "OPEN"]) == 1
 
 
 def test_requests_unknown_to_the_engine_reject_nobody_else(server: ServerProcess) -> None:
--- a/tests/test_engine_restarts.py
+++ b/tests/test_engine_restarts.py
@@ -31,10 +31,10 @@
         client = ThriftClient(running.ports[0])
         assert [client.ask("fetch")[0] for _ in range(3)] == ["success"] * 3  # notices 1 to 3
         lost = client.send("order", b"ms=60000")
-        until(lambda: len(running.kernel.starts) == 4)
+        until(lambda: len(running.engine.starts) == 4)
         restarted_ms = time.time() * 1000
-        restart(running.kernel, running.kernel.born + born_s)
-        until(lambda: any(row["t"] == "OPEN" for row in running.kernel.commands))
+        restart(running.engine, running.engine.born + born_s)
+        until(lambda: any(row["t"] == "OPEN" for row in running.engine.commands))
         for _ in range(3):
             assert client.ask("fetch", b"calls=1")[0] == "success"
         assert client.answer(lost)[0] == "failed"
@@ -46,10 +46,10 @@
     """The run that it is for died with the old one; its request is failed at once."""
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
-        engine = running.kernel
-        running.store.script = ["slow"]
+        engine = running.engine
+        running.dependency.script = ["slow"]
         seq = client.send("order", b"calls=1")
-        until(lambda: running.store.calls)
+        until(lambda: running.dependency.calls)
         engine.up.clear()  # the link is accepted, the engine is not up
         restart(engine, time.time() + 60)
         until(lambda: running.counters().get("store.ok"))
@@ -67,13 +67,13 @@
     class SlowGreetingEngine(FakeEngine):
         delay_s = 0.0
 
-        def tell(self, link: Any, row: dict[str, Any]) -> None:
+        def send_line(self, link: Any, row: dict[str, Any]) -> None:
             if row["t"] == "BOOTED" and self.delay_s:
                 time.sleep(self.delay_s)
-            super().tell(link, row)
+            super().send_line(link, row)
 
     engine = SlowGreetingEngine()
-    with server_process(tmp_path, kernel=engine) as running:
+    with server_process(tmp_path, engine=engine) as running:
         until(lambda: running.event("kernel up"))
         client = ThriftClient(running.ports[0])
         seq = client.send("order", b"ms=2500")
--- a/tests/test_flooding_peers.py
+++ b/tests/test_flooding_peers.py
@@ -35,18 +35,18 @@
         sock = ThriftClient(running.ports[0]).sock
         data = b"\xff" * 65536
     elif who == "roster":
-        running.roster.mode = "silent"
-        sock = until(lambda: [link for link in running.roster.links if link.fileno() >= 0])[-1]
+        running.registry.mode = "silent"
+        sock = until(lambda: [link for link in running.registry.links if link.fileno() >= 0])[-1]
         data = b"HTTP/1.1 204 No Content\r\n" + b"X-More: 1\r\n" * 6000
     elif who == "store":
-        sock = running.store.links[-1]
+        sock = running.dependency.links[-1]
         data = b"ffff BUSY\r\n" * 6000
     else:
-        assert running.kernel.link
-        sock = running.kernel.link
+        assert running.engine.link
+        sock = running.engine.link
         data = remark * 2000
 
-    lock = running.kernel.lock if who == "kernel" else threading.Lock()
+    lock = running.engine.lock if who == "kernel" else threading.Lock()
 
     def send() -> None:
         with contextlib.suppress(OSError):
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -154,7 +154,7 @@
         assert client.answer(check)[0] == "success"
         for n in range(15, 25):
             ask(n)
-        until(lambda: running.kernel.link)
+        until(lambda: running.engine.link)
         if stop_ms < 2500:
             until(lambda: all(seq in client.answers for seq in sent), "answers before the drain")
         running.process.terminate()
@@ -167,7 +167,7 @@
             kind, value = client.answers[seq]
             if kind == "success":
                 assert value.body.startswith(b"result of %d " % (seq - 1 if seq <= 15 else seq - 2))
-        ran = [body for body, count in running.kernel.by_body.items() if count > 1]
+        ran = [body for body, count in running.engine.by_body.items() if count > 1]
         assert not ran
         assert set(client.count) == {*sent, check}
         shown = given_settings["family_info"].get("signal") in ("floor", "allowance", "weight")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -73,7 +73,7 @@
         client.sock.close()
         if seq in client.answers:
             return str(client.answers[seq][0])
-        if "shutdown" not in client.told:
+        if "shutdown" not in client.one_way_messages:
             return "closed without notice"
     return "closed without notice twice"
 
@@ -193,10 +193,10 @@
             kind, answer = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
             assert kind == "success"
             assert answer.body == b"result of ms=5 once"
-            assert new.kernel.by_body[b"ms=5 once"] == 0
-            assert old.kernel.by_body[b"ms=5 once"] == 1
+            assert new.engine.by_body[b"ms=5 once"] == 0
+            assert old.engine.by_body[b"ms=5 once"] == 1
             assert ThriftClient(port).ask("order", b"ms=5 twice", key="k-2")[0] == "success"
-            assert new.kernel.by_body[b"ms=5 twice"] == 1
+            assert new.engine.by_body[b"ms=5 twice"] == 1
 
 
 def test_a_request_that_still_runs_when_its_process_ends_is_not_run_again(handover_folders: HandoverFolders) -> None:
@@ -205,7 +205,7 @@
         port = old.ports[0]
         client = ThriftClient(port)
         client.send("order", b"ms=6000 slow", key="k-1")
-        until(lambda: old.kernel.by_body[b"ms=6000 slow"], "the run")
+        until(lambda: old.engine.by_body[b"ms=6000 slow"], "the run")
         client.sock.close()  # nobody waits for the answer now
         with server_process(
             handover_folders.new,
@@ -218,8 +218,8 @@
             assert old.process.wait(10) == 0
             until(lambda: new.event("hand-over taken: 1 keys"), "the keys received")
             assert ThriftClient(port).ask("order", b"ms=6000 slow", key="k-1")[0] == "failed"
-            assert new.kernel.by_body[b"ms=6000 slow"] == 0
-            assert old.kernel.by_body[b"ms=6000 slow"] == 1
+            assert new.engine.by_body[b"ms=6000 slow"] == 0
+            assert old.engine.by_body[b"ms=6000 slow"] == 1
 
 
 def test_keys_published_between_two_polls_are_not_missed(tmp_path: Path) -> None:
@@ -241,7 +241,7 @@
             tmp_path / "new",
             mgmt=True,
             shared=tmp_path,
-            given={**KEYED_SETTINGS, "kernel": old.kernel.address},
+            given={**KEYED_SETTINGS, "kernel": old.engine.address},
             listen=f"127.0.0.1:{port}",
             start=gate.start,
             wait=False,
@@ -258,4 +258,4 @@
             assert new.event("hand-over taken: 1 keys") is not None
             client = connect_when_listening(port)
             assert client.ask("booking", b"seat 1", token="t", again="1")[0] == "success"
-        assert old.kernel.by_body[b"seat 1"] == 1
+        assert old.engine.by_body[b"seat 1"] == 1
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -20,10 +20,10 @@
     first = client.send("booking", b"seat 1", token="aa")
     until(engine.read)  # its start
     if when == "at a call":
-        server.store.script = ["hang"]
+        server.dependency.script = ["hang"]
         engine.ask(b"seat 1")
         until(engine.hear)
-        until(lambda: server.store.calls)
+        until(lambda: server.dependency.calls)
     if when in ("ended", "failed"):
         engine.end(b"seat 1", "PASS" if when == "ended" else "FAIL")
         until(engine.hear)
@@ -36,7 +36,7 @@
     assert other.answer(other.say("ping", full=False))
     if when not in ("ended", "failed"):
         assert repeat not in other.answers  # it waits for the one run
-        server.store.cut()
+        server.dependency.cut()
         engine.end(b"seat 1", "PASS")
         until(engine.hear)
     kind, answer = other.answer(repeat)
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -27,7 +27,7 @@
 
 def test_lives_that_end_by_kill_leave_the_next_one_ready_and_nothing_to_run(tmp_path: Path) -> None:
     port, kernel = free_port(), TracedKernel()
-    with server_process(tmp_path, listen=f"127.0.0.1:{port}", kernel=kernel, wait=False) as running:
+    with server_process(tmp_path, listen=f"127.0.0.1:{port}", engine=kernel, wait=False) as running:
         everyone: list[TracedClient] = []
         ready_s: list[float] = []
         for life in range(LIVES):
@@ -36,7 +36,7 @@
             ready_s.append(time.monotonic() - began)
             probe = TracedClient(port)
             assert probe.answer(probe.request("order", b"probe %d" % life))[0] == "success"
-            until(lambda: len(running.roster.reports) > life, "a report")  # noqa: B023
+            until(lambda: len(running.registry.reports) > life, "a report")  # noqa: B023
             everyone += [probe, *crowd(port, kernel, life)]
             until(lambda: any(b"life %d," % life in body for body in kernel.by_body), "starts")  # noqa: B023
             if life < LIVES - 1:
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -32,17 +32,19 @@
     class Forgetful(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             values = {"runnable": float(len(self.running))}
-            self.tell(link, {"t": "INFO", "mark": command["mark"], "v": [values.get(name, 0.1) for name in gauges]})
+            self.send_line(
+                link, {"t": "INFO", "mark": command["mark"], "v": [values.get(name, 0.1) for name in gauges]}
+            )
 
     given = settings()
     given["classes"] = [{"name": "fetch", "effect": "free", "aim_ms": 400, "give_up_ms": 800}]
     given["family_info"] |= {"gauges": gauges, "cores": 1}
-    with server_process(tmp_path, kernel=Forgetful(), given={"settings": given}) as running:
+    with server_process(tmp_path, engine=Forgetful(), given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("fetch", b"ms=1")[0] for _ in range(30)] == ["success"] * 30
         lost = client.send("fetch", b"ms=60000")
-        until(lambda: running.kernel.running)
-        running.kernel.running.clear()  # it runs it no longer, and will never say so
+        until(lambda: running.engine.running)
+        running.engine.running.clear()  # it runs it no longer, and will never say so
         assert client.answer(lost)[0] == "failed"
         began = time.monotonic()
         until(lambda: client.ask("fetch", b"ms=1")[0] == "success", "room for another run")
@@ -56,7 +58,7 @@
     given["classes"] = [{"name": "order", "effect": "single_shot", "aim_ms": 400, "give_up_ms": 600}]
     with server_process(tmp_path, given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
-        running.store.script = ["hang"]
+        running.dependency.script = ["hang"]
         assert client.ask("order", b"calls=1")[0] == "failed"
         until(lambda: running.counters().get("run.lost") == 1, "the run given up")
         assert client.ask("order", b"calls=1")[0] == "success"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,25 +20,25 @@
     client = ThriftClient(server.ports[0])
     seqs: list[int] = []
     for n in range(5):
-        server.store.script = ["slow"]
-        seen = len(server.store.calls)  # one call is in hand as the links move
+        server.dependency.script = ["slow"]
+        seen = len(server.dependency.calls)  # one call is in hand as the links move
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
-        until(lambda: len(server.store.calls) >= seen + 3)  # noqa: B023
-        old = [*server.store.links, *server.roster.links]
+        until(lambda: len(server.dependency.calls) >= seen + 3)  # noqa: B023
+        old = [*server.dependency.links, *server.registry.links]
         server.move()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
         for seq in seqs:
             client.answer(seq)  # from then on the old links have nothing in hand
-        server.store.cut(*old)
+        server.dependency.cut(*old)
     assert [client.answer(seq)[0] for seq in seqs] == ["success"] * len(seqs)
-    assert set(server.kernel.starts.values()) == {1}
+    assert set(server.engine.starts.values()) == {1}
     counts = server.counters()
-    reports = len(server.roster.reports)
+    reports = len(server.registry.reports)
     assert not counts.get("kernel.repeated")
     assert not counts.get("store.cut_off")
     assert counts["reload.done"] == 5
-    until(lambda: len(server.roster.reports) > reports)
+    until(lambda: len(server.registry.reports) > reports)
 
 
 @pytest.mark.parametrize(
@@ -55,33 +55,33 @@
 
 def test_a_reload_of_a_half_written_file_is_named_and_taken_once_it_is_whole(tmp_path: Path) -> None:
     with server_process(tmp_path) as running:
-        old = running.kernel
-        running.kernel = type(old)()
-        text = json.dumps({**running.config, "kernel": running.kernel.address})
+        old = running.engine
+        running.engine = type(old)()
+        text = json.dumps({**running.config, "kernel": running.engine.address})
         running.path.write_text(text[:-20])
         running.process.send_signal(signal.SIGHUP)
         assert until(lambda: running.event("reload refused"))["error"].startswith("BALANCER_CONFIG: not JSON")
         running.path.write_text(text)
         until(lambda: running.event("reloaded"))
         assert ThriftClient(running.ports[0]).ask("order", b"on the new link")[0] == "success"
-        assert running.kernel.by_body[b"on the new link"] == 1
+        assert running.engine.by_body[b"on the new link"] == 1
         old.down()
 
 
 def test_a_reload_in_a_hand_over_moves_the_links_that_its_runs_end_over(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as running:
         client = ThriftClient(running.ports[0])
-        running.store.script = ["hang"]
+        running.dependency.script = ["hang"]
         seq = client.send("order", b"calls=1")
-        until(lambda: running.store.calls)
+        until(lambda: running.dependency.calls)
         running.process.terminate()
         until(lambda: running.event("handing over"))
-        until(lambda: client.told)
-        running.kernel.relisten()
-        running.config["kernel"] = running.kernel.address
+        until(lambda: client.one_way_messages)
+        running.engine.relisten()
+        running.config["kernel"] = running.engine.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
         until(lambda: sum(row["event"] == "kernel up" for row in running.log) == 2)
-        running.kernel.note(t="REAP", rid=next(iter(running.kernel.running)), status="PASS", time_ms=5, b64="")
+        running.engine.note(t="REAP", rid=next(iter(running.engine.running)), status="PASS", time_ms=5, b64="")
         assert client.answer(seq)[0] == "success"
         assert running.process.wait(20) == 0
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -41,14 +41,14 @@
 def serve_and_stop(running: ServerProcess, port: int) -> None:
     """Requests, a log line on an operator's signal, an unexpected line of the execution engine, and a drain."""
     client = connect_when_listening(port)
-    until(lambda: running.kernel.link)
+    until(lambda: running.engine.link)
     assert client.ask("order", b"calls=1")[0] == "success"
     running.process.send_signal(signal.SIGUSR1)
-    assert running.kernel.link
-    running.kernel.link.sendall(b'{"t":"EINVAL","status":"SCHED","rid":"00"}\n')
+    assert running.engine.link
+    running.engine.link.sendall(b'{"t":"EINVAL","status":"SCHED","rid":"00"}\n')
     assert client.ask("fetch", b"calls=1")[0] == "success"
     in_flight = client.send("render", b"ms=300")
-    until(lambda: len(running.kernel.starts) == 3)
+    until(lambda: len(running.engine.starts) == 3)
     assert running.stop() == 0
     assert client.answer(in_flight)[0] == "success"
     assert not client.count.keys() - set(range(1, client.seq + 1))
@@ -70,7 +70,7 @@
     command = ["/bin/sh", "-c", f"exec {sys.executable} -m myrtlespar <&- >&- 2>&-"]
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", command=command, wait=False) as running:
         serve_and_stop(running, port)
-        kinds = {row["t"] for row in running.kernel.commands}
+        kinds = {row["t"] for row in running.engine.commands}
         assert kinds <= {"OPEN", "SCHED", "IODONE", "SYSINFO"}
 
 
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -128,8 +128,8 @@
         names = [row.get("name") or str(n) for n, row in enumerate(classes)]
         client = ThriftClient(running.ports[0])
         assert [client.ask(name, b"calls=1")[0] for name in names] == ["success"] * len(names)
-        until(lambda: running.roster.reports)
-        assert len(running.roster.reports[0][0].split("/")) == 3
+        until(lambda: running.registry.reports)
+        assert len(running.registry.reports[0][0].split("/")) == 3
         assert running.stop() == 0
 
 
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -44,7 +44,7 @@
         other = ThriftClient(running.ports[0])
         client = ThriftClient(running.ports[0])
         pending = client.send("order", b"ms=400 calls=1")
-        until(lambda: running.kernel.starts)
+        until(lambda: running.engine.starts)
         client.send("fetch", b"boom")
         assert client.answer(pending)[0] == "success"
         assert client.ended.wait(20)
@@ -82,7 +82,7 @@
     ) as running:
         silent = ThriftClient(running.ports[0])
         assert_logged_and_counted(running, "part failed and goes on", f"fault.{part}")
-        until(lambda: running.roster.reports)
+        until(lambda: running.registry.reports)
         assert ThriftClient(running.ports[0]).ask("order", b"calls=1")[0] == "success"
         assert silent.ended.wait(20)  # closed, as every connection that sends nothing
         assert running.stop() == 0
--- a/tests/test_thrift_requests.py
+++ b/tests/test_thrift_requests.py
@@ -25,8 +25,8 @@
     kind, answer = ThriftClient(server.ports[0]).ask("render", body)
     assert (kind, answer.body, answer.good) == ("success", b"result of " + body, True)
     assert 0 <= float(answer.fields["hint"]) <= 1
-    assert [call for _, call in server.store.calls] == [b"call %d of " % n + body for n in range(2)]
-    assert server.kernel.replies == [b"reply\r\nto call %d of " % n + body for n in range(2)]
+    assert [call for _, call in server.dependency.calls] == [b"call %d of " % n + body for n in range(2)]
+    assert server.engine.replies == [b"reply\r\nto call %d of " % n + body for n in range(2)]
 
 
 @pytest.mark.parametrize(
@@ -80,13 +80,13 @@
 def test_abort_frees_what_is_held_and_its_answer_is_not_needed(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     running = [client.send("render", b"ms=1000") for _ in range(3)]
-    until(lambda: server.kernel.starts)
+    until(lambda: server.engine.starts)
     held = client.send("order", b"never")
     client.say("abort", seqid=held)
     assert [client.answer(seq)[0] for seq in running] == ["success"] * 3
     assert client.ask("fetch")[0] == "success"
     assert held not in client.answers
-    assert b"never" not in server.kernel.by_body
+    assert b"never" not in server.engine.by_body
     assert client.count[running[0]] == 1
 
 
@@ -131,12 +131,12 @@
         client.sock.sendall(frame[:at])
         if notice:
             running.process.terminate()
-            until(lambda: client.told)
+            until(lambda: client.one_way_messages)
         else:
             other = ThriftClient(running.ports[0])
             assert other.ask("fetch", b"meanwhile")[0] == "success"
         client.sock.sendall(frame[at:])
         assert client.answer(7)[0] == "success"
-        assert running.kernel.by_body[b"in two"] == 1
+        assert running.engine.by_body[b"in two"] == 1
         assert running.stop() == 0
         assert client.count[7] == 1
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -51,15 +51,15 @@
     def _compare_commands(self) -> None:
         """Each start and each reply that the engine got belongs to one request; no order started twice."""
         wrong = self.trial.wrong
-        for command in self.trial.kernel.history:
+        for command in self.trial.engine.history:
             if command["t"] == "SCHED":
                 self._compare_start(command)
             elif command["t"] == "IODONE":
                 reply = base64.b64decode(command["b64"])
-                asked = self.trial.kernel.asked.get(command["rid"], set())
+                asked = self.trial.engine.asked.get(command["rid"], set())
                 if reply not in {b"reply\r\nto " + body for body in asked}:
                     wrong.append(f"reply that no call got: {command}")
-        wrong += [f"line to the kernel: {line!r}" for line in self.trial.kernel.malformed]
+        wrong += [f"line to the kernel: {line!r}" for line in self.trial.engine.malformed]
         wrong += [
             f"order started {count} times: {self.requests[rid]}"
             for rid, count in self.starts.items()
@@ -78,16 +78,18 @@
         wrong = self.trial.wrong
         wrong += [
             f"call that no run made: {id} {body!r}"
-            for id, body in self.running.store.calls
-            if body not in self.trial.kernel.asked.get(id, set())
+            for id, body in self.running.dependency.calls
+            if body not in self.trial.engine.asked.get(id, set())
         ]
-        reports = self.running.roster.reports
+        reports = self.running.registry.reports
         wrong += [f"report of another: {path}" for path, _ in reports if path != "/roster/n3"]
 
     def _compare_messages(self, client: TracedClient) -> None:
         wrong = self.trial.wrong
         wrong += [f"unreadable answer: {text}" for text in client.unreadable]
-        wrong += [f"message that no request stands behind: {name}" for name in client.told if name != "shutdown"]
+        wrong += [
+            f"message that no request stands behind: {name}" for name in client.one_way_messages if name != "shutdown"
+        ]
         wrong += [f"answer {seq} to no request" for seq in client.answers if seq not in client.sent]
 
     def _compare_answer(self, client: TracedClient, seq: int, request: Request) -> None:
