--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -35,19 +35,19 @@
     status = STATUS_HOLDS
     for name in plans:
         result = module.explore(name, jobs, seconds)
-        verdict = "fell" if result.fell else "holds" if result.whole else "no verdict"
+        verdict = "fell" if result.violations else "holds" if result.complete else "no verdict"
         print(
-            f"{area} {name:8} {result.runs:>9,} runs {result.steps:>13,} steps (longest run {result.longest:,}), up to "
-            f"{module.PLANS[name].deep} faults a run {result.seconds:7.1f} s  {verdict}",
+            f"{area} {name:8} {result.runs:>9,} runs {result.steps:>13,} steps (longest run {result.longest_run:,}), "
+            f"up to {module.PLANS[name].max_faults} faults a run {result.seconds:7.1f} s  {verdict}",
             flush=True,
         )
-        for line in result.fell:
+        for line in result.violations:
             print(f"  {line}")
-        if result.fell:
-            for at, fault in result.path:
+        if result.violations:
+            for at, fault in result.counterexample:
                 print(f"  {at:7.0f} ms  {' '.join(str(word) for word in fault)}")
             status = STATUS_VIOLATED
-        elif not result.whole:
+        elif not result.complete:
             status = status or STATUS_NO_VERDICT
     return status
 
@@ -78,12 +78,12 @@
     known = mutations(area)
     install_mutation(name, known)
     result = explorer(area).explore(known[name].scenario, 1, seconds)
-    if not result.fell:
-        print(f"survived {result.runs:,} runs{'' if result.whole else ', not all'}")
+    if not result.violations:
+        print(f"survived {result.runs:,} runs{'' if result.complete else ', not all'}")
         return STATUS_VIOLATED
-    outcome = "too long" if len(result.path) > MAX_COUNTEREXAMPLE_FAULTS else "found"
-    promise = result.fell[0].partition(":")[0]
-    print(f"{outcome}: {promise}, after {len(result.path)} faults, {result.runs:,} runs")
+    outcome = "too long" if len(result.counterexample) > MAX_COUNTEREXAMPLE_FAULTS else "found"
+    promise = result.violations[0].partition(":")[0]
+    print(f"{outcome}: {promise}, after {len(result.counterexample)} faults, {result.runs:,} runs")
     return STATUS_HOLDS
 
 
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -23,26 +23,26 @@
 class ExplorationResult:
     """What was explored, and the first run with a broken promise.
 
-    The explorer of limits has a result with the same fields: `command` reads both.
+    The explorer of limits has a result with the same fields and `max_in_use`: `command` reads both.
     """
 
     runs: int = 0
     steps: int = 0
-    longest: int = 0  # steps of the longest run
+    longest_run: int = 0  # steps of the longest run
     seconds: float = 0.0
-    whole: bool = True  # no run was left out
-    fell: list[str] = field(default_factory=list)  # broken promises
-    path: list[tuple[float, tuple[Any, ...]]] = field(default_factory=list)  # time, words of the fault
+    complete: bool = True  # all runs were explored, or the search ended early with a violation
+    violations: list[str] = field(default_factory=list)  # broken promises
+    counterexample: list[tuple[float, tuple[Any, ...]]] = field(default_factory=list)  # time, words of the fault
 
     def add(self, other: ExplorationResult) -> None:
         """Add another result to this one."""
         self.runs += other.runs
         self.steps += other.steps
-        self.longest = max(self.longest, other.longest)
-        self.whole = self.whole and other.whole
-        if other.fell and not self.fell:
-            self.fell = other.fell
-            self.path = other.path
+        self.longest_run = max(self.longest_run, other.longest_run)
+        self.complete = self.complete and other.complete
+        if other.violations and not self.violations:
+            self.violations = other.violations
+            self.counterexample = other.counterexample
 
 
 class Task(NamedTuple):
@@ -50,7 +50,7 @@
 
     plan: str
     share: int
-    shares: int
+    share_count: int
     deadline: float  # monotonic seconds
 
 
@@ -62,15 +62,15 @@
         self.deadline = deadline
         self.result = ExplorationResult()
 
-    def explore_share(self, share: int, shares: int) -> ExplorationResult:
+    def explore_share(self, share: int, share_count: int) -> ExplorationResult:
         """Explore the runs whose first fault is in one share."""
         world = settled_world()
         step = 0
         while world.now < SETTLED_MS + FAULT_WINDOW_MS:
-            if step % self.plan.first == 0:
+            if step % self.plan.first_fault_interval == 0:
                 for number, fault in enumerate(possible_faults(world, self.plan.kinds)):
-                    if (step * 31 + number) % shares == share:
-                        self._follow(world.copy(), fault, self.plan.deep)
+                    if (step * 31 + number) % share_count == share:
+                        self._follow(world.copy(), fault, self.plan.max_faults)
                         if self._stopped():
                             return self.result
             world.step()
@@ -89,7 +89,7 @@
         """All runs from here: each with a further fault at a further step, then the one without."""
         step = 0
         while world.now < until:
-            if step % self.plan.every == 0:
+            if step % self.plan.later_fault_interval == 0:
                 for fault in possible_faults(world, self.plan.kinds):
                     self._follow(world.copy(), fault, faults_left)
                     if self._stopped():
@@ -107,15 +107,15 @@
                 run_to_rest(world)
         except (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
             world.violate("no machine fails", f"{type(error).__name__}: {error}")
-        run = ExplorationResult(1, world.steps, world.steps, fell=world.violations)
+        run = ExplorationResult(1, world.steps, world.steps, violations=world.violations)
         if world.violations:
-            run.path = [(at, fault_words(fault)) for at, fault in world.history.faults]
+            run.counterexample = [(at, fault_words(fault)) for at, fault in world.history.faults]
         self.result.add(run)
 
     def _stopped(self) -> bool:
-        if not self.result.fell and time.monotonic() <= self.deadline:
+        if not self.result.violations and time.monotonic() <= self.deadline:
             return False
-        self.result.whole = bool(self.result.fell)
+        self.result.complete = bool(self.result.violations)
         return True
 
 
@@ -123,17 +123,17 @@
     """Explore all runs of a plan, or stop at the first broken promise or after so many seconds."""
     started = time.monotonic()
     total = ExplorationResult()
-    shares = jobs * TASKS_PER_JOB
-    for result in _results([Task(name, share, shares, started + seconds) for share in range(shares)], jobs):
+    share_count = jobs * TASKS_PER_JOB
+    for result in _results([Task(name, share, share_count, started + seconds) for share in range(share_count)], jobs):
         total.add(result)
-        if total.fell:
+        if total.violations:
             break
     total.seconds = time.monotonic() - started
     return total
 
 
 def _run_task(task: Task) -> ExplorationResult:
-    return Explorer(PLANS[task.plan], task.deadline).explore_share(task.share, task.shares)
+    return Explorer(PLANS[task.plan], task.deadline).explore_share(task.share, task.share_count)
 
 
 def _results(tasks: list[Task], jobs: int) -> Iterator[ExplorationResult]:
--- a/myrtlespar/model_checker/fleet/plans.py
+++ b/myrtlespar/model_checker/fleet/plans.py
@@ -9,25 +9,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How many faults a run has, of which kinds, and at which steps they are tried."""
+    """How many faults a run has, of which kinds, and at which steps they may happen."""
 
     name: str
-    deep: int  # faults of a run
+    max_faults: int  # in one run
     kinds: frozenset[str] = ALL_KINDS
-    every: int = 1  # the second and later faults at each so-many-th step
-    first: int = 1  # the first fault at each so-many-th step
+    later_fault_interval: int = 1  # steps between those at which a second or later fault may happen
+    first_fault_interval: int = 1  # the same for the first fault
 
 
 PLANS = {
     plan.name: plan
     for plan in (
         Plan("single", 1),
-        Plan("quick", 2, every=47, first=41),
-        Plan("double", 2, every=23, first=17),
-        Plan("pairs", 2, every=4, first=2),
+        Plan("quick", 2, later_fault_interval=47, first_fault_interval=41),
+        Plan("double", 2, later_fault_interval=23, first_fault_interval=17),
+        Plan("pairs", 2, later_fault_interval=4, first_fault_interval=2),
         Plan("full", 2),
-        Plan("deaf", 2, frozenset(("cut", "stop")), every=2, first=5),
-        Plan("late", 2, frozenset(("losses", "stop")), every=3, first=7),
-        Plan("triples", 3, every=29, first=23),
+        Plan("deaf", 2, frozenset(("cut", "stop")), later_fault_interval=2, first_fault_interval=5),
+        Plan("late", 2, frozenset(("losses", "stop")), later_fault_interval=3, first_fault_interval=7),
+        Plan("triples", 3, later_fault_interval=29, first_fault_interval=23),
     )
 }
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -1,4 +1,4 @@
-"""Visits every run with at most so many faults, each through the calm after its last fault, and checks the promises."""
+"""Explores all runs of a plan, each until the limit must be in full use again after its last fault, and checks them."""
 
 from __future__ import annotations
 
@@ -15,132 +15,135 @@
 from myrtlespar.model_checker.quota.world import World, begin
 from myrtlespar.model_checker.quota.world_settings import WARM_UP_MS
 
-CALM_MS = 3200.0  # after the end of the last fault
-RECOVERED_MS = 1600.0  # the last part of the calm, in which the limit must be in use again
+RECOVERY_MS = 3200.0  # a run goes on for so long after the end of its last fault
+RECOVERED_MS = 1600.0  # the last part of that time, in which the limit must be in use again
 MIN_RECOVERED_USE = 0.75  # part of the limit
 MAX_LATER_USE = 1.001  # part of the later limit, once all members have adopted it
 SHARES_PER_JOB = 4  # so that no job is left with most of the work
-UNFINISHED = frozenset(
+FAULT_END_EVENTS = frozenset(
     (EventKind.START, EventKind.RESUME, EventKind.HEAL, EventKind.BELIEVE, EventKind.LOUD, EventKind.ADOPT)
-)  # events that end a fault
+)  # while one of these is scheduled, a fault is not over
 MACHINE_ERRORS = (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError)
 
 
 @dataclass(slots=True)
-class Found:
-    """What was visited, how near it came to the limit, and the first run with a broken promise."""
+class ExplorationResult:
+    """What was explored, how near it came to the limit, and the first run with a broken promise.
+
+    The explorer of membership has a result with the same fields, but for `max_in_use`: `fleet.command` reads both.
+    """
 
     runs: int = 0
     steps: int = 0
-    longest: int = 0  # steps of the longest run
-    most: int = 0  # in use at a time
+    longest_run: int = 0  # steps of the longest run
+    max_in_use: int = 0  # greatest use of the limit at a time, over all runs
     seconds: float = 0.0
-    whole: bool = True  # whether all runs were visited, or one broke a promise
-    fell: list[str] = field(default_factory=list)  # broken promises
-    path: list[tuple[float, Fault]] = field(default_factory=list)  # the faults of that run
+    complete: bool = True  # all runs were explored, or the search ended early with a violation
+    violations: list[str] = field(default_factory=list)  # broken promises
+    counterexample: list[tuple[float, Fault]] = field(default_factory=list)  # the faults of that run
 
-    def add(self, other: Found) -> None:
+    def add(self, other: ExplorationResult) -> None:
         """Add another result to this one."""
         self.runs += other.runs
         self.steps += other.steps
-        self.most = max(self.most, other.most)
-        self.longest = max(self.longest, other.longest)
-        self.whole = self.whole and other.whole
-        if other.fell and not self.fell:
-            self.fell = other.fell
-            self.path = other.path
+        self.max_in_use = max(self.max_in_use, other.max_in_use)
+        self.longest_run = max(self.longest_run, other.longest_run)
+        self.complete = self.complete and other.complete
+        if other.violations and not self.violations:
+            self.violations = other.violations
+            self.counterexample = other.counterexample
 
 
 class ExplorerJob(NamedTuple):
-    """The runs of one plan in one of its settings whose first fault falls into one share of the steps."""
+    """The runs of a plan in one of its `SETTINGS` whose first fault has a number of this share."""
 
     plan: str
     settings: str
     share: int
     share_count: int
-    deadline: float  # of `time.monotonic`
+    deadline: float  # monotonic seconds
 
 
 class Explorer:
-    """Visits the runs of one job until a promise is broken or its time is over."""
+    """Explores the runs of one job until a promise is broken or its deadline passes."""
 
     def __init__(self, job: ExplorerJob) -> None:
         self.job = job
         self.plan: Plan = PLANS[job.plan]
 
-    def explore(self) -> Found:
-        """Visit all runs of the job."""
+    def explore(self) -> ExplorationResult:
+        """Explore all runs of the job."""
         plan = self.plan
-        found = Found()
+        result = ExplorationResult()
         step = 0
         world = begin(SETTINGS[self.job.settings])
         while world.now < WARM_UP_MS + plan.span_ms:
-            if step % plan.first == 0:
-                for number, fault in enumerate(possible_faults(world, plan.kinds_at(plan.deep))):
+            if step % plan.first_fault_interval == 0:
+                for number, fault in enumerate(possible_faults(world, plan.kinds_at(plan.max_faults))):
                     if (step * 31 + number) % self.job.share_count != self.job.share:
                         continue
-                    found.add(self._follow(world.copy(), fault, plan.deep))
-                    if self._is_over(found):
-                        found.whole = bool(found.fell)
-                        return found
+                    result.add(self._follow(world.copy(), fault, plan.max_faults))
+                    if self._is_over(result):
+                        result.complete = bool(result.violations)
+                        return result
             world.step()
             step += 1
-        return found
+        return result
 
-    def _is_over(self, found: Found) -> bool:
-        return bool(found.fell) or time.monotonic() > self.job.deadline
+    def _is_over(self, result: ExplorationResult) -> bool:
+        return bool(result.violations) or time.monotonic() > self.job.deadline
 
-    def _follow(self, world: World, fault: Fault, faults_left: int) -> Found:
-        """Visit the runs that go on from this fault."""
+    def _follow(self, world: World, fault: Fault, faults_left: int) -> ExplorationResult:
+        """Explore the runs that continue from this fault."""
         world.apply(fault)
         if faults_left > 1:
             return self._visit(world, faults_left - 1, world.now + self.plan.span_ms)
         return finish(world)
 
-    def _visit(self, world: World, faults_left: int, until: float) -> Found:
-        """Visit the run without further faults, and those with each further fault at each further step."""
-        found = Found()
+    def _visit(self, world: World, faults_left: int, until: float) -> ExplorationResult:
+        """Explore the run without further faults, and those with each further fault at each further step."""
+        result = ExplorationResult()
         step = 0
         while world.now < until and faults_left:
             if step % self.plan.step_interval(faults_left) == 0:
                 for fault in possible_faults(world, self.plan.kinds_at(faults_left)):
-                    found.add(self._follow(world.copy(), fault, faults_left))
-                    if self._is_over(found):
-                        found.whole = found.whole and bool(found.fell)
-                        return found
+                    result.add(self._follow(world.copy(), fault, faults_left))
+                    if self._is_over(result):
+                        result.complete = result.complete and bool(result.violations)
+                        return result
             world.step()
             step += 1
             if world.violations:
                 break
         if world.faults:
-            found.add(finish(world))
-        return found
+            result.add(finish(world))
+        return result
 
 
-def finish(world: World) -> Found:
-    """Follow one run to its end."""
+def finish(world: World) -> ExplorationResult:
+    """Complete one run and return its result."""
     try:
         if not world.violations:
-            calm(world)
+            run_to_recovery(world)
     except MACHINE_ERRORS as error:
         world.violations.append(f"no machine fails: {type(error).__name__}: {error}")
-    return Found(
+    return ExplorationResult(
         runs=1,
         steps=world.steps,
-        longest=world.steps,
-        most=world.usage.max_in_use,
-        fell=world.violations,
-        path=world.faults if world.violations else [],
+        longest_run=world.steps,
+        max_in_use=world.usage.max_in_use,
+        violations=world.violations,
+        counterexample=world.faults if world.violations else [],
     )
 
 
-def calm(world: World) -> None:
-    """Go on until all faults have ended and faded; then the whole limit must be in use again."""
-    while any(event.kind in UNFINISHED for event in world.queue):
+def run_to_recovery(world: World) -> None:
+    """Continue until all faults and their effects have ended, and check that the whole limit is in use again."""
+    while any(event.kind in FAULT_END_EVENTS for event in world.queue):
         world.step()
         if world.violations:
             return
-    end = world.now + CALM_MS
+    end = world.now + RECOVERY_MS
     while world.now < end - RECOVERED_MS:
         world.step()
     starts_before = world.usage.total_starts()
@@ -157,35 +160,35 @@
         world.violations.append(f"all of it is in use again: {used:.2f} at the end")
 
 
-def explore(name: str, jobs: int, seconds: float) -> Found:
-    """Visit all runs of a plan, or stop at the first broken promise or after so many seconds."""
-    began = time.monotonic()
-    found = Found()
+def explore(name: str, jobs: int, seconds: float) -> ExplorationResult:
+    """Explore all runs of a plan, or stop at the first broken promise or after so many seconds."""
+    started = time.monotonic()
+    result = ExplorationResult()
     share_count = jobs * SHARES_PER_JOB
-    work = [
-        ExplorerJob(name, settings, share, share_count, began + seconds)
+    explorer_jobs = [
+        ExplorerJob(name, settings, share, share_count, started + seconds)
         for settings in PLANS[name].settings
         for share in range(share_count)
     ]
-    for part in _results(work, jobs):
-        found.add(part)
-        if found.fell:
+    for job_result in _results(explorer_jobs, jobs):
+        result.add(job_result)
+        if result.violations:
             break
-    found.seconds = time.monotonic() - began
-    return found
+    result.seconds = time.monotonic() - started
+    return result
 
 
-def _run_job(job: ExplorerJob) -> Found:
+def _run_job(job: ExplorerJob) -> ExplorationResult:
     return Explorer(job).explore()
 
 
-def _results(work: list[ExplorerJob], jobs: int) -> Iterator[Found]:
+def _results(explorer_jobs: list[ExplorerJob], jobs: int) -> Iterator[ExplorationResult]:
     if jobs == 1:
-        yield from map(_run_job, work)
+        yield from map(_run_job, explorer_jobs)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(_run_job, work)
+        yield from pool.map(_run_job, explorer_jobs)
         pool.shutdown(cancel_futures=True)
 
 
-__all__ = ["PLANS", "Found", "explore"]
+__all__ = ["PLANS", "ExplorationResult", "explore"]
--- a/myrtlespar/model_checker/quota/plans.py
+++ b/myrtlespar/model_checker/quota/plans.py
@@ -37,41 +37,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Which runs are visited: those with up to `deep` faults, in these settings."""
+    """Which runs are visited: those with up to `max_faults` faults of these kinds, in worlds of these `SETTINGS`."""
 
     name: str
-    deep: int
-    first: int = 1  # the first fault comes at each so-many-th step
-    every: int = 1  # and later ones at each so-many-th
+    max_faults: int
+    first_fault_interval: int = 1  # steps between those at which the first fault may happen
+    later_fault_interval: int = 1  # the same for later faults
     settings: tuple[str, ...] = ("true", "drift", "drift back", "loose", "hand", "hand drift")
     span_ms: float = FAULT_SPAN_MS
-    first_kinds: frozenset[str] = frozenset()  # kinds of the first fault, if they are others
+    first_kinds: frozenset[str] = frozenset()  # kinds of the first fault; empty: `kinds`
     kinds: frozenset[str] = ALL_KINDS
 
     def kinds_at(self, faults_left: int) -> frozenset[str]:
-        """Return the kinds that may come while so many faults are left."""
-        return self.first_kinds if self.first_kinds and faults_left == self.deep else self.kinds
+        """Return the kinds of faults that may happen while so many faults are left."""
+        return self.first_kinds if self.first_kinds and faults_left == self.max_faults else self.kinds
 
     def step_interval(self, faults_left: int) -> int:
-        """Return at how many steps a fault may come while so many faults are left."""
-        return self.first if faults_left == self.deep else self.every
+        """Return the steps between those at which a fault may happen while so many faults are left."""
+        return self.first_fault_interval if faults_left == self.max_faults else self.later_fault_interval
 
 
 PLANS = {
     plan.name: plan
     for plan in (
-        Plan("sample", 1, first=37),
-        Plan("single", 1, first=4),
+        Plan("sample", 1, first_fault_interval=37),
+        Plan("single", 1, first_fault_interval=4),
         Plan("every", 1),
-        Plan("quick", 2, first=31, every=71, settings=("drift",)),
-        Plan("double", 2, first=11, every=23, settings=("true", "drift", "hand")),
-        Plan("keepers", 2, first=5, every=11, settings=("drift",), kinds=frozenset(("crash", "stop", "believe"))),
-        Plan("lives", 2, first=5, every=9, settings=("hand", "true"), kinds=frozenset(("crash", "sleep"))),
+        Plan("quick", 2, first_fault_interval=31, later_fault_interval=71, settings=("drift",)),
+        Plan("double", 2, first_fault_interval=11, later_fault_interval=23, settings=("true", "drift", "hand")),
+        Plan(
+            "keepers",
+            2,
+            first_fault_interval=5,
+            later_fault_interval=11,
+            settings=("drift",),
+            kinds=frozenset(("crash", "stop", "believe")),
+        ),
+        Plan(
+            "lives",
+            2,
+            first_fault_interval=5,
+            later_fault_interval=9,
+            settings=("hand", "true"),
+            kinds=frozenset(("crash", "sleep")),
+        ),
         Plan(
             "fence",
             2,
-            first=3,
-            every=3,
+            first_fault_interval=3,
+            later_fault_interval=3,
             settings=("true",),
             kinds=frozenset(("sleep",)),
             first_kinds=frozenset(("late",)),
@@ -79,8 +93,8 @@
         Plan(
             "shifts",
             2,
-            first=4,
-            every=1,
+            first_fault_interval=4,
+            later_fault_interval=1,
             settings=("drift",),
             span_ms=1100.0,
             kinds=frozenset(("late",)),
@@ -89,8 +103,8 @@
         Plan(
             "leases",
             2,
-            first=3,
-            every=5,
+            first_fault_interval=3,
+            later_fault_interval=5,
             settings=("true",),
             kinds=frozenset(("part", "sleep")),
             first_kinds=frozenset(("late",)),
@@ -98,8 +112,8 @@
         Plan(
             "voters",
             2,
-            first=5,
-            every=7,
+            first_fault_interval=5,
+            later_fault_interval=7,
             settings=("drift",),
             kinds=frozenset(("crash",)),
             first_kinds=frozenset(("shun",)),
@@ -107,8 +121,8 @@
         Plan(
             "changes",
             2,
-            first=7,
-            every=9,
+            first_fault_interval=7,
+            later_fault_interval=9,
             settings=("lowered", "raised"),
             span_ms=1000.0,
             kinds=frozenset(("crash", "part", "believe", "sleep")),
@@ -117,16 +131,16 @@
         Plan(
             "engine",
             2,
-            first=7,
-            every=13,
+            first_fault_interval=7,
+            later_fault_interval=13,
             settings=("engine", "engine hand"),
             kinds=frozenset(("crash", "stop", "believe", "away")),
         ),
         Plan(
             "budgets",
             2,
-            first=17,
-            every=13,
+            first_fault_interval=17,
+            later_fault_interval=13,
             settings=("budget",),
             span_ms=900.0,
             kinds=frozenset(("crash", "outage", "stop", "believe", "part")),
@@ -134,20 +148,20 @@
         Plan(
             "newer",
             1,
-            first=23,
+            first_fault_interval=23,
             settings=("budget", "engine", "engine hand"),
             kinds=frozenset(("crash", "outage", "stop", "believe", "part", "away", "packets")),
         ),
         Plan(
             "written",
             2,
-            first=5,
-            every=3,
+            first_fault_interval=5,
+            later_fault_interval=3,
             settings=("budget",),
             span_ms=300.0,
             kinds=frozenset(("crash",)),
             first_kinds=frozenset(("cut",)),
         ),
-        Plan("triples", 3, first=37, every=61, settings=("drift back",)),
+        Plan("triples", 3, first_fault_interval=37, later_fault_interval=61, settings=("drift back",)),
     )
 }
--- a/tests/test_quota_model_checker.py
+++ b/tests/test_quota_model_checker.py
@@ -34,19 +34,19 @@
 
 
 def test_no_schedule_with_one_fault_exceeds_a_limit() -> None:
-    found = explore("sample", 1, MAX_SECONDS)
-    assert not found.fell
-    assert found.whole
-    assert found.runs > 200
-    assert found.most >= RATE_LIMIT.amount
+    result = explore("sample", 1, MAX_SECONDS)
+    assert not result.violations
+    assert result.complete
+    assert result.runs > 200
+    assert result.max_in_use >= RATE_LIMIT.amount
 
 
 def test_no_schedule_with_one_fault_spends_a_budget_twice_or_elects_two_leaders() -> None:
-    found = explore("newer", 1, MAX_SECONDS)
-    assert not found.fell
-    assert found.whole
-    assert found.runs > 300
-    assert found.most > 100
+    result = explore("newer", 1, MAX_SECONDS)
+    assert not result.violations
+    assert result.complete
+    assert result.runs > 300
+    assert result.max_in_use > 100
 
 
 @pytest.mark.parametrize(
