--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -1,9 +1,10 @@
 """Requests that limits apply to: which of them are admitted, and which wait, in which order.
 
 A request that finds no capacity may wait, as capacity that returns a window later would otherwise be idle until the
-next request arrives. Waiting requests are admitted in the order that the caller gives; a new one stands behind all that
+next request arrives. Waiting requests are admitted in the order that the caller gives; a new one is behind all that
 wait for one of its keys. Whether waiting is worthwhile is not decided here: `try_acquire` says when there may be
-capacity, the caller decides.
+capacity, the caller decides. A request never leaves the queue by itself: the caller takes it by `take_ready` and calls
+`try_acquire` again, or gives it up by `release`.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
     order: float
     keys: Sequence[str]
-    caller: int
+    caller: int  # number of the client that sent it
 
 
 class LingeringRun(NamedTuple):
-    """A run that has ended for us, but counts until `ends_at`."""
+    """A run that has ended for this member, but may still be executed elsewhere and so counts until `ends_at`."""
 
     ends_at: float
     sequence_number: int
@@ -42,9 +43,11 @@
         self.waiting: dict[str, WaitingRequest] = {}  # by request
         self.waiting_by_caller: Counter[int] = Counter()
         self._waiting_by_key: dict[str, int] = {}
-        self._queues: dict[str, list[tuple[float, str]]] = {}  # by key: heap of (order, request), some of them gone
+        self._queues: dict[
+            str, list[tuple[float, str]]
+        ] = {}  # by key: heap of (order, request); entries that are not `waiting` are stale
         self._in_flight_keys: dict[str, list[str]] = {}  # by request: its keys of limits on runs in flight
-        self._ready: set[str] = set()  # requests that were returned as ready to retry
+        self._ready: set[str] = set()  # requests that `take_ready` returned and that have not acquired again yet
         self._lingering: list[LingeringRun] = []  # a heap
         self._lingering_count = 0
 
@@ -88,7 +91,7 @@
             self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
-        """Return the requests that may retry now, in order: each key's first ones, as many as fit."""
+        """Remove and return the requests that may acquire again now: each key's first ones, as many as fit."""
         ready: dict[str, Sequence[str]] = {}
         for key in list(self._queues):
             available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
@@ -112,7 +115,7 @@
         return first
 
     def release(self, id: str) -> None:
-        """Release a request that has ended or will not retry."""
+        """Remove a request that has ended or been given up: what it waits for and the runs in flight it counts as."""
         if id in self.waiting:
             self._dequeue(id)
         self._ready.discard(id)
@@ -121,7 +124,7 @@
                 self.coordinator.run_ended(key)
 
     def release_after(self, now: float, id: str, after_ms: float) -> None:
-        """Release a request that has ended for us, but may be in use for so long still."""
+        """Release a request that has ended for this member, but may still be executed for `after_ms`."""
         keys = self._in_flight_keys.pop(id, None)
         if keys:
             self._lingering_count += 1
@@ -129,7 +132,7 @@
             heapq.heappush(self._lingering, LingeringRun(ends_at, self._lingering_count, keys))
 
     def release_due(self, now: float) -> None:
-        """Release what no longer lingers."""
+        """End the runs that `release_after` left counted and whose time is over."""
         while self._lingering and self._lingering[0].ends_at <= now:
             for key in heapq.heappop(self._lingering).keys:
                 self.coordinator.run_ended(key)
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -16,9 +16,9 @@
 
 from myrtlespar.quota.settings import Limit
 
-DRAW_AHEAD_S = 1.0  # a member holds so many seconds of its demand
-RESERVE_AHEAD_FACTOR = 2  # a leader reserves so many times what is short, and at least
-MIN_RESERVE_DIVISOR = 100  # this fraction of the budget
+DRAW_AHEAD_S = 1.0  # a member draws so many seconds of its demand
+RESERVE_AHEAD_FACTOR = 2  # a leader reserves so many times what it lacks for a request
+MIN_RESERVE_DIVISOR = 100  # and at least the budget divided by this
 
 
 class BudgetPeriod(NamedTuple):
--- a/myrtlespar/quota/budget_account.py
+++ b/myrtlespar/quota/budget_account.py
@@ -23,7 +23,7 @@
     demand: UsageWindow
     drawn_total: int = 0
     returned_total: int = 0
-    spent: int = 0
+    spent: int = 0  # admitted by this incarnation
     leader: str = ""  # the latest leader that answered, its epoch, and what was returned to it
     epoch: int = 0
     returned_to_leader: int = 0
@@ -39,7 +39,7 @@
 class BudgetAccount:
     """One member's balances.
 
-    A balance is kept for its whole period: one that was lost could be filled twice.
+    A balance is kept for its whole period: without its totals, the same amount could be drawn a second time.
     """
 
     def __init__(self, settings: GrantSettings) -> None:
--- a/myrtlespar/quota/budget_allocator.py
+++ b/myrtlespar/quota/budget_allocator.py
@@ -79,7 +79,7 @@
         return DrawResult(response, reservation)
 
     def accept_reservation(self, voter: str, response: BudgetReserveResponse) -> None:
-        """Apply what a voter has persisted, which is valid whoever asked for it."""
+        """Apply the total that a voter has persisted, which is valid whichever leader requested it."""
         entry = self.entries.get(BudgetPeriod(response.key, response.period))
         if entry is None or voter not in self.voters:
             return
@@ -94,7 +94,7 @@
                 entry.reserved = entry.requested
 
     def drop_expired(self, present_periods: Mapping[str, int]) -> None:
-        """Drop the periods that are over; `present_periods` are by limit."""
+        """Drop the periods before the previous one, as a clock may be behind; `present_periods` are by limit."""
         for entry in list(self.entries):
             if entry.number < present_periods.get(entry.key.partition("/")[0], 0) - 1:
                 del self.entries[entry]
--- a/myrtlespar/quota/budget_exchange.py
+++ b/myrtlespar/quota/budget_exchange.py
@@ -1,4 +1,4 @@
-"""Messages about budgets: drawn as a member, handed out and reserved as a leader, persisted as a voter."""
+"""Handles the messages about budgets: draws as a member, hands out and reserves as a leader, persists as a voter."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         }
 
     def request_draws(self, now: float, wall_ms: float, present_voters: frozenset[str]) -> None:
-        """Send the draw requests that are due, and drop what is over from the journal."""
+        """Send the draw requests that are due, and drop expired periods from the journal."""
         for request in self.account.draw_requests(now):
             shard_id = shard_of(request.key, self._settings.ranges)
             leader = leader_of(shard_id, present_voters)
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -24,7 +24,10 @@
 
 
 class GrantHolder:
-    """All keys of one member. Their `allowances` are created when first wanted and dropped when idle."""
+    """The allowances of one member, by key: each is created at the key's first request and dropped when idle.
+
+    Not for budgets, which are in `budget_account`.
+    """
 
     def __init__(self, settings: GrantSettings, members: int, now: float) -> None:
         self.settings = settings
@@ -61,7 +64,7 @@
             allowance.guaranteed_share = self._guaranteed_share(allowance.limit)
 
     def usable_amount(self, now: float, allowance: KeyAllowance) -> int:
-        """Return what may be in use now.
+        """Return how much may be in use now, what is in use included.
 
         A new incarnation uses no guaranteed share of a strict limit before an earlier one's use of it has faded.
         """
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -1,7 +1,8 @@
 """A shard leader's record of what each holder may have in use of each key, and how it divides the rest.
 
-Over all holders the greatest amounts that may be in use never add up to more than the pool. An entry ends a linger
-after its grant expired, or once its holder acknowledged a later one.
+Over all holders the greatest amounts that may be in use never add up to more than the pool. An entry counts until the
+limit's `linger_ms` after its grant expired, when nothing that it admitted is in use any more, or until its holder
+acknowledged a later one.
 """
 
 from __future__ import annotations
--- a/myrtlespar/quota/key_allowance.py
+++ b/myrtlespar/quota/key_allowance.py
@@ -40,8 +40,8 @@
     acknowledged: int = 0  # sequence number of the request whose response was adopted last
     last_demand_at: float = 0.0
     mean_demand: float = 0.0  # in one window, averaged over several
-    mean_samples: int = 0  # that the mean was taken over
-    requested: int = 0
+    mean_samples: int = 0  # number of windows that the mean was taken over
+    requested: int = 0  # the mean demand as last requested, rounded
     counts_starts: bool = True  # False: the limit is on runs in flight
     peak_in_flight: int = 0  # since the last request
     expired_grants: list[ExpiredGrant] = field(default_factory=list)
@@ -86,7 +86,7 @@
             self.mean_samples = 0
         share = self.guaranteed_share
         want = min(max(0, self._update_requested(now, demand, settings) - share), self.limit.amount)
-        is_warm = now - self.last_demand_at < settings.cold_ms  # one place is kept for the next request
+        is_warm = now - self.last_demand_at < settings.cold_ms  # a grant of one is kept for the next request
         peak = 0
         if demand or is_warm:
             peak = min(max(want, demand + demand // 8 + 1 - share), self.limit.amount)
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -1,8 +1,9 @@
 """Election of the leader of a shard: a lease that a majority of the voters promises, one voter at a time.
 
-A voter promises a shard to one incarnation of one member until a span on its own clock is over, counted long. The
-candidate counts its lease short, and from the sending of the request that the voter answered. So two leases of one
-shard never overlap in true time. A voter that has just started promises nothing for the duration of one lease.
+A voter promises a shard to one incarnation of one member for the lease's duration, which it counts longer on its own
+clock. The candidate counts it shorter, from the sending of the request that the voter answered (see
+`GrantSettings.drift`). So two leases of one shard never overlap in true time. A voter that has just started promises
+nothing for the duration of one lease, as it does not know what an earlier incarnation promised.
 """
 
 from __future__ import annotations
@@ -72,7 +73,7 @@
         return now < self.expires_at
 
     def request_votes(self, now: float, sequence_number: int) -> LeaseRequest:
-        """Return the request for all voters. Without a lease it carries an epoch that no voter has heard of."""
+        """Return the request for all voters. Without a lease it carries a later epoch than this member has seen."""
         if not self.holds_lease(now) and (self.expires_at or not self.epoch):
             self._begin_epoch(self.epoch + 1)
         self.requested_at[sequence_number] = now
--- a/myrtlespar/quota/lease_session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -1,10 +1,10 @@
 """A member's lease at an engine (etcd), and the shards that it leads under that lease.
 
-Pure: the driver carries out one request at a time and hands in the reply, or that there was none.
+Pure: the driver (`fleet.lease_source`) carries out one request at a time and passes in the reply, or None.
 
 All shards depend on one lease of the engine. The lease counts from the sending of the request that renewed it, and is
-counted short twice, for the member's clock and for the engine's. A shard's epoch is the revision at which its key was
-created, so that it grows with each leader. A shard is given up here first, then at the engine.
+counted shorter twice, for the member's clock and for the engine's. A shard's epoch is the revision at which its key was
+created, so that it grows with each leader. A shard is released here first, then at the engine.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     renewed_at: float = NEVER
     epochs: dict[int, int] = field(default_factory=dict)  # of the shards that are led
     releasing: set[int] = field(default_factory=set)  # shards whose keys may still be ours at the engine
-    attempted_at: dict[int, float] = field(default_factory=dict)  # by shard: when it was last tried to take it
+    attempted_at: dict[int, float] = field(default_factory=dict)  # by shard: when its key was last requested
 
     def epoch(self, now: float, shard_id: int) -> int:
         """Return the epoch under which this member leads a shard, 0 if it does not."""
@@ -83,7 +83,7 @@
         return None
 
     def shard_released(self, shard_id: int) -> None:
-        """Note that a shard's key was deleted at the engine: it may be taken at once."""
+        """Allow the next request for a shard at once, as its key was deleted at the engine."""
         self.attempted_at.pop(shard_id, None)
 
     def record_reply(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -1,7 +1,8 @@
-"""One member's part in the fleet's limits: holder of grants, voter, and leader of the shards that fall to it.
+"""One member's part in the fleet's limits: holder of grants, voter, and leader of some shards.
 
-The driver hands in monotonic milliseconds, messages with their sender, and whom membership believes present; it calls
-`tick` at `next_at()` or as soon after as it can, and carries out the effects that every call returns.
+The driver (`fleet.limits_driver`) passes in monotonic milliseconds, messages with their sender, and the members that
+membership believes present; it calls `tick` at `next_at()` or as soon after as it can, and carries out the effects that
+every call returns.
 """
 
 from __future__ import annotations
@@ -93,7 +94,7 @@
         return self.grant_holder.check_admission(now, key, limit, ahead, is_retry)
 
     def available(self, now: float, key: str) -> int:
-        """Return for how many more of a key there is capacity."""
+        """Return for how many more of a key there is capacity; below 0 if more is in use than may be now."""
         balance = self.budget_balance(now, key)
         return self.grant_holder.available(now, key) if balance is None else balance.available
 
--- a/myrtlespar/quota/limit_versions.py
+++ b/myrtlespar/quota/limit_versions.py
@@ -65,12 +65,12 @@
             self._all_adopted_at = now
 
     def settle_if_due(self, now: float) -> None:
-        """Use the present version's shares alone once it is settled."""
+        """Settle the present version if all members have adopted it long enough ago."""
         if not self._grant_holder.settled and self.is_settled(now):
             self.settle()
 
     def settle(self) -> None:
-        """Use the present version's shares alone, as all members have adopted it."""
+        """Use the present version alone: its shares no longer allow for members that use the previous one."""
         self._grant_holder.adopt_limits(self.limits, True)
 
     def is_settled(self, now: float) -> bool:
--- a/myrtlespar/quota/messages.py
+++ b/myrtlespar/quota/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members about limits, and the effects that a coordinator asks its driver for.
+"""Messages between members about limits, and the effects that a coordinator returns to its driver.
 
 The structs are arrays on the wire: the order of their fields and their tags are fixed, their names are not. The codec
 checks lengths and ranges.
@@ -70,7 +70,7 @@
 
     `highest_epoch` is the greatest epoch ever promised; if `granted`, it is the candidate's, and `allowances` are all
     amounts of this shard that the voter may still use or have in use. `complete` is false if they did not fit, or if an
-    earlier incarnation of the voter may have held more.
+    earlier incarnation of the voter may have had more in use.
     """
 
     shard_id: int
@@ -145,7 +145,7 @@
 
 
 class LimitCounter(StrEnum):
-    """Names of the counters that a coordinator increments, as operators see them."""
+    """Names of the counters that a coordinator increments; operators see them as `limits.NAME` with underscores."""
 
     LEADERSHIP_BEGAN = "keeper"
     NOT_LEADER = "not keeper"
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -92,7 +92,7 @@
 
     @property
     def linger_ms(self) -> int:
-        """How long after its end a grant may still be seen in use."""
+        """How long what a grant admitted may be in use after the grant's end: the window, or the longest run."""
         if self.counted_unit is CountedUnit.AT_ONCE:
             return self.run_most_ms
         return 0 if self.counted_unit is CountedUnit.BUDGET else self.window_ms
@@ -216,7 +216,7 @@
         return (self.grant_ms + limit.linger_ms) * (1 + self.drift) ** 2
 
     def max_reallocation_ms(self, limit: Limit) -> float:
-        """From a shift of demand between members until the new place has its part, if no message is lost.
+        """From a shift of demand between members until the member that now has it has its part, if no message is lost.
 
         One request that wants less, one that says so, the time in which the last use fades, and one request that gets
         the part; a round trip each.
--- a/myrtlespar/quota/shard_leadership.py
+++ b/myrtlespar/quota/shard_leadership.py
@@ -1,7 +1,7 @@
-"""Which shards this member leads: it votes, stands as a candidate, and keeps a ledger of each shard that it leads.
+"""Which shards this member leads: it votes, is a candidate for some, and has a ledger of each shard that it leads.
 
 The leases come from a majority of the voters or, if one is configured, from an engine. With an engine the votes only
-report what the voters may hold.
+report what the voters may have in use.
 """
 
 from __future__ import annotations
@@ -56,14 +56,17 @@
         return shard if shard.ledger is not None and shard.election.holds_lease(now) else None
 
     def retire(self) -> None:
-        """Give up all shards."""
+        """Stop leading all shards and being a candidate for them."""
         self.wanted_shards.clear()
         for shard in self.shards:
             shard.election.stop_renewing()
             shard.ledger = None
 
     def tick(self, now: float, present_voters: frozenset[str], budget_periods: Mapping[str, int]) -> None:
-        """Request the votes that are due, and drop what is over; `budget_periods` are the present ones by limit."""
+        """Request the votes that are due, and drop expired leases and grants.
+
+        `budget_periods` are the present ones by limit.
+        """
         name = self.self_id.name
         for shard_id, shard in enumerate(self.shards):
             is_requested = now - shard.last_requested_at < self.settings.cold_ms
@@ -109,7 +112,8 @@
     def next_engine_request(self, now: float) -> EngineRequest | None:
         """Return the request to the engine that is due.
 
-        What it gives up ends here before it is sent, as another member may have it before the reply comes.
+        A shard that the request releases is no longer led here once this returns, as another member may lead it before
+        the reply comes.
         """
         assert self.lease_session is not None
         request = self.lease_session.next_request(now, frozenset(self.wanted_shards))
@@ -137,7 +141,7 @@
     # Votes.
 
     def vote(self, now: float, candidate: Incarnation, request: LeaseRequest) -> None:
-        """Answer a candidate with our vote and, if it is granted, with what we may hold of the shard."""
+        """Answer a candidate with our vote and, if it is granted, with what we may have in use of the shard."""
         if candidate.name not in self.voters or self.self_id.name not in self.voters or self._grant_holder.retired:
             return
         vote = self.lease_voter.vote(now, candidate, request)
