--- a/myrtlespar/fleet/budget_writer.py
+++ b/myrtlespar/fleet/budget_writer.py
@@ -1,4 +1,4 @@
-"""Persists a member's budget journal before anything that rests on it is sent.
+"""Persists a member's budget journal before any message that depends on it is sent.
 
 One greenlet writes; effects that arrive during a write share the next one. The file itself is written by a thread of
 gevent's pool, so that a slow disk never blocks the loop.
@@ -24,7 +24,11 @@
 
 
 class BudgetWriter:
-    """The budget file of this member. Without a path nothing is read or written, and no queued effect is completed."""
+    """Reads and writes the budget file of this member.
+
+    Without a path, or after a failed `reload`, nothing is written and no queued effect is completed: this member then
+    reserves no budget as a voter.
+    """
 
     def __init__(self, path: Path | None, counters: Counters) -> None:
         """Read the file. ConfigError if it is corrupt or can't be read."""
@@ -37,9 +41,9 @@
             self.rows = read_budgets(path)
 
     def reload(self) -> None:
-        """Read again what a process before this one wrote until it gave up the address.
+        """Read the file again, as an earlier process may have written it until it released the peer address.
 
-        If that fails, no budget is served: the file is neither read nor written any more.
+        If that fails, the error is logged and the file is neither read nor written any more.
         """
         if self.path is None:
             return
@@ -50,12 +54,16 @@
             self.path = None
 
     def enqueue(self, effect: PersistThenSend) -> None:
-        """Persist the journal, then complete this effect."""
+        """Let `run` persist the journal and then complete this effect. Returns at once."""
         self._queued.append(effect)
         self._queued_some.set()
 
     def run(self, coordinator: LimitCoordinator, persisted: Callable[[PersistThenSend], None]) -> None:
-        """Write the coordinator's journal until it retires, and call `persisted` for each effect it then covers."""
+        """Write the coordinator's journal whenever effects are queued, then call `persisted` for each of them.
+
+        Effects whose write fails are dropped, as their requests are repeated. Ends with the first effect after the
+        coordinator retired.
+        """
         assert self.path is not None
         saved = dict(coordinator.budget_journal.totals)
         while not coordinator.grant_holder.retired:
@@ -68,7 +76,7 @@
                 if rows != saved:
                     gevent.get_hub().threadpool.apply(budget_file.write, (self.path, rows))
                     saved = rows
-            except OSError as error:  # what is not on the disk would not outlive us, so it is not answered for
+            except OSError as error:  # what is not on disk would be lost in a restart, so it is not confirmed
                 self.counters.add("limits.unwritten", len(effects))
                 if self.counters.count_and_sample("limits.log.unwritten"):
                     log.error("fleet: budgets can't be written down", error=str(error))
@@ -78,7 +86,7 @@
 
 
 def read_budgets(path: Path) -> dict[BudgetPeriod, int]:
-    """The rows of a budget file. ConfigError if it is corrupt or can't be read."""
+    """Return the rows of a budget file. ConfigError if it is corrupt or can't be read."""
     try:
         return budget_file.read(path)
     except budget_file.CorruptBudgetFileError as why:
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -1,4 +1,4 @@
-"""Runs a limit coordinator's session at the engine (etcd): one request at a time, whichever is due first."""
+"""Carries out a limit coordinator's requests to the engine (etcd), one at a time, in the order that it returns them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LeaseSource:
-    """One greenlet that obtains, keeps and gives back the leases of shards."""
+    """One greenlet that acquires, renews and releases the leases of shards."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         apply_effects: Callable[[list[LimitEffect]], None],
         counters: Counters,
     ) -> None:
-        """`now` is the clock that limits go by, in ms; `apply_effects` carries out the coordinator's effects."""
+        """`now` is the clock of limits, in ms; `apply_effects` carries out the coordinator's effects."""
         assert coordinator.lease_session is not None
         self.coordinator = coordinator
         self.session = coordinator.lease_session
@@ -48,7 +48,7 @@
         self._shard_free = Event()
 
     def run(self) -> None:
-        """Serve the session until the coordinator retires, then revoke the lease."""
+        """Run until the coordinator retires, then revoke the lease, so that another member can lead at once."""
         self.etcd.watch()
         while not self.coordinator.grant_holder.retired:
             self._step(self.coordinator.settings.ask_ms / 2.0 / MS_PER_S)
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -1,4 +1,4 @@
-"""Runs the limit coordinator of one process: its clock, its datagrams, and the effects it asks for.
+"""Runs the limit coordinator of one process: its clock, its datagrams, and the effects that it returns.
 
 Admission itself is `limits_port`, the budget file `budget_writer`, what operators see `limits_report`.
 """
@@ -38,7 +38,7 @@
 class LimitsDriver:
     """The fleet's limits in one process.
 
-    Made at the start of the process; the coordinator is made by `start` once the peer address is this process's own.
+    Created with the process; `start` creates the coordinator once the peer address is this process's own.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         seed: int,
         key_of: Callable[[str], str] = lambda id: "",
     ) -> None:
-        """`key_of` gives a request's idempotency key. ConfigError if the budget file can't be used."""
+        """`key_of` returns the idempotency key of a request's id. ConfigError if the budget file can't be used."""
         self.settings = settings
         self.peers = peers
         self.counters = counters
@@ -67,11 +67,11 @@
             log.warning("fleet: limits on classes that this server does not have", classes=sorted(unknown))
 
     def now(self) -> float:
-        """The clock that limits go by, in ms."""
+        """Return the time on the clock of limits, in monotonic ms."""
         return monotonic_ms() * self.clock_rate
 
     def start(self, incarnation: int) -> None:
-        """Take part: the peer address is ours."""
+        """Create the coordinator and run it, as the peer address is this process's own now."""
         now = self.now()
         self.budget_writer.reload()
         coordinator = LimitCoordinator(
@@ -105,12 +105,16 @@
             gevent.spawn(self.lease_source.run)
 
     def retire(self) -> None:
-        """Use no allowance any more: a second process of our name goes on, or none."""
+        """Use no allowance any more, as this process ends or a second one of its name takes over. Returns at once."""
         if self.coordinator is not None:
             self.coordinator.retire()
 
     def adopt(self, fresh: FleetSettings) -> str:
-        """Adopt a later version of the limits, completely or not at all: why not, or empty."""
+        """Adopt a later version of the limits, completely or not at all.
+
+        Returns:
+            Why it was rejected, beginning with the key; empty if it was adopted or is the present one.
+        """
         if fresh.limits == self.settings.limits and fresh.limits_version == self.settings.limits_version:
             return ""
         fault = limits_fault(self.settings, fresh)
@@ -126,20 +130,20 @@
         return ""
 
     def set_present_members(self, names: frozenset[str]) -> None:
-        """The other members that membership holds for alive or suspect."""
+        """Set the other members that are alive or suspect in this member's view."""
         if self.coordinator is not None:
             self.coordinator.present_members = names
 
     def report(self) -> bytes:
-        """The answer to LIMITS: one JSON line."""
+        """Return the answer to LIMITS: one JSON line."""
         return limits_report.limits_line(self)
 
     def metrics(self) -> list[str]:
-        """Lines of Prometheus text, by limit."""
+        """Return lines of Prometheus text, by limit."""
         return limits_report.metrics_lines(self)
 
     def _wall_offset_ms(self, now: float) -> float:
-        """What to add to the limits' clock to get the wall clock."""
+        """Return what to add to `now` to get Unix time in ms."""
         return time.time() * 1000 + self.settings.wall_shift_ms - now
 
     def _run_clock(self, coordinator: LimitCoordinator) -> None:
--- a/myrtlespar/fleet/limits_port.py
+++ b/myrtlespar/fleet/limits_port.py
@@ -48,7 +48,10 @@
 
 
 class FleetLimitsAdmission:
-    """The policy's port to the fleet's limits. Until `start`, only requests that no limit applies to are admitted."""
+    """Implements the policy's port to the fleet's limits.
+
+    Until `start`, only requests that no limit applies to are admitted.
+    """
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         now: Callable[[], float],
         key_of: Callable[[str], str],
     ) -> None:
-        """`now` is the clock that limits go by, in ms; `key_of` gives a request's idempotency key."""
+        """`now` is the clock of limits, in ms; `key_of` returns the idempotency key of a request's id."""
         self.counters = counters
         self.now = now
         self.coordinator: LimitCoordinator | None = None
@@ -86,7 +89,8 @@
     def admit(self, id: str, cls: int, sender: int) -> float:
         """Take capacity for a request under every limit that applies to it.
 
-        Returns 0 if it was admitted, otherwise the time in ms after which there may be capacity.
+        Returns 0 if it was admitted, otherwise the time in ms after which there may be capacity; infinity if its caller
+        has too many queued requests, so that it is not worth queueing.
         """
         applying = self._request_limits[cls]
         if not applying:
@@ -116,30 +120,31 @@
     def reject(self, id: str, after_ms: float) -> float:
         """Record a rejection for lack of capacity.
 
-        Returns the Retry-After time in ms, spread at random over the time behind `after_ms`.
+        Returns the Retry-After time in ms: at random between once and twice `after_ms`, so that callers spread. For the
+        request that `admit` rejected last, the time of that check replaces `after_ms`.
         """
         shortage = self._last_shortage
         if id == shortage.request_id:
             after_ms = shortage.check.retry_after_ms
         if self.admission_queue is not None and self.coordinator is not None:
-            if id in self.admission_queue.waiting:  # it was queued as long as that was of use
+            if id in self.admission_queue.waiting:  # it waited in the queue in vain
                 self._record_queued_rejection(id, self.coordinator, self.admission_queue)
             elif id == shortage.request_id and shortage.key:
                 self._record_rejection(shortage.key, shortage.check, self.coordinator, self.admission_queue)
         return after_ms * (1 + self._random.random())
 
     def take_ready(self) -> list[str]:
-        """Queued requests that may ask for capacity again now."""
+        """Remove and return the queued requests that may call `admit` again now."""
         queue = self.admission_queue
         return queue.take_ready(self.now()) if queue is not None and queue.waiting else []
 
     def next_ready_ms(self) -> float:
-        """Time in ms until the first queued request may have capacity; infinity if that is not known."""
+        """Return the time in ms until the first queued request may have capacity; infinity if that is not known."""
         queue = self.admission_queue
         return queue.next_ready_ms(self.now()) if queue is not None and queue.waiting else float("inf")
 
     def release(self, id: str) -> None:
-        """The request has ended, or will never ask again."""
+        """Release a request that has ended or been given up."""
         self._waiting_calls.discard(id)
         if self.admission_queue is not None:
             self.admission_queue.release(id)
@@ -165,21 +170,21 @@
         return True
 
     def release_call(self, id: str, after_ms: float) -> None:
-        """The call is over; the dependency may go on with it for `after_ms`."""
+        """Release a call that is over for this member; the dependency may go on with it for `after_ms`."""
         if self.call_queue is not None and after_ms > 0:
             self.call_queue.release_after(self.now(), id, after_ms)
         elif self.call_queue is not None:
             self.call_queue.release(id)
 
     def record_attempt(self, again: bool) -> bool:
-        """Record a first attempt or a retry (`again`). False: there is no budget for this retry."""
+        """Record a first attempt or a retry (`again`). Returns False if there is no budget for this retry."""
         if self.retry_budget is None or self.retry_budget.record_attempt(again):
             return True
         self.counters.add("limits.repeat_refused")
         return False
 
     def may_retry(self) -> bool:
-        """Whether a caller that is rejected now may be left free to retry."""
+        """Return whether a caller that is rejected now may be invited to retry, and reserve that retry."""
         if self.retry_budget is None or self.retry_budget.may_retry(self.now()):
             return True
         self.counters.add("limits.repeat_not_offered")
@@ -214,7 +219,7 @@
 
 
 def limits_of(settings: FleetSettings, class_name: str, work: CountedWork) -> NamedLimits:
-    """The limits that apply to a class of requests and count this kind of work."""
+    """Return the limits that apply to a class of requests and count this kind of work."""
     return [
         (name, limit)
         for name, limit in settings.limits.items()
--- a/myrtlespar/fleet/limits_report.py
+++ b/myrtlespar/fleet/limits_report.py
@@ -1,7 +1,7 @@
 """What operators see of the fleet's limits in one process: the answer to LIMITS, and lines of METRICS.
 
 Keys of the JSON and names of the metrics are part of the operators' interface and differ from names in the code:
-`keeper` is a shard's leader, `range` a shard, `standing` an allowance that needs no grant, `refused` rejected.
+`keeper` is a shard's leader, `range` a shard, `standing` the guaranteed share, `refused` rejected.
 """
 
 from __future__ import annotations
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -26,7 +26,11 @@
 
 
 class FleetNode:
-    """What the server holds when the fleet is on."""
+    """The fleet's parts in this process: the server has one if MYRTLESPAR_FLEET is set.
+
+    The sockets are opened by `open_fleet`. Membership and limits start later, by `_join`, once the peer address is this
+    process's own and no longer that of an old process of the same name.
+    """
 
     def __init__(
         self,
@@ -37,9 +41,10 @@
         classes: Sequence[str] = (),
         key_of: Callable[[str], str] = lambda id: "",
     ) -> None:
-        """`path` is the fleet's file, read again by `reload`; `key_of` gives a request's idempotency key.
+        """Create the parts without opening sockets.
 
-        ConfigError names a key that can't be followed in this process.
+        `path` is the fleet's file, read again by `reload`; `key_of` returns the idempotency key of a request's id.
+        ConfigError names a key that this process can't comply with.
         """
         self.settings = settings
         self.path = path
@@ -66,20 +71,21 @@
             log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
 
     def leave(self) -> None:
-        """Begin the graceful shutdown: retire from limits and say goodbye to the members."""
+        """Begin the graceful shutdown: use no limits any more and notify the members. Returns at once."""
         if self.limits is not None:
             self.limits.retire()
         self.peers.leave()
 
     def close(self) -> None:
-        """Close the sockets: the process ends."""
+        """Close the sockets; call it last, after `leave` and the end of all requests."""
         self.peers.close()
 
     def reload(self) -> None:
         """Read the fleet's file again.
 
-        A new voter set is adopted if it is one step from the old one, and so are new numbers of limits; all else needs
-        a restart. A fault changes nothing and is logged.
+        New numbers of limits are adopted first, then a new voter set if it is one step from the old one; all else needs
+        a restart. An invalid file, or limits that can't be adopted, change nothing. A voter set that can't be adopted
+        stays out, but limits of the same file have been adopted then. Each rejection is logged as an error.
         """
         try:
             fresh = read_fleet(self.path, self.settings.name)
@@ -94,14 +100,14 @@
         self._adopt_voter_set(fresh.voter_set)
 
     def members(self) -> bytes:
-        """The answer to MEMBERS: one JSON line."""
+        """Return the answer to MEMBERS: one JSON line."""
         member = self.peers.member
         if member is None:
             return member_report.waiting_line(self.settings)
         return member_report.members_line(self.settings, member, self.peers, self.counters, monotonic_ms())
 
     def metrics(self) -> list[str]:
-        """Lines of Prometheus text for METRICS."""
+        """Return lines of Prometheus text for METRICS."""
         member = self.peers.member
         if member is None:
             return []
@@ -111,7 +117,7 @@
         return lines
 
     def _join(self, now: float) -> Member:
-        """Make the membership machine and start the limits: the address is ours from now on."""
+        """Create the membership state machine and start the limits, as the peer address is this process's own now."""
         settings = self.settings
         incarnation = int(time.time() * 1000) + settings.wall_shift_ms
         log.info(
@@ -141,7 +147,7 @@
         return member
 
     def _report_change(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
-        """Log each change of the view and of the quorum status."""
+        """Log each change of the view and of the quorum status, and pass the present members to the limits."""
         if isinstance(effect, MemberChanged):
             log.info(
                 "fleet member",
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -204,7 +204,11 @@
 
 
 def limits_fault(old: FleetSettings, new: FleetSettings) -> str:
-    """Why the limits can't change so while in service: key and cause; empty if they can. Only numbers change."""
+    """Return why these changes of limits can't be adopted without a restart, beginning with the key; empty if they can.
+
+    Only the numbers of limits may change, each with the present one as `before`, and the version grows by one. Changes
+    of other parts of the file are neither adopted nor reported.
+    """
     if new.limits_version != old.limits_version + 1:
         return (
             f"limits_version: {old.limits_version} is in force, expected {old.limits_version + 1}, "
@@ -223,7 +227,7 @@
 
 
 def _limit_fault(old: Limit, new: Limit) -> str:
-    """The same of one limit; the text continues its name."""
+    """Return the same for one limit; the text is appended to the limit's name."""
     number = old.at_once if old.per_s is None else old.per_s
     same = msgspec.structs.replace(new, before=old.before, per_s=old.per_s, at_once=old.at_once)
     if same != old or (new.per_s is None) != (old.per_s is None):
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -20,17 +20,17 @@
 HEADER_BYTES = 8  # magic and checksum
 MAX_FILE_BYTES = 64 << 20
 
-BudgetRows = Mapping[BudgetPeriod, int]  # by key and number of the period: the total that may have been handed out
+BudgetRows = Mapping[BudgetPeriod, int]  # the total that may have been handed out in each period
 
 
 class CorruptBudgetFileError(MyrtlesparError):
-    """The file is incomplete or damaged: what was promised can't be known."""
+    """The file is incomplete or damaged, so the reserved totals are not known; the text is its path."""
 
 
 def read(path: Path) -> dict[BudgetPeriod, int]:
-    """All rows; none where there is no file.
+    """Return all rows; none if there is no file.
 
-    CorruptBudgetFileError rejects a damaged file as a whole; other OSErrors come as they are.
+    CorruptBudgetFileError if any part of the file is damaged; OSError if it can't be read.
     """
     try:
         data = path.read_bytes()
@@ -47,7 +47,7 @@
 
 
 def write(path: Path, rows: BudgetRows) -> None:
-    """Replace the file; when this returns it is on the disk. OSError: it is not, the old one stays."""
+    """Replace the file and sync it. OSError if that fails: the file may be the old or the new one then."""
     body = msgspec.msgpack.encode([(key, period, total) for (key, period), total in rows.items()])
     new_path = path.with_suffix(".new")
     with new_path.open("wb") as file:
--- a/myrtlespar/net/codec/limits.py
+++ b/myrtlespar/net/codec/limits.py
@@ -50,12 +50,16 @@
 
 
 def encode(datagram: LimitDatagram) -> bytes:
-    """Its bytes; the caller keeps it small enough for a datagram."""
+    """Return the bytes of a datagram, which may exceed `MAX_DATAGRAM_BYTES`: the caller checks that."""
     return frame(MAGIC, _encoder.encode(datagram))
 
 
 def decode(data: bytes) -> LimitDatagram:
-    """One datagram. MalformedPeerMessageError if it is none, or a value in it is out of range."""
+    """Return the datagram in these bytes.
+
+    MalformedPeerMessageError if there is none or a value is out of range; UnsupportedPeerVersionError if its version is
+    another one.
+    """
     if len(data) > MAX_DATAGRAM_BYTES or len(data) < HEADER_BYTES:
         raise MalformedPeerMessageError("length")
     datagram: LimitDatagram = decode_body(_decoder, unframe(MAGIC, data))
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -70,7 +70,7 @@
         return reply
 
     def revoke(self, lease: int) -> None:
-        """End the lease, if the engine can be reached: all keys that are attached to it are deleted at once."""
+        """End the lease, which deletes all keys attached to it. A failure is only reported to `request_failed`."""
         self._pool.apply(self._revoke, (lease,))
 
     def watch(self) -> None:
@@ -78,7 +78,7 @@
         threading.Thread(target=self._watch, daemon=True).start()
 
     def close(self) -> None:
-        """End the channel."""
+        """Close the channel, which also ends the thread of `watch`."""
         self._closing = True
         self.channel.close()
 
@@ -175,7 +175,7 @@
 
 
 def _watch_requests(first: bytes, end: bytes, stream_ended: threading.Event) -> Any:
-    """Our side of a watch's stream: one request, then kept open as long as the stream lasts."""
+    """The client's side of a watch's stream: one request, then kept open as long as the stream lasts."""
     request = TYPES["WatchRequest"]()
     request.create_request.key = first
     request.create_request.range_end = end
