--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -52,7 +52,7 @@
         self._lingering_count = 0
 
     def try_acquire(
-        self, now: float, id: str, keys: Sequence[str], is_retry: bool = False
+        self, now: float, request_id: str, keys: Sequence[str], is_retry: bool = False
     ) -> tuple[str, AdmissionCheck]:
         """Acquire capacity under every key, or under none.
 
@@ -61,9 +61,9 @@
         Returns:
             The key without capacity, empty if the request is admitted, and the check of that key.
         """
-        is_retry = is_retry or id in self._ready
-        if id in self.waiting:
-            self._dequeue(id)
+        is_retry = is_retry or request_id in self._ready
+        if request_id in self.waiting:
+            self._dequeue(request_id)
         rejecting_key = ""
         rejection = ADMITTED
         for key in keys:
@@ -72,22 +72,22 @@
             if not check.admitted and (not rejecting_key or check.retry_after_ms > rejection.retry_after_ms):
                 rejecting_key = key
                 rejection = check
-        self._ready.discard(id)
+        self._ready.discard(request_id)
         if rejecting_key:
             return rejecting_key, rejection
         for key in keys:
             self.coordinator.consume(now, key)
             limit = self.coordinator.limit_of(key)
             if limit is not None and limit.counted_unit is CountedUnit.AT_ONCE:
-                self._in_flight_keys.setdefault(id, []).append(key)
+                self._in_flight_keys.setdefault(request_id, []).append(key)
         return "", ADMITTED
 
-    def enqueue(self, id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
+    def enqueue(self, request_id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
         """Let a request wait for capacity; the lowest order is first."""
-        self.waiting[id] = WaitingRequest(order, keys, caller)
+        self.waiting[request_id] = WaitingRequest(order, keys, caller)
         self.waiting_by_caller[caller] += 1
         for key in keys:
-            heapq.heappush(self._queues.setdefault(key, []), (order, id))
+            heapq.heappush(self._queues.setdefault(key, []), (order, request_id))
             self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
@@ -95,13 +95,13 @@
         ready: dict[str, Sequence[str]] = {}
         for key in list(self._queues):
             available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
-            while available > 0 and (id := self._first(key)) is not None:
-                keys = self.waiting[id].keys
+            while available > 0 and (request_id := self._first(key)) is not None:
+                keys = self.waiting[request_id].keys
                 if len(keys) > 1 and any(self.coordinator.available(now, other) <= 0 for other in keys):
                     break  # it is first for one key and waits for another: no other request passes it
-                self._dequeue(id)
-                self._ready.add(id)
-                ready[id] = keys
+                self._dequeue(request_id)
+                self._ready.add(request_id)
+                ready[request_id] = keys
                 available -= 1
         return list(ready)
 
@@ -109,23 +109,23 @@
         """Return in how long the first waiting request may have capacity; infinity if none waits or it is unknown."""
         first = float("inf")
         for key in list(self._queues):
-            if (id := self._first(key)) is not None:
-                keys = self.waiting[id].keys
+            if (request_id := self._first(key)) is not None:
+                keys = self.waiting[request_id].keys
                 first = min(first, max(self.coordinator.available_in_ms(now, other) for other in keys))
         return first
 
-    def release(self, id: str) -> None:
+    def release(self, request_id: str) -> None:
         """Remove a request that has ended or been given up: what it waits for and the runs in flight it counts as."""
-        if id in self.waiting:
-            self._dequeue(id)
-        self._ready.discard(id)
+        if request_id in self.waiting:
+            self._dequeue(request_id)
+        self._ready.discard(request_id)
         if self._in_flight_keys:
-            for key in self._in_flight_keys.pop(id, ()):
+            for key in self._in_flight_keys.pop(request_id, ()):
                 self.coordinator.run_ended(key)
 
-    def release_after(self, now: float, id: str, after_ms: float) -> None:
+    def release_after(self, now: float, request_id: str, after_ms: float) -> None:
         """Release a request that has ended for this member, but may still be executed for `after_ms`."""
-        keys = self._in_flight_keys.pop(id, None)
+        keys = self._in_flight_keys.pop(request_id, None)
         if keys:
             self._lingering_count += 1
             ends_at = now + self.coordinator.settings.safe_wait_ms(after_ms)
@@ -147,12 +147,12 @@
         return queue[0][1]
 
     def _is_current(self, row: tuple[float, str]) -> bool:
-        order, id = row
-        request = self.waiting.get(id)
+        order, request_id = row
+        request = self.waiting.get(request_id)
         return request is not None and request.order == order
 
-    def _dequeue(self, id: str) -> None:
-        request = self.waiting.pop(id)
+    def _dequeue(self, request_id: str) -> None:
+        request = self.waiting.pop(request_id)
         self.waiting_by_caller[request.caller] -= 1
         if not self.waiting_by_caller[request.caller]:
             del self.waiting_by_caller[request.caller]
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -41,14 +41,16 @@
         """Start without promises. With an `engine` that grants the leases, only the order of the epochs matters."""
         self.settings = settings
         self.engine = engine
-        self.silent_until = now if engine else now + settings.safe_wait_ms(settings.lease_ms)
+        self.no_vote_before = now if engine else now + settings.safe_wait_ms(settings.lease_ms)
         self.promises = [LeasePromise() for _ in range(settings.ranges)]
 
     def vote(self, now: float, candidate: Incarnation, request: LeaseRequest) -> LeaseVote:
         """Promise the shard, or answer with the epoch that prevents it. The caller fills in the allowances."""
         promise = self.promises[request.shard_id]
         is_renewal = (promise.candidate == candidate or self.engine) and request.epoch >= promise.epoch
-        if now < self.silent_until or not (is_renewal or (now >= promise.expires_at and request.epoch > promise.epoch)):
+        if now < self.no_vote_before or not (
+            is_renewal or (now >= promise.expires_at and request.epoch > promise.epoch)
+        ):
             return LeaseVote(request.shard_id, request.sequence_number, False, promise.epoch)
         promise.candidate = candidate
         promise.epoch = request.epoch
--- a/myrtlespar/quota/limit_versions.py
+++ b/myrtlespar/quota/limit_versions.py
@@ -30,7 +30,7 @@
         self._voters = voters
         self._grant_holder = grant_holder
         self._outbox = outbox
-        self._versions = {self_name: version}  # by voter, as far as this member leads a shard and hears of them
+        self._voter_versions = {self_name: version}  # by voter, as far as this member leads a shard and hears of them
         self._all_adopted_at: float | None = None  # since when all voters are known to use our version or a later one
 
     def limit_of(self, key: str) -> Limit | None:
@@ -41,24 +41,24 @@
         """Use a later version of the limits."""
         self.limits = dict(limits)
         self.version = version
-        self._versions[self._self_name] = version
+        self._voter_versions[self._self_name] = version
         self._all_adopted_at = None
         self._grant_holder.adopt_limits(self.limits, False)
 
     def outdated_voters(self) -> list[str]:
         """Return the voters not known to use our version; only a shard leader hears of all of them."""
-        return sorted(name for name in self._voters if self._versions.get(name, 0) < self.version)
+        return sorted(name for name in self._voters if self._voter_versions.get(name, 0) < self.version)
 
     def record(self, now: float, name: str, version: int) -> None:
         """Record the version that a member says it uses."""
         if name not in self._voters:
             return
-        if version > self._versions.get(self._self_name, 0) and version > self._versions.get(name, 0):
+        if version > self._voter_versions.get(self._self_name, 0) and version > self._voter_versions.get(name, 0):
             self._outbox.count(
                 LimitCounter.LATER_VERSION,
                 f"{name} goes by version {version} of the limits, this member by {self.version}",
             )
-        self._versions[name] = version
+        self._voter_versions[name] = version
         if self.outdated_voters():
             self._all_adopted_at = None
         elif self._all_adopted_at is None:
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -1,6 +1,7 @@
 """Fleet limits in virtual time: many coordinators, random demand at each, and how much of the limit is used.
 
-Membership is taken as known; messages take `hop_ms`. The starts in any window are checked as well.
+Membership is not simulated: what members believe of it is set. Messages take `hop_ms`. The starts in any window are
+counted as well.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from myrtlespar.simulation.event_loop import EventLoop
 
 LIMIT_NAME = "x"
-IDLE_POLL_MS = 20.0  # a member without demand looks for new demand so often
-BELIEF_DELAY_MS = 2000.0  # until membership notices a cut
+IDLE_POLL_MS = 20.0  # interval at which a member without demand checks for new demand
+BELIEF_DELAY_MS = 2000.0  # from a cut until membership detects it
 MS_PER_S = 1000
 
 
@@ -95,11 +96,11 @@
         self.event_loop.run(until_ms)
 
     def isolate(self, members: frozenset[str]) -> None:
-        """Cut these members off from the others; without any, all are connected again. Membership notices later."""
+        """Cut these members off from the others; without any, all are connected again. Membership detects it later."""
         self._isolated = members
-        self.event_loop.at(self.event_loop.now + BELIEF_DELAY_MS, self._notice_cut, members)
+        self.event_loop.at(self.event_loop.now + BELIEF_DELAY_MS, self._detect_cut, members)
 
-    def _notice_cut(self, isolated: frozenset[str]) -> None:
+    def _detect_cut(self, isolated: frozenset[str]) -> None:
         for name, coordinator in self.coordinators.items():
             coordinator.present_members = frozenset(
                 other for other in self.names if (other in isolated) == (name in isolated)
@@ -145,16 +146,16 @@
         self._request_count += 1
         self._try_start(name, f"{self._request_count}", key, now + self.max_wait_ms)
 
-    def _try_start(self, name: str, id: str, key: str, deadline: float) -> None:
+    def _try_start(self, name: str, request_id: str, key: str, deadline: float) -> None:
         now = self.event_loop.now
         queue = self.queues[name]
-        rejecting_key, check = queue.try_acquire(now, id, (key,))
+        rejecting_key, check = queue.try_acquire(now, request_id, (key,))
         if not rejecting_key:
             self._record_start(name)
         elif now + check.retry_after_ms <= deadline:
-            queue.enqueue(id, deadline, (key,))
-            self._deadlines[id] = deadline
-            self.event_loop.at(deadline, self._give_up, name, id)
+            queue.enqueue(request_id, deadline, (key,))
+            self._deadlines[request_id] = deadline
+            self.event_loop.at(deadline, self._abandon, name, request_id)
             self.event_loop.at(now + check.retry_after_ms, self._admit_ready, name)
 
     def _record_start(self, name: str) -> None:
@@ -170,9 +171,9 @@
         self.result.max_in_window = max(self.result.max_in_window, len(self._recent_starts))
 
     def _admit_ready(self, name: str) -> None:
-        for id in self.queues[name].take_ready(self.event_loop.now):
-            self._try_start(name, id, LIMIT_NAME, self._deadlines.pop(id, self.event_loop.now))
+        for request_id in self.queues[name].take_ready(self.event_loop.now):
+            self._try_start(name, request_id, LIMIT_NAME, self._deadlines.pop(request_id, self.event_loop.now))
 
-    def _give_up(self, name: str, id: str) -> None:
-        self.queues[name].release(id)
-        self._deadlines.pop(id, None)
+    def _abandon(self, name: str, request_id: str) -> None:
+        self.queues[name].release(request_id)
+        self._deadlines.pop(request_id, None)
