--- a/myrtlespar/cli/fleet/__init__.py
+++ b/myrtlespar/cli/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet`: fault scripts on real processes or in the simulation, and views of running members."""
+"""`myrtlespar fleet`: fault scripts, the model checker, and views and limits of running members."""
 
 from __future__ import annotations
 
--- a/myrtlespar/cli/fleet/limit_bounds.py
+++ b/myrtlespar/cli/fleet/limit_bounds.py
@@ -30,7 +30,7 @@
 
 
 def promises(limit: Limit, terms: GrantSettings, members: int) -> list[Promise]:
-    """Each promise of one limit."""
+    """Return each promise of one limit as (name, value in words)."""
     if limit.counted_unit is CountedUnit.BUDGET:
         return _budget_promises(limit)
     work = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
--- a/myrtlespar/cli/fleet/limit_tables.py
+++ b/myrtlespar/cli/fleet/limit_tables.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlespar.cli.fleet.member_tables import ask, duration
+from myrtlespar.cli.fleet.member_tables import duration, request_report
 
 NEVER_GRANTED_MS = -1e8  # a grant that lapsed longer ago than this never was
 
@@ -34,7 +34,7 @@
     for title in ("key", "member", "limit", "kind", "standing", "granted", "for", "used", "keeper"):
         table.add_column(title)
     for address in addresses:
-        report = ask(address, word=b"LIMITS")
+        report = request_report(address, command=b"LIMITS")
         if isinstance(report, str):
             console.print(report)
             status = 1
@@ -55,7 +55,7 @@
     console = Console()
     status = 0
     for address in addresses:
-        report = ask(address, word=b"LIMITS")
+        report = request_report(address, command=b"LIMITS")
         if isinstance(report, str):
             console.print(report)
             status = 1
@@ -84,7 +84,7 @@
 
 
 def _print_notes(console: Console, report: Mapping[str, Any]) -> None:
-    """Print the shards that a member leads, voters with older limits, and budgets."""
+    """Print the shards that a member leads, voters not known to use its version of the limits, and budgets."""
     name = report.get("name")
     for shard in report.get("keeps", []):
         unknown = f", waits out {' '.join(shard['unknown'])}" if shard["unknown"] else ""
--- a/myrtlespar/cli/fleet/member_tables.py
+++ b/myrtlespar/cli/fleet/member_tables.py
@@ -20,15 +20,15 @@
 MS_PER_MIN = 60_000
 
 
-def ask(address: str, timeout_s: float = 3.0, word: bytes = b"MEMBERS") -> dict[str, Any] | str:
-    """The answer of one member to MEMBERS (or LIMITS); a text says why there is none."""
+def request_report(address: str, timeout_s: float = 3.0, command: bytes = b"MEMBERS") -> dict[str, Any] | str:
+    """Return one member's answer to a command of the management address; a text if there is none, which says why."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         return f"{address}: expected HOST:PORT"
     data = b""
     try:
         with socket.create_connection((host, int(port)), timeout=timeout_s) as sock:
-            sock.sendall(word + b"\n")
+            sock.sendall(command + b"\n")
             while chunk := sock.recv(CHUNK_BYTES):
                 data += chunk
     except (OSError, OverflowError) as error:
@@ -40,15 +40,15 @@
     return found
 
 
-def duration(ms: float | None) -> str:
-    """A time in the unit that reads best."""
-    if ms is None:
+def duration(duration_ms: float | None) -> str:
+    """Return a duration as text in ms, s or min."""
+    if duration_ms is None:
         return "never"
-    if ms < MS_PER_S:
-        return f"{ms:.0f} ms"
-    if ms < 2 * MS_PER_MIN:
-        return f"{ms / MS_PER_S:.1f} s"
-    return f"{ms / MS_PER_MIN:.0f} min"
+    if duration_ms < MS_PER_S:
+        return f"{duration_ms:.0f} ms"
+    if duration_ms < 2 * MS_PER_MIN:
+        return f"{duration_ms / MS_PER_S:.1f} s"
+    return f"{duration_ms / MS_PER_MIN:.0f} min"
 
 
 def print_view(view: Mapping[str, Any]) -> None:
@@ -96,7 +96,7 @@
 
 
 def view_matrix(views: Mapping[str, dict[str, Any] | str]) -> Table:
-    """All views side by side: a row is what one member holds true of all."""
+    """Return all views side by side: a row is what one member believes of all."""
     complete = [view for view in views.values() if isinstance(view, dict) and "members" in view]
     names = sorted({row["name"] for view in complete for row in (view, *view["members"])})
     table = Table(title=". alive  ? suspect  X failed  - left  o itself")
@@ -117,10 +117,10 @@
 
 
 def watch_views(addresses: Sequence[str], seconds: float, every_s: float) -> int:
-    """Show all views again and again, for so long."""
+    """Show all views for so many seconds, updated every `every_s`."""
     end = time.monotonic() + seconds
     with Live(refresh_per_second=4) as live:
         while time.monotonic() < end:
-            live.update(view_matrix({address: ask(address, WATCH_TIMEOUT_S) for address in addresses}))
+            live.update(view_matrix({address: request_report(address, WATCH_TIMEOUT_S) for address in addresses}))
             time.sleep(min(every_s, max(0.0, end - time.monotonic())))
     return 0
--- a/myrtlespar/cli/fleet/status.py
+++ b/myrtlespar/cli/fleet/status.py
@@ -12,9 +12,9 @@
     """One member's view, over its management ADDRESS (HOST:PORT), as a table."""
     import json
 
-    from myrtlespar.cli.fleet.member_tables import ask, print_view
+    from myrtlespar.cli.fleet.member_tables import print_view, request_report
 
-    view = ask(address)
+    view = request_report(address)
     if isinstance(view, str):
         raise click.ClickException(view)
     if raw:
--- a/myrtlespar/model_checker/quota/events.py
+++ b/myrtlespar/model_checker/quota/events.py
@@ -7,7 +7,7 @@
 
 
 class EventKind(StrEnum):
-    """What happens in the world."""
+    """What an event is."""
 
     TICK = "tick"  # a member's clock is due
     WANT = "want"  # a request of a member's callers
@@ -20,13 +20,13 @@
     RESUME = "resume"  # a stopped member goes on
     HEAL = "heal"  # a cut ends
     BELIEVE = "believe"  # a member believes all present again
-    SHUN = "shun"  # a member believes another one gone
+    SHUN = "shun"  # a member believes that another one has failed
     ADOPT = "adopt"  # a member adopts the later limit
-    LOUD = "loud"  # demand returns
+    LOUD = "loud"  # a member's demand returns
 
 
 class Event(NamedTuple):
-    """An event to come; events are ordered by time, then by number."""
+    """A scheduled event; events are ordered by time, then by number."""
 
     at: float
     number: int
--- a/myrtlespar/model_checker/quota/fault_actions.py
+++ b/myrtlespar/model_checker/quota/fault_actions.py
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop(Fault):
-    """A member's process is stopped for a while; what waited for it comes then, in order or in reverse."""
+    """A member's process is stopped for a while; events for it are delayed until then, in order or in reverse."""
 
     kind: ClassVar[str] = "stop"
     member: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sleep(Fault):
-    """A member's process is stopped for a while, and soon believed gone by the others."""
+    """A member's process is stopped for a while, and the others soon believe that it has failed."""
 
     kind: ClassVar[str] = "sleep"
     member: str
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shun(Fault):
-    """Two members are cut from one another, and the first believes the second gone."""
+    """Two members are cut off from one another, and the first believes that the second has failed."""
 
     kind: ClassVar[str] = "shun"
     member: str
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut(Fault):
-    """Messages between these members are lost, and nobody notices."""
+    """Messages between these members are lost, and membership does not detect it."""
 
     kind: ClassVar[str] = "cut"
     pairs: Pairs
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Partition(Fault):
-    """A member is cut off, and both sides believe the other gone."""
+    """A member is cut off, and both sides believe that the other has failed."""
 
     kind: ClassVar[str] = "part"
     pairs: Pairs
--- a/myrtlespar/model_checker/quota/plans.py
+++ b/myrtlespar/model_checker/quota/plans.py
@@ -1,4 +1,4 @@
-"""The plans of the explorer: which worlds it visits, with which faults."""
+"""The plans of the explorer: which runs it explores, in which worlds."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Which runs are visited: those with up to `max_faults` faults of these kinds, in worlds of these `SETTINGS`."""
+    """Which runs are explored: those with up to `max_faults` faults of these kinds, in worlds of these `SETTINGS`."""
 
     name: str
     max_faults: int
--- a/myrtlespar/model_checker/quota/usage_record.py
+++ b/myrtlespar/model_checker/quota/usage_record.py
@@ -1,4 +1,4 @@
-"""What is truly in use of the world's limit, in true time."""
+"""The actual use of the world's limit by all members, in true time."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -1,4 +1,4 @@
-"""Three members that all want more than there is, their clocks, and the messages between them.
+"""Three members whose demand exceeds the limit, their clocks, and the messages between them.
 
 Times of the world are true milliseconds; each member reads a clock of its own that runs fast or slow. What a member
 believes about who is present is no promise of membership: it may be wrong in any way for a while.
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class World:
-    """Everything there is."""
+    """The complete state of a run; it is copied where runs branch."""
 
     settings: WorldSettings
     now: float = 0.0
@@ -178,7 +178,7 @@
         self._carry_out(event.member, coordinator.persisted(self.clock(event.member), effect))
 
     def _on_resume(self, event: Event) -> None:
-        """Let a stopped member go on; the payload says whether what waited for it comes in reverse order."""
+        """Let a stopped member go on; the payload says whether its delayed events come in reverse order."""
         self.stopped.discard(event.member)
         delayed = self.delayed.pop(event.member, [])
         for waiting in reversed(delayed) if event.payload else delayed:
