--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -1,9 +1,10 @@
 """Requests that limits apply to: which of them are admitted, and which wait, in which order.
 
 A request that finds no capacity may wait, as capacity that returns a window later would otherwise be idle until the
-next request arrives. Waiting requests are admitted in the order that the caller gives; a new one stands behind all that
+next request arrives. Waiting requests are admitted in the order that the caller gives; a new one is behind all that
 wait for one of its keys. Whether waiting is worthwhile is not decided here: `try_acquire` says when there may be
-capacity, the caller decides.
+capacity, the caller decides. A request never leaves the queue by itself: the caller takes it by `take_ready` and calls
+`try_acquire` again, or gives it up by `release`.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
     order: float
     keys: Sequence[str]
-    caller: int
+    caller: int  # number of the client that sent it
 
 
 class LingeringRun(NamedTuple):
-    """A run that has ended for us, but counts until `ends_at`."""
+    """A run that has ended for this member, but may still be executed elsewhere and so counts until `ends_at`."""
 
     ends_at: float
     sequence_number: int
@@ -42,14 +43,16 @@
         self.waiting: dict[str, WaitingRequest] = {}  # by request
         self.waiting_by_caller: Counter[int] = Counter()
         self._waiting_by_key: dict[str, int] = {}
-        self._queues: dict[str, list[tuple[float, str]]] = {}  # by key: heap of (order, request), some of them gone
+        self._queues: dict[
+            str, list[tuple[float, str]]
+        ] = {}  # by key: heap of (order, request); entries that are not `waiting` are stale
         self._in_flight_keys: dict[str, list[str]] = {}  # by request: its keys of limits on runs in flight
-        self._ready: set[str] = set()  # requests that were returned as ready to retry
+        self._ready: set[str] = set()  # requests that `take_ready` returned and that have not acquired again yet
         self._lingering: list[LingeringRun] = []  # a heap
         self._lingering_count = 0
 
     def try_acquire(
-        self, now: float, id: str, keys: Sequence[str], is_retry: bool = False
+        self, now: float, request_id: str, keys: Sequence[str], is_retry: bool = False
     ) -> tuple[str, AdmissionCheck]:
         """Acquire capacity under every key, or under none.
 
@@ -58,9 +61,9 @@
         Returns:
             The key without capacity, empty if the request is admitted, and the check of that key.
         """
-        is_retry = is_retry or id in self._ready
-        if id in self.waiting:
-            self._dequeue(id)
+        is_retry = is_retry or request_id in self._ready
+        if request_id in self.waiting:
+            self._dequeue(request_id)
         rejecting_key = ""
         rejection = ADMITTED
         for key in keys:
@@ -69,36 +72,36 @@
             if not check.admitted and (not rejecting_key or check.retry_after_ms > rejection.retry_after_ms):
                 rejecting_key = key
                 rejection = check
-        self._ready.discard(id)
+        self._ready.discard(request_id)
         if rejecting_key:
             return rejecting_key, rejection
         for key in keys:
             self.coordinator.consume(now, key)
             limit = self.coordinator.limit_of(key)
             if limit is not None and limit.counted_unit is CountedUnit.AT_ONCE:
-                self._in_flight_keys.setdefault(id, []).append(key)
+                self._in_flight_keys.setdefault(request_id, []).append(key)
         return "", ADMITTED
 
-    def enqueue(self, id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
+    def enqueue(self, request_id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
         """Let a request wait for capacity; the lowest order is first."""
-        self.waiting[id] = WaitingRequest(order, keys, caller)
+        self.waiting[request_id] = WaitingRequest(order, keys, caller)
         self.waiting_by_caller[caller] += 1
         for key in keys:
-            heapq.heappush(self._queues.setdefault(key, []), (order, id))
+            heapq.heappush(self._queues.setdefault(key, []), (order, request_id))
             self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
-        """Return the requests that may retry now, in order: each key's first ones, as many as fit."""
+        """Remove and return the requests that may acquire again now: each key's first ones, as many as fit."""
         ready: dict[str, Sequence[str]] = {}
         for key in list(self._queues):
             available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
-            while available > 0 and (id := self._first(key)) is not None:
-                keys = self.waiting[id].keys
+            while available > 0 and (request_id := self._first(key)) is not None:
+                keys = self.waiting[request_id].keys
                 if len(keys) > 1 and any(self.coordinator.available(now, other) <= 0 for other in keys):
                     break  # it is first for one key and waits for another: no other request passes it
-                self._dequeue(id)
-                self._ready.add(id)
-                ready[id] = keys
+                self._dequeue(request_id)
+                self._ready.add(request_id)
+                ready[request_id] = keys
                 available -= 1
         return list(ready)
 
@@ -106,30 +109,30 @@
         """Return in how long the first waiting request may have capacity; infinity if none waits or it is unknown."""
         first = float("inf")
         for key in list(self._queues):
-            if (id := self._first(key)) is not None:
-                keys = self.waiting[id].keys
+            if (request_id := self._first(key)) is not None:
+                keys = self.waiting[request_id].keys
                 first = min(first, max(self.coordinator.available_in_ms(now, other) for other in keys))
         return first
 
-    def release(self, id: str) -> None:
-        """Release a request that has ended or will not retry."""
-        if id in self.waiting:
-            self._dequeue(id)
-        self._ready.discard(id)
+    def release(self, request_id: str) -> None:
+        """Remove a request that has ended or been given up: what it waits for and the runs in flight it counts as."""
+        if request_id in self.waiting:
+            self._dequeue(request_id)
+        self._ready.discard(request_id)
         if self._in_flight_keys:
-            for key in self._in_flight_keys.pop(id, ()):
+            for key in self._in_flight_keys.pop(request_id, ()):
                 self.coordinator.run_ended(key)
 
-    def release_after(self, now: float, id: str, after_ms: float) -> None:
-        """Release a request that has ended for us, but may be in use for so long still."""
-        keys = self._in_flight_keys.pop(id, None)
+    def release_after(self, now: float, request_id: str, after_ms: float) -> None:
+        """Release a request that has ended for this member, but may still be executed for `after_ms`."""
+        keys = self._in_flight_keys.pop(request_id, None)
         if keys:
             self._lingering_count += 1
             ends_at = now + self.coordinator.settings.safe_wait_ms(after_ms)
             heapq.heappush(self._lingering, LingeringRun(ends_at, self._lingering_count, keys))
 
     def release_due(self, now: float) -> None:
-        """Release what no longer lingers."""
+        """End the runs that `release_after` left counted and whose time is over."""
         while self._lingering and self._lingering[0].ends_at <= now:
             for key in heapq.heappop(self._lingering).keys:
                 self.coordinator.run_ended(key)
@@ -144,12 +147,12 @@
         return queue[0][1]
 
     def _is_current(self, row: tuple[float, str]) -> bool:
-        order, id = row
-        request = self.waiting.get(id)
+        order, request_id = row
+        request = self.waiting.get(request_id)
         return request is not None and request.order == order
 
-    def _dequeue(self, id: str) -> None:
-        request = self.waiting.pop(id)
+    def _dequeue(self, request_id: str) -> None:
+        request = self.waiting.pop(request_id)
         self.waiting_by_caller[request.caller] -= 1
         if not self.waiting_by_caller[request.caller]:
             del self.waiting_by_caller[request.caller]
