--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,6 +11,7 @@
 
 from myrtlespar.config import ConfigError, load
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, settings
+from tests.platform_configuration import minimal_configuration
 from tests.request_classes import KEYED_SETTINGS, class_settings
 
 
@@ -26,15 +27,7 @@
     ],
 )
 def test_a_faulty_key_is_named_in_one_line(tmp_path: Path, key: str, value: object, text: str) -> None:
-    config = {
-        "name": "n",
-        "listen": "127.0.0.1:0",
-        "kernel": "127.0.0.1:1",
-        "store": "127.0.0.1:1",
-        "roster": "127.0.0.1:1",
-        "settings": settings(),
-        key: value,
-    }
+    config = minimal_configuration({key: value})
     (tmp_path / "c.json").write_text(json.dumps(config))
     done = subprocess.run(
         [sys.executable, "-m", "myrtlespar"],
@@ -93,14 +86,7 @@
 
 
 def configured(tmp: Path, operator: str) -> dict[str, str]:
-    config = {
-        "name": "n",
-        "listen": "127.0.0.1:0",
-        "kernel": "127.0.0.1:1",
-        "store": "127.0.0.1:1",
-        "roster": "127.0.0.1:1",
-        "settings": settings(),
-    }
+    config = minimal_configuration()
     (tmp / "c.json").write_text(json.dumps(config))
     (tmp / "o.toml").write_text(operator)
     return {"BALANCER_CONFIG": str(tmp / "c.json"), "MYRTLESPAR_OPERATOR": str(tmp / "o.toml")}
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -16,6 +16,7 @@
 
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, settings, until
 from myrtlespar.net.connections import connect
+from tests.platform_configuration import minimal_configuration
 
 
 @pytest.mark.parametrize("which", ["listen", "mgmt"])
@@ -159,15 +160,7 @@
     ],
 )
 def test_an_invalid_number_is_one_line_that_names_the_key(tmp_path: Path, change: dict[str, Any], text: str) -> None:
-    config = {
-        "name": "n",
-        "listen": "127.0.0.1:0",
-        "kernel": "127.0.0.1:1",
-        "store": "127.0.0.1:1",
-        "roster": "127.0.0.1:1",
-        "settings": settings(),
-        **change,
-    }
+    config = minimal_configuration(change)
     assert startup_error(tmp_path, json.dumps(config)).startswith(text)
 
 
