--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -15,7 +15,7 @@
 from myrtlespar.fakes import ServerProcess, until
 from tests.faulty_system_calls import FAULTY_START
 from tests.injected_faults import FAULTS
-from tests.traced_peers import GIVE_UP_MS, TracedClient, TracedKernel
+from tests.traced_peers import ANSWER_DUE_MS, TracedClient, TracedEngine
 from tests.trial_comparison import TrialComparison
 
 
@@ -38,7 +38,7 @@
         self.source = random.Random(self.seed)
         start = self.tmp / "faulty.py"
         start.write_text(FAULTY_START.format(seed=self.seed, chance=self.chance))
-        self.engine = TracedKernel()
+        self.engine = TracedEngine()
         self.all_clients: list[TracedClient] = []
         running = ServerProcess(self.tmp, engine=self.engine, start=str(start), wait=False)
         try:
@@ -80,10 +80,10 @@
             )
             try:
                 client.request(
-                    self.source.choice(list(GIVE_UP_MS)), body, self.source if self.source.random() < 0.2 else None
+                    self.source.choice(list(ANSWER_DUE_MS)), body, self.source if self.source.random() < 0.2 else None
                 )
             except OSError:
-                client.doubtful[client.seq] = client.sent.pop(client.seq)  # written whole or not: nobody knows
+                client.possibly_sent[client.seq] = client.sent.pop(client.seq)  # written whole or not: nobody knows
 
     def _usable(self, slot: int) -> TracedClient:
         client = self.all_clients[slot]
@@ -98,7 +98,7 @@
 
         def quiet() -> bool:
             return all(
-                client.left or seq in client.answers or seq in client.gave_up or client.ended.is_set()
+                client.left or seq in client.answers or seq in client.aborted or client.ended.is_set()
                 for client in self.all_clients
                 for seq in client.sent
             )
@@ -113,6 +113,6 @@
         client = TracedClient(self.port)
         self.all_clients.append(client)
         for n in range(12):
-            method = self.source.choice(list(GIVE_UP_MS))
+            method = self.source.choice(list(ANSWER_DUE_MS))
             ms = self.source.choice([1, 200])
             client.request(method, b"%d-leaving-%d ms=%d calls=%d" % (self.seed, n, ms, n % 2))
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -73,7 +73,7 @@
     seqs = [seq for seq in client.sent if seq not in client.answers]
     if seqs and not client.left:
         seq = trial.source.choice(seqs)
-        client.gave_up.add(seq)
+        client.aborted.add(seq)
         try:
             client.sock.sendall(encode("abort", 4, 0, idl.Front.abort_args(seqid=seq)))
         except OSError:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -10,7 +10,7 @@
 from myrtlespar.fakes import server_process, until
 from myrtlespar.fakes.upstreams import FakeEngine
 from tests.ports import free_port
-from tests.traced_peers import TracedClient, TracedKernel
+from tests.traced_peers import TracedClient, TracedEngine
 
 LIVES, CLIENTS = 5, 30
 
@@ -26,7 +26,7 @@
 
 
 def test_lives_that_end_by_kill_leave_the_next_one_ready_and_nothing_to_run(tmp_path: Path) -> None:
-    port, kernel = free_port(), TracedKernel()
+    port, kernel = free_port(), TracedEngine()
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", engine=kernel, wait=False) as running:
         everyone: list[TracedClient] = []
         ready_s: list[float] = []
--- a/tests/traced_peers.py
+++ b/tests/traced_peers.py
@@ -21,16 +21,16 @@
 from myrtlespar.fakes.upstreams import FakeEngine
 from myrtlespar.net.codec.thrift import encode, idl
 
-GIVE_UP_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}  # by method: when an answer is due
+ANSWER_DUE_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}  # by method: when an answer is due
 CALL_TIMEOUT_S = 20.0
 
 
-class TracedKernel(FakeEngine):
+class TracedEngine(FakeEngine):
     """An engine that keeps all commands over its restarts, and the calls that it requested for each run."""
 
     def __init__(self) -> None:
         self.history: list[dict[str, Any]] = []
-        self.asked: dict[str, set[bytes]] = defaultdict(set)
+        self.requested_calls: dict[str, set[bytes]] = defaultdict(set)
         self.malformed: list[bytes] = []
         super().__init__()
 
@@ -52,7 +52,7 @@
 
     def note(self, **row: Any) -> None:
         if row["t"] == "IOREQ":
-            self.asked[row["rid"]].add(base64.b64decode(row["b64"]))
+            self.requested_calls[row["rid"]].add(base64.b64decode(row["b64"]))
         super().note(**row)
 
     def restart(self) -> None:
@@ -81,7 +81,7 @@
 class Run:
     """One run of the traced engine; it sends no notice once the engine was restarted."""
 
-    kernel: TracedKernel
+    kernel: TracedEngine
     note: Callable[..., None]
     command: dict[str, Any]
     row: list[Any]
@@ -124,8 +124,8 @@
 
     def __init__(self, port: int) -> None:
         self.sent: dict[int, Request] = {}
-        self.doubtful: dict[int, Request] = {}
-        self.gave_up: set[int] = set()
+        self.possibly_sent: dict[int, Request] = {}
+        self.aborted: set[int] = set()
         self.ended_ms = math.inf
         self.left = False
         self.unreadable: list[str] = []
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from myrtlespar.fakes import ServerProcess
-from tests.traced_peers import GIVE_UP_MS, Request, TracedClient
+from tests.traced_peers import ANSWER_DUE_MS, Request, TracedClient
 
 if TYPE_CHECKING:
     from tests.fault_injection import Trial
@@ -33,7 +33,7 @@
         self.requests: dict[str, Request] = {  # by request id
             request.rid: request
             for client in trial.all_clients
-            for request in (*client.sent.values(), *client.doubtful.values())
+            for request in (*client.sent.values(), *client.possibly_sent.values())
         }
         self.starts: Counter[str] = Counter()  # by request id
 
@@ -56,8 +56,8 @@
                 self._compare_start(command)
             elif command["t"] == "IODONE":
                 reply = base64.b64decode(command["b64"])
-                asked = self.trial.engine.asked.get(command["rid"], set())
-                if reply not in {b"reply\r\nto " + body for body in asked}:
+                requested_calls = self.trial.engine.requested_calls.get(command["rid"], set())
+                if reply not in {b"reply\r\nto " + body for body in requested_calls}:
                     wrong.append(f"reply that no call got: {command}")
         wrong += [f"line to the kernel: {line!r}" for line in self.trial.engine.malformed]
         wrong += [
@@ -79,7 +79,7 @@
         wrong += [
             f"call that no run made: {id} {body!r}"
             for id, body in self.running.dependency.calls
-            if body not in self.trial.engine.asked.get(id, set())
+            if body not in self.trial.engine.requested_calls.get(id, set())
         ]
         reports = self.running.registry.reports
         wrong += [f"report of another: {path}" for path, _ in reports if path != "/roster/n3"]
@@ -103,12 +103,12 @@
         # The protocol's page: what crosses a close within 50 ms is sent once more, so it must not have run.
         crossed = request.sent_ms > client.ended_ms - CROSSING_MS and request.rid not in self.starts
         counts["crossed"] += crossed
-        if count == 0 and not (client.left or seq in client.gave_up or crossed):
+        if count == 0 and not (client.left or seq in client.aborted or crossed):
             wrong.append(f"no answer to {request}")
         if count:
             kind, value = client.answers[seq]
             counts[kind] += 1
-            late_ms = client.times[seq] - request.sent_ms - GIVE_UP_MS[request.method]
+            late_ms = client.times[seq] - request.sent_ms - ANSWER_DUE_MS[request.method]
             if late_ms > SLACK_MS:
                 wrong.append(f"{late_ms:.0f} ms late: {request}")
             if kind == "success" and value.body != b"result of " + request.body:
