--- a/myrtlespar/fleet/member_report.py
+++ b/myrtlespar/fleet/member_report.py
@@ -96,16 +96,16 @@
             "state": MemberState(entry.update.state).name.lower(),
             "life": [entry.update.incarnation, entry.update.refutation],
             "for_ms": round(now - entry.since),
-            "evidence_ms": round(now - entry.evidence),
-            "heard_ms": round(now - entry.heard) if entry.heard > 0 else None,
-            "proven_ms": round(now - entry.answered) if entry.answered > 0 else None,
+            "evidence_ms": round(now - entry.evidence_at),
+            "heard_ms": round(now - entry.last_packet_at) if entry.last_packet_at > 0 else None,
+            "proven_ms": round(now - entry.last_answered_at) if entry.last_answered_at > 0 else None,
         }
         for name, entry in sorted(member.view.entries.items())
     ]
 
 
 def _gauges(member: Member, now: float) -> dict[str, float]:
-    evidence_ages = (now - entry.evidence for entry in member.view.entries.values() if entry.present)
+    evidence_ages = (now - entry.evidence_at for entry in member.view.entries.values() if entry.present)
     return {
         "oldest_evidence_seconds": max(evidence_ages, default=0.0) / 1000,
         "local_health": member.prober.health,
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -168,7 +168,7 @@
             if entry is None:  # the view is full
                 return self.outbox.take_effects()
             entry.accept_packet(sender.incarnation, packet.sequence_number)
-        entry.heard = now
+        entry.last_packet_at = now
         self._merge_packet(now, packet, entry)
         self._handle_body(now, packet, entry)
         return self.outbox.take_effects()
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -53,7 +53,7 @@
         self.timers.put(now + period_ms, TimerKind.PROBE_PERIOD)
         for name in self.prober.targets(self.view):
             entry = self.view.entries[name]
-            entry.probed = now
+            entry.last_probed_at = now
             update = entry.update
             probe_id = self.prober.begin(name, update.site, now)
             self._start_timers(probe_id)
@@ -92,7 +92,7 @@
         if entry is None or not entry.present:
             return
         for name in self.view.sites[entry.update.site].sample(self.random, MAX_SITE_CHECKS):
-            if now - self.view.entries[name].answered > self.settings.reply_ms:
+            if now - self.view.entries[name].last_answered_at > self.settings.reply_ms:
                 self.prober.prioritize(name)
         self.accuse(now, entry.update)
 
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -102,11 +102,13 @@
         return [
             name
             for name, entry in view.entries.items()
-            if not entry.present and now - entry.since > ONE_WAY_SETTLE_MS and now - entry.heard < ONE_WAY_HEARD_MS
+            if not entry.present
+            and now - entry.since > ONE_WAY_SETTLE_MS
+            and now - entry.last_packet_at < ONE_WAY_HEARD_MS
         ]
 
     def _heard_since_missed(self, entry: MemberEntry) -> bool:
-        return entry.heard > entry.missed_since + self.settings.direct_max_ms
+        return entry.last_packet_at > entry.missed_since + self.settings.direct_max_ms
 
     def _publish_own(self, view: View) -> None:
         """Rebuild our row and disseminate it."""
@@ -150,7 +152,7 @@
         names = []
         for name, since in list(self.since.items()):
             entry = view.entries.get(name)
-            if entry is None or not entry.present or now - entry.heard > self.settings.disagree_ms:
+            if entry is None or not entry.present or now - entry.last_packet_at > self.settings.disagree_ms:
                 self.end(name)
             elif now - since >= self.settings.disagree_ms and name not in self.lasting:
                 self.lasting.add(name)
--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -104,7 +104,7 @@
             self.suspicions.postpone(name, suspicion, suspicion.deadline)
             return
         entry = self.view.entries[name]
-        if entry.answered > suspicion.started and now - entry.answered <= self.settings.reply_ms:
+        if entry.last_answered_at > suspicion.started and now - entry.last_answered_at <= self.settings.reply_ms:
             # it answered us since: it refutes the suspicion once it has been notified of it
             self.suspicions.postpone(name, suspicion, now + self.settings.probe_ms)
             self.outbox.send(now, entry.update.address, GossipPush(), name)
@@ -137,7 +137,7 @@
             None if the member answered us since; a suspicion, which it can refute to us, if it has not been suspected
             here for at least half of `suspect_min_ms`; else the update.
         """
-        if entry.answered > now - update.age_ms:
+        if entry.last_answered_at > now - update.age_ms:
             self.outbox.count("outdated")
             return None
         suspicion = self.suspicions.by_name.get(update.name)
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -28,10 +28,10 @@
 
     update: MemberUpdate
     since: float  # when it came to this state in our view
-    evidence: float  # when the freshest evidence of this state was made
-    heard: float = float("-inf")  # when the last packet from the member itself came
-    answered: float = float("-inf")  # its last answer to a probe of ours
-    probed: float = float("-inf")  # start of our last probe of it
+    evidence_at: float  # when the freshest evidence of this state was made
+    last_packet_at: float = float("-inf")  # when the last packet from the member itself came
+    last_answered_at: float = float("-inf")  # its last answer to a probe of ours
+    last_probed_at: float = float("-inf")  # start of our last probe of it
     packet_incarnation: int = 0  # the latest one that its packets stated
     highest_sequence_number: int = 0  # of its packets within that incarnation
     received_packets: int = 0  # bit n: the packet n before the highest one was received
@@ -128,7 +128,7 @@
         if known.address != update.address and self.addresses.get(known.address) == name:
             del self.addresses[known.address]
         entry.update = update
-        entry.evidence = now - update.age_ms
+        entry.evidence_at = now - update.age_ms
 
     def _index(self, update: MemberUpdate) -> None:
         name = update.name
@@ -169,8 +169,8 @@
     def mark_answered(self, name: str, now: float) -> None:
         """A member answered a probe of ours."""
         entry = self.entries[name]
-        entry.answered = now
-        entry.evidence = now
+        entry.last_answered_at = now
+        entry.evidence_at = now
 
     def next_to_probe(self, random: Random, busy: Container[str]) -> str | None:
         """Of PROBE_CANDIDATES sampled present members that are not in `busy`, the one least recently probed.
@@ -181,4 +181,4 @@
         candidates = [name for name in self.present.sample(random, PROBE_CANDIDATES) if name not in busy]
         if not candidates:
             candidates = [name for name in self.present if name not in busy][:PROBE_CANDIDATES]
-        return min(candidates, key=lambda name: self.entries[name].probed) if candidates else None
+        return min(candidates, key=lambda name: self.entries[name].last_probed_at) if candidates else None
--- a/myrtlespar/membership/view_exchange.py
+++ b/myrtlespar/membership/view_exchange.py
@@ -29,7 +29,7 @@
     def build(self, now: float) -> ViewSync:
         """The complete view, ages as of now."""
         updates = tuple(
-            entry.update.aged(now - entry.evidence - entry.update.age_ms) for entry in self.view.entries.values()
+            entry.update.aged(now - entry.evidence_at - entry.update.age_ms) for entry in self.view.entries.values()
         )
         rows = tuple(self.reachability.rows.values())
         return ViewSync(self.outbox.fleet, self.outbox.self_update, updates, rows)
