--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -10,15 +10,15 @@
 from myrtlespar.membership.messages import SUSPECT, MemberUpdate, ReachabilityRow
 from myrtlespar.membership.settings import MembershipSettings
 
-MAX_PENDING_UPDATES = 512  # beyond it the most sent one is dropped
+MAX_PENDING_UPDATES = 512  # beyond this, the update sent most often is dropped
 
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """One update that is being sent."""
+    """An update that is being disseminated."""
 
     update: MemberUpdate
-    since: float  # when it was put here (ms); it is sent with its evidence aged by the time since
+    queued_at: float  # ms; the update is sent with its evidence aged by the time since
     times_sent: int = 0
 
 
@@ -27,32 +27,32 @@
 
     def __init__(self, settings: MembershipSettings) -> None:
         self.settings = settings
-        self._pending: dict[str, PendingUpdate] = {}  # by member, and accuser if there is one
+        self._pending: dict[str, PendingUpdate] = {}  # by member; suspicions by member and accuser
         self._rows: dict[str, tuple[int, ReachabilityRow]] = {}  # by reporter: times sent, row
 
     def put(self, update: MemberUpdate, now: float) -> None:
-        """Send this from now on, in place of updates about the same member.
+        """Start to send an update, in place of earlier ones about the same member.
 
         A suspicion replaces any update that is no suspicion, and the suspicion of the same accuser; those of other
         accusers are sent beside it, as the receivers count the accusers.
         """
         suspected = update.state == SUSPECT
-        label = f"{update.name}\0{update.accuser}" if suspected else update.name
+        pending_key = f"{update.name}\0{update.accuser}" if suspected else update.name
         if not suspected:
             for other in [key for key in self._pending if key.startswith(update.name + "\0")]:
                 del self._pending[other]
         elif update.name in self._pending:
             del self._pending[update.name]
-        self._pending[label] = PendingUpdate(update, now)
+        self._pending[pending_key] = PendingUpdate(update, now)
         if len(self._pending) > MAX_PENDING_UPDATES:  # bounds memory in a storm of changes
             del self._pending[max(self._pending, key=lambda key: self._pending[key].times_sent)]
 
     def put_row(self, row: ReachabilityRow) -> None:
-        """Send a reachability row from now on."""
+        """Start to send a reachability row, in place of an earlier one of the same reporter."""
         self._rows[row.reporter] = (0, row)
 
     def clear(self) -> None:
-        """Drop all that is pending."""
+        """Drop all pending updates and rows."""
         self._pending.clear()
         self._rows.clear()
 
@@ -60,13 +60,13 @@
         return len(self._pending) + len(self._rows)
 
     def max_times_sent(self, fleet_size: int) -> int:
-        """How often one member sends each update."""
+        """Return how many times one member sends each update."""
         return math.ceil(self.settings.repeat * math.log2(fleet_size + 1))
 
     def pick(
         self, now: float, fleet_size: int, max_bytes: int, first: Iterable[MemberUpdate] = ()
     ) -> tuple[tuple[MemberUpdate, ...], tuple[ReachabilityRow, ...]]:
-        """What the next packet carries: `first`, then the pending updates sent least often, then one row.
+        """Choose what the next packet carries: `first`, then the pending updates sent least often, then one row.
 
         Returns at most `carry` updates and rows in all. Pending ones are added up to `max_bytes`, and each is sent at
         most `max_times_sent` times; `first` is always included and not counted as sent.
@@ -85,15 +85,15 @@
             return max_bytes
         max_times_sent = self.max_times_sent(fleet_size)
         free_slots = self.settings.carry - len(updates)
-        for label in nsmallest(free_slots, pending, key=lambda label: pending[label].times_sent):
-            entry = pending[label]
+        for pending_key in nsmallest(free_slots, pending, key=lambda pending_key: pending[pending_key].times_sent):
+            entry = pending[pending_key]
             max_bytes -= update_size(entry.update)
             if max_bytes < 0:
                 break
-            updates.append(entry.update.aged(now - entry.since))
+            updates.append(entry.update.aged(now - entry.queued_at))
             entry.times_sent += 1
             if entry.times_sent >= max_times_sent:
-                del pending[label]
+                del pending[pending_key]
         return max_bytes
 
     def _pick_row(self, fleet_size: int, max_bytes: int) -> tuple[ReachabilityRow, ...]:
@@ -109,10 +109,10 @@
 
 
 def update_size(update: MemberUpdate) -> int:
-    """Upper bound of an update's bytes in a packet: its texts, each with a length, and numbers of nine bytes."""
+    """Return an upper bound of an update's bytes in a packet: texts with their lengths, and numbers of nine bytes."""
     return 38 + len(update.name) + len(update.site) + len(update.address) + len(update.accuser)
 
 
 def row_size(row: ReachabilityRow) -> int:
-    """Upper bound of a reachability row's bytes in a packet."""
+    """Return an upper bound of a reachability row's bytes in a packet."""
     return 24 + len(row.reporter) + sum(len(name) + 4 for name, _ in row.unreachable)
--- a/myrtlespar/membership/gossip.py
+++ b/myrtlespar/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Pushes new updates to a few members at once, beside what rides on probes."""
+"""Prompt push of new updates to a few members, in addition to the updates that probes carry."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
         self._scheduled = False
 
     def schedule(self, now: float) -> None:
-        """There is something new: push it soon."""
+        """Schedule a push of the pending updates, unless one is scheduled already."""
         if not self._scheduled:
             self._scheduled = True
             self.timers.put(now + self.settings.push_ms, TimerKind.GOSSIP_PUSH)
 
     def push(self, now: float) -> None:
-        """Send pending updates to some members, within the budget for such packets."""
+        """Send pending updates to `fanout` members, within the budget for such packets."""
         self._scheduled = False
         for name in self.view.present.sample(self.random, self.settings.fanout):
-            if not self.outbox.push_budget.take(now):  # the rest rides on probes
+            if not self.outbox.push_budget.take(now):  # probes carry the remaining updates
                 self.outbox.count("push_spared")
                 break
             self.outbox.send(now, self.view.entries[name].update.address, GossipPush(), name)
--- a/myrtlespar/membership/maintenance.py
+++ b/myrtlespar/membership/maintenance.py
@@ -15,7 +15,7 @@
 
 
 class Maintenance:
-    """The periodic work that is not urgent."""
+    """Periodic work that is not urgent, done every MAINTENANCE_MS."""
 
     def __init__(
         self,
@@ -37,12 +37,12 @@
         self._reported_one_way = False
 
     def run(self, now: float) -> None:
-        """Do all that is due in this second."""
+        """Do all maintenance, and set the timer of the next."""
         self.timers.put(now + MAINTENANCE_MS, TimerKind.MAINTENANCE)
         self._forget(now)
         self_id = self.view.self_id
         for name in self.divergence.take_lasting(now, self.view):
-            self.outbox.count("disagree", f"views differ for long: {self_id} and {name}")
+            self.outbox.count("disagree", f"views of {self_id} and {name} have differed for at least disagree_ms")
         self._report_one_way(now)
 
     def _forget(self, now: float) -> None:
@@ -70,4 +70,6 @@
         self._reported_one_way = bool(one_way)
         if one_way:
             names = " ".join(one_way[:MAX_NAMES_LOGGED])
-            self.outbox.count("one_way", f"heard, but they do not answer {self.view.self_id}: {names}")
+            self.outbox.count(
+                "one_way", f"packets still arrive at {self.view.self_id} from members believed failed or left: {names}"
+            )
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -1,6 +1,6 @@
 """One member of the fleet: receives packets and timer calls, returns what to send and what changed.
 
-The decisions are in the parts that `Member` connects; the package docstring lists them. The driver calls `tick` at
+The parts that `Member` connects take the decisions; the package docstring lists them. The driver calls `tick` at
 `next_at()` or as soon after as it can, and `receive` for each packet. Times are monotonic milliseconds; the wall clock
 matters for incarnations only.
 """
@@ -42,7 +42,7 @@
 
 
 class Member:
-    """Holds the parts together and dispatches packets and timers to them."""
+    """Builds the parts of one member and dispatches packets and timers to them."""
 
     # Over 40 lines because it builds every part of a member and connects them, in the order of their dependencies.
     def __init__(
@@ -137,7 +137,7 @@
         return self.outbox.take_effects()
 
     def next_at(self) -> float:
-        """When `tick` is due (ms)."""
+        """Return when `tick` is due (ms)."""
         return self.timers.next_at()
 
     def tick(self, now: float) -> list[MembershipEffect]:
@@ -148,7 +148,7 @@
         return self.outbox.take_effects()
 
     def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
-        """Handle one packet. A foreign or replayed one, or one of an earlier incarnation, is only counted."""
+        """Handle one packet. One of another fleet, a replayed one, or one of an earlier incarnation is only counted."""
         self._check_lateness(now)
         sender = packet.sender
         if packet.fleet != self.fleet:
@@ -157,8 +157,8 @@
             return self._ignore("own_name")
         entry = self.view.entries.get(sender.name)
         if entry is not None and not entry.accept_packet(sender.incarnation, packet.sequence_number):
-            # a new process whose clock was set back sends a lower incarnation: it learns of the higher one, and picks
-            # one above it
+            # a new process whose clock was set back has a lower incarnation: the reply tells it the higher one, so that
+            # it picks one above that
             if sender.incarnation < entry.packet_incarnation and self.outbox.push_budget.take(now):
                 self.outbox.send(now, sender.address, GossipPush(), sender.name, True)
             return self._ignore("replayed")
@@ -174,7 +174,11 @@
         return self.outbox.take_effects()
 
     def sync_requested(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]:
-        """Another member sent its view and requests ours: the reply (None for a foreign member) and the effects."""
+        """Merge the view of a member that requests ours.
+
+        Returns:
+            The reply, None if the member is of another fleet or uses our name, and the effects.
+        """
         if sync.fleet != self.fleet:
             return None, self._ignore("foreign")
         if sync.sender.name == self.name:
@@ -198,7 +202,7 @@
         return self.outbox.take_effects()
 
     def leave(self, now: float) -> list[MembershipEffect]:
-        """Leave the fleet: notify some members, which disseminate it. Nothing is refuted any more."""
+        """Leave the fleet: notify some members, which disseminate it. From then on nothing is refuted."""
         self.self_state.leave(now)
         for name in self.view.present.sample(self.random, 4 * self.settings.fanout):
             self.outbox.send(now, self.view.entries[name].update.address, GossipPush(), name)
@@ -218,11 +222,11 @@
         ]
 
     def sync(self, now: float) -> ViewSync:
-        """The complete view, ages as of now."""
+        """Return the complete view, with ages of evidence as of `now`."""
         return self.view_exchange.build(now)
 
     def _check_lateness(self, now: float) -> None:
-        """Postpone all deadlines if our own timers are late, so that no other member is failed for our own pause.
+        """Postpone all deadlines if our own timers are late, so that our own pause is not taken for failures of others.
 
         Called first in `tick`, `receive` and `sync_received`: if the process did not run for a time, the deadlines of
         probes and suspicions begun before are postponed, those of later ones are not.
@@ -245,9 +249,9 @@
                 isolated = now - self.probe_rounds.last_answer_at > self.settings.isolated_ms()
                 self.outbox.effects += self.quorum.set_isolated(isolated, now)
             case TimerKind.DIRECT_TIMEOUT:
-                self.probe_rounds.direct_timeout(now, int(key))
+                self.probe_rounds.handle_direct_timeout(now, int(key))
             case TimerKind.PROBE_TIMEOUT:
-                self.probe_rounds.probe_timeout(now, int(key))
+                self.probe_rounds.handle_probe_timeout(now, int(key))
             case TimerKind.PEER_SEARCH:
                 self.peer_search.search(now)
             case TimerKind.SUSPICION_TIMEOUT:
@@ -261,7 +265,7 @@
         """Merge what a packet carries beside its body."""
         sender = packet.sender
         if entry.missed_probes:
-            self.reachability.packet_received(self.view, entry)
+            self.reachability.record_packet(self.view, entry)
         for update in packet.updates:
             self.merger.merge(now, update)
         for row in packet.reachability:
@@ -278,11 +282,11 @@
         if isinstance(body, Ping):
             self.outbox.send(now, sender.address, Ack(body.probe_id, self.name), sender.name)
         elif isinstance(body, Ack):
-            self.probe_rounds.acknowledged(now, body, entry)
+            self.probe_rounds.handle_ack(now, body, entry)
         elif isinstance(body, IndirectProbe):
-            self.probe_rounds.probe_for(now, body, sender.address)
+            self.probe_rounds.handle_indirect_probe(now, body, sender.address)
         elif isinstance(body, Nack):
-            self.probe_rounds.not_acknowledged(body.probe_id)
+            self.probe_rounds.handle_nack(body.probe_id)
         else:
             believed_failed = not entry.present and sender.state == ALIVE and entry.update.state == FAILED
             if believed_failed and self.outbox.push_budget.take(now):
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -1,8 +1,8 @@
 """Messages between members, and the effects that a member asks its driver to carry out. Data types only.
 
-The structs are msgspec's, so that the codec in `net/codec` needs no second set of types. The order of their fields
-and the tags are the wire format. Names are at most 48 characters, addresses at most 64 (the codec checks). Ages are
-whole milliseconds.
+The messages are msgspec structs, so that the codec in `net/codec` needs no second set of types. The order of their
+fields and the tags are the wire format. Names are at most 48 characters, addresses at most 64 (the codec checks). Ages
+are whole milliseconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; the more severe state has the higher value."""
+    """Believed state of a member; the more severe state has the higher value."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,14 +28,21 @@
 LEFT = MemberState.LEFT
 PRESENT_STATES = (ALIVE, SUSPECT)
 MAX_AGE_MS = 2**31
-UpdatePrecedence = tuple[int, int, int]  # incarnation, refutation, state: the greatest one is believed
+UpdatePrecedence = tuple[int, int, int]  # incarnation, refutation, state
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """A statement about one member.
 
-    `incarnation` is the Unix time of its start in ms; `refutation` is a counter that only the member itself raises, to
-    refute suspicions; `accuser` is who suspects it; `age_ms` is how old the evidence is.
+    Attributes:
+        name: Name of the member.
+        site: Site of the member.
+        address: Host and port at which other members reach it.
+        incarnation: Unix time of its start in ms, or more if an earlier process of the name had a later incarnation.
+        refutation: Counter that only the member itself raises, to refute suspicions.
+        state: A `MemberState`.
+        age_ms: Age of the evidence.
+        accuser: Member that suspects it or declared it failed; empty in other states.
     """
 
     name: str
@@ -49,17 +56,17 @@
 
     @property
     def precedence(self) -> UpdatePrecedence:
-        """Incarnation, refutation, state: of two updates about one member the greater tuple is believed."""
+        """Incarnation, refutation and state; of two updates about one member, the one with the greater tuple wins."""
         return self.incarnation, self.refutation, self.state
 
     def with_state(self, state: MemberState, age_ms: int, accuser: str) -> MemberUpdate:
-        """An update about the same incarnation and refutation with another state."""
+        """Return an update about the same incarnation and refutation with another state."""
         return MemberUpdate(
             self.name, self.site, self.address, self.incarnation, self.refutation, state, age_ms, accuser
         )
 
     def aged(self, by_ms: float) -> MemberUpdate:
-        """The same update with older evidence."""
+        """Return the same update with evidence older by `by_ms`."""
         if by_ms < 1:
             return self
         return MemberUpdate(
@@ -77,7 +84,11 @@
 class ReachabilityRow(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """Members that `reporter` cannot reach directly although others can.
 
-    `unreachable` holds (name, whether the reporter still receives packets from it); `version` grows with each change.
+    Attributes:
+        reporter: Name of the member that publishes the row.
+        incarnation: Incarnation of the reporter.
+        version: Counter that grows with each change of the row.
+        unreachable: Pairs of a member's name and whether the reporter still receives packets from it.
     """
 
     reporter: str
@@ -93,14 +104,14 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """`target` answered a probe: the sender itself, or the member it was asked to probe."""
+    """Answer to a probe: `target` is alive. It is the sender, or the member that the sender was asked to probe."""
 
     probe_id: int
     target: str
 
 
 class IndirectProbe(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
-    """Request to probe `name` at `address` for the sender."""
+    """Request to probe the member `name` at `address` on behalf of the sender."""
 
     probe_id: int
     name: str
@@ -108,13 +119,13 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """No answer yet to a probe made for the receiver."""
+    """Reply to an `IndirectProbe`: the sender has no answer from the target yet."""
 
     probe_id: int
 
 
 class GossipPush(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
-    """No body: the packet only carries updates."""
+    """Empty body of a packet that only carries updates."""
 
 
 Body = Ping | Ack | IndirectProbe | Nack | GossipPush
@@ -123,8 +134,8 @@
 class Packet(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One datagram.
 
-    `sequence_number` counts the sender's packets within its incarnation; `view_hash` and `voter_set_version` are those
-    of the sender.
+    `sequence_number` counts the packets of the sender's process; `view_hash` and `voter_set_version` are those of the
+    sender.
     """
 
     fleet: str
@@ -138,7 +149,7 @@
 
 
 class ViewSync(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A complete view, over TCP; the request and the reply are one each."""
+    """The sender's complete view, sent over TCP both as the request for a view and as the reply to it."""
 
     fleet: str
     sender: MemberUpdate
@@ -154,7 +165,7 @@
 
 
 class RequestSync(NamedTuple):
-    """Effect: send this over TCP and pass the reply to `Member.sync_received`."""
+    """Effect: send `sync` to `address` over TCP and pass the reply to `Member.sync_received`."""
 
     address: str
     sync: ViewSync
@@ -163,7 +174,7 @@
 class MemberChanged(NamedTuple):
     """Effect: the believed state of `name` changed.
 
-    `old_state` is None for a member that is new, `new_state` is None for one that was forgotten.
+    `old_state` is None for a new member, `new_state` is None for one that was forgotten.
     """
 
     name: str
@@ -183,7 +194,7 @@
 
 
 class CountEvent(NamedTuple):
-    """Effect: count this under `counter`; `log_message` is for the log, if not empty."""
+    """Effect: increment `counter`, and log `log_message` if it is not empty."""
 
     counter: str
     log_message: str = ""
--- a/myrtlespar/membership/outbox.py
+++ b/myrtlespar/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Outgoing packets with the updates they carry, and the effects of one call in their order."""
+"""Outgoing packets with the updates they carry, and the effects of one call to a member, in order."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PacketOutbox:
-    """Numbers packets, adds updates to them, and gathers effects until they are taken."""
+    """Numbers packets, adds updates to them, and collects effects until `take_effects` returns them."""
 
     def __init__(
         self, fleet: str, self_update: MemberUpdate, settings: MembershipSettings, view: View, now: float
@@ -31,13 +31,13 @@
         self.view = view
         self.voter_set_version = 0
         self.dissemination = Dissemination(settings)
-        self.push_budget = TokenBucket(settings.push_per_s, now)  # of packets that only carry updates
+        self.push_budget = TokenBucket(settings.push_per_s, now)  # limits packets that only carry updates
         self.effects: list[MembershipEffect] = []
         self._sequence_number = 0
 
     @property
     def fleet_size(self) -> int:
-        """Members believed present, this member included."""
+        """Number of members believed present, this member included."""
         return len(self.view.present) + 1
 
     def send(self, now: float, address: str, body: Body, receiver: str = "", include_receiver: bool = False) -> None:
@@ -47,9 +47,9 @@
             now: Monotonic time, ms.
             address: Where to send it.
             body: The packet's body.
-            receiver: Name of the member there, if known. The update that we believe about it goes first if it is not
-                alive, so that the receiver can refute it.
-            include_receiver: Send that update also if the receiver is alive.
+            receiver: Name of the member at `address`, if known. If our view has it in a state other than alive, the
+                packet carries the update about it first, so that the receiver can refute it.
+            include_receiver: Carry the update about the receiver also if it is alive.
         """
         first: tuple[MemberUpdate, ...] = ()
         entry = self.view.entries.get(receiver) if receiver else None
@@ -76,7 +76,7 @@
         self.effects.append(CountEvent(counter, log_message))
 
     def take_effects(self) -> list[MembershipEffect]:
-        """The effects since the last call."""
+        """Return the effects since the last call."""
         effects = self.effects
         self.effects = []
         return effects
--- a/myrtlespar/membership/peer_search.py
+++ b/myrtlespar/membership/peer_search.py
@@ -13,7 +13,7 @@
 from myrtlespar.membership.view import View
 from myrtlespar.membership.view_exchange import ViewExchange
 
-MAX_SEEDS_JOINED = 3  # seeds asked at the start
+MAX_JOIN_SEEDS = 3  # seeds whose views are requested at the start
 
 
 class PeerSearch:
@@ -41,15 +41,15 @@
 
     def join(self, now: float) -> None:
         """Request the views of up to MAX_SEEDS_JOINED seeds."""
-        few = len(self.seeds) <= MAX_SEEDS_JOINED
-        for seed in self.seeds if few else self.random.sample(self.seeds, MAX_SEEDS_JOINED):
+        few = len(self.seeds) <= MAX_JOIN_SEEDS
+        for seed in self.seeds if few else self.random.sample(self.seeds, MAX_JOIN_SEEDS):
             self.view_exchange.request(now, seed)
 
     def search(self, now: float) -> None:
         """Ping a failed member, and contact a seed at whose address no present member is known.
 
-        While this member is alone, the seed's view is requested, at most once in `sync_ms`. Else the seed is pinged,
-        unless an absent member is known at its address: failed ones are pinged as such.
+        While this member is alone, the seed's view is requested, at most once in `sync_ms`. Otherwise the seed is
+        pinged, unless an absent member is known at its address: if that one failed, it is pinged as a failed member.
         """
         self.timers.put(now + self.settings.knock_ms * (0.9 + 0.2 * self.random.random()), TimerKind.PEER_SEARCH)
         for name in self.view.failed.sample(self.random, 1):
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -1,4 +1,4 @@
-"""Probe rounds: sends probes, and decides what an answer or its absence means; also probes on behalf of others."""
+"""Probe rounds: sends probes, handles answers and timeouts, and probes on behalf of other members."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from myrtlespar.membership.timers import TimerKind, Timers
 from myrtlespar.membership.view import MemberEntry, View
 
-MAX_SITE_CHECKS = 8  # members of a site that are prioritized once one of it did not answer
+MAX_SITE_CHECKS = 8  # members of a site to be probed before their turn once one of the site did not answer
 
 
 class ProbeRounds:
     """Runs the probes of one member.
 
-    `accuse` is called with the time and the known update of a member from which neither a direct nor an indirect
-    answer came in time.
+    `accuse` is called with the time and the known update of a member if neither a direct nor an indirect answer came
+    in time.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.last_answer_at = now  # when any member last answered a probe of ours, directly or not
 
     def begin_period(self, now: float) -> None:
-        """Probe those whose turn it is."""
+        """Send the probes of this period, and set the timer of the next."""
         period_ms = self.settings.probe_ms * (0.9 + 0.2 * self.random.random())
         self.timers.put(now + period_ms, TimerKind.PROBE_PERIOD)
         for name in self.prober.targets(self.view):
@@ -59,10 +59,10 @@
             self._start_timers(probe_id)
             self.outbox.send(now, update.address, Ping(probe_id), name)
 
-    def direct_timeout(self, now: float, probe_id: int) -> None:
-        """No direct answer in time: ping again and request indirect probes.
+    def handle_direct_timeout(self, now: float, probe_id: int) -> None:
+        """Ping again and request indirect probes, if no direct answer came in time.
 
-        For a probe made for another member, that one is sent a `Nack` instead.
+        If the probe was made on behalf of another member, send that member a `Nack` instead.
         """
         probe = self.prober.probes.get(probe_id)
         if probe is None:
@@ -76,18 +76,18 @@
         address = entry.update.address
         helpers = self.prober.helpers(self.view, probe.target, entry.update.site, self.site)
         probe.helpers = len(helpers)
-        self.outbox.send(now, address, Ping(probe_id), probe.target)  # the first one may just be lost
+        self.outbox.send(now, address, Ping(probe_id), probe.target)  # the first ping may just be lost
         for name in helpers:
             body = IndirectProbe(probe_id, probe.target, address)
             self.outbox.send(now, self.view.entries[name].update.address, body, name)
 
-    def probe_timeout(self, now: float, probe_id: int) -> None:
-        """No answer at all: accuse the target and check the rest of its site soon."""
+    def handle_probe_timeout(self, now: float, probe_id: int) -> None:
+        """Accuse the target if no answer came at all, and probe other members of its site before their turn."""
         probe = self.prober.end(probe_id)
         if probe is None or probe.requester or probe.answered_indirectly:
             return
         if probe.helpers > 1 and not probe.nacks:
-            self.prober.worsen_health()  # no helper answered either
+            self.prober.worsen_health()  # no helper answered either: this member may be cut off itself
         entry = self.view.entries.get(probe.target)
         if entry is None or not entry.present:
             return
@@ -96,9 +96,9 @@
                 self.prober.prioritize(name)
         self.accuse(now, entry.update)
 
-    def probe_for(self, now: float, request: IndirectProbe, requester: str) -> None:
-        """Probe a member for the one at address `requester`."""
-        if self.prober.full():
+    def handle_indirect_probe(self, now: float, request: IndirectProbe, requester: str) -> None:
+        """Probe a member on behalf of the member at address `requester`."""
+        if self.prober.at_capacity():
             self.outbox.count("relay_spared")
             return
         known = self.view.entries.get(request.name)
@@ -107,25 +107,25 @@
         self._start_timers(probe_id)
         self.outbox.send(now, request.address, Ping(probe_id), request.name)
 
-    def acknowledged(self, now: float, ack: Ack, sender: MemberEntry) -> None:
-        """The sender answered, or a member that it probed for us did. Even a late answer proves that it is alive."""
+    def handle_ack(self, now: float, ack: Ack, sender: MemberEntry) -> None:
+        """Record an answer of the sender, or of a member that it probed for us. Even a late answer proves life."""
         probe = self.prober.probes.get(ack.probe_id)
         if ack.target == sender.update.name:
-            self._acknowledged_directly(now, ack.probe_id, probe, sender)
+            self._handle_direct_ack(now, ack.probe_id, probe, sender)
         elif probe is not None and probe.target == ack.target:
-            self._acknowledged_indirectly(now, probe)
+            self._handle_indirect_ack(now, probe)
 
-    def not_acknowledged(self, probe_id: int) -> None:
-        """A helper that we asked for an indirect probe is alive, but got no answer from the target."""
+    def handle_nack(self, probe_id: int) -> None:
+        """Count a helper that is alive but got no answer from the target of an indirect probe."""
         probe = self.prober.probes.get(probe_id)
         if probe is not None:
             probe.nacks += 1
 
-    def _acknowledged_directly(self, now: float, probe_id: int, probe: Probe | None, sender: MemberEntry) -> None:
+    def _handle_direct_ack(self, now: float, probe_id: int, probe: Probe | None, sender: MemberEntry) -> None:
         name = sender.update.name
         self.last_answer_at = now
         self.view.mark_answered(name, now)
-        self.reachability.answered_directly(self.view, sender)
+        self.reachability.record_direct_answer(self.view, sender)
         if probe is None or probe.target != name:
             return
         self.prober.end(probe_id)
@@ -135,16 +135,16 @@
             return
         self.prober.improve_health()
 
-    def _acknowledged_indirectly(self, now: float, probe: Probe) -> None:
+    def _handle_indirect_ack(self, now: float, probe: Probe) -> None:
         target = self.view.entries.get(probe.target)
         if target is None or probe.answered_indirectly or probe.requester:
             return
         probe.answered_indirectly = True
-        self.prober.busy.discard(probe.target)
+        self.prober.in_flight_targets.discard(probe.target)
         self.prober.improve_health()
         self.last_answer_at = now
         self.view.mark_answered(probe.target, now)
-        if self.reachability.answered_indirectly(self.view, target, now):
+        if self.reachability.record_indirect_answer(self.view, target, now):
             self.prober.prioritize(probe.target)
 
     def _start_timers(self, probe_id: int) -> None:
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -24,7 +24,7 @@
     WHOLE = 3  # all
 
 
-# What each part of the program does at each quorum status of the fleet. The table is printed in docs/membership.md.
+# What each part of the program does at each quorum status of the fleet. docs/membership.md contains the same table.
 BEHAVIOUR_BY_STATUS: Mapping[str, tuple[str, str, str, str]] = {
     #  part                         alone                   minority                majority        whole
     "reads and renders": ("go on", "go on", "go on", "go on"),
@@ -54,13 +54,13 @@
 
 
 def voter_set_change_error(old: VoterSet, new: VoterSet) -> str:
-    """Why a voter set can't follow another; empty if it can.
+    """Return why voter set `new` can't replace `old`; empty if it can.
 
-    Only a later version that differs by one voter can, as then any majority of the one and any of the other share a
-    voter.
+    Its version must be later, and it may differ by one voter only: then any majority of the one set and any majority
+    of the other share a voter.
     """
     if new.version <= old.version:
-        return f"version {new.version} does not follow {old.version}"
+        return f"version {new.version} does not follow the present version {old.version}"
     difference = sorted(old.names ^ new.names)
     if len(difference) > 1:
         return f"version {new.version} differs by more than one member: {' '.join(difference[:MAX_NAMES_IN_ERROR])}"
@@ -68,7 +68,7 @@
 
 
 def quorum_status(total: int, present: int, others: int) -> QuorumStatus:
-    """The status where `present` of `total` voters are believed present, `others` of them besides this member."""
+    """Return the status if `present` of `total` voters are believed present, `others` of them besides this member."""
     if present == total and total:
         return QuorumStatus.WHOLE
     if 2 * present > total:
@@ -84,23 +84,23 @@
     self_votes: int  # 1 if this member is one of them, else 0
     others_present: set[str] = field(default_factory=set)
     status: QuorumStatus = QuorumStatus.ALONE
-    since: float = 0.0  # of the status, ms
+    since: float = 0.0  # when the status last changed, ms
 
     def counted_status(self, isolated: bool) -> QuorumStatus:
-        """The status that follows from the counts; an isolated member counts no other voter."""
+        """Return the status that follows from the counts; an isolated member counts no other voter."""
         others = 0 if isolated else len(self.others_present)
         return quorum_status(len(self.voters), others + self.self_votes, others)
 
 
 class QuorumTracker:
-    """Keeps the vote counts of all scopes of one member; returns the changes of status in order."""
+    """Keeps one member's vote counts of all scopes, and returns the changes of their status in order."""
 
     def __init__(self, self_id: str, voter_set: VoterSet, now: float) -> None:
         self.self_id = self_id
         self.voter_set = voter_set
         self.isolated = False  # no member has answered us for `isolated_ms`
         self.scopes: dict[str, VoteCount] = {}
-        self._scopes_of: dict[str, list[str]] = {}
+        self._scopes_of: dict[str, list[str]] = {}  # by voter
         self.adopt(voter_set, now)
 
     def adopt(self, voter_set: VoterSet, now: float) -> None:
@@ -124,7 +124,7 @@
         return self.scopes[FLEET]
 
     def set_present(self, name: str, present: bool, now: float) -> list[QuorumChanged]:
-        """One member came or went; returns the changes of status that follow."""
+        """Set whether a member is believed present; returns the changes of status that follow."""
         changes: list[QuorumChanged] = []
         for scope in self._scopes_of.get(name, ()):
             count = self.scopes[scope]
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -1,4 +1,4 @@
-"""Broken links and differing views, for the operators and for view exchanges. No member is declared failed by these."""
+"""Broken links and differing views, for operators and for view exchanges; neither makes a member failed."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 from myrtlespar.membership.view import MemberEntry, View, row_hash
 
 ONE_WAY_SETTLE_MS = 3000  # a link is reported as one-way only this long after the member failed
-ONE_WAY_HEARD_MS = 2000  # and only if a packet of the member came within this time
+ONE_WAY_RECENT_PACKET_MS = 2000  # and only if a packet from the member arrived within this time
 
 
 def broken_links(rows: Mapping[str, ReachabilityRow]) -> list[str]:
-    """The links that members' rows report as broken, one line each, in order of names.
+    """Describe the links that members' rows report as broken, one line each, in order of names.
 
-    A row holds only what fails: `a` gets no direct answer from `b`, though indirect probes do. If `a` still receives
-    from `b`, what `a` sends gets lost; if neither receives from the other, the pair is cut both ways.
+    The row of `a` lists `b` if `b` answers indirect probes of `a` but not direct ones. If `a` still receives packets
+    from `b`, those from `a` to `b` get lost; if neither receives packets from the other, the link is cut both ways.
     """
-    reports = {(row.reporter, name): hears for row in rows.values() for name, hears in row.unreachable}
+    reports = {
+        (row.reporter, name): still_receives for row in rows.values() for name, still_receives in row.unreachable
+    }
     lines: dict[tuple[str, str], str] = {}
-    for (reporter, target), hears in reports.items():
+    for (reporter, target), still_receives in reports.items():
         pair = (min(reporter, target), max(reporter, target))
-        target_hears = reports.get((target, reporter))
-        if target_hears is None:
-            lines[pair] = f"{reporter} -> {target} lost" if hears else f"{reporter} gets no answer from {target}"
-        elif hears and target_hears:
+        target_still_receives = reports.get((target, reporter))
+        if target_still_receives is None:
+            lines[pair] = (
+                f"{reporter} -> {target} lost" if still_receives else f"{reporter} gets no answer from {target}"
+            )
+        elif still_receives and target_still_receives:
             lines[pair] = f"{pair[0]} <-> {pair[1]} lossy"
-        elif hears or target_hears:
-            lines[pair] = f"{reporter} -> {target} lost" if hears else f"{target} -> {reporter} lost"
+        elif still_receives or target_still_receives:
+            lines[pair] = f"{reporter} -> {target} lost" if still_receives else f"{target} -> {reporter} lost"
         else:
             lines[pair] = f"{pair[0]} <-> {pair[1]} cut"
     return [lines[pair] for pair in sorted(lines)]
@@ -48,8 +52,8 @@
         self.rows: dict[str, ReachabilityRow] = {}
         self._version = 0
 
-    def answered_directly(self, view: View, entry: MemberEntry) -> None:
-        """A member answered a direct probe: its link works."""
+    def record_direct_answer(self, view: View, entry: MemberEntry) -> None:
+        """Record that a member answered a direct probe: its link works both ways."""
         if not entry.missed_probes:
             return
         reported = entry.missed_probes >= self.settings.link_tries
@@ -57,36 +61,36 @@
         if reported:
             self._publish_own(view)
 
-    def answered_indirectly(self, view: View, entry: MemberEntry, now: float) -> bool:
-        """A member answered an indirect probe only.
+    def record_indirect_answer(self, view: View, entry: MemberEntry, now: float) -> bool:
+        """Record that a member answered an indirect probe only.
 
-        Returns whether it should be probed again soon, to see if that was chance.
+        Returns whether it should be probed again soon, as the direct probe may have been lost by chance.
         """
         if not entry.missed_probes:
-            entry.missed_since = now
+            entry.first_missed_at = now
         entry.missed_probes += 1
         if entry.missed_probes == self.settings.link_tries:
             self._publish_own(view)
         return entry.missed_probes < self.settings.link_tries
 
-    def packet_received(self, view: View, entry: MemberEntry) -> None:
-        """A packet of a member that misses direct probes came: one way of its link works."""
+    def record_packet(self, view: View, entry: MemberEntry) -> None:
+        """Record a packet from a member that does not answer direct probes: its link works in this direction."""
         if (
             entry.missed_probes >= self.settings.link_tries
-            and self._heard_since_missed(entry)
+            and self._received_since_first_miss(entry)
             and (entry.update.name, True) not in self.rows[self.self_id].unreachable
         ):
             self._publish_own(view)
 
     def remove(self, view: View, name: str) -> None:
-        """A member failed, left or has a new incarnation: drop its row and its entry in ours."""
+        """Drop the row of a member that failed, left or has a new incarnation, and its entry in ours."""
         view.hash ^= row_hash(self.rows.pop(name, None))
         entry = view.entries.get(name)
         if entry is not None:
-            self.answered_directly(view, entry)
+            self.record_direct_answer(view, entry)
 
     def merge(self, view: View, row: ReachabilityRow) -> None:
-        """Take the row of another member if it is newer than the known one."""
+        """Store the row of another member if it is newer than the known one."""
         known = self.rows.get(row.reporter)
         entry = view.entries.get(row.reporter)
         if (
@@ -98,22 +102,22 @@
             self._put(view, row)
 
     def one_way(self, view: View, now: float) -> list[str]:
-        """Members not present whose packets still arrive: they don't receive ours, or no member's."""
+        """Return absent members whose packets still arrive: they receive no packets of ours, or of any member."""
         return [
             name
             for name, entry in view.entries.items()
             if not entry.present
             and now - entry.since > ONE_WAY_SETTLE_MS
-            and now - entry.last_packet_at < ONE_WAY_HEARD_MS
+            and now - entry.last_packet_at < ONE_WAY_RECENT_PACKET_MS
         ]
 
-    def _heard_since_missed(self, entry: MemberEntry) -> bool:
-        return entry.last_packet_at > entry.missed_since + self.settings.direct_max_ms
+    def _received_since_first_miss(self, entry: MemberEntry) -> bool:
+        return entry.last_packet_at > entry.first_missed_at + self.settings.direct_max_ms
 
     def _publish_own(self, view: View) -> None:
         """Rebuild our row and disseminate it."""
         unreachable = [
-            (name, self._heard_since_missed(entry))
+            (name, self._received_since_first_miss(entry))
             for name, entry in view.entries.items()
             if entry.present and entry.missed_probes >= self.settings.link_tries
         ]
@@ -132,28 +136,28 @@
 
     def __init__(self, settings: MembershipSettings) -> None:
         self.settings = settings
-        self.since: dict[str, float] = {}
-        self.lasting: set[str] = set()
+        self.since: dict[str, float] = {}  # by member: when the difference was first seen, ms
+        self.lasting: set[str] = set()  # returned by `take_lasting`, and still different
 
     def compare(self, now: float, name: str, same: bool) -> bool:
-        """Record whether a packet's hash is the same; true once it has differed for `differ_ms`."""
+        """Record whether a member's view hash equals ours; true once it has differed for `differ_ms`."""
         if same:
-            self.end(name)
+            self.clear(name)
             return False
         return now - self.since.setdefault(name, now) >= self.settings.differ_ms
 
-    def end(self, name: str) -> None:
-        """The member's view does not differ, or no longer matters."""
+    def clear(self, name: str) -> None:
+        """Remove a member whose view no longer differs, or which is absent."""
         self.since.pop(name, None)
         self.lasting.discard(name)
 
     def take_lasting(self, now: float, view: View) -> list[str]:
-        """Members whose views have differed for `disagree_ms`, each returned once until its view is the same again."""
+        """Return members whose views have differed for `disagree_ms`, each once until its view is the same again."""
         names = []
         for name, since in list(self.since.items()):
             entry = view.entries.get(name)
             if entry is None or not entry.present or now - entry.last_packet_at > self.settings.disagree_ms:
-                self.end(name)
+                self.clear(name)
             elif now - since >= self.settings.disagree_ms and name not in self.lasting:
                 self.lasting.add(name)
                 names.append(name)
--- a/myrtlespar/membership/sampled_set.py
+++ b/myrtlespar/membership/sampled_set.py
@@ -9,24 +9,24 @@
 
 
 class SampledSet:
-    """Names to sample from; each operation takes constant time."""
+    """Set of names to sample from. Adding, removing and sampling a name take constant time."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
         self._index: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """Add a name, once."""
+        """Add a name; nothing changes if it is in the set."""
         if name not in self._index:
             self._index[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name if it is in the set; the last one takes its place."""
+        """Remove a name if it is in the set."""
         index = self._index.pop(name, None)
         if index is None:
             return
-        last = self._names.pop()
+        last = self._names.pop()  # takes the place of the removed name
         if last != name:
             self._names[index] = last
             self._index[last] = index
@@ -41,7 +41,7 @@
         return iter(self._names)
 
     def sample(self, random: Random, count: int, exclude: frozenset[str] = frozenset()) -> list[str]:
-        """At most `count` different names, rarely fewer than there are, as the draws are bounded."""
+        """Return up to `count` different names outside `exclude`; rarely too few, as the number of draws is bounded."""
         if count >= len(self._names):
             return [name for name in self._names if name not in exclude]
         names: list[str] = []
--- a/myrtlespar/membership/self_state.py
+++ b/myrtlespar/membership/self_state.py
@@ -1,4 +1,4 @@
-"""This member's own incarnation and state, and the refutation of what others wrongly believe of it."""
+"""This member's own incarnation and state, and the refutation of wrong updates about it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SelfState:
-    """Publishes this member's own update, and replaces it with one of higher precedence to refute."""
+    """Publishes this member's update about itself, and replaces it with one of higher precedence to refute others."""
 
     def __init__(
         self, view: View, outbox: PacketOutbox, reachability: ReachabilityMatrix, prober: Prober, now: float
@@ -31,25 +31,25 @@
         return self.outbox.self_update
 
     def leave(self, now: float) -> None:
-        """Publish that this member left; nothing is refuted any more."""
+        """Publish that this member left; from then on, updates about it are not refuted."""
         self.leaving = True
         self._set(now, self.update.incarnation, self.update.refutation, LEFT)
 
     def refute(self, now: float, update: MemberUpdate) -> bool:
-        """Refute an update of another about this member if it takes precedence over our own; true if it did.
+        """Refute another member's update about this one if it takes precedence over our own; true if it was refuted.
 
-        It may be about an incarnation later than ours, left by an earlier process whose clock was ahead.
+        The update may be about a later incarnation than ours, of an earlier process whose clock was ahead.
         """
         if self.leaving or update.precedence <= self.update.precedence:
             return False
         if not self._refutation_budget.take(now):
-            self.outbox.count("namesake", "another member answers to this name")
+            self.outbox.count("namesake", "too many refutations; another process seems to use this member's name")
             return False
         if update.state in (SUSPECT, FAILED) and update.incarnation == self.update.incarnation:
             self.prober.worsen_health()
             self.outbox.count("accused")
         if update.incarnation > self.update.incarnation:
-            # its packets had sequence numbers of their own: ours need a new incarnation
+            # receivers know sequence numbers of that incarnation from the earlier process: ours need a new incarnation
             self._set(now, update.incarnation + 1, 0, ALIVE)
         else:
             self._set(now, update.incarnation, update.refutation + 1, ALIVE)
--- a/myrtlespar/membership/suspicion.py
+++ b/myrtlespar/membership/suspicion.py
@@ -12,16 +12,16 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One suspected member: who accuses it, and when that becomes a failure."""
+    """One suspected member: who accuses it, and when it is declared failed. Times are monotonic milliseconds."""
 
     started: float
     accusers: set[str]
     deadline: float = 0.0
 
     def timeout_ms(self, settings: MembershipSettings, fleet_size: int) -> float:
-        """Time (ms) from `started` to the failure: `suspect_max_ms` with one accuser, down to `suspect_min_ms`.
+        """Return the time (ms) from `started` to the failure, from `suspect_max_ms` down to `suspect_min_ms`.
 
-        It falls with the logarithm of the number of independent accusers.
+        It is the longest with one accuser, and falls with the logarithm of the number of independent accusers.
         """
         max_further = min(settings.accusers, max(fleet_size - 2, 0))  # accusers beside the first one
         progress = min(1.0, math.log(len(self.accusers)) / math.log(max_further + 1)) if max_further else 1.0
@@ -40,19 +40,21 @@
         self,
         update: MemberUpdate,
         previous: MemberUpdate | None,
-        earlier: Suspicion | None,
+        earlier_suspicion: Suspicion | None,
         fleet_size: int,
         now: float,
     ) -> None:
         """Start a suspicion; it keeps the start of an earlier one about the same incarnation and refutation."""
-        continued = earlier is not None and previous is not None and previous.precedence[:2] == update.precedence[:2]
-        started = earlier.started if earlier is not None and continued else now
+        continued = (
+            earlier_suspicion is not None and previous is not None and previous.precedence[:2] == update.precedence[:2]
+        )
+        started = earlier_suspicion.started if earlier_suspicion is not None and continued else now
         suspicion = Suspicion(started, {update.accuser})
         self.by_name[update.name] = suspicion
         self._set_deadline(update.name, suspicion, fleet_size)
 
     def add_accuser(self, update: MemberUpdate, fleet_size: int) -> bool:
-        """Count a further accuser, which shortens the timeout; false if it is known or not needed."""
+        """Count a further accuser, which shortens the timeout; false if it is counted already or not needed."""
         suspicion = self.by_name.get(update.name)
         if suspicion is None or update.accuser in suspicion.accusers:
             return False
@@ -63,12 +65,12 @@
         return True
 
     def postpone(self, name: str, suspicion: Suspicion, deadline: float) -> None:
-        """Set a later deadline."""
+        """Set a later deadline, and a timer for it."""
         suspicion.deadline = deadline
         self.timers.put(deadline, TimerKind.SUSPICION_TIMEOUT, name)
 
     def shift(self, delay_ms: float) -> None:
-        """Postpone all suspicions; their timers are shifted with all others."""
+        """Postpone all deadlines by `delay_ms`; `Timers.shift` postpones the timers."""
         for suspicion in self.by_name.values():
             suspicion.started += delay_ms
             suspicion.deadline += delay_ms
--- a/myrtlespar/membership/timers.py
+++ b/myrtlespar/membership/timers.py
@@ -1,4 +1,4 @@
-"""A heap of timers: what is due, and when."""
+"""Timers of one member, in a heap by the time they are due."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Timers:
-    """Timers are never cancelled: whoever handles one checks whether it still applies."""
+    """Pending timers. None is ever cancelled: the handler of a timer checks whether it still applies."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, TimerKind, TimerKey]] = []
@@ -35,17 +35,17 @@
         heappush(self._heap, (at, self._count, kind, key))
 
     def next_at(self) -> float:
-        """When the next timer is due (ms), infinity if there is none."""
+        """Return when the next timer is due (ms), infinity if there is none."""
         return self._heap[0][0] if self._heap else float("inf")
 
     def due(self, now: float) -> Iterator[tuple[TimerKind, TimerKey]]:
-        """Remove those due by now, in order; timers added meanwhile wait for the next call."""
+        """Remove and yield the timers due by `now`, in order; timers added meanwhile wait for the next call."""
         last = self._count
         while self._heap and self._heap[0][0] <= now and self._heap[0][1] <= last:
             _, _, kind, key = heappop(self._heap)
             yield kind, key
 
     def shift(self, delay_ms: float) -> None:
-        """Postpone all timers."""
+        """Postpone all timers by `delay_ms`."""
         self._heap = [(at + delay_ms, count, kind, key) for at, count, kind, key in self._heap]
         heapify(self._heap)
--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -95,7 +95,7 @@
         self.merge(now, known.with_state(SUSPECT, 0, self.view.self_id))
 
     def end_suspicion(self, now: float, key: TimerKey) -> None:
-        """A suspicion's timer is due: declare the member failed, unless it still answers us."""
+        """Declare a member failed when its suspicion's timer is due, unless the member still answers us."""
         name = str(key)
         suspicion = self.suspicions.by_name.get(name)
         if suspicion is None:
@@ -105,14 +105,14 @@
             return
         entry = self.view.entries[name]
         if entry.last_answered_at > suspicion.started and now - entry.last_answered_at <= self.settings.reply_ms:
-            # it answered us since: it refutes the suspicion once it has been notified of it
+            # it answered after the suspicion began: notify it, so that it can refute
             self.suspicions.postpone(name, suspicion, now + self.settings.probe_ms)
             self.outbox.send(now, entry.update.address, GossipPush(), name)
             return
         self._accept(now, entry.update.with_state(FAILED, 0, self.view.self_id), entry, True)
 
     def _merge_unknown(self, now: float, update: MemberUpdate, direct: bool, from_sync: bool) -> None:
-        # old evidence may be about a member that we forgot long ago
+        # old evidence may be about a member that was forgotten here long ago
         stale = not direct and update.age_ms > self.settings.forget_ms / 2
         if stale or len(self.view.entries) >= MAX_MEMBERS:
             self.outbox.count("unproven" if stale else "full")
@@ -128,14 +128,14 @@
         self._accept(now, update, entry, True)
 
     def _check_failure(self, now: float, update: MemberUpdate, entry: MemberEntry) -> MemberUpdate | None:
-        """Check a failure that another declared of a member that is present to us.
+        """Check another member's declaration that a member has failed which is present in our view.
 
         A member that was itself cut off or stopped may declare healthy members failed; this check keeps its mistakes
         out of our view.
 
         Returns:
-            None if the member answered us since; a suspicion, which it can refute to us, if it has not been suspected
-            here for at least half of `suspect_min_ms`; else the update.
+            None if the member answered us after the evidence for the failure; a suspicion, which the member can refute
+            to us, if it has not been suspected here for at least half of `suspect_min_ms`; else the update.
         """
         if entry.last_answered_at > now - update.age_ms:
             self.outbox.count("outdated")
@@ -148,7 +148,7 @@
     def _accept(self, now: float, update: MemberUpdate, entry: MemberEntry | None, disseminate: bool) -> None:
         name = update.name
         previous = entry.update if entry is not None else None
-        self._count_return(update, previous)
+        self._count_recovery(update, previous)
         self.view.put(update, now)
         suspicion = self.suspicions.by_name.pop(name, None)
         if update.state == SUSPECT:
@@ -158,14 +158,14 @@
         new_incarnation = previous is not None and previous.incarnation != update.incarnation
         if update.state in (FAILED, LEFT) or new_incarnation:
             self.reachability.remove(self.view, name)
-            self.divergence.end(name)
+            self.divergence.clear(name)
         if previous is None or previous.state != update.state or new_incarnation:
             self._publish_change(now, update, previous)
         if disseminate:
             self.outbox.dissemination.put(update, now)
             self.gossip.schedule(now)
 
-    def _count_return(self, update: MemberUpdate, previous: MemberUpdate | None) -> None:
+    def _count_recovery(self, update: MemberUpdate, previous: MemberUpdate | None) -> None:
         if previous is None or update.state != ALIVE or previous.incarnation != update.incarnation:
             return
         if previous.state == SUSPECT:
@@ -176,15 +176,15 @@
     def _maybe_verify(self, now: float, update: MemberUpdate) -> None:
         """Check another member's accusation ourselves, as about `verify` members of the fleet do.
 
-        A suspected member is probed before its turn, a failed one is pinged; the packet carries the accusation, so
-        that it can be refuted.
+        A suspected member is probed before its turn, a failed one is pinged. The packet carries the accusation, so
+        that the accused member can refute it.
         """
         if self.random.random() >= self.settings.verify / self.outbox.fleet_size:
             return
         if update.state == SUSPECT:
             self.prober.prioritize(update.name)
         elif update.state == FAILED and self.outbox.push_budget.take(now):
-            # not tracked as a probe: an answer would only prove what the refutation says
+            # not tracked as a probe: the refutation already proves that the member is alive
             self.outbox.send(now, update.address, Ping(self.prober.next_probe_id()), update.name)
 
     def _publish_change(self, now: float, update: MemberUpdate, previous: MemberUpdate | None) -> None:
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -1,4 +1,4 @@
-"""What one member believes of all others: the update about each that takes precedence, with the age of the evidence."""
+"""One member's view of all others: the update about each that takes precedence, with the age of its evidence."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 )
 from myrtlespar.membership.sampled_set import SampledSet
 
-MAX_MEMBERS = 16384  # in one view; more are counted and left out
-REPLAY_WINDOW = 1024  # packets; one received twice, or older than this many, is dropped
-PROBE_CANDIDATES = 3
+MAX_MEMBERS = 16384  # in one view; further members are counted and left out
+REPLAY_WINDOW = 1024  # packets; a duplicate, or one that is this many behind the newest, is dropped
+PROBE_CANDIDATES = 3  # sampled members, of which the least recently probed one is probed
 
 
 @dataclass(slots=True)
 class MemberEntry:
-    """One other member. Times are the driver's monotonic milliseconds."""
+    """One other member. Times are monotonic milliseconds of the driver's clock."""
 
     update: MemberUpdate
-    since: float  # when it came to this state in our view
-    evidence_at: float  # when the freshest evidence of this state was made
-    last_packet_at: float = float("-inf")  # when the last packet from the member itself came
-    last_answered_at: float = float("-inf")  # its last answer to a probe of ours
+    since: float  # when the view last changed its state
+    evidence_at: float  # time of the latest evidence of this state
+    last_packet_at: float = float("-inf")  # receipt of the last packet from the member itself
+    last_answered_at: float = float("-inf")  # its last answer to a probe of ours, direct or indirect
     last_probed_at: float = float("-inf")  # start of our last probe of it
-    packet_incarnation: int = 0  # the latest one that its packets stated
-    highest_sequence_number: int = 0  # of its packets within that incarnation
-    received_packets: int = 0  # bit n: the packet n before the highest one was received
-    missed_probes: int = 0  # direct probes in a row that only indirect ones saved
-    missed_since: float = 0.0  # of the first of these
+    packet_incarnation: int = 0  # latest incarnation in its packets
+    highest_sequence_number: int = 0  # of its packets in `packet_incarnation`
+    received_packets: int = 0  # bit n: whether the packet n below the highest number was received
+    missed_probes: int = 0  # consecutive probes that it answered only indirectly
+    first_missed_at: float = 0.0  # time of the indirect answer to the first of `missed_probes`
 
     @property
     def present(self) -> bool:
-        """Alive or suspect."""
+        """Whether the member is alive or suspect."""
         return self.update.state in PRESENT_STATES
 
     def accept_packet(self, incarnation: int, sequence_number: int) -> bool:
-        """Mark a packet as received; false if it is a replay, too old, or of an earlier incarnation."""
+        """Record a packet as received; false if it is a duplicate, too old, or of an earlier incarnation."""
         if incarnation != self.packet_incarnation:
             if incarnation < self.packet_incarnation:
                 return False
@@ -66,7 +66,7 @@
 
 
 def entry_hash(name: str, precedence: UpdatePrecedence) -> int:
-    """One member's part of a view's hash; suspicion is local and passing, so it counts as alive."""
+    """Return one member's part of a view's hash; a suspect counts as alive, as suspicions are local and short-lived."""
     incarnation, refutation, state = precedence
     if state == MemberState.SUSPECT:
         state = MemberState.ALIVE
@@ -74,7 +74,7 @@
 
 
 def row_hash(row: ReachabilityRow | None) -> int:
-    """A reachability row's part of a view's hash; an empty one counts as none."""
+    """Return a reachability row's part of a view's hash; 0 for no row or one without broken links."""
     if row is None or not row.unreachable:
         return 0
     return _hash(f"{row.reporter}\0{row.incarnation}\0{row.version}")
@@ -85,20 +85,20 @@
 
 
 class View:
-    """All other members that this member knows; it is itself part of `hash` only."""
+    """All other members that this member knows. The member itself is part of `hash` only."""
 
     def __init__(self, self_id: str) -> None:
         self.self_id = self_id
         self.entries: dict[str, MemberEntry] = {}
-        self.hash = 0
+        self.hash = 0  # exclusive or of the hashes of all entries, rows and this member
         self.failed = SampledSet()
         self.present = SampledSet()
         self.sites: dict[str, SampledSet] = {}  # present members by site
-        self.addresses: dict[str, str] = {}  # address: the name last known there
+        self.addresses: dict[str, str] = {}  # by address: name of the member last known there
         self.own_precedence: UpdatePrecedence | None = None
 
     def set_self(self, precedence: UpdatePrecedence) -> None:
-        """Replace this member's own part of the hash."""
+        """Replace this member's own part of `hash`."""
         if self.own_precedence is not None:
             self.hash ^= entry_hash(self.self_id, self.own_precedence)
         self.own_precedence = precedence
@@ -145,9 +145,9 @@
             self.failed.discard(name)
 
     def fill(self, updates: Sequence[MemberUpdate], now: float, view_hash: int) -> None:
-        """Start with all of these alive, except this member; for simulations of large fleets that joined long ago.
+        """Fill an empty view with these updates, all alive; for simulations of large fleets that joined long ago.
 
-        `view_hash` is the hash of a view of all of them, this member included.
+        An update about this member is skipped. `view_hash` is the hash of a view of all of them, this member included.
         """
         for update in updates:
             if update.name != self.self_id:
@@ -157,7 +157,7 @@
         self.hash = view_hash
 
     def drop(self, name: str) -> MemberEntry:
-        """Forget a member."""
+        """Remove a member and return its entry."""
         entry = self.entries.pop(name)
         self.hash ^= entry_hash(name, entry.update.precedence)
         if self.addresses.get(entry.update.address) == name:
@@ -167,18 +167,18 @@
         return entry
 
     def mark_answered(self, name: str, now: float) -> None:
-        """A member answered a probe of ours."""
+        """Record that a member answered a probe of ours."""
         entry = self.entries[name]
         entry.last_answered_at = now
         entry.evidence_at = now
 
-    def next_to_probe(self, random: Random, busy: Container[str]) -> str | None:
-        """Of PROBE_CANDIDATES sampled present members that are not in `busy`, the one least recently probed.
+    def next_to_probe(self, random: Random, exclude: Container[str]) -> str | None:
+        """Return the least recently probed of PROBE_CANDIDATES sampled present members that are not in `exclude`.
 
-        Sampling keeps the members' turns apart: in one common order all would probe one member at once, and then none
-        for long.
+        Sampling lets members probe in different orders: in a common order all would probe one member at the same time,
+        and then none would probe it for long.
         """
-        candidates = [name for name in self.present.sample(random, PROBE_CANDIDATES) if name not in busy]
+        candidates = [name for name in self.present.sample(random, PROBE_CANDIDATES) if name not in exclude]
         if not candidates:
-            candidates = [name for name in self.present if name not in busy][:PROBE_CANDIDATES]
+            candidates = [name for name in self.present if name not in exclude][:PROBE_CANDIDATES]
         return min(candidates, key=lambda name: self.entries[name].last_probed_at) if candidates else None
--- a/myrtlespar/membership/view_exchange.py
+++ b/myrtlespar/membership/view_exchange.py
@@ -10,7 +10,7 @@
 
 
 class ViewExchange:
-    """Builds the complete view and limits how often those of others are requested."""
+    """Builds our complete view, and limits how often the views of other members are requested."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._next_request_at = now
 
     def build(self, now: float) -> ViewSync:
-        """The complete view, ages as of now."""
+        """Return the complete view, with ages of evidence as of `now`."""
         updates = tuple(
             entry.update.aged(now - entry.evidence_at - entry.update.age_ms) for entry in self.view.entries.values()
         )
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -26,7 +26,10 @@
         (GOOD + "speed: 3\n", "speed: unknown key"),
         (GOOD + "membership: {probe: 3}\n", "membership.probe: unknown key"),
         (GOOD + "membership: {probe_ms: often}\n", "membership.probe_ms: expected `int`"),
-        (GOOD + "membership: {suspect_min_ms: 9000}\n", "membership.suspect_min_ms: 9000 is over"),
+        (
+            GOOD + "membership: {suspect_min_ms: 9000}\n",
+            "membership.suspect_min_ms: expected at most suspect_max_ms, 1800, got 9000",
+        ),
         (GOOD.replace("127.0.1.2:7000", "localhost:7000"), "seeds[0]: expected A.B.C.D:PORT"),
         (GOOD.replace("[a, b, c]", "[]"), "electorate.sites: empty"),
         (GOOD.replace("[a, b, c]", "[a, b, b]"), "electorate.sites.x[2]: b stands twice"),
