--- a/myrtlespar/fault_proxy/__init__.py
+++ b/myrtlespar/fault_proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The network between real processes under test, and its faults. For tests only: the server never imports it.
+"""Network faults between real processes under test. For tests only: the server never imports this package.
 
-`faults` decides what happens to a packet (pure, shared with the simulation). `relay` is the one process that all links
-of a fleet run through; it applies the faults in force, and knows nothing of what the bytes mean.
+`faults` decides what happens to a packet; it does no I/O and is shared with the simulation. `relay` is the process that
+forwards all traffic of a fleet and applies the faults in force, without parsing the bytes.
 """
--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -1,4 +1,4 @@
-"""What happens to a packet on each directed link while faults are in force. Pure: the random source is handed in."""
+"""What happens to a packet on each directed link while faults are in force. No I/O; callers pass the random source."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 from dataclasses import dataclass
 from random import Random
 
-# What members connect to beside each other, as the script names it: the dependency, the service registry, the execution
-# engine, and etcd with the leases of fleet limits.
+# Services that members connect to, by their names in fault scripts: the dependency, the service registry, the execution
+# engine, and etcd, which stores the leases of fleet limits.
 SERVICES = ("store", "roster", "kernel", "engine")
-MAX_RELIABLE_DROP = 0.2  # nothing is promised about a link that loses or delays more than this
+# Membership guarantees nothing about a link that loses or delays more than the MAX_RELIABLE bounds. Within the MAX_GOOD
+# bounds, healthy members hardly ever suspect each other.
+MAX_RELIABLE_DROP = 0.2
 MAX_RELIABLE_DELAY_MS = 200.0
-MAX_GOOD_DROP = 0.1  # up to these, members hardly ever suspect each other
+MAX_GOOD_DROP = 0.1
 MAX_GOOD_DELAY_MS = 130.0
-REORDER_MS = 20.0  # a reordered packet comes after what was sent within this time, and after all jitter of that
+REORDER_MS = 20.0  # a reordered packet is delayed by this and the link's jitter: packets sent within it come first
 
 
 @dataclass(frozen=True, slots=True)
 class FaultRule:
-    """One fault on all directed links from `first` to `second` (and back unless `one_way`).
+    """One fault on all directed links from `first` to `second`, and from `second` to `first` unless `one_way`.
 
     Both are sets of members or services, not names of sites. Probabilities are from 0 to 1, times in milliseconds.
     """
@@ -34,15 +36,15 @@
     reorder: float = 0.0
 
     def applies(self, sender: str, recipient: str) -> bool:
-        """Whether it is in force from `sender` to `recipient`."""
-        forth = sender in self.first and recipient in self.second
-        back = not self.one_way and recipient in self.first and sender in self.second
-        return forth or back
+        """Return whether the rule applies to the directed link from `sender` to `recipient`."""
+        forward = sender in self.first and recipient in self.second
+        backward = not self.one_way and recipient in self.first and sender in self.second
+        return forward or backward
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """The sum of all rules on one directed link. Times in ms, the rest probabilities."""
+    """Combined faults of all rules on one directed link. Times are in ms, other numbers are probabilities."""
 
     cut: bool = False
     drop: float = 0.0
@@ -53,7 +55,7 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Whether the promises of membership cover the link: not cut, and within the MAX_RELIABLE bounds."""
+        """Whether the guarantees of membership cover the link: not cut, and within the MAX_RELIABLE bounds."""
         return (
             not self.cut and self.drop <= MAX_RELIABLE_DROP and self.delay_ms + self.jitter_ms <= MAX_RELIABLE_DELAY_MS
         )
@@ -64,7 +66,7 @@
         return self.drop <= MAX_GOOD_DROP and self.delay_ms + self.jitter_ms <= MAX_GOOD_DELAY_MS
 
     def delays_ms(self, random: Random) -> list[float]:
-        """The delay (ms) of each copy of one packet; an empty list if the packet is lost."""
+        """Return the delay (ms) of each copy of one packet; an empty list if the packet is lost."""
         if self.cut or (self.drop and random.random() < self.drop):
             return []
         delays = []
@@ -80,11 +82,11 @@
 
 
 class ActiveFaults:
-    """The rules in force, by number, and what they make of each link."""
+    """The rules in force, by number, and the faults that they combine to on each link."""
 
     def __init__(self) -> None:
         self.rules: dict[int, FaultRule] = {}
-        self._links: dict[tuple[str, str], LinkFaults] = {}  # computed since the last change
+        self._links: dict[tuple[str, str], LinkFaults] = {}  # by sender and recipient; cleared when rules change
 
     def add_rule(self, number: int, rule: FaultRule) -> None:
         """Put a rule into force; `number` identifies it for `remove_rule`."""
@@ -92,12 +94,12 @@
         self._links.clear()
 
     def remove_rule(self, number: int) -> None:
-        """End a rule; nothing happens if it is not in force."""
+        """End a rule; nothing happens if none with this number is in force."""
         self.rules.pop(number, None)
         self._links.clear()
 
     def link(self, sender: str, recipient: str) -> LinkFaults:
-        """The directed link from `sender` to `recipient` as it is now."""
+        """Return the faults now in force on the directed link from `sender` to `recipient`."""
         if not self.rules:
             return NO_FAULTS
         faults = self._links.get((sender, recipient))
@@ -108,7 +110,7 @@
 
 
 def combine(rules: Sequence[FaultRule]) -> LinkFaults:
-    """The sum of rules on one link: probabilities combine as independent ones, delays add up."""
+    """Combine rules on one link: probabilities as those of independent events, delays by addition."""
     delivered = 1.0
     not_duplicated = 1.0
     in_order = 1.0
@@ -127,7 +129,7 @@
 
 
 def members_named(name: str, sites: Mapping[str, Sequence[str]]) -> frozenset[str] | None:
-    """The members (or the service) that a name of the fault script stands for; None if it stands for nothing."""
+    """Return the members or the service that a name in a fault script stands for; None if the name is unknown."""
     if name == "all":
         return frozenset(member for members in sites.values() for member in members)
     if name in SERVICES:
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -1,4 +1,4 @@
-"""Bounds that follow from the settings, and the design note that prints them."""
+"""Bounds that follow from the membership settings, and the tables of docs/membership.md that show them."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 def test_the_design_note_matches_the_code() -> None:
     text = (Path(__file__).parent.parent / "docs" / "membership.md").read_text()
-    for part, acts in BEHAVIOUR_BY_STATUS.items():
-        assert f"| {part} | {' | '.join(acts)} |" in text
+    for part, behaviours in BEHAVIOUR_BY_STATUS.items():
+        assert f"| {part} | {' | '.join(behaviours)} |" in text
     for name in ("detect_ms", "standing_ms", "heal_ms"):
         row = " | ".join(f"{getattr(SETTINGS, name)(n):,.0f}" for n in (3, 9, 24, 200))
         assert f"`{name}` | {row} |" in text, row
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -1,4 +1,4 @@
-"""Replayed packets, and sampling of names."""
+"""Detection of replayed packets, and sampling from a set of names."""
 
 from __future__ import annotations
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -15,7 +15,7 @@
         QuorumStatus.WHOLE,
     ]
     assert quorum_status(8, 4, 3) == QuorumStatus.MINORITY  # an even split leaves no majority
-    assert quorum_status(0, 0, 0) == QuorumStatus.ALONE  # nor does an empty voter set
+    assert quorum_status(0, 0, 0) == QuorumStatus.ALONE  # an empty voter set has no majority
     three = VoterSet(3, {"x": ("a", "b", "c")})
     assert voter_set_change_error(three, VoterSet(4, {"x": ("a", "b", "c", "d")})) == ""
     assert "more than one" in voter_set_change_error(three, VoterSet(4, {"x": ("a", "d", "c")}))
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Links that reachability rows report as broken."""
+"""Which links are reported as broken from the members' reachability rows."""
 
 from __future__ import annotations
 
--- a/tests/traced_peers.py
+++ b/tests/traced_peers.py
@@ -1,4 +1,4 @@
-"""An engine and clients that keep all they sent and received, for comparison at the end of a trial."""
+"""A fake engine and clients that record what they sent and received, for comparison at the end of a trial."""
 
 from __future__ import annotations
 
@@ -21,12 +21,18 @@
 from myrtlespar.fakes.upstreams import FakeEngine
 from myrtlespar.net.codec.thrift import encode, idl
 
-ANSWER_DUE_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}  # by method: when an answer is due
+ANSWER_DUE_MS = {"render": 6100.0, "fetch": 2700.0, "order": 4400.0}  # by method: time until the answer is due
 CALL_TIMEOUT_S = 20.0
 
 
 class TracedEngine(FakeEngine):
-    """An engine that keeps all commands over its restarts, and the calls that it requested for each run."""
+    """An engine that records all commands across its restarts, and the calls that it requested for each run.
+
+    Attributes:
+        history: All commands, in the order of their arrival.
+        requested_calls: Bodies of the calls, by request id.
+        malformed: Lines that are no command, cut to 200 bytes.
+    """
 
     def __init__(self) -> None:
         self.history: list[dict[str, Any]] = []
@@ -37,7 +43,7 @@
     def serve(self, link: socket.socket) -> None:
         for line in link.makefile("rb"):
             if not line.endswith(b"\n"):
-                return  # cut with its link
+                return  # the connection ended within the line
             with self.lock:
                 try:
                     command = json.loads(line)
@@ -56,7 +62,7 @@
         super().note(**row)
 
     def restart(self) -> None:
-        """End all runs without a notice, as a restarted engine does; notices begin with 1 again."""
+        """End all runs without a notice, and number notices from 1 again, as a restarted engine does."""
         with self.lock:
             self.notices = []
             self.waits = {}
@@ -79,31 +85,30 @@
 
 @dataclass
 class Run:
-    """One run of the traced engine; it sends no notice once the engine was restarted."""
+    """One run of the traced engine; it sends no notice after a restart of the engine."""
 
-    kernel: TracedEngine
+    engine: TracedEngine
     note: Callable[..., None]
     command: dict[str, Any]
     row: list[Any]
 
     def execute(self) -> None:
-        """Make the calls that the body asks for, take its time, and send the notice of the end."""
-        kernel = self.kernel
+        """Request `calls` calls, sleep for `ms` milliseconds and send the final notice, as the body says."""
+        engine = self.engine
         rid = self.command["rid"]
         body = base64.b64decode(self.command["b64"])
         words = dict(word.split("=", 1) for word in body.decode("latin-1").split() if "=" in word)
         began = time.time()
-        incarnation = kernel.born
+        incarnation = engine.born
         for n in range(int(words.get("calls", 0))):
-            done = kernel.waits[rid] = threading.Event()
+            done = engine.waits[rid] = threading.Event()
             self.note(t="IOREQ", rid=rid, b64=base64.b64encode(b"call %d of " % n + body).decode())
             if not done.wait(CALL_TIMEOUT_S):
                 return
-        # The time that the run takes, as its body says.
         time.sleep(float(words.get("ms", 5)) / 1000)
-        with kernel.lock:
-            if kernel.born == incarnation:
-                kernel.running.discard(rid)
+        with engine.lock:
+            if engine.born == incarnation:
+                engine.running.discard(rid)
             end = words.get("end", "PASS")
             result = {"b64": base64.b64encode(b"result of " + body).decode()} if end == "PASS" else {}
             self.note(t="REAP", rid=rid, status=end, time_ms=int((time.time() - began) * 1000), **result)
@@ -111,7 +116,7 @@
 
 @dataclass
 class Request:
-    """A request that a client sent completely."""
+    """A request of a client; `sent_ms` is when it was sent completely, in Unix ms."""
 
     rid: str
     method: str
@@ -120,7 +125,16 @@
 
 
 class TracedClient(ThriftClient):
-    """A client that keeps every request, and whether it ended its connection itself."""
+    """A client that records its requests, and how its connection ended.
+
+    Attributes:
+        sent: Requests that were sent completely, by sequence number.
+        possibly_sent: Requests whose sending failed, which the server may have got or not, by sequence number.
+        aborted: Sequence numbers of the requests that the client aborted.
+        ended_ms: When reading from the connection ended, in Unix ms; infinity before.
+        left: Whether the client closed the connection itself.
+        unreadable: Errors in reading answers.
+    """
 
     def __init__(self, port: int) -> None:
         self.sent: dict[int, Request] = {}
@@ -139,8 +153,8 @@
         self.ended_ms = time.time() * 1000
         self.ended.set()
 
-    def request(self, method: str, body: bytes, pieces: random.Random | None = None) -> int:
-        """Send a request, in pieces where a source for their lengths is given."""
+    def request(self, method: str, body: bytes, piece_source: random.Random | None = None) -> int:
+        """Send a request and return its sequence number; in pieces of random length if `piece_source` is given."""
         rid = os.urandom(8).hex()
         now = time.time() * 1000
         self.seq += 1
@@ -148,18 +162,18 @@
         data = encode("invoke", 1, self.seq, idl.Front.invoke_args(fields=fields, body=body))
         self.sent[self.seq] = Request(rid, method, body, now)
         while data:
-            size = pieces.randrange(1, len(data) + 1) if pieces else len(data)
+            size = piece_source.randrange(1, len(data) + 1) if piece_source else len(data)
             self.sock.sendall(data[:size])
             data = data[size:]
         self.sent[self.seq].sent_ms = time.time() * 1000
         return self.seq
 
     def leave(self, reset: bool) -> None:
-        """End the connection: nothing is owed on it any longer."""
+        """Close the connection, by a reset if `reset`; the server owes no answers on it any more."""
         self.left = True
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         else:
-            with contextlib.suppress(OSError):  # the program may have ended it
+            with contextlib.suppress(OSError):  # the server may have closed it already
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
