--- a/myrtlespar/membership/__init__.py
+++ b/myrtlespar/membership/__init__.py
@@ -3,14 +3,14 @@
 The code does no I/O and reads no clock: its driver, `net.peer_transport`, passes in messages, times and a seeded random
 source, and carries out the effects that are returned. The design is SWIM with parts of Lifeguard.
 
-- `member` builds the parts of one member and dispatches packets and timers to them. `timers` holds what is due.
+- `member` builds the parts of one member and dispatches packets and timers to them. `timers` holds the pending timers.
 - `probe_rounds` decides what an answer or its absence means; `probing` keeps the probes in flight and their timeouts.
 - `update_merger` decides whether an update is believed, and declares members failed; `suspicion` holds the accusers
   and deadlines until then; `view` stores the result.
 - `self_state` refutes wrong updates about this member.
 - `dissemination` chooses the updates that a packet carries, `outbox` builds the packet, `gossip` pushes new updates.
 - `peer_search` contacts seeds and failed members; `view_exchange` requests complete views.
-- `quorum` counts the voters believed present, and rejects voter sets that can't follow the present one.
+- `quorum` counts the voters believed present, and rejects voter sets that can't replace the present one.
 - `reachability` reports broken links and views that differ; `maintenance` forgets absent members.
 - `settings` holds the settings and the bounds, `messages` the wire types and the effects.
 
--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -44,7 +44,7 @@
         elif update.name in self._pending:
             del self._pending[update.name]
         self._pending[pending_key] = PendingUpdate(update, now)
-        if len(self._pending) > MAX_PENDING_UPDATES:  # bounds memory in a storm of changes
+        if len(self._pending) > MAX_PENDING_UPDATES:  # bounds memory when many members change at once
             del self._pending[max(self._pending, key=lambda key: self._pending[key].times_sent)]
 
     def put_row(self, row: ReachabilityRow) -> None:
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -157,7 +157,7 @@
             return self._ignore("own_name")
         entry = self.view.entries.get(sender.name)
         if entry is not None and not entry.accept_packet(sender.incarnation, packet.sequence_number):
-            # a new process whose clock was set back has a lower incarnation: the reply tells it the higher one, so that
+            # a new process whose clock was set back has a lower incarnation: the reply has the higher one, so that
             # it picks one above that
             if sender.incarnation < entry.packet_incarnation and self.outbox.push_budget.take(now):
                 self.outbox.send(now, sender.address, GossipPush(), sender.name, True)
--- a/myrtlespar/membership/peer_search.py
+++ b/myrtlespar/membership/peer_search.py
@@ -40,7 +40,7 @@
         self.view_exchange = view_exchange
 
     def join(self, now: float) -> None:
-        """Request the views of up to MAX_SEEDS_JOINED seeds."""
+        """Request the views of up to MAX_JOIN_SEEDS seeds."""
         few = len(self.seeds) <= MAX_JOIN_SEEDS
         for seed in self.seeds if few else self.random.sample(self.seeds, MAX_JOIN_SEEDS):
             self.view_exchange.request(now, seed)
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -108,7 +108,10 @@
         self.outbox.send(now, request.address, Ping(probe_id), request.name)
 
     def handle_ack(self, now: float, ack: Ack, sender: MemberEntry) -> None:
-        """Record an answer of the sender, or of a member that it probed for us. Even a late answer proves life."""
+        """Record an answer of the sender, or of a member that it probed for us.
+
+        Even an answer to a probe that has timed out proves that the sender is alive.
+        """
         probe = self.prober.probes.get(ack.probe_id)
         if ack.target == sender.update.name:
             self._handle_direct_ack(now, ack.probe_id, probe, sender)
@@ -124,7 +127,7 @@
     def _handle_direct_ack(self, now: float, probe_id: int, probe: Probe | None, sender: MemberEntry) -> None:
         name = sender.update.name
         self.last_answer_at = now
-        self.view.mark_answered(name, now)
+        self.view.record_answer(name, now)
         self.reachability.record_direct_answer(self.view, sender)
         if probe is None or probe.target != name:
             return
@@ -143,7 +146,7 @@
         self.prober.in_flight_targets.discard(probe.target)
         self.prober.improve_health()
         self.last_answer_at = now
-        self.view.mark_answered(probe.target, now)
+        self.view.record_answer(probe.target, now)
         if self.reachability.record_indirect_answer(self.view, target, now):
             self.prober.prioritize(probe.target)
 
--- a/myrtlespar/membership/probing.py
+++ b/myrtlespar/membership/probing.py
@@ -108,7 +108,7 @@
         self.round_trips[site] = mean + (round_trip_ms - mean) / 8, deviation
 
     def prioritize(self, name: str) -> None:
-        """Probe a member before its turn."""
+        """Have a member probed before its turn, unless it is being probed or too many others wait for that."""
         if len(self.prioritized) < MAX_PRIORITIZED and name not in self.in_flight_targets:
             self.prioritized.setdefault(name)
 
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """The versioned set of voters, by site. With an empty one no majority is ever claimed."""
+    """The versioned set of voters, by site. An empty set never has a majority."""
 
     version: int
     sites: Mapping[str, tuple[str, ...]]
@@ -81,7 +81,7 @@
     """The voters of one scope and those believed present."""
 
     voters: frozenset[str]
-    self_votes: int  # 1 if this member is one of them, else 0
+    self_votes: int  # 1 if this member is a voter of the scope, else 0
     others_present: set[str] = field(default_factory=set)
     status: QuorumStatus = QuorumStatus.ALONE
     since: float = 0.0  # when the status last changed, ms
@@ -98,7 +98,7 @@
     def __init__(self, self_id: str, voter_set: VoterSet, now: float) -> None:
         self.self_id = self_id
         self.voter_set = voter_set
-        self.isolated = False  # no member has answered us for `isolated_ms`
+        self.isolated = False  # whether no member has answered us for `isolated_ms`
         self.scopes: dict[str, VoteCount] = {}
         self._scopes_of: dict[str, list[str]] = {}  # by voter
         self.adopt(voter_set, now)
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -1,4 +1,4 @@
-"""Broken links and differing views, for operators and for view exchanges; neither makes a member failed."""
+"""Broken links and differing views, for operators and for view exchanges; no member is declared failed for them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from myrtlespar.membership.view import MemberEntry, View, row_hash
 
 ONE_WAY_SETTLE_MS = 3000  # a link is reported as one-way only this long after the member failed
-ONE_WAY_RECENT_PACKET_MS = 2000  # and only if a packet from the member arrived within this time
+ONE_WAY_RECENT_PACKET_MS = 2000  # a link is reported as one-way only if a packet from the member came within this time
 
 
 def broken_links(rows: Mapping[str, ReachabilityRow]) -> list[str]:
--- a/myrtlespar/membership/sampled_set.py
+++ b/myrtlespar/membership/sampled_set.py
@@ -41,7 +41,10 @@
         return iter(self._names)
 
     def sample(self, random: Random, count: int, exclude: frozenset[str] = frozenset()) -> list[str]:
-        """Return up to `count` different names outside `exclude`; rarely too few, as the number of draws is bounded."""
+        """Return up to `count` different names outside `exclude`.
+
+        The number of draws is bounded, so there are rarely fewer than could be found.
+        """
         if count >= len(self._names):
             return [name for name in self._names if name not in exclude]
         names: list[str] = []
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -18,13 +18,13 @@
     """
 
     probe_ms: int = 200  # probe period: one member is probed in each
-    reply_ms: int = 400  # timeout of a probe, indirect answers included
+    reply_ms: int = 400  # timeout of a probe, indirect answers included; longer if round trips are long
     direct_min_ms: int = 60  # minimum wait for a direct answer before indirect probes are requested
     direct_max_ms: int = 200  # maximum wait for a direct answer
     relays: int = 3  # members asked for an indirect probe
-    suspect_min_ms: int = 1100  # time from suspicion to failure, if enough members accuse (`accusers`)
+    suspect_min_ms: int = 1100  # time from suspicion to failure, with 1 + `accusers` accusers or more
     suspect_max_ms: int = 1800  # time from suspicion to failure, with one accuser
-    accusers: int = 3  # accusers beside the first one at which that time is down to suspect_min_ms
+    accusers: int = 3  # further accusers that shorten the time from suspicion to failure to suspect_min_ms
     health_most: int = 3  # worst local health score: a slow member's probes wait up to 1 + this times as long
     late_ms: int = 60  # timers later than this show that this process did not run: all deadlines are postponed
     burst: int = 3  # extra probes per period, of members to be probed before their turn
@@ -70,7 +70,7 @@
         return 2 * math.log(member_count + 1, 1 + self.fanout) * (self.push_ms + self.direct_max_ms / 4)
 
     def pause_ms(self) -> float:
-        """Longest silence (ms) after which no healthy member declares a member failed, if no packet is lost.
+        """Longest silence (ms) for which no healthy member declares the silent one failed, if no packet is lost.
 
         It is the minimum time from the start of a probe to a failure, less the time that a refutation takes.
         """
--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -128,7 +128,7 @@
         self._accept(now, update, entry, True)
 
     def _check_failure(self, now: float, update: MemberUpdate, entry: MemberEntry) -> MemberUpdate | None:
-        """Check another member's declaration that a member has failed which is present in our view.
+        """Check another member's declaration that a member present in our view has failed.
 
         A member that was itself cut off or stopped may declare healthy members failed; this check keeps its mistakes
         out of our view.
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -166,7 +166,7 @@
             names.discard(name)
         return entry
 
-    def mark_answered(self, name: str, now: float) -> None:
+    def record_answer(self, name: str, now: float) -> None:
         """Record that a member answered a probe of ours."""
         entry = self.entries[name]
         entry.last_answered_at = now
--- a/tests/test_update_merging.py
+++ b/tests/test_update_merging.py
@@ -28,7 +28,7 @@
     member = make_member()
     member.receive(0.0, Packet("f", 1, update_of("b", 5, 0, ALIVE), 0, 1, GossipPush()))
     member.receive(0.0, Packet("f", 1, update_of("c", 5, 0, ALIVE), 0, 1, GossipPush()))
-    member.view.mark_answered("b", 100.0)
+    member.view.record_answer("b", 100.0)
     member.receive(
         120.0, Packet("f", 2, update_of("c", 5, 0, ALIVE), 0, 1, GossipPush(), (update_of("b", 5, 0, FAILED, "c", 50),))
     )
