--- a/myrtlespar/config/operator_file.py
+++ b/myrtlespar/config/operator_file.py
@@ -108,7 +108,7 @@
     rule = PathRule(
         path=path,
         class_index=class_names.index(class_name),
-        priority_weight=row.number("worth", 0.5, 0, MAX_PRIORITY_WEIGHT),
+        rank=row.number("worth", 0.5, 0, MAX_PRIORITY_WEIGHT),
         memory_kb=row.number("memory_kb", 20, MIN_MEMORY_KB, MAX_MEMORY_KB),
         target=target,
     )
--- a/myrtlespar/config/types.py
+++ b/myrtlespar/config/types.py
@@ -32,7 +32,7 @@
 
     path: str
     class_index: int
-    priority_weight: float = 0.5
+    rank: float = 0.5
     memory_kb: float = 20.0
     target: str = ""
 
--- a/myrtlespar/net/ajp_requests.py
+++ b/myrtlespar/net/ajp_requests.py
@@ -36,7 +36,7 @@
     """
     exchange = Exchange(request_id, "ajp", rule.class_index, body, unix_ms(), deliver)
     exchange.memory_kb = rule.memory_kb
-    exchange.rank = rule.priority_weight
+    exchange.rank = rule.rank
     exchange.target = rule.target
     exchange.sender = zlib.crc32(request.remote_addr.encode())
     exchange.method = request.method
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -19,7 +19,7 @@
 from myrtlespar.net.listener import Listener
 from myrtlespar.net.socket_reader import ConnectionEndedError, PeerFinishedSendingError, ReadingStoppedError
 from myrtlespar.net.thrift_requests import ThriftRequestReader
-from myrtlespar.policy.messages import Signal
+from myrtlespar.policy.messages import LoadSignal
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
@@ -44,7 +44,7 @@
             AddressInUseError: The address could not be bound in time.
         """
         self.limits = config.limits
-        self.hides_advertised_value = config.settings.signal is Signal.NONE
+        self.hides_advertised_value = config.settings.signal is LoadSignal.NONE
         self.connections_opened = 0
         self.request_reader = ThriftRequestReader(config, coordinator.counters)
         shared = self.limits.max_connections * 3 // 4  # the rest is the AJP listener's, where there is one
--- a/myrtlespar/policy/admission.py
+++ b/myrtlespar/policy/admission.py
@@ -9,7 +9,7 @@
 from myrtlespar.policy.final_answers import FinalAnswers
 from myrtlespar.policy.fleet_port import FleetLimitsPort
 from myrtlespar.policy.held_request import JOINED, HeldRequest
-from myrtlespar.policy.messages import Arrival, Reuse
+from myrtlespar.policy.messages import Arrival, ReuseResult
 from myrtlespar.policy.scheduler import Scheduler
 from myrtlespar.policy.server_state import ServerState
 from myrtlespar.policy.settings import Effect
@@ -95,7 +95,7 @@
         if self._memory.used_kb > self._memory.max_used_kb:
             self._answers.fail(request)
             return
-        self._actions.append(Reuse(request.id))
+        self._actions.append(ReuseResult(request.id))
 
     def _admit_or_reject(self, request: HeldRequest) -> bool:
         """Return whether a request is admitted; if not, it has been rejected, and may run on another server.
--- a/myrtlespar/policy/idempotency_keys.py
+++ b/myrtlespar/policy/idempotency_keys.py
@@ -11,7 +11,7 @@
 from myrtlespar.policy.action_list import ActionList
 from myrtlespar.policy.held_request import HeldRequest
 from myrtlespar.policy.memory_account import MemoryAccount
-from myrtlespar.policy.messages import Forget, Keep
+from myrtlespar.policy.messages import ForgetKey, KeepKey
 from myrtlespar.policy.policy_clock import PolicyClock
 
 
@@ -35,14 +35,14 @@
         """Remember the key of a request for `for_ms`, from its admission on: a repeat may arrive before its run."""
         keep_ms = max(0.0, for_ms)
         request.key_is_kept = True
-        self._actions.append(Keep(request.id, keep_ms))
+        self._actions.append(KeepKey(request.id, keep_ms))
         self._remembered.add(request.id)
         heapq.heappush(self._expiries, (self._clock.now + keep_ms, request.id))
         self._memory.used_kb += self.key_kb
 
     def forget(self, request: HeldRequest) -> None:
         """Drop the key of a request that never ran, so that a repeat may run."""
-        self._actions.append(Forget(request.id))
+        self._actions.append(ForgetKey(request.id))
         self._release(request.id)
 
     def _release(self, key: str) -> None:
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -5,7 +5,7 @@
 from myrtlespar.policy.delayed_rejection import ABATEMENT_FRACTION
 from myrtlespar.policy.messages import Advertise
 from myrtlespar.policy.server_state import ServerState
-from myrtlespar.policy.settings import Signal
+from myrtlespar.policy.settings import LoadSignal
 
 LEVEL_RISE_PER_S = 0.5  # for a wait of 2 O; in proportion to the excess over O
 LEVEL_FALL_PER_S = 0.25  # while the wait is below A
@@ -35,14 +35,14 @@
 
     def update(self, step_ms: float) -> None:
         """Move the level for the `step_ms` since the last update, and advertise the value if it changed enough."""
-        if self._signal is Signal.NONE:
+        if self._signal is LoadSignal.NONE:
             return
         self._move_level(step_ms)
         free_fraction = 0.0 if self._faults.is_hanging or self._drain.is_draining() else 1.0 - self._level
-        if self._signal is Signal.LEVEL:
+        if self._signal is LoadSignal.LEVEL:
             value = 1.0 - free_fraction
         else:
-            value = free_fraction if self._signal is Signal.WEIGHT else free_fraction * self._allowance()
+            value = free_fraction if self._signal is LoadSignal.WEIGHT else free_fraction * self._allowance()
         if abs(value - self._advertised) > MIN_CHANGE_FRACTION * max(1.0, value):
             self._advertised = value
             self._actions.append(Advertise(value))
@@ -50,12 +50,12 @@
     def _move_level(self, step_ms: float) -> None:
         """Raise the level while work waits longer than O, lower it while below A.
 
-        With `Signal.LEVEL` callers hold back the classes of lower weight first. Once the level covers all of these,
+        With `LoadSignal.LEVEL` callers hold back the classes of lower weight first. Once the level covers all of these,
         set-aside work and unread arrivals count no more: only queued work raises it further.
         """
         mark_ms = self._overload.overload_mark_ms()
         seconds = step_ms / 1000
-        if self._signal is Signal.LEVEL and self._level >= self._lighter_classes_fraction:
+        if self._signal is LoadSignal.LEVEL and self._level >= self._lighter_classes_fraction:
             pressure_ms = self._overload.wait_ms(with_set_aside=False) - self._overload.unread_ms
         else:
             pressure_ms = self._overload.wait_ms()
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from myrtlespar.policy.fleet_port import FleetLimitsPort
-from myrtlespar.policy.settings import Effect, RequestClass, Settings, Signal
+from myrtlespar.policy.settings import Effect, LoadSignal, RequestClass, Settings
 
 __all__ = [
     "Action",
@@ -27,18 +27,18 @@
     "Event",
     "Fail",
     "FleetLimitsPort",
-    "Forget",
-    "Keep",
+    "ForgetKey",
+    "KeepKey",
+    "LoadSignal",
     "Log",
     "Reject",
     "RequestClass",
-    "Reuse",
+    "ReuseResult",
     "Run",
     "RunEnded",
     "RunOutcome",
     "SetHealth",
     "Settings",
-    "Signal",
     "SkipCall",
     "Stop",
     "Tick",
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run has ended, or a repeat has got its answer after `Reuse`."""
+    """A run has ended, or a repeat has got its answer after `ReuseResult`."""
 
     id: str
     outcome: RunOutcome
@@ -178,14 +178,14 @@
 
 
 @dataclass(slots=True)
-class Reuse:
+class ReuseResult:
     """Answer a repeat with the result of the request of the same idempotency key, now or when that ends."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Keep:
+class KeepKey:
     """Remember a request's idempotency key for `for_ms` from now on."""
 
     id: str
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class Forget:
+class ForgetKey:
     """Drop a remembered idempotency key early, as its request never ran."""
 
     id: str
@@ -261,9 +261,9 @@
     | Reject
     | Fail
     | Stop
-    | Reuse
-    | Keep
-    | Forget
+    | ReuseResult
+    | KeepKey
+    | ForgetKey
     | Call
     | SkipCall
     | Advertise
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -18,7 +18,7 @@
     UNSAFE = "unsafe"
 
 
-class Signal(enum.Enum):
+class LoadSignal(enum.Enum):
     """What the advertised value means to callers."""
 
     NONE = "none"
@@ -111,7 +111,7 @@
     reports_cancellation: bool = False
     discovery_follows_health: bool = False
     deep_checks: bool = False
-    signal: Signal = Signal.NONE
+    signal: LoadSignal = LoadSignal.NONE
     can_stop: bool = False
     marks_retries: bool = False
     weight_by_work: bool = False
--- a/myrtlespar/policy/settings_reader.py
+++ b/myrtlespar/policy/settings_reader.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from myrtlespar.errors import MyrtlesparError
-from myrtlespar.policy.settings import Effect, RequestClass, Settings, Signal
+from myrtlespar.policy.settings import Effect, LoadSignal, RequestClass, Settings
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-SIGNALS = {"floor": Signal.LEVEL, "allowance": Signal.CREDIT, "weight": Signal.WEIGHT}
+SIGNALS = {"floor": LoadSignal.LEVEL, "allowance": LoadSignal.CREDIT, "weight": LoadSignal.WEIGHT}
 HALTS_THAT_STOP_RUNS = ("discard", "freeze")
 MAX_ERROR_LENGTH = 200  # characters; values may be long
 
@@ -160,7 +160,7 @@
         reports_cancellation=bool(info.get("tells_gone", False)),
         discovery_follows_health=bool(info.get("list_follows", False)),
         deep_checks=bool(info.get("deep_checks", False)),
-        signal=SIGNALS.get(str(info.get("signal")), Signal.NONE),
+        signal=SIGNALS.get(str(info.get("signal")), LoadSignal.NONE),
         can_stop=info.get("halt") in HALTS_THAT_STOP_RUNS,
         marks_retries=bool(clients.get("marks_retry", False)),
         weight_by_work=params.get("worth_by") == "work",
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -257,7 +257,7 @@
                 self._execute(self.tracker.fail(request_id, now))
             case api.Call(request_id, limit_ms):
                 self._execute(self.tracker.start_call(request_id, limit_ms))
-            case api.Keep() | api.Forget():
+            case api.KeepKey() | api.ForgetKey():
                 pass  # the tracker links the attempts of one key by itself, from the first one on
             case _:
                 self._apply_to_server(action, now)
--- a/tests/policy/test_bounded_state.py
+++ b/tests/policy/test_bounded_state.py
@@ -26,7 +26,7 @@
 
 
 def test_absurd_settings_are_handled() -> None:
-    for signal in api.Signal:
+    for signal in api.LoadSignal:
         server = PolicyServer(
             classes=[api.RequestClass(0.0, 0.0, priority_weight=0.0, effect=api.Effect.KEYED)],
             cores=0,
--- a/tests/policy/test_load_advertisement.py
+++ b/tests/policy/test_load_advertisement.py
@@ -6,7 +6,7 @@
 
 
 def test_level_rises_under_overload_and_falls_after_it() -> None:
-    server = overloaded(signal=api.Signal.LEVEL)
+    server = overloaded(signal=api.LoadSignal.LEVEL)
     server.at(600)
     assert max(a.value for a in server.actions(api.Advertise)) > 0
     for step in range(60):
@@ -16,14 +16,14 @@
 
 
 def test_callers_are_never_asked_for_less_than_half_their_usual_traffic() -> None:
-    server = overloaded(signal=api.Signal.WEIGHT)
+    server = overloaded(signal=api.LoadSignal.WEIGHT)
     for step in range(40):
         server.at(600 + 100 * step, api.Arrival(f"more {step}", 0, 20.0))
     assert min(a.value for a in server.actions(api.Advertise)) == 0.5
 
 
 def test_credit_is_advertised_and_closed_on_drain() -> None:
-    server = PolicyServer(signal=api.Signal.CREDIT, senders=3)
+    server = PolicyServer(signal=api.LoadSignal.CREDIT, senders=3)
     server.at(200)
     assert server.actions(api.Advertise)[-1].value > 0
     server.at(300, api.Drain(3000))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -211,4 +211,4 @@
     assert not settings.can_stop
     assert not settings.weight_by_work
     assert not settings.marks_retries
-    assert settings.signal is api.Signal.NONE
+    assert settings.signal is api.LoadSignal.NONE
