--- a/myrtlespar/__init__.py
+++ b/myrtlespar/__init__.py
@@ -1,4 +1,4 @@
-"""myrtlespar: an overload controller that lives inside each server of a fleet."""
+"""myrtlespar: an overload controller that runs inside each server of a fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load the policy at its first use, so that a start can install its signal handlers before it."""
+    """Import the policy on first use, so that the program can install its signal handlers before the import."""
     if name == "Policy":
         from myrtlespar.policy.policy import Policy
 
--- a/myrtlespar/__main__.py
+++ b/myrtlespar/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m myrtlespar` runs the server, `python -m myrtlespar COMMAND` a command of the tools."""
+"""Entry point: `python -m myrtlespar` runs the server, `python -m myrtlespar COMMAND` runs a command-line tool."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def main() -> int:
     """Run the server or a command, and return the exit code.
 
-    The platform starts the server without a command; the modules of the commands are not loaded then.
+    The platform starts the server without a command; the modules of the commands are not imported in this case.
     """
     if len(sys.argv) > 1:
         from myrtlespar.cli import main as run_command
--- a/myrtlespar/config/__init__.py
+++ b/myrtlespar/config/__init__.py
@@ -1,11 +1,11 @@
-"""Configuration of one server process, from the environment, the platform's file and the operator's file.
+"""The configuration of one server process, from environment variables, the platform's file and the operator's file.
 
 `load` reads the platform's JSON file and, if there is one, the operator's TOML file, checks every value and returns
-one immutable `Config`. The first fault found is raised as a `ConfigError` of one line that names the faulty key.
+one immutable `Config`. The first error found is raised as a `ConfigError` of one line that names the key.
 
-No other package of the server reads the environment or these files. The fleet's YAML file is not read here: `Config`
-has its path, and `myrtlespar.fleet.settings` reads it. Nor does this package carry out a reload: it reads a new
-`Config` and lists the changes that need a restart, and `myrtlespar.server.reload` applies or rejects it.
+No other package of the server reads environment variables or these files. The fleet's YAML file is not read here:
+`Config` has its path, and `myrtlespar.fleet.settings` reads it. For a reload, this package reads the new `Config` and
+lists the changes that need a restart; `myrtlespar.server.reload` applies or rejects it.
 """
 
 from __future__ import annotations
--- a/myrtlespar/config/files.py
+++ b/myrtlespar/config/files.py
@@ -1,4 +1,4 @@
-"""Reading of the content of configuration files, with errors as `ConfigError`."""
+"""Reads configuration files and reports errors as `ConfigError`."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def read_file(path: str, key: str) -> bytes:
-    """Return a file's content.
+    """Return the content of a file.
 
     Args:
-        path: The file.
+        path: Path of the file.
         key: The environment variable that holds the path.
 
     Raises:
-        ConfigError: The file can't be read; the message names `key`.
+        ConfigError: The file cannot be read; the message names `key`.
     """
     try:
         return Path(path).read_bytes()
--- a/myrtlespar/config/loader.py
+++ b/myrtlespar/config/loader.py
@@ -1,4 +1,4 @@
-"""Loading of the complete configuration from both files, at the start and for a reload."""
+"""Loads the complete configuration from both files, at the start and for a reload."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from myrtlespar.config.operator_file import PATH_VARIABLE as OPERATOR_VARIABLE
-from myrtlespar.config.operator_file import add_operator_file
+from myrtlespar.config.operator_file import apply_operator_file
 from myrtlespar.config.platform_file import read_platform_file
 from myrtlespar.config.types import Config
 
@@ -18,8 +18,8 @@
         env: The environment variables.
 
     Raises:
-        ConfigError: The first fault found, in one line that names its key.
+        ConfigError: A value is invalid; the message is one line that names the first such key.
     """
     config = read_platform_file(env)
     operator_path = env.get(OPERATOR_VARIABLE, "")
-    return add_operator_file(config, operator_path) if operator_path else config
+    return apply_operator_file(config, operator_path) if operator_path else config
--- a/myrtlespar/config/operator_file.py
+++ b/myrtlespar/config/operator_file.py
@@ -1,7 +1,7 @@
 """Reads the operator's optional TOML file: AJP listener, path rules, AJP servers, idempotency keys and tracing.
 
-Its tables are `[ajp]`, `[[ajp.map]]`, `[[worker]]`, `[[balancer]]`, `[idempotency]` and `[trace]`; unlike in the
-platform's file, a key that is unknown is a fault.
+Its tables are `[ajp]`, `[[ajp.map]]`, `[[worker]]`, `[[balancer]]`, `[idempotency]` and `[trace]`. Unlike in the
+platform's file, an unknown key is an error.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from myrtlespar.resource_limits import ResourceLimits
 
 PATH_VARIABLE = "MYRTLESPAR_OPERATOR"
-# Ranges of the values; the units are those of the keys.
+# Limits of the values, in the units of their keys.
 MAX_REMEMBER_MS = 1e8
 MAX_KEYS = 1e6
-MAX_PRIORITY_WEIGHT = 0.999999  # below 1, which ranks are
+MAX_RANK = 0.999999  # ranks are below 1
 MIN_MEMORY_KB = 0.001
 MAX_MEMORY_KB = 2000
 MIN_FACTOR = 0.001
 MAX_FACTOR = 1000
 
 
-def add_operator_file(config: Config, path: str) -> Config:
-    """Return the configuration with the values of the operator's file.
+def apply_operator_file(config: Config, path: str) -> Config:
+    """Return the configuration with the values of the operator's file added.
 
     Raises:
-        ConfigError: The file can't be read, or one of its keys is faulty, misspelt or names something unknown.
+        ConfigError: The file cannot be read, or contains an unknown key, an invalid value or an unknown name.
     """
     root = ConfigTable(_parse_toml(read_file(path, PATH_VARIABLE)), "")
     idempotency = root.table("idempotency")
@@ -47,7 +47,7 @@
     targets = backend_names | set(balancers) | {""}
     path_rules = tuple(_path_rule(row, config.class_names, targets) for row in ajp.tables("map"))
     ajp_settings = AjpSettings(
-        listen=ajp.address("listen") if "listen" in ajp.rows else None,
+        listen=ajp.address("listen") if "listen" in ajp.values else None,
         secret=ajp.text("secret", ""),
         route=ajp.text("route", ""),
         key_header=key_header,
@@ -73,7 +73,7 @@
 def _idempotency_limits(table: ConfigTable, config: Config) -> ResourceLimits:
     """Return the limits with the operator's values for idempotency keys.
 
-    A key is remembered at least for the longest window of the classes with keys, whatever the operator sets.
+    A key is remembered at least for the longest window of all classes with keys, even if the operator sets less.
     """
     windows_ms = [
         request_class.window_ms for request_class in config.settings.classes if request_class.effect is api.Effect.KEYED
@@ -87,7 +87,7 @@
 
 
 def _balancers(root: ConfigTable, backend_names: set[str]) -> Mapping[str, tuple[str, ...]]:
-    balancers = {row.text("name"): row.texts("members") for row in root.tables("balancer")}
+    balancers = {row.text("name"): row.string_list("members") for row in root.tables("balancer")}
     for name, members in balancers.items():
         for member in members:
             if member not in backend_names:
@@ -100,7 +100,7 @@
     class_name = row.text("class")
     target = row.text("to", "")
     if not path.startswith("/"):
-        raise ConfigError(f"{row.key('path')}: expected a path from '/', got {path!r}")
+        raise ConfigError(f"{row.key('path')}: expected a path that starts with '/', got {path!r}")
     if class_name not in class_names:
         raise ConfigError(f"{row.key('class')}: no class named {class_name!r} in settings.classes")
     if target not in targets:
@@ -108,7 +108,7 @@
     rule = PathRule(
         path=path,
         class_index=class_names.index(class_name),
-        rank=row.number("worth", 0.5, 0, MAX_PRIORITY_WEIGHT),
+        rank=row.number("worth", 0.5, 0, MAX_RANK),
         memory_kb=row.number("memory_kb", 20, MIN_MEMORY_KB, MAX_MEMORY_KB),
         target=target,
     )
--- a/myrtlespar/config/platform_file.py
+++ b/myrtlespar/config/platform_file.py
@@ -1,4 +1,4 @@
-"""Reads the platform's JSON file and the environment variables that override it."""
+"""Reads the platform's JSON file and the environment variables that override its keys."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def read_platform_file(env: Mapping[str, str]) -> Config:
-    """Return the configuration of the platform's file; what the operator's file may set has its default.
+    """Return the configuration in the platform's file; values that only the operator's file can set have defaults.
 
     Raises:
-        ConfigError: The file can't be read, or one of its keys or an environment variable is faulty.
+        ConfigError: The file cannot be read, or one of its values or an environment variable is invalid.
     """
     path = env.get(PATH_VARIABLE, "")
     if not path:
-        raise ConfigError(f"{PATH_VARIABLE}: missing")
+        raise ConfigError(f"{PATH_VARIABLE}: missing, expected the path of the platform's file")
     root = ConfigTable(_parse_json(read_file(path, PATH_VARIABLE)), "")
     settings = _read_settings(root)
     class_names = _class_names(root)
@@ -64,9 +64,9 @@
 
 
 def _read_settings(root: ConfigTable) -> api.Settings:
-    """Return the policy's settings; their errors become a `ConfigError` that names the key below `settings`."""
+    """Return the policy's settings; errors are raised as a `ConfigError` that names the key below `settings`."""
     try:
-        return read_settings(root.table("settings").rows)
+        return read_settings(root.table("settings").values)
     except MissingSettingError as error:
         raise ConfigError(str(error).replace("missing setting ", "settings.") + ": missing") from None
     except InvalidSettingError as error:
@@ -76,18 +76,18 @@
 
 
 def _class_names(root: ConfigTable) -> tuple[str, ...]:
-    """Return the classes' names on the wire; two classes must not have the same name."""
+    """Return the names of the request classes on the wire, which must be unique."""
     names: list[str] = []
-    for index, row in enumerate(root.rows["settings"]["classes"]):
+    for index, row in enumerate(root.values["settings"]["classes"]):
         name = _class_name(row, index)
         if name in names:
-            raise ConfigError(f"settings.classes[{index}].name: {name!r} is the name of another class too")
+            raise ConfigError(f"settings.classes[{index}].name: {name!r} is already the name of another class")
         names.append(name)
     return tuple(names)
 
 
 def _class_name(row: Mapping[str, Any], index: int) -> str:
-    """Return a class's name on the wire; its number where it has none."""
+    """Return the name of a class on the wire; its index if it has no name."""
     name = row.get("name")
     return str(index) if name is None else str(name)
 
@@ -100,15 +100,15 @@
 
 
 def _dependency_address(root: ConfigTable, settings: api.Settings) -> Address | None:
-    """Return the dependency's address, which a configuration without calls does not need."""
+    """Return the address of the dependency, which is required only if a class makes calls."""
     required = any(request_class.calls for request_class in settings.classes)
     return root.address("store") if required or root.has("store") else None
 
 
 def _without_unsupported_actions(settings: api.Settings) -> api.Settings:
-    """Return the settings without actions that the engine's protocol has no message for.
+    """Return the settings without the actions that the engine's protocol has no message for.
 
-    It can neither stop a run nor let one go on without its call. Were the policy to decide on such an action, nothing
+    The protocol can neither stop a run nor continue one without its call. If the policy chose such an action, nothing
     would carry it out and the run would hang.
     """
     classes = [replace(request_class, degraded_weight=0.0) for request_class in settings.classes]
--- a/myrtlespar/config/reload.py
+++ b/myrtlespar/config/reload.py
@@ -1,4 +1,4 @@
-"""Which changes of a configuration take effect at a restart only."""
+"""Determines which changes of the configuration take effect only after a restart."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from myrtlespar.config.types import Config
 
-RELOADABLE_KEYS = ("kernel", "store", "roster")  # a reload moves the connections to these upstreams
+RELOADABLE_KEYS = ("kernel", "store", "roster")  # addresses of upstreams, to which a reload reconnects
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """Return the keys that differ in a new configuration and take effect at a restart only.
+    """Return the keys whose values differ in a new configuration and take effect only after a restart.
 
     Args:
         old: The configuration that the process was started with.
-        new: The configuration that was read for a reload.
+        new: The configuration read for the reload.
     """
     return [
         setting.name
--- a/myrtlespar/config/sizing.py
+++ b/myrtlespar/config/sizing.py
@@ -1,4 +1,4 @@
-"""How many connections, bytes and idempotency keys fit the descriptors and the memory of this process."""
+"""Computes how many connections, bytes and idempotency keys fit the descriptors and memory of this process."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from myrtlespar.policy import messages as api
 from myrtlespar.resource_limits import ResourceLimits
 
-MIN_DESCRIPTORS = 24  # of the setting `limits.sockets`
-MIN_CONNECTIONS = 4  # allowed even with less memory than the program itself takes, as it could not serve otherwise
-RESERVED_DESCRIPTORS = 48  # for upstream connections, listeners, log and event loop
-DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12  # one connection to the dependency is allowed for so many descriptors
+MIN_DESCRIPTORS = 24  # lower bound of the setting `limits.sockets`
+MIN_CONNECTIONS = 4  # lower bound however little memory there is, as fewer could not serve clients
+RESERVED_DESCRIPTORS = 48  # descriptors for upstream connections, listeners, log and event loop
+DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12  # descriptors for each allowed connection to the dependency
 
-BASE_MEMORY_MB = 22.0  # what the program takes with a few connections
-CONNECTION_MEMORY_KB = 24.0  # what one connection may add: its greenlet, and part of a message
-IDEMPOTENCY_KEY_MEMORY_KB = 6.0  # one key with a result of 4 KiB
-IDEMPOTENCY_KEYS_MEMORY_FRACTION = 0.25  # of the memory beyond the base
-OUTBOX_MEMORY_FRACTION = 0.25  # of the memory beyond the base, for answers that clients do not read
+BASE_MEMORY_MB = 22.0  # memory of the process with a few connections
+CONNECTION_MEMORY_KB = 24.0  # memory of one more connection: its greenlet and a partial message
+IDEMPOTENCY_KEY_MEMORY_KB = 6.0  # memory of one key with a result of 4 KiB
+IDEMPOTENCY_KEYS_MEMORY_FRACTION = 0.25  # fraction of the memory beyond the base, for idempotency keys
+OUTBOX_MEMORY_FRACTION = 0.25  # fraction of the memory beyond the base, for answers that clients have not read
 MIN_TOTAL_OUTBOX_BYTES = 1 << 20
 
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
 DEFAULT_STOP_MS = 3000
 MAX_STOP_MS = 1e7
-MAX_RESOURCE = 1e6  # descriptors, and MB of memory
+MAX_RESOURCE = 1e6  # upper bound of `limits.sockets`, and of `limits.memory_mb`
 
 
 def size_limits(root: ConfigTable, settings: api.Settings) -> ResourceLimits:
-    """Return the limits that follow from the descriptors, the memory and the windows of idempotency keys.
+    """Return the limits for the configured descriptors, memory and windows of idempotency keys.
 
     Args:
-        root: The platform's configuration; `limits` and `stop_ms` are read from it.
+        root: The platform's configuration, of which `limits` and `stop_ms` are read.
         settings: The policy's settings.
 
     Raises:
@@ -61,7 +61,7 @@
     )
     if not windows_ms:
         return limits
-    # A key is remembered from the end of its run on; its window counts from before the run began.
+    # The windows are enough: a key is remembered from the end of its run, while its window starts before the run.
     return replace(
         limits,
         idempotency_key_ms=max(windows_ms),
@@ -70,7 +70,7 @@
 
 
 def _descriptors(resources: ConfigTable) -> int:
-    """Return how many descriptors this process may open: the system may grant fewer than are configured."""
+    """Return how many descriptors this process may open; the system may allow fewer than are configured."""
     configured = int(resources.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS, MAX_RESOURCE))
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return configured if granted == resource.RLIM_INFINITY else min(configured, granted)
--- a/myrtlespar/config/types.py
+++ b/myrtlespar/config/types.py
@@ -1,4 +1,4 @@
-"""The configuration as immutable values, and the exception raised for a faulty one."""
+"""Immutable types of the configuration, and the exception for an invalid one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConfigError(MyrtlesparError):
-    """The configuration is faulty; the text is one line that names the key."""
+    """The configuration is invalid; the message is one line that names the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,11 +23,11 @@
     """How AJP requests below one path are handled.
 
     Attributes:
-        path: The path, from its leading slash on.
-        class_index: Position of their request class in `Config.class_names`.
-        priority_weight: Their rank (`Arrival.rank`), from 0 to below 1. The policy does not use it.
-        memory_kb: Memory booked for each of them, in KB.
-        target: Name of an AJP server or balancer; empty for the execution engine.
+        path: The path, with its leading slash.
+        class_index: Index of the requests' class in `Config.class_names`.
+        rank: Rank of the requests (`Arrival.rank`), at least 0 and below 1. The policy does not use it.
+        memory_kb: Memory reserved for each request, in KB.
+        target: Name of the AJP server or balancer that handles the requests; empty for the execution engine.
     """
 
     path: str
@@ -42,11 +42,11 @@
     """One AJP server to which requests may be forwarded (`[[worker]]` in the operator's file).
 
     Attributes:
-        name: Its name in path rules and balancers.
-        address: Where it listens.
-        factor: Its capacity, relative to the other servers of a balancer.
-        route: Its session route (`jvmRoute`); empty if it has none.
-        secret: The secret sent with each request; empty if it needs none.
+        name: Name of the server in path rules and balancers.
+        address: Address on which the server listens.
+        factor: Capacity relative to the other servers of a balancer.
+        route: Session route (`jvmRoute`) of the server; empty if it has none.
+        secret: Secret sent with each request; empty if the server requires none.
     """
 
     name: str
@@ -62,12 +62,12 @@
 
     Attributes:
         listen: Address of the AJP listener; None if there is none.
-        secret: The secret that gateways must send; empty if none is required.
+        secret: Secret that gateways must send; empty if none is required.
         route: The session route of this server.
-        key_header: Lowercase name of the header that holds an idempotency key; empty if none does.
-        path_rules: How requests are handled, by path.
+        key_header: Lowercase name of the header with the idempotency key; empty if there is none.
+        path_rules: Rules by which requests are handled.
         backends: The AJP servers.
-        balancers: Names of each balancer's members.
+        balancers: Names of the members of each balancer, by name of the balancer.
     """
 
     listen: Address | None = None
@@ -83,7 +83,7 @@
 class Config:
     """The complete configuration of one process.
 
-    The names of the fields are the operators' keys: `needs_restart` reports them.
+    The field names are the names of the operators' keys, as `needs_restart` reports them.
 
     Attributes:
         name: This server's name in the service registry.
@@ -91,16 +91,16 @@
         kernel: Address of the execution engine.
         store: Address of the dependency; None where no request class makes calls.
         roster: Address of the service registry.
-        seed: Seed of the random sources.
+        seed: Seed of the random number generators.
         settings: The settings of the policy.
         class_names: Names of the request classes on the wire.
-        limits: Sizes, counts and times that bound this process.
-        thrift_key: Field of a Thrift request that holds an idempotency key; empty if none does.
+        limits: Limits of this process: sizes, counts and times.
+        thrift_key: Name of the field of a Thrift request with the idempotency key; empty if there is none.
         ajp: The AJP listener and AJP servers.
         trace: Whether each transition of each state machine is logged.
-        mgmt: Address of the admin server; None if there is none: then SIGTERM begins the drain.
-        tmpdir: Directory for handing over to a second process of this server; empty without an admin server.
-        fleet: Path of the fleet's YAML file; empty if this server is in no fleet, and no module of it is imported.
+        mgmt: Address of the admin server; None if there is none, in which case SIGTERM starts draining.
+        tmpdir: Directory used for the hand-over to a second process of this server; empty without an admin server.
+        fleet: Path of the fleet's YAML file; empty if this server is in no fleet, so that no fleet module is imported.
     """
 
     name: str
@@ -121,10 +121,10 @@
 
 
 def parse_address(text: Any, key: str) -> Address:
-    """Return the host and port in a string `HOST:PORT`; an IPv6 host may be in brackets.
+    """Return the host and port in a string `HOST:PORT`; an IPv6 host may be enclosed in brackets.
 
     Raises:
-        ConfigError: `text` is no such address; the message names `key`.
+        ConfigError: `text` is not an address; the message names `key`.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
--- a/myrtlespar/simulator_adapter.py
+++ b/myrtlespar/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Runs the overload controller in the simulator: reads batches of events as JSON, writes the actions as JSON.
+"""Runs the overload controller in the simulator: reads batches of events as JSON and writes actions as JSON.
 
-One line of input is a batch of events of all instances (simulated servers); one line of output has their actions. This
-module only translates: every decision is made in `myrtlespar.policy`. An error in one instance becomes an action "bug"
-of that instance; only a line that is no batch ends the program.
+Each line of input is a batch of events of all instances (simulated servers), and each line of output has their actions.
+This module only translates; all decisions are made in `myrtlespar.policy`. An error in one instance is reported as an
+action "bug" of that instance; only an input line that is not a batch ends the program.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
     307: api.RunOutcome.MOOT,
 }
 
-# In the field `bits` of an arrival.
+# Bits of the field `bits` in an "accept" event.
 HINT_VALID_BIT = 1
 IS_RETRY_BIT = 2
 
 
 class MalformedInputError(MyrtlesparError):
-    """A line of input is not a batch of events."""
+    """A line of input is not a valid batch of events."""
 
 
 def _read_arrival(event: Json) -> api.Arrival:
@@ -96,22 +96,22 @@
 
 
 class PolicyHost:
-    """One policy for each instance; the instances share nothing."""
+    """Runs one independent policy for each instance."""
 
     def __init__(self) -> None:
         self._policies: dict[str, Policy] = {}
 
     def batch(self, batch: Json) -> Json:
-        """Pass its events to each instance, and return the actions of those that have any."""
+        """Pass the events of a batch to their instances, and return the actions of instances that have any."""
         now = float(batch["sim_time_ms"])
         replies = []
         for row in batch["backends"]:
-            actions = self._actions_or_bug(now, row["backend"], row["arrivals"])
+            actions = self._decide_or_report_bug(now, row["backend"], row["arrivals"])
             if actions:
                 replies.append({"backend": row["backend"], "out": actions})
         return {"backends": replies}
 
-    def _actions_or_bug(self, now: float, name: str, rows: list[Json]) -> list[Json]:
+    def _decide_or_report_bug(self, now: float, name: str, rows: list[Json]) -> list[Json]:
         try:
             return self._decide(now, name, rows)
         except (MissingSettingError, InvalidSettingError) as error:
@@ -139,46 +139,50 @@
         return [ACTION_WRITERS[type(action)](action) for action in policy.handle(now, events)]
 
 
-def parse_batch(line: str, number: int) -> Json:
-    """Read one line of input.
+def parse_batch(line: str, line_number: int) -> Json:
+    """Parse one line of input.
 
     Raises:
-        MalformedInputError: The line is not a batch; the text names the line and what is wrong.
+        MalformedInputError: The line is not a batch; the message names the line and the error.
     """
     try:
         batch = json.loads(line)
     except ValueError as error:
-        raise MalformedInputError(f"input line {number}: not JSON: {error}") from None
+        raise MalformedInputError(f"input line {line_number}: not JSON: {error}") from None
     if not isinstance(batch, dict):
-        raise MalformedInputError(f"input line {number}: not a batch: expected an object")
+        raise MalformedInputError(f"input line {line_number}: not a batch: expected a JSON object")
     if isinstance(batch.get("sim_time_ms"), bool) or not isinstance(batch.get("sim_time_ms"), int | float):
-        raise MalformedInputError(f"input line {number}: not a batch: sim_time_ms is missing or no number")
-    _check_rows(batch.get("backends"), number)
+        raise MalformedInputError(f"input line {line_number}: not a batch: sim_time_ms is missing or not a number")
+    _check_entries(batch.get("backends"), line_number)
     return batch
 
 
-def _check_rows(rows: Any, number: int) -> None:
-    if not isinstance(rows, list):
-        raise MalformedInputError(f"input line {number}: not a batch: backends is missing or no list")
-    for row in rows:
-        if not (isinstance(row, dict) and isinstance(row.get("backend"), str)):
-            raise MalformedInputError(f"input line {number}: not a batch: an entry of backends has no name")
-        events = row.get("arrivals")
+def _check_entries(entries: Any, line_number: int) -> None:
+    if not isinstance(entries, list):
+        raise MalformedInputError(f"input line {line_number}: not a batch: backends is missing or not a list")
+    for entry in entries:
+        if not (isinstance(entry, dict) and isinstance(entry.get("backend"), str)):
+            raise MalformedInputError(
+                f"input line {line_number}: not a batch: an entry of backends has no string 'backend'"
+            )
+        events = entry.get("arrivals")
         if not (isinstance(events, list) and all(isinstance(event, dict) for event in events)):
-            raise MalformedInputError(f"input line {number}: not a batch: arrivals is no list of events")
+            raise MalformedInputError(
+                f"input line {line_number}: not a batch: arrivals is missing or not a list of objects"
+            )
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
-    """Answer each line of input with one line of output until the input ends."""
+    """Write one line of output for each line of input until the input ends."""
     host = PolicyHost()
-    for number, line in enumerate(lines, start=1):
-        reply = host.batch(parse_batch(line, number))
+    for line_number, line in enumerate(lines, start=1):
+        reply = host.batch(parse_batch(line, line_number))
         out.write(json.dumps(reply, separators=(",", ":")) + "\n")
         out.flush()
 
 
 def main() -> int:
-    """Serve standard input and output; returns 1 after malformed input, 0 otherwise."""
+    """Process standard input to standard output; return exit code 1 after malformed input, else 0."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as error:
