--- a/myrtlespar/resource_limits.py
+++ b/myrtlespar/resource_limits.py
@@ -78,9 +78,7 @@
     max_dependency_outbox_bytes: int = 65536  # unsent bytes of one connection
     max_dependency_line_bytes: int = 256
     max_dependency_reply_bytes: int = 1 << 18
-    max_dependency_call_ms: float = (
-        2.0**31 - 1
-    )  # largest time limit of a call, however long the deadlines in the settings are
+    max_dependency_call_ms: float = 2.0**31 - 1  # largest time limit of a call, even if the deadlines are longer
     dependency_check_ms: float = 20.0  # between checks for calls that have timed out
     dependency_grace_ms: float = 60.0  # after the time limit of a call until it counts as timed out
 
--- a/tests/platform_configuration.py
+++ b/tests/platform_configuration.py
@@ -1,4 +1,4 @@
-"""The smallest configuration that the platform hands over, for tests that change one of its keys."""
+"""The smallest configuration file of the platform, for tests that change one of its keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def minimal_configuration(changes: Mapping[str, Any] | None = None) -> dict[str, Any]:
-    """A configuration with every required key, upstreams where nobody listens, and `changes` applied."""
+    """Return a configuration with all required keys, unreachable upstreams, and `changes` applied."""
     return {
         "name": "n",
         "listen": "127.0.0.1:0",
--- a/tests/policy/policy_server.py
+++ b/tests/policy/policy_server.py
@@ -1,4 +1,4 @@
-"""A small driver for the policy: it carries out what the actions mean, without modelling speed."""
+"""A driver for tests of the policy, which passes events and ticks to it and records its actions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
-    """Settings of a small server with one class of each kind."""
+    """Return the settings of a small server with one class of each kind, with `changes` applied."""
     given: dict[str, Any] = {
         "classes": [SAFE, COSTLY, KEYED, UNSAFE],
         "cores": 4,
@@ -35,7 +35,12 @@
 
 
 class PolicyServer:
-    """Feeds one policy and remembers every action."""
+    """Passes events to one policy and records every action.
+
+    Attributes:
+        now: Time of the latest batch, in ms.
+        log: All actions so far, in order.
+    """
 
     def __init__(self, **changes: Any) -> None:
         self.policy = Policy(settings(**changes), 7)
@@ -44,7 +49,7 @@
         self.at(0.0)
 
     def at(self, now: float, *events: api.Event) -> list[api.Action]:
-        """Hand over a batch, and the ticks that came due before it."""
+        """Pass the ticks due before `now`, then a batch of events, to the policy; return the actions of the batch."""
         while self.policy.next_wake > 0 and self.policy.next_wake < now:
             self._batch(self.policy.next_wake, [api.Tick(0, [1.0, 0.0, 0.0, 0.0])])
         return self._batch(now, list(events))
@@ -55,22 +60,22 @@
         self.log.extend(out)
         return out
 
-    def arrive(self, now: float, id: str, cls: int = 0, **more: Any) -> list[api.Action]:
-        """One arrival."""
-        return self.at(now, api.Arrival(id, cls, more.pop("kb", 20.0), **more))
+    def arrive(self, now: float, id: str, class_index: int = 0, **more: Any) -> list[api.Action]:
+        """Pass one arrival to the policy, with any other fields of `Arrival`."""
+        return self.at(now, api.Arrival(id, class_index, more.pop("memory_kb", 20.0), **more))
 
     def actions(self, kind: type, id: str = "") -> list[Any]:
-        """All actions so far of one kind, of one request if named."""
+        """Return all actions so far of one type, only those of request `id` if it is given."""
         return [a for a in self.log if isinstance(a, kind) and (not id or getattr(a, "id", "") == id)]
 
 
 def count_final_answers(log: list[api.Action], id: str) -> int:
-    """Final answers other than a run's own result."""
+    """Return the number of final answers of a request other than the result of its run."""
     return sum(1 for a in log if isinstance(a, api.Reject | api.Fail) and a.id == id)
 
 
 def overloaded_server(**changes: object) -> PolicyServer:
-    """A server with all cores taken and the flag up."""
+    """Return a server with all cores busy and the overload flag raised."""
     server = PolicyServer(cores=2, **changes)
     for n in range(30):
         server.arrive(10, f"fill{n}", 0)
--- a/tests/policy/test_bounded_state.py
+++ b/tests/policy/test_bounded_state.py
@@ -1,4 +1,4 @@
-"""State stays bounded and every rule holds under odd settings, clocks and callers."""
+"""State stays bounded and every rule holds under extreme settings, clock jumps and many callers."""
 
 import pytest
 
@@ -25,7 +25,7 @@
     assert policy.memory.used_kb == pytest.approx(0.0)
 
 
-def test_absurd_settings_are_handled() -> None:
+def test_extreme_settings_are_handled() -> None:
     for signal in api.LoadSignal:
         server = PolicyServer(
             classes=[api.RequestClass(0.0, 0.0, priority_weight=0.0, effect=api.Effect.KEYED)],
@@ -44,7 +44,7 @@
         )
 
 
-def test_missing_settings_and_a_leaping_clock_get_ordinary_decisions() -> None:
+def test_missing_settings_and_clock_jumps_are_handled() -> None:
     server = PolicyServer(
         cores=0,
         servers=0,
@@ -63,12 +63,12 @@
     server.at(10, api.RunEnded("unknown", RunOutcome.OK, 5), api.CallerGone("unknown"), api.Tick(0, []))
     server.policy.handle(1e7, [api.Tick(3, [9.0])])
     server.policy.handle(5.0, [api.Tick(3, []), api.Arrival("back", 0, 20.0)])
-    owed = [id for id, request in server.policy.table.requests.items() if not request.answered]
-    assert set(owed) <= {"back"}
+    unanswered = [id for id, request in server.policy.table.requests.items() if not request.answered]
+    assert set(unanswered) <= {"back"}
     assert len(server.policy.table.open_by_sender) <= 1
 
 
-def test_a_fleet_size_wrong_by_four_changes_no_rule() -> None:
+def test_a_fleet_size_wrong_by_a_factor_of_four_breaks_no_rule() -> None:
     for servers in (25, 400):
         server = PolicyServer(cores=2, servers=servers, tenant_quotas=[400.0], senders=200)
         for n in range(80):
--- a/tests/policy/test_client_timeouts.py
+++ b/tests/policy/test_client_timeouts.py
@@ -1,10 +1,10 @@
-"""What is learned of callers' timeouts and retries."""
+"""Learning of callers' timeouts, and detection of retries."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
 
 
-def test_age_of_a_retry_follows_from_an_unusual_wait() -> None:
+def test_retry_age_is_derived_from_an_unusual_time_to_the_deadline() -> None:
     server = PolicyServer(cores=1, passes_deadline=True)
     for n in range(5):
         server.arrive(10 + n, f"first{n}", 0, deadline=3510.0 + n)
@@ -15,7 +15,7 @@
     assert again.useful_until == 20 - 1200 + 2000
 
 
-def test_waits_of_all_callers_together_tell_a_retry() -> None:
+def test_retries_are_detected_from_the_waits_of_all_callers_together() -> None:
     server = PolicyServer(cores=1, passes_deadline=True)
     for n in range(5):
         server.arrive(10 + n, f"first{n}", 0, deadline=3510.0 + n, sender=n)
@@ -46,7 +46,7 @@
     assert abs(server.policy.table.requests["next"].useful_until - 1800) < 5
 
 
-def test_scattered_departures_teach_no_client_timeout() -> None:
+def test_no_client_timeout_is_learned_from_scattered_departures() -> None:
     server = PolicyServer(cores=1, reports_cancellation=True)
     server.arrive(5, "busy", 3)
     for n in range(12):
@@ -64,7 +64,7 @@
     assert not server.policy.table.requests["far"].is_retry
 
 
-def test_retry_mark_beats_the_guess_where_retries_are_marked() -> None:
+def test_retry_marks_override_detection_where_retries_are_marked() -> None:
     server = PolicyServer(marks_retries=True)
     for n in range(40):
         server.arrive(10 + n, f"a{n}", 0, deadline=5010.0 + n)
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many requests run at once."""
+"""The limits on concurrent runs."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
@@ -14,7 +14,7 @@
     assert 4 < server.policy.concurrency.limit <= 10
 
 
-def test_call_waiters_do_not_count_in_the_limit() -> None:
+def test_runs_that_wait_for_a_call_do_not_count_towards_the_limit() -> None:
     server = PolicyServer(cores=1)
     server.arrive(10, "a", 0)
     server.arrive(11, "b", 0)
@@ -23,7 +23,7 @@
     assert server.actions(api.Run, "b")
 
 
-def test_fewer_runs_start_while_arrivals_wait_unread() -> None:
+def test_fewer_runs_start_while_arrivals_are_read_late() -> None:
     server = PolicyServer(cores=4)
     for n in range(12):
         server.arrive(10, f"late{n}", 0, waited_ms=1000.0)
@@ -31,7 +31,7 @@
     assert server.policy.concurrency.on_cores < 4
 
 
-def test_crowd_stays_survivable_even_if_all_calls_return_at_once() -> None:
+def test_concurrency_stays_survivable_even_if_all_calls_return_at_once() -> None:
     server = PolicyServer(
         classes=[api.RequestClass(2000, 6000, calls=True)], cores=2, cold=True, cold_from=0.2, warm_up_ms=1e9
     )
@@ -40,11 +40,11 @@
     assert len(server.actions(api.Run)) <= 2 * (1 + 4 * 0.2)
 
 
-def test_standstill_of_the_process_is_neither_core_time_nor_a_queue() -> None:
+def test_stall_of_the_process_counts_neither_as_core_time_nor_as_read_delay() -> None:
     server = PolicyServer(cores=2)
     server.arrive(10, "run", 0)
     server.at(100)
-    clock = server.policy.concurrency.core_clock_ms
+    core_clock_before_ms = server.policy.concurrency.core_clock_ms
     server.policy.handle(560.0, [api.Arrival("after", 0, 20.0, waited_ms=450.0)])
-    assert server.policy.concurrency.core_clock_ms - clock <= 100.0
+    assert server.policy.concurrency.core_clock_ms - core_clock_before_ms <= 100.0
     assert server.policy.overload.read_delay_ms < 10.0
--- a/tests/policy/test_cost_hints.py
+++ b/tests/policy/test_cost_hints.py
@@ -1,4 +1,4 @@
-"""How far cost hints are trusted."""
+"""The influence of cost hints on expected costs."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
@@ -6,7 +6,7 @@
 
 
 def run_with_hints(server: PolicyServer, hint_of: dict[int, float]) -> None:
-    """Sixty runs, every second one ten times as long as the others."""
+    """Perform 60 runs, every second one (1 in `hint_of`) ten times as long as the others (0)."""
     now = 10.0
     for n in range(60):
         long = n % 2
@@ -15,7 +15,7 @@
         server.at(now, api.RunEnded(f"h{n}", RunOutcome.OK, 500.0 if long else 50.0))
 
 
-def test_hints_count_as_far_as_they_have_predicted_costs() -> None:
+def test_hints_count_only_as_far_as_they_have_predicted_costs() -> None:
     good = PolicyServer()
     none = PolicyServer()
     run_with_hints(good, {0: 40.0, 1: 400.0})
@@ -26,7 +26,7 @@
     assert none.policy.table.requests["long"].relative_cost <= 1.1
 
 
-def test_absurd_hints_change_nothing() -> None:
+def test_invalid_or_extreme_hints_have_no_effect() -> None:
     server = PolicyServer()
     for n, hint in enumerate((0.0, -5.0, float("inf"), float("nan"), 1e300)):
         server.arrive(10 + n, f"a{n}", 0, cost_hint_ms=hint)
--- a/tests/policy/test_delayed_rejection.py
+++ b/tests/policy/test_delayed_rejection.py
@@ -1,26 +1,26 @@
-"""The overload flag, work set aside, timer T1 and the forced turn."""
+"""The overload flag, requests that are set aside, timer T1 and the forced turn."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
 from tests.policy.policy_server import PolicyServer, count_final_answers, overloaded_server
 
 
-def test_flag_rises_past_o_and_falls_only_below_a() -> None:
+def test_flag_is_raised_above_o_and_cleared_only_below_a() -> None:
     server = PolicyServer(cores=2)
     server.arrive(10, "a")
     assert not server.policy.overload.is_overloaded
     server = overloaded_server()
-    heights = []
+    waits_ms = []
     now = 20.0
     while server.policy.overload.is_overloaded:
         run = next(a.id for a in server.actions(api.Run) if a.id in server.policy.table.requests)
-        heights.append(server.policy.overload.wait_ms())
+        waits_ms.append(server.policy.overload.wait_ms())
         now += 10
         server.at(now, api.RunEnded(run, RunOutcome.OK, 150))
-    assert server.policy.overload.wait_ms() < 0.5 * server.policy.overload.overload_threshold_ms() < max(heights)
+    assert server.policy.overload.wait_ms() < 0.5 * server.policy.overload.overload_threshold_ms() < max(waits_ms)
 
 
-def test_costly_arrival_is_set_aside_and_rejected_only_after_t1_with_advice() -> None:
+def test_costly_arrival_is_set_aside_and_rejected_only_after_t1_with_retry_after() -> None:
     server = overloaded_server()
     server.arrive(20, "costly", 1)
     assert sum(server.policy.queues.set_aside_work) >= 1
@@ -33,7 +33,7 @@
     assert rejections[0].retry_after_ms > 0
 
 
-def test_t1_is_cut_to_fit_the_callers_wait() -> None:
+def test_t1_is_shortened_to_fit_the_callers_deadline() -> None:
     server = overloaded_server()
     server.arrive(20, "hasty", 1, deadline=700.0)
     server.at(699)
--- a/tests/policy/test_dependency_calls.py
+++ b/tests/policy/test_dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency: when they are made, made again, skipped or failed."""
+"""Calls to the dependency: when they are made, retried, skipped or failed."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tests.policy.policy_server import PolicyServer, count_final_answers
 
 
-def test_failing_dependency_is_skipped_where_that_has_worth() -> None:
+def test_call_is_skipped_after_a_failure_where_a_degraded_result_has_weight() -> None:
     server = PolicyServer()
     server.arrive(10, "a", 0)
     server.at(40, api.CallNeeded("a"))
@@ -15,19 +15,23 @@
     assert server.actions(api.SkipCall, "a")
 
 
-@pytest.mark.parametrize(("aim", "again"), [(2000.0, 100.0), (275.0, 25.0)])
-def test_a_call_that_never_ran_is_made_again_sooner_for_short_objectives(aim: float, again: float) -> None:
-    server = PolicyServer(classes=[api.RequestClass(latency_objective_ms=aim, client_timeout_ms=6000, calls=True)])
+@pytest.mark.parametrize(("latency_objective_ms", "backoff_ms"), [(2000.0, 100.0), (275.0, 25.0)])
+def test_a_call_that_never_ran_is_retried_sooner_for_short_objectives(
+    latency_objective_ms: float, backoff_ms: float
+) -> None:
+    server = PolicyServer(
+        classes=[api.RequestClass(latency_objective_ms=latency_objective_ms, client_timeout_ms=6000, calls=True)]
+    )
     server.arrive(10, "a")
     server.at(20, api.CallNeeded("a"))
     server.at(30, api.CallEnded("a", RunOutcome.REJECTED, 5))
-    server.at(29 + again, api.Tick(1))
+    server.at(29 + backoff_ms, api.Tick(1))
     assert len(server.actions(api.Call, "a")) == 1
-    server.at(31 + again, api.Tick(1))
+    server.at(31 + backoff_ms, api.Tick(1))
     assert len(server.actions(api.Call, "a")) == 2
 
 
-def test_run_whose_call_cannot_come_back_in_time_is_failed_at_once() -> None:
+def test_run_whose_call_cannot_be_retried_in_time_is_failed_once() -> None:
     server = PolicyServer()
     server.arrive(10, "a", 3)
     server.at(100, api.CallNeeded("a"))
@@ -36,7 +40,7 @@
     assert len(server.actions(api.Fail, "a")) == 1
 
 
-def test_the_more_calls_fail_the_less_one_is_waited_for() -> None:
+def test_call_limit_shrinks_as_more_calls_fail() -> None:
     server = PolicyServer()
     for n in range(12):
         server.arrive(10 + 400 * n, f"a{n}", 0)
@@ -50,18 +54,20 @@
     assert 100.0 <= limits[11] < 600.0
 
 
-def test_an_abandoned_call_is_held_against_the_share_for_as_long_as_it_may_linger() -> None:
+def test_an_abandoned_call_counts_towards_the_share_for_its_linger_time() -> None:
     server = PolicyServer(shared_dependency=True, calls_share=2.0, linger_ms=1000.0, calls_over_ms=60000.0)
     for n, id in enumerate("abc"):
         server.arrive(10.0 * n, id, 3)
     server.at(40.0, api.CallNeeded("a"), api.CallNeeded("b"))
     assert {call.id for call in server.actions(api.Call)} == {"a", "b"}
-    server.at(50.0, api.CallerGone("a"), api.RunEnded("a", RunOutcome.STOPPED, 50.0))  # its call stays below
+    server.at(
+        50.0, api.CallerGone("a"), api.RunEnded("a", RunOutcome.STOPPED, 50.0)
+    )  # the dependency may still process the call
     server.at(60.0, api.CallNeeded("c"))
     assert not server.actions(api.Call, "c")
     server.at(1000.0)
     assert not server.actions(api.Call, "c")
-    server.at(1100.0)  # a's call may have left the dependency's hands by now
+    server.at(1100.0)  # the linger time of the call of a has passed
     assert server.actions(api.Call, "c")
 
 
@@ -124,7 +130,7 @@
     server = PolicyServer()
     server.arrive(10, "a", 3)
     server.at(2100)
-    assert not server.actions(api.Fail, "a")  # it runs, and may yet end by itself
+    assert not server.actions(api.Fail, "a")  # it runs and may still end by itself
     out = server.at(2110, api.CallNeeded("a"))
     assert api.Fail("a") in out
     assert not server.actions(api.Call, "a")
--- a/tests/policy/test_drain_deadline.py
+++ b/tests/policy/test_drain_deadline.py
@@ -1,10 +1,10 @@
-"""What runs and when answers are due while the server drains."""
+"""Draining: which requests still run, and when answers are due."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer, count_final_answers
 
 
-def test_drain_runs_nothing_that_came_past_the_grace() -> None:
+def test_requests_that_arrive_after_the_grace_period_of_a_drain_do_not_run() -> None:
     server = PolicyServer()
     server.at(100, api.Drain(5000))
     assert api.SetHealth(False, True) in server.log
@@ -27,25 +27,25 @@
     assert count_final_answers(server.log, "held") == 1
 
 
-def test_drain_notice_after_a_standstill_counts_from_the_last_event_before_it() -> None:
+def test_drain_after_a_stall_counts_from_the_last_batch_before_the_stall() -> None:
     server = PolicyServer(drain_grace_ms=2000.0)
     server.at(1000)
-    server.policy.handle(1460.0, [api.Drain(9000.0)])  # it may have come right after 1000
+    server.policy.handle(1460.0, [api.Drain(9000.0)])  # the event may have happened right after 1000
     out = server.policy.handle(3300.0, [api.Arrival("late", 0, 20.0, waited_ms=200.0)])
     assert not any(isinstance(a, api.Run) for a in out)
     assert any(isinstance(a, api.Reject) and a.id == "late" for a in out)
 
 
-def test_answers_come_before_a_standstill_that_could_cover_the_kill() -> None:
+def test_answers_are_due_early_enough_for_a_stall_before_the_kill() -> None:
     server = PolicyServer(cores=1)
     server.arrive(10, "run", 3)
-    server.policy.handle(500.0, [])  # stood still for nearly half a second
+    server.policy.handle(500.0, [])  # the process was stalled for nearly 500 ms
     server.at(510, api.Drain(3000.0))
     server.at(3000.0 - 500.0)
     assert count_final_answers(server.log, "run") == 1
 
 
-def test_second_drain_notice_moves_nothing_later() -> None:
+def test_second_drain_event_postpones_no_deadline() -> None:
     server = PolicyServer(drain_grace_ms=1000.0)
     server.at(1000)
     server.at(1010, api.Drain(4000.0))
--- a/tests/policy/test_fault_detection.py
+++ b/tests/policy/test_fault_detection.py
@@ -1,11 +1,11 @@
-"""Cores that hang, and runs that fail."""
+"""Detection of hanging cores and failing runs."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
 from tests.policy.policy_server import PolicyServer
 
 
-def test_hang_rejects_new_work_until_a_run_moves() -> None:
+def test_new_requests_are_rejected_while_cores_hang_until_a_run_makes_progress() -> None:
     server = PolicyServer(classes=[api.RequestClass(2000, 60000)])
     for n in range(25):
         server.arrive(10 + 10 * n, f"seen{n}", 0)
@@ -35,7 +35,7 @@
     assert server.policy.faults.is_hanging
 
 
-def test_while_most_own_runs_fail_new_work_is_rejected_but_for_trials() -> None:
+def test_new_requests_are_rejected_except_for_trials_while_most_runs_fail() -> None:
     server = PolicyServer()
     for n in range(8):
         server.arrive(10 + 10 * n, f"bad{n}", 3)
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -1,4 +1,4 @@
-"""Each request gets one final answer in time."""
+"""Each request gets exactly one final answer, in time."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
@@ -28,14 +28,14 @@
     assert server.policy.memory.used_kb == 0
 
 
-def test_due_time_in_the_past_is_answered_at_once() -> None:
+def test_request_past_its_deadline_is_answered_at_once() -> None:
     server = PolicyServer()
     server.at(50)
     out = server.arrive(60, "a", 0, deadline=55.0)
     assert any(isinstance(a, api.Reject) for a in out)
 
 
-def test_caller_that_left_is_owed_nothing() -> None:
+def test_request_of_a_caller_that_left_is_not_answered() -> None:
     server = PolicyServer(cores=1)
     server.arrive(10, "run")
     server.arrive(20, "held")
@@ -65,7 +65,7 @@
     assert not server.actions(api.Stop)
 
 
-def test_run_of_a_caller_that_left_is_stopped_and_owed_nothing() -> None:
+def test_run_of_a_caller_that_left_is_stopped_and_not_answered() -> None:
     server = PolicyServer(can_stop=True)
     server.arrive(10, "a", 3)
     server.at(100, api.CallerGone("a"))
@@ -73,10 +73,10 @@
     server.at(9000)
     assert server.actions(api.Stop, "a")
     assert count_final_answers(server.log, "a") == 0
-    assert server.policy.costs.elapsed_ms[3] > 95  # a run cut short says nothing of how long runs take
+    assert server.policy.costs.elapsed_ms[3] > 95  # a stopped run is no observation of how long runs take
 
 
-def test_endings_of_what_is_held_or_over_break_nothing() -> None:
+def test_end_events_of_waiting_or_ended_requests_are_harmless() -> None:
     server = PolicyServer(cores=1, can_stop=True)
     server.arrive(10, "run", 3)
     server.arrive(20, "held", 0)
--- a/tests/policy/test_idempotency_keys.py
+++ b/tests/policy/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""How long idempotency keys are kept, and what becomes of repeats."""
+"""How long idempotency keys are remembered, and how repeats are answered."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
@@ -12,7 +12,7 @@
     assert server.actions(api.KeepKey, "k")[0].for_ms >= 30000 - 40
 
 
-def test_repeat_joins_the_first_try_and_is_never_run_or_rejected() -> None:
+def test_repeat_joins_the_first_attempt_and_is_never_run_or_rejected() -> None:
     server = PolicyServer()
     server.arrive(10, "k", 2)
     server.arrive(20, "again", 2, prior="k")
@@ -25,7 +25,7 @@
     assert len(server.actions(api.Fail, "again")) == 1
 
 
-def test_key_is_forgotten_only_if_it_never_ran() -> None:
+def test_key_is_forgotten_only_if_its_request_never_ran() -> None:
     server = PolicyServer(cores=1)
     server.arrive(10, "ran", 2)
     server.arrive(20, "held", 2)
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""When idle connections are closed early."""
+"""Early closing of idle connections."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
--- a/tests/policy/test_load_advertisement.py
+++ b/tests/policy/test_load_advertisement.py
@@ -1,4 +1,4 @@
-"""The load that is advertised to callers."""
+"""The load value that is advertised to callers."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
--- a/tests/policy/test_memory_account.py
+++ b/tests/policy/test_memory_account.py
@@ -1,4 +1,4 @@
-"""The limit on memory."""
+"""The limits on memory."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -1,11 +1,11 @@
-"""What waits too long to be of use, and which class can start."""
+"""The start of waiting requests, and the rejection of those that wait too long."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
 from tests.policy.policy_server import PolicyServer, count_final_answers
 
 
-def test_sojourn_bound_rejects_what_can_no_longer_meet_its_objective() -> None:
+def test_request_that_can_no_longer_meet_its_objective_is_rejected() -> None:
     server = PolicyServer(cores=1)
     server.arrive(10, "run", 0)
     server.arrive(11, "held", 0)
@@ -13,7 +13,7 @@
     assert server.actions(api.Reject, "held")
 
 
-def test_one_long_run_does_not_stop_its_class() -> None:
+def test_one_long_run_does_not_block_its_class() -> None:
     server = PolicyServer(cores=2)
     server.arrive(10, "long", 0)
     server.at(5000, api.RunEnded("long", RunOutcome.OK, 4990))
--- a/tests/policy/test_server_health.py
+++ b/tests/policy/test_server_health.py
@@ -1,11 +1,11 @@
-"""What a server that reads too late tells health checks."""
+"""The reported health of a server that reads its arrivals too late."""
 
 from myrtlespar.policy import messages as api
 from tests.policy.policy_server import PolicyServer
 
 
 def reports(waited: float, gap: float, follows: bool) -> list[bool]:
-    """What a server says of its health while arrivals wait unread, then no longer."""
+    """Return what a server reports while arrivals are read late by `waited` ms, and after they no longer are."""
     server = PolicyServer(cores=2, servers=10, tenant_quotas=[50.0], discovery_follows_health=follows)
     for n in range(120):
         server.arrive(10 + gap * n, f"r{n}", 0, waited_ms=waited)
@@ -13,7 +13,7 @@
     return [action.good for action in server.actions(api.SetHealth)]
 
 
-def test_a_server_that_reads_too_late_withdraws_its_health_for_a_time() -> None:
+def test_a_server_that_reads_too_late_reports_bad_health_until_it_recovers() -> None:
     assert reports(waited=3000.0, gap=200.0, follows=True) == [True, False, True]
     assert reports(waited=50.0, gap=200.0, follows=True) == [True]
     assert reports(waited=3000.0, gap=200.0, follows=False) == [True]
--- a/tests/policy/test_tenant_quotas.py
+++ b/tests/policy/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Work within and over a tenant's quota."""
+"""Requests within and over a tenant's quota."""
 
 from myrtlespar.policy import messages as api
 from myrtlespar.policy.messages import RunOutcome
--- a/tests/request_classes.py
+++ b/tests/request_classes.py
@@ -1,4 +1,4 @@
-"""Settings with other request classes, for tests on the real program."""
+"""Settings with particular request classes, for tests that run the server process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def class_settings(*rows: tuple[str, str, float]) -> dict[str, Any]:
-    """Return settings with these classes, each given as name, effect and client timeout in ms; a window of 3 s."""
+    """Return settings with these classes, given as name, effect and client timeout in ms; key windows are 3 s."""
     return settings(
         classes=[
             {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Reading the configuration: faults are named in one line, valid files are accepted."""
+"""Reading the configuration: an error is one line that names the key, and valid files are accepted."""
 
 import json
 import os
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "error_start"),
     [
         ('[ajp]\nlisten = "x"', "ajp.listen: expected HOST:PORT"),
         ('[ajp]\nlissten = "127.0.0.1:1"', "ajp.lissten: unknown key"),
@@ -56,10 +56,10 @@
         ("[", "MYRTLESPAR_OPERATOR: not TOML"),
     ],
 )
-def test_a_faulty_key_of_the_operators_file_is_named(tmp_path: Path, text: str, complaint: str) -> None:
+def test_a_faulty_key_of_the_operators_file_is_named(tmp_path: Path, text: str, error_start: str) -> None:
     with pytest.raises(ConfigError) as error:
         load(configured(tmp_path, text))
-    assert str(error.value).startswith(complaint)
+    assert str(error.value).startswith(error_start)
     assert "\n" not in str(error.value)
 
 
@@ -71,21 +71,24 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "places"),
+    ("limits", "max_connections"),
     [
         ({"sockets": 384, "memory_mb": 192}, 304),
         ({"sockets": 1024, "memory_mb": 32}, 426),
         ({"sockets": 384, "memory_mb": 25}, 128),
     ],
 )
-def test_connections_follow_descriptors_and_memory(tmp_path: Path, limits: dict[str, int], places: int) -> None:
+def test_connections_follow_descriptors_and_memory(
+    tmp_path: Path, limits: dict[str, int], max_connections: int
+) -> None:
     env = configured(tmp_path, "")
     path = tmp_path / "c.json"
     path.write_text(json.dumps({**json.loads(path.read_text()), "limits": limits}))
-    assert load(env).limits.max_connections == places
+    assert load(env).limits.max_connections == max_connections
 
 
 def configured(tmp: Path, operator: str) -> dict[str, str]:
+    """Write both files, the operator's with the text `operator`; return the environment variables that name them."""
     config = minimal_configuration()
     (tmp / "c.json").write_text(json.dumps(config))
     (tmp / "o.toml").write_text(operator)
@@ -147,7 +150,7 @@
 
 
 def write(tmp: Path, **given: Any) -> str:
-    """A configuration file with these keys."""
+    """Write a configuration file with the keys in `given`, and return its path."""
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -1,4 +1,4 @@
-"""Generated settings, of all kinds that are allowed: the program starts, serves, reloads and drains."""
+"""With generated valid settings of all kinds, the server starts, serves requests, reloads and drains."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from myrtlespar.fakes import ThriftClient, server_process, until
 
 EXAMPLES = 25
-SLACK_MS = 500.0  # over a due time: 150 of the pages, the rest for a busy machine
+SLACK_MS = 500.0  # allowed after a deadline: 150 ms by the protocol's pages, the rest for a busy machine
 numbers = st.one_of(st.integers(0, 5), st.floats(0, 1e6, allow_subnormal=False))
 names = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=30)
 
 
 def optional(**values: st.SearchStrategy[Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """Return tables in which each of these may be there, null, or absent."""
+    """Return tables in which each of these keys may be present, null or absent."""
     return st.fixed_dictionaries({}, optional={key: st.none() | value for key, value in values.items()})
 
 
 @st.composite
 def classes(draw: st.DrawFn) -> list[dict[str, Any]]:
-    """Return one class or dozens, of any effect."""
+    """Return one to 40 request classes, of any effect."""
     rows = []
     for name in draw(st.lists(names, min_size=1, max_size=draw(st.sampled_from([1, 3, 40])), unique=True)):
         client_timeout_ms = draw(st.sampled_from([60.0, 400.0, 1500.0, 2500]))
@@ -50,10 +50,10 @@
     return rows
 
 
-# Long, as it lists every setting with the values that it may have.
+# Long, as it lists every setting with its possible values.
 @st.composite
 def all_settings(draw: st.DrawFn) -> dict[str, Any]:
-    """Return a settings object: all that the policy requires, and any part of the rest."""
+    """Return a settings object with all required settings and any of the optional ones."""
     rows = draw(classes())
     size = len(rows)
     shares = st.lists(optional(name=names, quota_rps=numbers, share=st.floats(0, 1)), max_size=4)
@@ -120,7 +120,7 @@
     }
 
 
-# Long, as one run of the process is followed from its first request to its exit: starting one is what takes time.
+# Long, as it follows one process from its first request to its exit: the start of a process takes most of the time.
 @seed(20261202)
 @settings(
     max_examples=EXAMPLES,
@@ -137,8 +137,8 @@
 def test_valid_settings_are_served_reloaded_and_drained(
     given_settings: dict[str, Any], stop_ms: int, limits: dict[str, int]
 ) -> None:
-    more = {"settings": given_settings, "stop_ms": stop_ms, "limits": limits}
-    with tempfile.TemporaryDirectory() as folder, server_process(Path(folder), given=more) as running:
+    configuration = {"settings": given_settings, "stop_ms": stop_ms, "limits": limits}
+    with tempfile.TemporaryDirectory() as folder, server_process(Path(folder), given=configuration) as running:
         client, sent = ThriftClient(running.ports[0]), dict[int, tuple[dict[str, Any], float]]()
 
         def ask(n: int) -> None:
@@ -158,7 +158,7 @@
         if stop_ms < 2500:
             until(lambda: all(seq in client.answers for seq in sent), "answers before the drain")
         running.process.terminate()
-        assert running.process.wait(20) == 0, json.dumps(more)
+        assert running.process.wait(20) == 0, json.dumps(configuration)
         until(lambda: client.ended.is_set(), "the end of the connection")
         until(lambda: running.event("counters"))
         for seq, (row, sent_ms) in sent.items():
@@ -167,12 +167,12 @@
             kind, value = client.answers[seq]
             if kind == "success":
                 assert value.body.startswith(b"result of %d " % (seq - 1 if seq <= 15 else seq - 2))
-        ran = [body for body, count in running.engine.by_body.items() if count > 1]
-        assert not ran
+        started_twice = [body for body, count in running.engine.by_body.items() if count > 1]
+        assert not started_twice
         assert set(client.count) == {*sent, check}
-        shown = given_settings["family_info"].get("signal") in ("floor", "allowance", "weight")
+        is_hint_sent = given_settings["family_info"].get("signal") in ("floor", "allowance", "weight")
         fields = [value.fields for kind, value in client.answers.values() if kind != "exception"]
-        assert all(("hint" in table) == shown for table in fields)
+        assert all(("hint" in table) == is_hint_sent for table in fields)
         counts = running.event("counters") or {}
         assert not [
             name
--- a/tests/test_policy_fleet_limits.py
+++ b/tests/test_policy_fleet_limits.py
@@ -1,4 +1,4 @@
-"""The policy under fleet limits: which requests and calls wait, and which are rejected."""
+"""The policy under limits of the whole fleet: which requests and calls wait, and which are rejected."""
 
 from __future__ import annotations
 
@@ -27,7 +27,17 @@
 
 
 class FakeFleet:
-    """A fleet with capacity for so many requests now, and for more after so long."""
+    """Limits of a fleet with capacity for a number of requests now, and for more after some time.
+
+    Attributes:
+        capacity: Requests that are admitted now.
+        after_ms: Time until there may be more capacity.
+        call_capacity: Whether calls are admitted, if above 0.
+        offered_retries: Retries left in the retry budget.
+        waiting: Order of each queued request, by id.
+        rejected: Each rejected request with the Retry-After that the policy suggested.
+        released: Ids of released requests, and texts `call ID AFTER_MS` for released calls.
+    """
 
     def __init__(self, capacity: int, after_ms: float) -> None:
         self.capacity = capacity
@@ -38,7 +48,7 @@
         self.rejected: list[tuple[str, float]] = []
         self.released: list[str] = []
 
-    def admit(self, id: str, cls: int, sender: int) -> float:
+    def admit(self, id: str, class_index: int, sender: int) -> float:
         self.capacity -= 1
         return 0.0 if self.capacity >= 0 else self.after_ms
 
@@ -62,14 +72,14 @@
         self.waiting.pop(id, None)
         self.released.append(id)
 
-    def admit_call(self, id: str, cls: int) -> bool:
+    def admit_call(self, id: str, class_index: int) -> bool:
         return self.call_capacity > 0
 
     def release_call(self, id: str, after_ms: float) -> None:
         self.released.append(f"call {id} {after_ms:.0f}")
 
-    def record_attempt(self, again: bool) -> bool:
-        return not again or self.offered_retries > 0
+    def record_attempt(self, is_retry: bool) -> bool:
+        return not is_retry or self.offered_retries > 0
 
     def may_retry(self) -> bool:
         self.offered_retries -= 1
@@ -98,14 +108,14 @@
     return [action for action in actions if isinstance(action, Call)]
 
 
-def test_requests_that_will_have_capacity_in_time_wait_and_the_rest_is_rejected_at_once() -> None:
+def test_requests_wait_for_fleet_capacity_in_time_and_others_are_rejected_at_once() -> None:
     fleet = FakeFleet(1, 200.0)
     policy = policy_under(fleet)
     actions = policy.handle(0.0, [Arrival(f"{n}", 0, 20.0) for n in range(3)])
     assert started(actions) == ["0"]
     assert set(fleet.waiting) == {"1", "2"}
     assert not rejections(actions)
-    fleet.capacity = 1  # a window later there is capacity for one
+    fleet.capacity = 1  # 200 ms later the fleet has capacity for one request
     actions = policy.handle(200.0, [Tick(FLEET_CAPACITY_TOKEN)])
     assert started(actions) == ["1"]
     assert set(fleet.waiting) == {"2"}
@@ -142,7 +152,7 @@
     assert fleet.released[-2:] == ["a", "call a 300"]
 
 
-def test_without_a_budget_a_rejection_is_final_and_a_retry_is_rejected() -> None:
+def test_without_a_retry_budget_rejections_are_final_and_retries_are_rejected() -> None:
     fleet = FakeFleet(0, 5000.0)
     fleet.offered_retries = 2
     policy = policy_under(fleet)
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Rules that the project sets itself: structure, purity, documents that run."""
+"""Rules of the project: size and purity of modules, and examples that run as documented."""
 
 import ast
 import contextlib
@@ -15,7 +15,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """The names of all modules that a file imports, wherever the statement stands."""
+    """Return the names of all modules that a file imports, at any place in it."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -25,7 +25,7 @@
     return found
 
 
-def test_every_decision_is_listed_as_policy_and_pure() -> None:
+def test_policy_modules_are_listed_and_pure() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     modules = sorted((ROOT / "myrtlespar" / "policy").rglob("*.py"))
     assert modules
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: wire in, wire out, and plain words on bad input."""
+"""The simulator adapter: translation of events and actions, and errors for malformed input."""
 
 import io
 import json
@@ -23,7 +23,7 @@
 
 
 def params() -> dict[str, Any]:
-    """The smallest useful first message."""
+    """Return the settings object of a minimal "begin" event."""
     return {
         "classes": [{"aim_ms": 1000.0, "give_up_ms": 4000.0, "effect": "free", "worth": 1.0}],
         "family_info": {
@@ -63,7 +63,7 @@
         )
     )
     assert {"type": "start", "xid": "rq_a"} in reply["backends"][0]["out"]
-    done = host.batch(
+    ended = host.batch(
         batch(
             90,
             {
@@ -72,16 +72,16 @@
             },
         )
     )
-    assert not any(a["type"] == "bug" for row in done["backends"] for a in row["out"])
+    assert not any(a["type"] == "bug" for row in ended["backends"] for a in row["out"])
 
 
 def test_halt_and_begin_in_one_batch_start_a_clean_instance() -> None:
     host = PolicyHost()
     host.batch(batch(0, begin()))
     host.batch(batch(5, {"backend": "backend/0", "arrivals": [{"type": "accept", "xid": "rq_a", "mem_kb": 20.0}]}))
-    again = begin()
-    again["arrivals"].insert(0, {"type": "halt"})
-    host.batch(batch(10, again))
+    restart = begin()
+    restart["arrivals"].insert(0, {"type": "halt"})
+    host.batch(batch(10, restart))
     assert not host._policies["backend/0"].table.requests
 
 
@@ -125,12 +125,12 @@
         '{"sim_time_ms":1,"backends":[{"backend":"b","arrivals":4}]}',
     ],
 )
-def test_bad_lines_are_named(line: str) -> None:
+def test_error_of_a_malformed_line_names_the_line(line: str) -> None:
     with pytest.raises(MalformedInputError, match="input line 4"):
         parse_batch(line, 4)
 
 
-def test_bad_line_ends_the_process_with_one_plain_line() -> None:
+def test_malformed_line_ends_the_process_with_a_one_line_error() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "myrtlespar.simulator_adapter"],
         input='{"sim_time_ms":0,"backends":[]}\nnope\n',
@@ -145,13 +145,13 @@
     assert "input line 2" in done.stderr
 
 
-def test_end_of_input_is_the_end() -> None:
+def test_serving_ends_with_the_input() -> None:
     out = io.StringIO()
     serve([json.dumps(batch(0))], out)
     assert out.getvalue() == '{"backends":[]}\n'
 
 
-def test_instances_act_alike_together_and_alone() -> None:
+def test_instances_act_independently_of_each_other() -> None:
     def play(names: list[str]) -> dict[str, list[Any]]:
         host = PolicyHost()
         seen: dict[str, list[Any]] = {name: [] for name in names}
@@ -181,7 +181,7 @@
     return {"type": "accept", "xid": id, "grade": 0, "mem_kb": 10.0, **fields}
 
 
-def test_hints_and_marks_are_passed_on_only_where_their_bits_say_so() -> None:
+def test_cost_hints_and_retry_marks_are_read_only_if_their_bits_are_set() -> None:
     read = EVENT_READERS["accept"]
     assert read(arrive("a", bits=3, hint_ms=40.0)) == api.Arrival("a", 0, 10.0, is_retry=True, cost_hint_ms=40.0)
     assert read(arrive("b", bits=4, hint_ms=40.0)) == api.Arrival("b", 0, 10.0)
@@ -204,7 +204,7 @@
     assert ("stop" in kinds) is allowed
 
 
-def test_settings_of_an_unknown_kind_leave_the_ordinary_path() -> None:
+def test_unknown_values_of_settings_are_treated_as_defaults() -> None:
     odd = {**params(), "worth_by": "moon", "clients": None, "goal": None}
     odd["family_info"] = {**odd["family_info"], "signal": "odd", "halt": "odd"}
     settings = read_settings(odd)
