--- a/myrtlespar/policy/client_timeouts.py
+++ b/myrtlespar/policy/client_timeouts.py
@@ -8,7 +8,7 @@
 from myrtlespar.policy.learning import FAST_WEIGHT, MIN_OBSERVATIONS
 from myrtlespar.policy.settings import Settings
 
-AGREEMENT_FRACTION = 0.1  # by which a departure's age may differ from the learned timeout and still agree
+AGREEMENT_FRACTION = 0.1  # relative difference up to which a departure agrees with the learned timeout
 MIN_AGREEMENT = 0.4  # fraction of a caller's departures that must agree before its learned timeout is used
 DISAGREEMENT_WEIGHT = 0.3  # weight of a departure that is later than the learned timeout and does not agree with it
 MAX_KNOWN_CALLERS = 200  # pairs of caller and class whose timeout is stored; the oldest is evicted first
@@ -39,7 +39,7 @@
 
 
 class ClientTimeouts:
-    """Learned timeouts of callers, and the usual waits that tell retries from first attempts.
+    """Learned timeouts of callers, and the usual waits that distinguish retries from first attempts.
 
     Attributes:
         timeouts: The learned timeout of each pair of sender and class index.
@@ -60,8 +60,8 @@
     def learn_departure(self, request: HeldRequest, now: float) -> None:
         """Update the learned timeout of a caller whose request was abandoned: a low quantile of its departures' ages.
 
-        It is used only if most departures agree with it. A caller's timeout may be shorter than the latency objective.
-        Departures at scattered ages, of copies that another server answered, never agree and have no effect.
+        The learned timeout is used only if enough departures agree with it. Callers may time out before the latency
+        objective. Departures at scattered ages, of copies that another server answered, never agree and have no effect.
         """
         age_ms = max(1.0, now - request.arrived)
         key = (request.sender, request.class_index)
--- a/myrtlespar/policy/concurrency_limit.py
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -43,7 +43,7 @@
         self.core_clock_ms += min(step_ms, self._clock.max_step_ms) / runs_per_core
 
     def survivable_concurrency(self) -> float:
-        """Return how many runs on the cores this server can sustain; fewer while it may still be warming up."""
+        """Return how many runs on the cores this server survives; fewer while it may still be warming up."""
         settings = self._settings
         speed = 1.0
         if settings.cold and settings.warm_up_ms > 0:
--- a/myrtlespar/policy/dependency_calls.py
+++ b/myrtlespar/policy/dependency_calls.py
@@ -15,7 +15,7 @@
 
 MAX_MEAN_FRACTION = 0.6  # fraction of the share that the mean of calls in flight may reach; peaks may use all of it
 CALL_BACKOFF_MS = 50.0  # doubled before each retry: the first retry waits 100 ms, less if latency objectives are short
-MIN_FAILED_FRACTION = 0.01  # lower bound of the failed fraction that the usual call time is divided by
+MIN_FAILED_FRACTION = 0.01  # lower bound of the failed fraction where a time limit is divided by it
 NEVER_RAN = (RunOutcome.REJECTED, RunOutcome.UNREACHABLE, RunOutcome.MOOT)
 
 
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -10,7 +10,7 @@
 LEVEL_RISE_PER_S = 0.5  # at a wait of 2 O; proportional to the excess of the wait over O
 LEVEL_FALL_PER_S = 0.25  # while the wait is below A
 MAX_EXCESS = 2.0  # excess of the wait over O, in multiples of O, above which the level rises no faster
-MAX_LEVEL = 0.5  # at more, callers stop and get no newer value: all servers go idle and are flooded by turns
+MAX_LEVEL = 0.5  # above it callers stop and get no newer value: all servers go idle and are flooded in turns
 MIN_CHANGE_FRACTION = 0.02  # smaller changes of the value are not advertised
 
 
--- a/myrtlespar/policy/server_capacity.py
+++ b/myrtlespar/policy/server_capacity.py
@@ -43,7 +43,7 @@
         return 1000.0 * (self._cores - self.reading_cores) / max(1.0, mean_ms) if mean_ms else 0.0
 
     def is_within_even_share(self) -> bool:
-        """Return whether the arrival rate is about this server's even share; if higher, the fleet is overloaded."""
+        """Return whether the arrival rate is at most about the even share; if not, the whole fleet is overloaded."""
         return MAX_EVEN_SHARE_FACTOR * self._even_share_per_s * self.arrival_gap_ms > 1000.0
 
     def others_have_capacity(self, request: HeldRequest) -> bool:
