--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -134,9 +134,9 @@
         if not is_valid_name(value):
             raise ConfigError(f"{key}: expected 1 to 48 printable characters without spaces, got {value!r}")
     _check_addresses(found)
-    fault = found.membership.fault()
-    if fault:
-        raise ConfigError(f"membership.{fault}")
+    validation_error = found.membership.validation_error()
+    if validation_error:
+        raise ConfigError(f"membership.{validation_error}")
     if not MIN_DATAGRAMS_PER_S <= found.datagrams_per_s <= MAX_DATAGRAMS_PER_S:
         raise ConfigError(
             f"datagrams_per_s: expected a number from {MIN_DATAGRAMS_PER_S} to {MAX_DATAGRAMS_PER_S}, "
@@ -174,13 +174,13 @@
 
 
 def _check_limits(found: FleetSettings) -> None:
-    fault = found.grants.fault()
-    if fault:
-        raise ConfigError(f"grants.{fault}")
+    validation_error = found.grants.validation_error()
+    if validation_error:
+        raise ConfigError(f"grants.{validation_error}")
     if found.engine is not None:
         _check_engine(found.engine)
-    if found.repeats is not None and found.repeats.fault():
-        raise ConfigError(f"repeats.{found.repeats.fault()}")
+    if found.repeats is not None and found.repeats.validation_error():
+        raise ConfigError(f"repeats.{found.repeats.validation_error()}")
     members = sum(len(names) for names in found.electorate.sites.values()) if found.electorate else 0
     if 0 < found.grants.members_most < members:
         raise ConfigError(f"grants.members_most: the roll has {members} members, got {found.grants.members_most}")
@@ -195,9 +195,9 @@
         raise ConfigError(
             f"limits.{name}: expected a name of at most {MAX_LIMIT_NAME_LENGTH} characters without spaces and slashes"
         )
-    fault = limit.fault()
-    if fault:
-        raise ConfigError(f"limits.{name}.{fault}")
+    validation_error = limit.validation_error()
+    if validation_error:
+        raise ConfigError(f"limits.{name}.{validation_error}")
     if limit.per_day is not None and not state:
         raise ConfigError(f"limits.{name}.per_day: needs state, a folder that outlives the process")
     if limit.kind is not LimitKind.ADVISORY and not members:
@@ -218,9 +218,9 @@
         name = min(set(new.limits) ^ set(old.limits))
         return f"limits.{name}: a limit comes or goes with a restart of all members"
     for name, limit in new.limits.items():
-        fault = _limit_fault(old.limits[name], limit)
-        if fault:
-            return f"limits.{name}{fault}"
+        validation_error = _limit_fault(old.limits[name], limit)
+        if validation_error:
+            return f"limits.{name}{validation_error}"
     for key in ("grants", "repeats"):
         if getattr(new, key) != getattr(old, key):
             return f"{key}: changes with a restart"
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -146,8 +146,8 @@
         limit = msgspec.structs.replace(limit, cls=first_word)
     if limit.cls and limit.cls not in CLASSES:
         raise ScriptError(f"limits.{name}.class: {limit.cls!r} is none of {', '.join(CLASSES)}")
-    if limit.fault():
-        raise ScriptError(f"limits.{name}.{limit.fault()}")
+    if limit.validation_error():
+        raise ScriptError(f"limits.{name}.{limit.validation_error()}")
     return limit
 
 
--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -42,7 +42,7 @@
     cannot: int = 8  # maximum number of members in one reachability row
     link_tries: int = 3  # direct probes in a row that only indirect ones saved, until a link is reported as broken
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """The first setting that contradicts another or is out of range, and why; empty if there is none."""
         for name in self.__struct_fields__:
             if getattr(self, name) < (0 if name in ZERO_ALLOWED else 1):
--- a/myrtlespar/quota/retry_budget.py
+++ b/myrtlespar/quota/retry_budget.py
@@ -24,7 +24,7 @@
     share: float
     burst: int = 10
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """Why the settings are invalid, beginning with the key; empty if they are valid."""
         if not 0 <= self.share <= MAX_RETRIES_PER_ATTEMPT:
             return f"share: expected 0 to {MAX_RETRIES_PER_ATTEMPT} repeats a first try, got {self.share}"
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -97,7 +97,7 @@
             return self.run_most_ms
         return 0 if self.counted_unit is CountedUnit.BUDGET else self.window_ms
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """Why the settings are invalid, beginning with the key; empty if they are valid."""
         return self._unit_fault() or self._span_fault() or self._key_fault() or self._amount_fault()
 
@@ -170,7 +170,7 @@
     cold_ms: int = 3000  # a key without demand for so long is dropped
     members_most: int = 0  # the members that guaranteed shares are divided among; 0: the members listed at the start
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """Why the settings are invalid, beginning with the key; empty if they are valid."""
         if not 0 < self.drift <= 0.2:
             return f"drift: no clock keeps true time: expected more than 0, at most 0.2, got {self.drift}"
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -10,12 +10,12 @@
 
 
 def test_bounds_follow_the_settings() -> None:
-    assert SETTINGS.fault() == ""
+    assert SETTINGS.validation_error() == ""
     assert SETTINGS.detect_ms(24) < 4000
     assert 1000 < SETTINGS.pause_ms() < SETTINGS.detect_ms(2)
-    assert MembershipSettings(suspect_min_ms=3000).fault().startswith("suspect_min_ms")
-    assert MembershipSettings(probe_ms=0).fault().startswith("probe_ms")
-    assert MembershipSettings(carry=9).fault().startswith("carry")
+    assert MembershipSettings(suspect_min_ms=3000).validation_error().startswith("suspect_min_ms")
+    assert MembershipSettings(probe_ms=0).validation_error().startswith("probe_ms")
+    assert MembershipSettings(carry=9).validation_error().startswith("carry")
 
 
 def test_the_design_note_matches_the_code() -> None:
