--- a/myrtlespar/quota/admission_check.py
+++ b/myrtlespar/quota/admission_check.py
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionCheck:
-    """Whether there is capacity for one more; if not, when there may be, and the numbers behind the rejection."""
+    """Whether a limit has capacity for one more request; if not, when it may have, and the amounts behind that."""
 
     admitted: bool
-    retry_after_ms: float = 0.0  # capacity is expected then, but not promised
-    allowance: int = 0  # what this member may use now, its guaranteed share included
-    used: int = 0
+    retry_after_ms: float = 0.0  # when capacity is expected; not guaranteed
+    allowance: int = 0  # the amount this member may use now, its guaranteed share included
+    used: int = 0  # the amount that this member has in use
     granted: int = 0  # the part of the allowance that a shard leader granted
-    grant_remaining_ms: float = 0.0  # of the current grant; below 0: it expired so long ago
+    grant_remaining_ms: float = 0.0  # time left of the current grant; negative after its expiry
 
 
 ADMITTED = AdmissionCheck(True)
--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -1,10 +1,9 @@
-"""Requests that limits apply to: which of them are admitted, and which wait, in which order.
+"""Admits requests under limits, and queues requests that find no capacity.
 
-A request that finds no capacity may wait, as capacity that returns a window later would otherwise be idle until the
-next request arrives. Waiting requests are admitted in the order that the caller gives; a new one is behind all that
-wait for one of its keys. Whether waiting is worthwhile is not decided here: `try_acquire` says when there may be
-capacity, the caller decides. A request never leaves the queue by itself: the caller takes it by `take_ready` and calls
-`try_acquire` again, or gives it up by `release`.
+Without a queue, capacity that becomes available a window later would be idle until the next request arrives. Queued
+requests are admitted in the order that the caller gives; a new request is behind all that wait for one of its keys. The
+caller decides whether a request is queued: `try_acquire` returns when there may be capacity. A request never leaves the
+queue by itself: the caller removes it with `take_ready` and calls `try_acquire` again, or drops it with `release`.
 """
 
 from __future__ import annotations
@@ -20,46 +19,47 @@
 
 
 class WaitingRequest(NamedTuple):
-    """A request in the queue; the lowest order is first."""
+    """A request in the queue."""
 
-    order: float
+    order: float  # the lowest one is admitted first
     keys: Sequence[str]
     caller: int  # number of the client that sent it
 
 
 class LingeringRun(NamedTuple):
-    """A run that has ended for this member, but may still be executed elsewhere and so counts until `ends_at`."""
+    """A run that has ended for this member, but counts until `ends_at`, as it may still be executed elsewhere."""
 
     ends_at: float
-    sequence_number: int
+    sequence_number: int  # breaks ties of `ends_at` in the heap
     keys: list[str]
 
 
 class AdmissionQueue:
-    """All requests of one member that a limit applies to."""
+    """Admits and queues all requests of one member that a limit applies to."""
 
     def __init__(self, coordinator: LimitCoordinator) -> None:
         self.coordinator = coordinator
-        self.waiting: dict[str, WaitingRequest] = {}  # by request
+        self.waiting: dict[str, WaitingRequest] = {}  # by request id
         self.waiting_by_caller: Counter[int] = Counter()
         self._waiting_by_key: dict[str, int] = {}
         self._queues: dict[
             str, list[tuple[float, str]]
-        ] = {}  # by key: heap of (order, request); entries that are not `waiting` are stale
-        self._in_flight_keys: dict[str, list[str]] = {}  # by request: its keys of limits on runs in flight
-        self._ready: set[str] = set()  # requests that `take_ready` returned and that have not acquired again yet
-        self._lingering: list[LingeringRun] = []  # a heap
+        ] = {}  # by key: heap of (order, request id); entries of requests that no longer wait are stale
+        self._in_flight_keys: dict[str, list[str]] = {}  # by request id: its keys of limits on runs in flight
+        self._ready: set[str] = set()  # ids that `take_ready` returned and that have not called `try_acquire` since
+        self._lingering: list[LingeringRun] = []  # heap by `ends_at`
         self._lingering_count = 0
 
     def try_acquire(
         self, now: float, request_id: str, keys: Sequence[str], is_retry: bool = False
     ) -> tuple[str, AdmissionCheck]:
-        """Acquire capacity under every key, or under none.
+        """Acquire capacity under every key, or under none of them.
 
-        A request that waited, or `is_retry`, is checked as the first in line and does not count as demand again.
+        A request that was queued, or one with `is_retry`, goes ahead of all queued requests and does not count as
+        demand again.
 
         Returns:
-            The key without capacity, empty if the request is admitted, and the check of that key.
+            The key without capacity (empty if the request is admitted), and the check of that key.
         """
         is_retry = is_retry or request_id in self._ready
         if request_id in self.waiting:
@@ -83,13 +83,16 @@
         return "", ADMITTED
 
     def reacquire(self, now: float, request_id: str, keys: Sequence[str], acquired_at: float, was_sent: bool) -> bool:
-        """Acquire again what was acquired at `acquired_at`, as the start is sent only now; false without capacity.
+        """Acquire the capacity of a start again, which was acquired at `acquired_at` but is sent only now.
 
-        Unless `was_sent`, the start did not take place, and its former capacity is given back first. It may have been
-        used again by another member since, or may be usable at once.
+        Unless `was_sent`, the start has not taken place, so the capacity acquired before is given back first. Another
+        member may have used it meanwhile.
+
+        Returns:
+            Whether there was capacity.
         """
-        outdated = [key for key in keys if not self.coordinator.is_spent_in_present_period(now, acquired_at, key)]
-        if was_sent:  # its run is still counted as in flight
+        outdated = [key for key in keys if not self.coordinator.is_spent_in_current_period(now, acquired_at, key)]
+        if was_sent:  # its run already counts as in flight under these keys
             outdated = [key for key in outdated if key not in self._in_flight_keys.get(request_id, ())]
         else:
             self._in_flight_keys.pop(request_id, None)
@@ -99,7 +102,7 @@
         return not rejecting_key
 
     def enqueue(self, request_id: str, order: float, keys: Sequence[str], caller: int = 0) -> None:
-        """Let a request wait for capacity; the lowest order is first."""
+        """Queue a request until there is capacity; the lowest `order` is admitted first."""
         self.waiting[request_id] = WaitingRequest(order, keys, caller)
         self.waiting_by_caller[caller] += 1
         for key in keys:
@@ -107,14 +110,14 @@
             self._waiting_by_key[key] = self._waiting_by_key.get(key, 0) + 1
 
     def take_ready(self, now: float) -> list[str]:
-        """Remove and return the requests that may acquire again now: each key's first ones, as many as fit."""
+        """Remove and return the queued requests that have capacity now, in the order of each key's queue."""
         ready: dict[str, Sequence[str]] = {}
         for key in list(self._queues):
             available = self.coordinator.available(now, key) - sum(key in keys for keys in ready.values())
             while available > 0 and (request_id := self._first(key)) is not None:
                 keys = self.waiting[request_id].keys
                 if len(keys) > 1 and any(self.coordinator.available(now, other) <= 0 for other in keys):
-                    break  # it is first for one key and waits for another: no other request passes it
+                    break  # the request also waits for another key, and no other request may overtake it
                 self._dequeue(request_id)
                 self._ready.add(request_id)
                 ready[request_id] = keys
@@ -122,7 +125,7 @@
         return list(ready)
 
     def next_ready_ms(self, now: float) -> float:
-        """Return in how long the first waiting request may have capacity; infinity if none waits or it is unknown."""
+        """Return the time in ms until a queued request may have capacity; infinity if none waits or it is unknown."""
         first = float("inf")
         for key in list(self._queues):
             if (request_id := self._first(key)) is not None:
@@ -131,7 +134,7 @@
         return first
 
     def release(self, request_id: str) -> None:
-        """Remove a request that has ended or been given up: what it waits for and the runs in flight it counts as."""
+        """Remove a request that has ended or was abandoned from the queues and from the runs in flight."""
         if request_id in self.waiting:
             self._dequeue(request_id)
         self._ready.discard(request_id)
@@ -140,7 +143,7 @@
                 self.coordinator.run_ended(key)
 
     def release_after(self, now: float, request_id: str, after_ms: float) -> None:
-        """Release a request that has ended for this member, but may still be executed for `after_ms`."""
+        """Release a request after `after_ms`, as it may be executed until then though it has ended for this member."""
         keys = self._in_flight_keys.pop(request_id, None)
         if keys:
             self._lingering_count += 1
@@ -148,7 +151,7 @@
             heapq.heappush(self._lingering, LingeringRun(ends_at, self._lingering_count, keys))
 
     def release_due(self, now: float) -> None:
-        """End the runs that `release_after` left counted and whose time is over."""
+        """Release the requests whose time, passed to `release_after`, is over."""
         while self._lingering and self._lingering[0].ends_at <= now:
             for key in heapq.heappop(self._lingering).keys:
                 self.coordinator.run_ended(key)
@@ -162,8 +165,8 @@
             return None
         return queue[0][1]
 
-    def _is_current(self, row: tuple[float, str]) -> bool:
-        order, request_id = row
+    def _is_current(self, entry: tuple[float, str]) -> bool:
+        order, request_id = entry
         request = self.waiting.get(request_id)
         return request is not None and request.order == order
 
--- a/myrtlespar/quota/budget_account.py
+++ b/myrtlespar/quota/budget_account.py
@@ -1,4 +1,4 @@
-"""What one member has drawn of its budgets, and what it draws and returns next."""
+"""One member's budget balances, and its requests to draw more and to return idle amounts."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.quota.usage_windows import UsageWindow
 
-DEMAND_WINDOW_MS = 1000
+DEMAND_WINDOW_MS = 1000  # demand is measured over this time
 REMAINING_UNKNOWN = -1
 
 
 @dataclass(slots=True)
 class BudgetBalance:
-    """What one member has of one budget period. The totals only grow."""
+    """One member's balance of one budget period. The totals only grow."""
 
     limit: Limit
     demand: UsageWindow
     drawn_total: int = 0
     returned_total: int = 0
     spent: int = 0  # admitted by this incarnation
-    leader: str = ""  # the latest leader that answered, its epoch, and what was returned to it
-    epoch: int = 0
-    returned_to_leader: int = 0
-    remaining: int = REMAINING_UNKNOWN  # of the whole budget, as the leader answered last
+    leader: str = ""  # the latest leader that answered
+    epoch: int = 0  # of that leader
+    returned_to_leader: int = 0  # the part of `returned_total` returned in that epoch
+    remaining: int = REMAINING_UNKNOWN  # of the budget for all members, by the leader's latest response
     last_demand_at: float = 0.0
 
     @property
     def available(self) -> int:
-        """The amount that may be spent."""
+        """The amount that this member may spend now."""
         return self.drawn_total - self.returned_total - self.spent
 
 
@@ -44,12 +44,14 @@
 
     def __init__(self, settings: GrantSettings) -> None:
         self.settings = settings
-        # by key and period number; plain tuples, as every admission under a budget makes one
+        # By key and period number. Plain tuples, as each admission under a budget creates one.
         self.balances: dict[tuple[str, int], BudgetBalance] = {}
-        self._latest_periods: dict[str, int] = {}  # by limit: a clock that is set back reopens no earlier period
+        self._latest_periods: dict[
+            str, int
+        ] = {}  # by limit; a clock that is set back must not reopen an earlier period
 
     def balance(self, wall_ms: float, key: str, limit: Limit) -> BudgetBalance:
-        """Return the balance of a key's present period; `wall_ms` is Unix time."""
+        """Return the balance of a key's current period; `wall_ms` is Unix time."""
         name = key.partition("/")[0]
         number = max(period_number(limit, wall_ms), self._latest_periods.get(name, 0))
         self._latest_periods[name] = number
@@ -62,7 +64,7 @@
     def check_admission(
         self, now: float, wall_ms: float, key: str, limit: Limit, ahead: int, is_retry: bool
     ) -> AdmissionCheck:
-        """Check whether one may be spent behind `ahead` waiting ones; unless `is_retry`, it counts as demand."""
+        """Check whether 1 may be spent behind `ahead` queued requests; unless `is_retry`, it counts as demand."""
         balance = self.balance(wall_ms, key, limit)
         balance.last_demand_at = now
         if not is_retry:
@@ -75,9 +77,9 @@
         return AdmissionCheck(False, max(1.0, retry_after_ms), drawn, balance.spent, balance.available, 0.0)
 
     def draw_requests(self, now: float) -> list[BudgetDrawRequest]:
-        """Return the requests to shard leaders that are due: more of what runs short, and the return of what is idle.
+        """Return the requests to shard leaders that are due: to draw what is short, and to return what is idle.
 
-        Balances of past periods are dropped.
+        Drops the balances of past periods.
         """
         requests = []
         for (key, number), balance in list(self.balances.items()):
@@ -100,7 +102,7 @@
         if not is_idle:
             needed = math.ceil(balance.demand.in_use(now) * DRAW_AHEAD_S)
             wanted = max(0, needed - max(0, balance.available))
-        # a return is repeated for a while, as its message may be lost
+        # A return is sent repeatedly for some time, as a message may be lost.
         if wanted or (balance.returned_to_leader and idle_ms < 2 * self.settings.cold_ms):
             return BudgetDrawRequest(
                 0, entry.key, entry.number, balance.drawn_total, balance.epoch, balance.returned_to_leader, wanted
@@ -108,13 +110,13 @@
         return None
 
     def accept_draw(self, leader: str, response: BudgetDrawResponse) -> None:
-        """Apply a leader's response, which says what this incarnation has drawn in all."""
+        """Apply a leader's response, which carries the total that this incarnation has drawn."""
         balance = self.balances.get((response.key, response.period))
         if balance is None:
             return
         balance.drawn_total = max(balance.drawn_total, response.drawn_total)
         balance.remaining = response.remaining
-        if (response.epoch, leader) > (balance.epoch, balance.leader):  # what was returned to another one is lost
+        if (response.epoch, leader) > (balance.epoch, balance.leader):  # amounts returned to an earlier leader are lost
             balance.leader = leader
             balance.epoch = response.epoch
             balance.returned_to_leader = 0
--- a/myrtlespar/quota/budget_allocator.py
+++ b/myrtlespar/quota/budget_allocator.py
@@ -1,4 +1,4 @@
-"""How a shard leader reserves amounts of budgets at a majority of the voters and hands them out to members."""
+"""A shard leader's allocation of budgets: it reserves amounts at a majority of the voters for members to draw."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class DrawnTotals:
-    """What the leader has handed to one incarnation and got back from it. Both only grow."""
+    """The totals that one incarnation has drawn from the leader and returned to it. Both only grow."""
 
     drawn: int
     returned: int = 0
@@ -22,29 +22,29 @@
 
 @dataclass(slots=True)
 class BudgetEntry:
-    """One budget period as its leader has it.
+    """The leader's state of one budget period.
 
-    Nothing is handed out before a majority of the voters has reported its journal.
+    No amount is allocated before a majority of the voters has reported its journal.
     """
 
     reported_voters: set[str] = field(default_factory=set)
-    is_known: bool = False  # whether a majority has reported
-    reserved: int = 0  # agreed by a majority
-    requested: int = 0  # the greater total that the voters are being asked to agree to
+    is_known: bool = False  # a majority has reported its journal
+    reserved: int = 0  # the total that a majority has agreed to
+    requested: int = 0  # a greater total that the voters have been asked to agree to
     agreed_voters: set[str] = field(default_factory=set)
-    handed_out: int = 0  # including whatever an earlier leader had reserved
+    handed_out: int = 0  # the allocated total, including all that earlier leaders reserved
     drawn_by: dict[Incarnation, DrawnTotals] = field(default_factory=dict)
 
 
 class DrawResult(NamedTuple):
-    """The response to a member, and the reservation that all voters are to be asked for."""
+    """The response to the member, and the reservation request to send to all voters; None: nothing to send."""
 
     response: BudgetDrawResponse | None = None
     reservation: BudgetReserveRequest | None = None
 
 
 class BudgetAllocator:
-    """A leader's budget periods of one shard, for the duration of one lease."""
+    """Allocates the budgets of one shard for the duration of one lease."""
 
     def __init__(self, voters: frozenset[str]) -> None:
         self.voters = voters
@@ -52,15 +52,15 @@
         self.entries: dict[BudgetPeriod, BudgetEntry] = {}
 
     def draw(self, sender: Incarnation, request: BudgetDrawRequest, limit: Limit, epoch: int) -> DrawResult:
-        """Hand out what a member requests, as far as it is reserved, and reserve more where it runs short."""
+        """Allocate the amount that a member requests, as far as it is reserved; reserve more if that is too little."""
         entry = self.entries.setdefault(BudgetPeriod(request.key, request.period), BudgetEntry())
         if not entry.is_known:
             query = BudgetReserveRequest(request.shard_id, epoch, request.key, request.period, 0)
             return DrawResult(reservation=query)
         totals = entry.drawn_by.setdefault(sender, DrawnTotals(request.drawn_total))
-        # a late response of an earlier leader may have raised it, which already counts as handed out
+        # A late response of an earlier leader may have raised the drawn total, which already counts as allocated.
         totals.drawn = max(totals.drawn, request.drawn_total)
-        if request.epoch == epoch and request.returned_total > totals.returned:  # available to others
+        if request.epoch == epoch and request.returned_total > totals.returned:  # others may draw it now
             entry.handed_out -= request.returned_total - totals.returned
             totals.returned = request.returned_total
         has_latest_response = request.drawn_total == totals.drawn
@@ -79,7 +79,7 @@
         return DrawResult(response, reservation)
 
     def accept_reservation(self, voter: str, response: BudgetReserveResponse) -> None:
-        """Apply the total that a voter has persisted, which is valid whichever leader requested it."""
+        """Apply the total that a voter has persisted; it is valid whichever leader requested it."""
         entry = self.entries.get(BudgetPeriod(response.key, response.period))
         if entry is None or voter not in self.voters:
             return
@@ -93,8 +93,8 @@
             if len(entry.agreed_voters) >= self.majority:
                 entry.reserved = entry.requested
 
-    def drop_expired(self, present_periods: Mapping[str, int]) -> None:
-        """Drop the periods before the previous one, as a clock may be behind; `present_periods` are by limit."""
+    def drop_expired(self, current_periods: Mapping[str, int]) -> None:
+        """Drop periods before the previous one, as a member's clock may be behind; `current_periods` is by limit."""
         for entry in list(self.entries):
-            if entry.number < present_periods.get(entry.key.partition("/")[0], 0) - 1:
+            if entry.number < current_periods.get(entry.key.partition("/")[0], 0) - 1:
                 del self.entries[entry]
--- a/myrtlespar/quota/budget_exchange.py
+++ b/myrtlespar/quota/budget_exchange.py
@@ -1,4 +1,4 @@
-"""Handles the messages about budgets: draws as a member, hands out and reserves as a leader, persists as a voter."""
+"""Sends and handles messages about budgets: to draw as a member, allocate as a leader and persist as a voter."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class BudgetExchange:
-    """The exchange about budgets between this member and the others."""
+    """Exchanges messages about budgets with the other members."""
 
     def __init__(
         self,
@@ -50,8 +50,8 @@
         self._outbox = outbox
         self._next_cleanup_at = now + JOURNAL_CLEANUP_INTERVAL_MS
 
-    def present_periods(self, wall_ms: float) -> dict[str, int]:
-        """Return the number of each budget's period at this Unix time, by limit."""
+    def current_periods(self, wall_ms: float) -> dict[str, int]:
+        """Return the number of each budget's period at a Unix time in ms, by limit."""
         return {
             name: period_number(limit, wall_ms)
             for name, limit in self._versions.limits.items()
@@ -81,9 +81,10 @@
             self._receive_as_leader(now, sender, message, limit)
 
     def _reserve(self, sender: Incarnation, request: BudgetReserveRequest) -> None:
-        """Persist a reservation of the leader that we promised the shard last.
+        """Persist a reservation of the leader to which this voter has promised the shard; reject one of other leaders.
 
-        A later leader has received what was persisted before our promise to it, so an earlier one is rejected.
+        A later leader has been told only the totals persisted before the promise to it, so a reservation of an earlier
+        leader must not be added after that.
         """
         promise = self._leadership.lease_voter.promises[request.shard_id]
         if promise.candidate != sender or promise.epoch != request.epoch or self._grant_holder.retired:
--- a/myrtlespar/quota/budget_journal.py
+++ b/myrtlespar/quota/budget_journal.py
@@ -10,9 +10,9 @@
 
 
 class BudgetJournal:
-    """The greatest total that was reserved of each budget period.
+    """The greatest reserved total of each budget period.
 
-    It is on disk before any response that reports it is sent.
+    The driver writes it to disk before it sends any response that reports it.
     """
 
     def __init__(self, totals: Mapping[BudgetPeriod, int] | None = None) -> None:
@@ -27,7 +27,7 @@
         return BudgetReserveResponse(request.shard_id, request.epoch, request.key, request.period, total)
 
     def drop_expired(self, limits: Mapping[str, Limit], wall_ms: float) -> None:
-        """Drop the periods that are over by every member's clock; `wall_ms` is Unix time."""
+        """Drop the periods that have ended by every member's clock; `wall_ms` is Unix time."""
         for entry in list(self.totals):
             limit = limits.get(entry.key.partition("/")[0])
             if limit is None or entry.number < period_number(limit, wall_ms) - 1:
--- a/myrtlespar/quota/grant_exchange.py
+++ b/myrtlespar/quota/grant_exchange.py
@@ -1,4 +1,4 @@
-"""Grant requests and responses: sent and adopted as a holder, answered as the leader of a shard."""
+"""Sends and handles grant requests and responses, both as a holder and as the leader of a shard."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from myrtlespar.quota.shard_leadership import ShardLeadership
 from myrtlespar.quota.shards import leader_of, shard_of
 
-MAX_DEMANDS_PER_REQUEST = 11  # so that a request fits a datagram
+MAX_DEMANDS_PER_REQUEST = 11  # keeps a request within one datagram
 
 
 class GrantExchange:
-    """The exchange of grants between this member, as holder and as leader, and the others."""
+    """Exchanges grants with the other members."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._outbox = outbox
 
     def request_grants(self, now: float, present_voters: frozenset[str]) -> None:
-        """Request what is demanded now from the leaders of the keys' shards."""
+        """Request grants for the current demand from the leaders of the keys' shards."""
         by_shard: dict[int, list[KeyDemand]] = {}
         for key, demand in self._grant_holder.demands(now).items():
             by_shard.setdefault(shard_of(key, self._settings.ranges), []).append(demand)
@@ -45,7 +45,7 @@
                 self._outbox.send(now, leader, request)
 
     def answer_request(self, now: float, sender: Incarnation, request: GrantRequest) -> None:
-        """Grant what a holder requests, if we lead the shard."""
+        """Answer a holder's request with grants, if this member leads the shard."""
         is_voter = sender.name in self._leadership.voters
         if is_voter:
             self._leadership.shards[request.shard_id].last_requested_at = now
@@ -77,9 +77,9 @@
         self._outbox.send(now, sender.name, response)
 
     def adopt_response(self, now: float, response: GrantResponse) -> None:
-        """Adopt a leader's grants."""
+        """Adopt the grants in a leader's response, unless a later leader has replaced it."""
         if response.epoch < self._leadership.lease_voter.promises[response.shard_id].epoch:
-            # we reported our allowances to the leader's successor, so we may use no more of its predecessor's grants
+            # This member has reported its allowances to a later leader, so grants of an earlier one must not be used.
             self._outbox.count(LimitCounter.FENCED)
             return
         if response.settled_version == self._versions.version and not self._grant_holder.settled:
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -1,7 +1,7 @@
-"""What one member may use of each key: its guaranteed share and its grant, and how much of both is in use.
+"""One member's allowance of each key (its guaranteed share and its grant), and how much of it is in use.
 
-A grant counts from the sending of the request that it answers, and is counted short. Nothing here waits:
-`check_admission` says at once whether there is capacity, and if not, when there may be.
+A grant's duration starts when its request was sent, and is shortened by the clock drift. `check_admission` never
+blocks: it returns whether there is capacity and, if not, when there may be.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class PendingRequest(NamedTuple):
-    """A grant request whose response may still come."""
+    """A grant request that may still be answered."""
 
     sent_at: float
     shard_id: int
 
 
 class GrantHolder:
-    """The allowances of one member, by key: each is created at the key's first request and dropped when idle.
+    """The allowances of one member by key. Each is created at the key's first request and dropped when idle.
 
-    Not for budgets, which are in `budget_account`.
+    Budgets are held by `budget_account` instead.
     """
 
     def __init__(self, settings: GrantSettings, members: int, now: float) -> None:
@@ -34,13 +34,13 @@
         self.member_count = members
         self.started_at = now
         self.allowances: dict[str, KeyAllowance] = {}
-        self.settled = False  # whether all members are known to use our version of the limits
-        self.retired = False  # a second process of our name has taken over, with our guaranteed share
+        self.settled = False  # all members are known to use this member's version of the limits
+        self.retired = False  # a second process of the same name has taken over the guaranteed share
         self._requests: dict[int, PendingRequest] = {}  # by sequence number
         self._sequence_number = 0
 
     def allowance_of(self, key: str, limit: Limit) -> KeyAllowance:
-        """Return the state of a key, created if needed."""
+        """Return the allowance of a key, created if needed."""
         allowance = self.allowances.get(key)
         if allowance is None:
             window_ms = self.settings.safe_wait_ms(limit.window_ms)
@@ -57,16 +57,17 @@
         return self.settings.split(limit, self.member_count, self.settled).guaranteed_share
 
     def adopt_limits(self, limits: Mapping[str, Limit], settled: bool) -> None:
-        """Use these limits from now on; what is in use stays counted."""
+        """Replace the limits by name; usage stays counted."""
         self.settled = settled
         for key, allowance in self.allowances.items():
             allowance.limit = limits[key.partition("/")[0]]
             allowance.guaranteed_share = self._guaranteed_share(allowance.limit)
 
     def usable_amount(self, now: float, allowance: KeyAllowance) -> int:
-        """Return how much may be in use now, what is in use included.
+        """Return the total amount that may be in use now.
 
-        A new incarnation uses no guaranteed share of a strict limit before an earlier one's use of it has faded.
+        A new incarnation does not use its guaranteed share of a strict limit before all use by an earlier incarnation
+        has ended.
         """
         without_share = self.retired or now < self.started_at + self.settings.guaranteed_share_delay_ms(allowance.limit)
         if without_share and allowance.limit.kind is LimitKind.STRICT:
@@ -76,7 +77,7 @@
     def check_admission(
         self, now: float, key: str, limit: Limit, ahead: int = 0, is_retry: bool = False
     ) -> AdmissionCheck:
-        """Check whether there is capacity for one more behind `ahead` waiting ones.
+        """Check whether there is capacity for one more request behind `ahead` queued ones.
 
         Unless `is_retry`, the check counts as demand, whatever its result.
         """
@@ -91,7 +92,7 @@
         if used + ahead < usable:
             return ADMITTED
         if not is_retry and not allowance.counts_starts:
-            # the demand for runs in flight is their peak and what found no capacity
+            # The demand for runs in flight is their peak number plus the requests that found no capacity.
             allowance.demand.record(now)
         available_at = allowance.usage.available_at(now, usable, ahead)
         is_known = available_at < float("inf")
@@ -106,30 +107,30 @@
         )
 
     def available(self, now: float, key: str) -> int:
-        """Return for how many more of a key there is capacity."""
+        """Return how many more requests of a key have capacity; negative if more is in use than may be now."""
         allowance = self.allowances.get(key)
         if allowance is None:
             return 0
         return self.usable_amount(now, allowance) - allowance.usage.in_use(now)
 
     def available_in_ms(self, now: float, key: str) -> float:
-        """Return in how long there is capacity for one more; infinity if that is not known."""
+        """Return the time in ms until there is capacity for one more request; infinity if that is not known."""
         allowance = self.allowances.get(key)
         if allowance is None:
             return float("inf")
         return max(0.0, allowance.usage.available_at(now, self.usable_amount(now, allowance)) - now)
 
     def consume(self, now: float, key: str) -> None:
-        """Use one, right after `check_admission` admitted it."""
+        """Count one request of a key as in use; call it right after `check_admission` admitted the request."""
         allowance = self.allowances.get(key)
-        if allowance is None:  # no limit has this key
+        if allowance is None:  # no limit applies to this key
             return
         allowance.usage.record(now)
         if allowance.usage.count > allowance.peak_in_flight:
             allowance.peak_in_flight = allowance.usage.count
 
     def give_back(self, consumed_at: float, key: str) -> None:
-        """Undo `consume`, as what was admitted then did not start."""
+        """Undo the `consume` of a request that did not start."""
         allowance = self.allowances.get(key)
         if allowance is not None:
             allowance.usage.give_back(consumed_at)
@@ -140,10 +141,10 @@
         if allowance is not None and isinstance(allowance.usage, ConcurrencyCounter) and allowance.usage.count > 0:
             allowance.usage.release()
 
-    # To and from the shard leader.
+    # Messages to and from the shard leader.
 
     def demands(self, now: float) -> dict[str, KeyDemand]:
-        """Return what to request now: keys with demand beyond the guaranteed share, or with a grant to give back."""
+        """Return the demand of keys with demand beyond the guaranteed share, or with a grant to give back."""
         demands: dict[str, KeyDemand] = {}
         for key, allowance in list(self.allowances.items()):
             if allowance.limit.kind is LimitKind.ADVISORY:
@@ -156,7 +157,7 @@
         return demands
 
     def register_request(self, now: float, shard_id: int) -> int:
-        """Return the sequence number of a grant request that is sent now."""
+        """Assign and return the sequence number of a grant request that is sent now."""
         self._sequence_number += 1
         self._requests[self._sequence_number] = PendingRequest(now, shard_id)
         oldest = now - self.settings.grant_ms
@@ -167,7 +168,7 @@
     def accept_grants(
         self, now: float, shard_id: int, sequence_number: int, duration_ms: float, amounts: tuple[tuple[str, int], ...]
     ) -> bool:
-        """Adopt a response. Returns False if it is too old or was never requested."""
+        """Adopt the grants of a response. Returns False if it is too old or does not answer a pending request."""
         request = self._requests.get(sequence_number)
         if request is None or request.shard_id != shard_id:
             return False
@@ -184,7 +185,7 @@
         return True
 
     def outstanding(self, now: float, shard_keys: frozenset[str]) -> list[tuple[str, int]]:
-        """Return, for each of these keys, what may be in use beyond the guaranteed share, as (key, amount)."""
+        """Return as (key, amount) how much of each of these keys may be in use beyond the guaranteed share."""
         result = []
         for key, allowance in self.allowances.items():
             amount = allowance.outstanding(now, self.settings) if key in shard_keys else 0
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -1,8 +1,8 @@
-"""A shard leader's record of what each holder may have in use of each key, and how it divides the rest.
+"""A shard leader's record of the grants of each key, and the division of the pool among the holders.
 
-Over all holders the greatest amounts that may be in use never add up to more than the pool. An entry counts until the
-limit's `linger_ms` after its grant expired, when nothing that it admitted is in use any more, or until its holder
-acknowledged a later one.
+The greatest amounts that the holders may have in use never add up to more than the pool. A grant counts until
+`Limit.linger_ms` after its expiry, when nothing that it admitted is in use any more, or until its holder has
+acknowledged a later grant.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from myrtlespar.quota.messages import KeyDemand
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
-MIN_SHARE_OF_MEAN = 0.8  # the part of its mean demand that a holder gets first while there is not enough for all
-RECENT_REQUESTS = 4  # a holder takes part in the division for so many request intervals
-REPORTED_BY_VOTER = 0  # sequence number of an entry that a voter reported; our own grants have greater ones
+MIN_SHARE_OF_MEAN = 0.8  # the part of its mean demand that each holder gets first if the pool is too small for all
+RECENT_REQUESTS = 4  # a holder's latest request counts for this many request intervals
+REPORTED_BY_VOTER = 0  # sequence number of entries that a voter reported; this leader's own grants have greater ones
 
 
 @dataclass(slots=True)
@@ -31,25 +31,25 @@
 
 @dataclass(slots=True)
 class HolderGrant:
-    """What one holder may have in use of one key, and what it wants."""
+    """One holder's demand for one key, and the amounts that it may have in use."""
 
-    wanted: int = 0
-    peak: int = 0
+    wanted: int = 0  # mean demand
+    peak: int = 0  # peak demand
     requested_at: float = 0.0
     sequence_number: int = 0  # of the latest request
     entries: list[GrantEntry] = field(default_factory=list)
 
     def outstanding(self, now: float) -> int:
-        """Return the most that may be in use."""
+        """Return the greatest amount that may be in use."""
         if self.entries and any(entry.free_at <= now for entry in self.entries):
             self.entries = [entry for entry in self.entries if entry.free_at > now]
         return max((entry.amount for entry in self.entries), default=0)
 
     def acknowledge(self, demand: KeyDemand) -> None:
-        """Drop the entries that the holder can no longer use, as it adopted a later response.
+        """Drop the entries that the holder no longer uses, as it has adopted a later response.
 
-        The holder reports what it has in use from earlier grants: starts in the last window, or runs in flight. That
-        never grows beyond what it adopted.
+        The holder reports what it has in use from earlier grants: starts in the last window, or runs in flight. If that
+        exceeds the adopted amount, it can only shrink, so the adopted entry is raised to it.
         """
         if not any(entry.sequence_number == demand.acknowledged for entry in self.entries):
             return
@@ -59,7 +59,7 @@
                 entry.amount = max(entry.amount, demand.in_flight)
 
     def record_grant(self, sequence_number: int, amount: int, free_at: float) -> None:
-        """Add a grant, or prolong the latest one if it is of the same amount."""
+        """Add a grant, or extend the latest one if it has the same amount."""
         latest = self.entries[-1] if self.entries else None
         if latest is not None and latest.amount == amount and latest.sequence_number != REPORTED_BY_VOTER:
             latest.sequence_number = sequence_number
@@ -71,7 +71,8 @@
 def divide_fairly(pool: int, wanted: Mapping[Incarnation, int]) -> dict[Incarnation, int]:
     """Divide the pool into max-min fair whole parts.
 
-    Nobody gets more than it wants, and nobody gets less than it wants while another gets more than it.
+    No holder gets more than it wants. A holder that gets less than it wants gets at least as much as every other one,
+    apart from a rounding difference of 1.
     """
     parts = dict.fromkeys(wanted, 0)
     remaining = pool
@@ -84,7 +85,7 @@
             remaining -= wanted[smallest]
             unsatisfied.pop(0)
             continue
-        for position, holder in enumerate(unsatisfied):  # nobody gets all it wants: the remainder goes one by one
+        for position, holder in enumerate(unsatisfied):  # none can be satisfied: the remainder is spread one by one
             parts[holder] = even_part + (position < remainder)
         break
     return parts
@@ -93,8 +94,9 @@
 def _entitlements(pool: int, requesting: Mapping[Incarnation, HolderGrant]) -> dict[Incarnation, int]:
     """Return every holder's part of the pool.
 
-    While not all can have their mean demand, holders of little demand get a little less: of a few starts in a window,
-    what is set aside for the mean is idle half of the time. What is left goes to the means first, then to the peaks.
+    If the pool is too small for all mean demands, each holder first gets at most MIN_SHARE_OF_MEAN of its own: at a
+    demand of a few starts in a window, an amount reserved for the whole mean is idle half of the time. The rest goes to
+    the mean demands, then to the peak demands.
     """
     parts = dict.fromkeys(requesting, 0)
     rounds = (
@@ -113,17 +115,17 @@
 
 
 class GrantLedger:
-    """The grants of one shard under one lease."""
+    """Records the grants of one shard under one lease."""
 
     def __init__(self, settings: GrantSettings, acquired_at: float, voters: frozenset[str]) -> None:
         self.settings = settings
         self.acquired_at = acquired_at  # when the lease began
-        self.unreported_voters = set(voters)  # those that have not reported all their allowances
+        self.unreported_voters = set(voters)  # voters that have not reported all their allowances
         self.grants: dict[str, dict[Incarnation, HolderGrant]] = {}  # by key and holder
         self.budget_allocator = BudgetAllocator(voters)
 
     def predecessor_grants_end(self, limit: Limit) -> float:
-        """Return when whatever an earlier leader granted has ended, reported or not."""
+        """Return when all use of grants by earlier leaders has ended, including grants that no voter reported."""
         return self.acquired_at + self.settings.safe_wait_ms(self.settings.grant_ms + limit.linger_ms)
 
     def record_voter_allowances(
@@ -134,9 +136,9 @@
         allowances: tuple[tuple[str, int], ...],
         limits: Mapping[str, Limit],
     ) -> None:
-        """Record what a voter reports as (key, amount); `limits` are by key.
+        """Record the allowances that a voter reports as (key, amount); `limits` is by key.
 
-        Only its first complete report counts, as later ones include our own grants.
+        Reports after its first complete one are ignored, as they include grants of this leader.
         """
         if voter.name not in self.unreported_voters:
             return
@@ -152,7 +154,7 @@
     def grant(
         self, now: float, sender: Incarnation, sequence_number: int, demand: KeyDemand, limit: Limit, pool: int
     ) -> int | None:
-        """Return what this holder may use from now on; None for an outdated request."""
+        """Record a holder's request and return the amount granted; None for an outdated request."""
         holders = self.grants.setdefault(demand.key, {})
         holder = holders.setdefault(sender, HolderGrant())
         if sequence_number <= holder.sequence_number:
@@ -165,7 +167,7 @@
         others = sum(other.outstanding(now) for incarnation, other in holders.items() if incarnation != sender)
         available = pool - others
         if limit.kind is LimitKind.STRICT and self.unreported_voters and now < self.predecessor_grants_end(limit):
-            # what the other voters may hold is not known, so a holder gets no more than it reported
+            # The allowances of other voters are not known, so a holder gets no more than it has reported itself.
             available = holder.outstanding(now) if sender.name not in self.unreported_voters else 0
         oldest = now - RECENT_REQUESTS * self.settings.ask_ms
         requesting = {incarnation: other for incarnation, other in holders.items() if other.requested_at >= oldest}
@@ -176,11 +178,11 @@
         return amount
 
     def outstanding(self, now: float, key: str) -> int:
-        """Return what may be in use of a key by all holders."""
+        """Return the greatest amount of a key that all holders may have in use."""
         return sum(holder.outstanding(now) for holder in self.grants.get(key, {}).values())
 
     def drop_idle(self, now: float) -> None:
-        """Drop the holders and keys of which nothing is outstanding or wanted."""
+        """Drop holders without a recent request or an outstanding amount, and keys without holders."""
         oldest = now - self.settings.cold_ms
         for key, holders in list(self.grants.items()):
             for incarnation, holder in list(holders.items()):
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -1,9 +1,9 @@
-"""Election of the leader of a shard: a lease that a majority of the voters promises, one voter at a time.
+"""Election of a shard's leader: a member holds the shard's lease while a majority of the voters promises it the shard.
 
-A voter promises a shard to one incarnation of one member for the lease's duration, which it counts longer on its own
-clock. The candidate counts it shorter, from the sending of the request that the voter answered (see
-`GrantSettings.drift`). So two leases of one shard never overlap in true time. A voter that has just started promises
-nothing for the duration of one lease, as it does not know what an earlier incarnation promised.
+A voter promises a shard to one incarnation of one member for the lease's duration, extended by the possible drift of
+its clock. The candidate shortens the duration by the drift and counts it from when it sent the request that the voter
+answered (see `GrantSettings.drift`), so two leases of one shard never overlap in true time. A voter makes no promise
+for the duration of one lease after its start, as it does not know the promises of an earlier incarnation.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Incarnation(NamedTuple):
-    """A member, and which of its processes."""
+    """Identifies one process of a member."""
 
     name: str
     number: int  # grows with each start of the member
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class LeasePromise:
-    """What a voter has promised for one shard."""
+    """A voter's latest promise of one shard."""
 
     candidate: Incarnation = NOBODY
     expires_at: float = 0.0
@@ -35,17 +35,17 @@
 
 
 class LeaseVoter:
-    """One voter's promises, for all shards."""
+    """One voter's promises of all shards."""
 
     def __init__(self, settings: GrantSettings, now: float, engine: bool = False) -> None:
-        """Start without promises. With an `engine` that grants the leases, only the order of the epochs matters."""
+        """Start without promises. If an `engine` grants the leases, votes only require an epoch that is not lower."""
         self.settings = settings
         self.engine = engine
         self.no_vote_before = now if engine else now + settings.safe_wait_ms(settings.lease_ms)
         self.promises = [LeasePromise() for _ in range(settings.ranges)]
 
     def vote(self, now: float, candidate: Incarnation, request: LeaseRequest) -> LeaseVote:
-        """Promise the shard, or answer with the epoch that prevents it. The caller fills in the allowances."""
+        """Promise the shard, or reject the request with the highest epoch promised. The caller adds the allowances."""
         promise = self.promises[request.shard_id]
         is_renewal = (promise.candidate == candidate or self.engine) and request.epoch >= promise.epoch
         if now < self.no_vote_before or not (
@@ -67,15 +67,15 @@
     epoch: int = 0
     acquired_at: float = 0.0  # the beginning of the current lease
     expires_at: float = 0.0  # 0: no lease was held under this epoch
-    promised_at: dict[str, float] = field(default_factory=dict)  # by voter: when the granted request was sent
+    promised_at: dict[str, float] = field(default_factory=dict)  # by voter: when the request that it granted was sent
     requested_at: dict[int, float] = field(default_factory=dict)  # by sequence number of the request: when sent
 
     def holds_lease(self, now: float) -> bool:
-        """Whether the lease is held."""
+        """Return whether this member holds the lease."""
         return now < self.expires_at
 
     def request_votes(self, now: float, sequence_number: int) -> LeaseRequest:
-        """Return the request for all voters. Without a lease it carries a later epoch than this member has seen."""
+        """Return the request to send to all voters; without a lease, its epoch is later than any seen so far."""
         if not self.holds_lease(now) and (self.expires_at or not self.epoch):
             self._begin_epoch(self.epoch + 1)
         self.requested_at[sequence_number] = now
@@ -85,7 +85,7 @@
         return LeaseRequest(0, self.epoch, sequence_number)
 
     def record_vote(self, now: float, voter: str, vote: LeaseVote) -> bool:
-        """Count a vote. Returns True if a lease begins with it."""
+        """Count a vote. Returns True if it completes a majority and so begins a lease."""
         if voter not in self.voters:
             return False
         if not vote.granted:
@@ -94,21 +94,21 @@
         sent_at = self.requested_at.get(vote.sequence_number)
         if sent_at is None or vote.highest_epoch != self.epoch:
             return False
-        if self.expires_at and not self.holds_lease(now):  # it expired meanwhile: another may have been leader since
+        if self.expires_at and not self.holds_lease(now):  # another member may have led since the expiry
             return False
         self.promised_at[voter] = max(sent_at, self.promised_at.get(voter, sent_at))
         return self._extend(now)
 
     def _record_refusal(self, now: float, vote: LeaseVote) -> None:
         if vote.highest_epoch > self.epoch and self.holds_lease(now):
-            # The voter promised a candidate that got no majority, and accepts no grants of our epoch any more: the
-            # lease goes on under a later one.
+            # The voter has promised the shard to a candidate without a majority, and no longer accepts grants of this
+            # epoch, so this member continues its lease under a later epoch.
             self.epoch = vote.highest_epoch + 1
         elif vote.highest_epoch >= self.epoch and not self.holds_lease(now):
             self._begin_epoch(vote.highest_epoch + 1)
 
     def _extend(self, now: float) -> bool:
-        """Hold the lease as long as a majority has promised it. Returns True if it begins."""
+        """Extend the lease to the time that a majority has promised. Returns True if the lease begins."""
         majority = len(self.voters) // 2 + 1
         if len(self.promised_at) < majority:
             return False
@@ -129,11 +129,11 @@
         self.requested_at.clear()
 
     def stop_renewing(self) -> None:
-        """Let the lease expire, as another member is to be leader."""
+        """Let the lease expire, so that another member can lead the shard."""
         self.requested_at.clear()
 
     def adopt_engine_lease(self, now: float, epoch: int, expires_at: float) -> bool:
-        """Adopt the lease that the engine granted; epoch 0: it granted none. Returns True if a lease begins."""
+        """Adopt the engine's lease; epoch 0 means no lease. Returns True if a lease begins."""
         begins = bool(epoch) and epoch != self.epoch
         if begins:
             self.acquired_at = now
--- a/myrtlespar/quota/lease_session.py
+++ b/myrtlespar/quota/lease_session.py
@@ -1,10 +1,12 @@
 """A member's lease at an engine (etcd), and the shards that it leads under that lease.
 
-Pure: the driver (`fleet.lease_source`) carries out one request at a time and passes in the reply, or None.
+The session is pure: its driver (`fleet.lease_source`) carries out one request at a time and passes in the reply, or
+None if there was none.
 
-All shards depend on one lease of the engine. The lease counts from the sending of the request that renewed it, and is
-counted shorter twice, for the member's clock and for the engine's. A shard's epoch is the revision at which its key was
-created, so that it grows with each leader. A shard is released here first, then at the engine.
+All shards depend on one lease of the engine. Its duration counts from when the request that renewed it was sent, and is
+shortened by the clock drift twice, for the member's clock and for the engine's. A shard's epoch is the revision at
+which its key was created, so it grows with each leader. The member stops leading a shard before it deletes the shard's
+key at the engine.
 """
 
 from __future__ import annotations
@@ -18,17 +20,17 @@
 
 
 class EngineOperation(StrEnum):
-    """The kinds of requests to the engine."""
+    """Kinds of requests to the engine."""
 
     GRANT = "grant"  # create a lease
     KEEP = "keep"  # renew the lease
-    TAKE = "take"  # create a shard's key under the lease, if there is none
-    DROP = "drop"  # delete a shard's key, if it is under the lease
+    TAKE = "take"  # create a shard's key under the lease, unless it exists
+    DROP = "drop"  # delete a shard's key, if it belongs to the lease
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """One request to the engine."""
+    """A request to the engine; `shard_id` is set for TAKE and DROP."""
 
     operation: EngineOperation
     sent_at: float  # monotonic milliseconds
@@ -38,32 +40,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReply:
-    """The engine's reply."""
+    """The engine's reply to a request."""
 
     lease_id: int = 0
     ttl_ms: float = 0.0  # of GRANT and KEEP; 0: the lease has ended
-    epoch: int = 0  # of TAKE; 0: another lease has the key
+    epoch: int = 0  # of TAKE; 0: the key belongs to another lease
 
 
 @dataclass(slots=True)
 class LeaseSession:
-    """The lease and its shards, as far as this member knows. Times are its monotonic milliseconds."""
+    """This member's view of its lease and shards. Times are its monotonic milliseconds."""
 
     settings: GrantSettings
     lease_id: int = 0  # 0: no lease
     expires_at: float = 0.0
     ttl_ms: float = 0.0
     renewed_at: float = NEVER
-    epochs: dict[int, int] = field(default_factory=dict)  # of the shards that are led
-    releasing: set[int] = field(default_factory=set)  # shards whose keys may still be ours at the engine
+    epochs: dict[int, int] = field(default_factory=dict)  # by shard, of the shards that this member leads
+    releasing: set[int] = field(default_factory=set)  # shards whose keys may still belong to the lease at the engine
     attempted_at: dict[int, float] = field(default_factory=dict)  # by shard: when its key was last requested
 
     def epoch(self, now: float, shard_id: int) -> int:
-        """Return the epoch under which this member leads a shard, 0 if it does not."""
+        """Return the epoch in which this member leads a shard; 0 if it does not lead it."""
         return self.epochs.get(shard_id, 0) if now < self.expires_at else 0
 
     def next_request(self, now: float, wanted: frozenset[int]) -> EngineRequest | None:
-        """Return the request that is due now, if any; `wanted` are the shards that this member is to lead."""
+        """Return the request that is due now, if any; `wanted` are the shards that this member should lead."""
         if self.lease_id and now >= self.expires_at:
             self._reset()
         if not self.lease_id:
@@ -78,16 +80,16 @@
         for shard_id in sorted(wanted):
             if shard_id not in self.epochs and now - self.attempted_at.get(shard_id, NEVER) >= self.settings.ask_ms:
                 self.attempted_at[shard_id] = now
-                self.releasing.add(shard_id)  # if the reply is lost, the key may be ours
+                self.releasing.add(shard_id)  # if the reply is lost, the key may belong to the lease
                 return EngineRequest(EngineOperation.TAKE, now, self.lease_id, shard_id)
         return None
 
     def shard_released(self, shard_id: int) -> None:
-        """Allow the next request for a shard at once, as its key was deleted at the engine."""
+        """Allow an immediate request for a shard, as its key was deleted at the engine."""
         self.attempted_at.pop(shard_id, None)
 
     def record_reply(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
-        """Apply the reply to a request; None: the outcome is not known."""
+        """Apply the reply to a request; None: the outcome is unknown."""
         if reply is None or (request.operation is not EngineOperation.GRANT and request.lease_id != self.lease_id):
             return
         if request.operation in (EngineOperation.TAKE, EngineOperation.DROP):
--- a/myrtlespar/quota/limit_versions.py
+++ b/myrtlespar/quota/limit_versions.py
@@ -1,4 +1,4 @@
-"""The version of the limits that this member uses, and which versions the voters are known to use."""
+"""The version of the limits that this member uses, and the versions that the voters are known to use."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LimitVersions:
-    """The limits in use, and whether all voters are known to use the same version."""
+    """The limits in use, and whether all voters are known to use the same version of them."""
 
     def __init__(
         self,
@@ -30,16 +30,16 @@
         self._voters = voters
         self._grant_holder = grant_holder
         self._outbox = outbox
-        self._voter_versions = {self_name: version}  # by voter, as far as this member leads a shard and hears of them
-        self._settled_before = 0  # the version before ours, if it was settled; otherwise 0
-        self._all_adopted_at: float | None = None  # since when all voters are known to use our version or a later one
+        self._voter_versions = {self_name: version}  # by voter; only a shard leader receives the versions of the others
+        self._settled_before = 0  # the previous version, if it was settled; otherwise 0
+        self._all_adopted_at: float | None = None  # since when all voters are known to use this version or a later one
 
     def limit_of(self, key: str) -> Limit | None:
-        """Return the limit of a key, which is `limit` or `limit/value`."""
+        """Return the limit of a key, which has the form `limit` or `limit/value`."""
         return self.limits.get(key.partition("/")[0])
 
     def adopt(self, limits: Mapping[str, Limit], version: int) -> None:
-        """Use a later version of the limits."""
+        """Adopt a later version of the limits, which is not settled yet."""
         self._settled_before = self.version if self._grant_holder.settled else 0
         self.limits = dict(limits)
         self.version = version
@@ -48,17 +48,17 @@
         self._grant_holder.adopt_limits(self.limits, False)
 
     def outdated_voters(self) -> list[str]:
-        """Return the voters not known to use our version; only a shard leader hears of all of them."""
+        """Return the voters not known to use this version; only a shard leader knows the versions of all."""
         return sorted(name for name in self._voters if self._voter_versions.get(name, 0) < self.version)
 
     def record(self, now: float, name: str, version: int) -> None:
-        """Record the version that a member says it uses."""
+        """Record the version that another member reports."""
         if name not in self._voters:
             return
         if version > self._voter_versions.get(self._self_name, 0) and version > self._voter_versions.get(name, 0):
             self._outbox.count(
                 LimitCounter.LATER_VERSION,
-                f"{name} goes by version {version} of the limits, this member by {self.version}",
+                f"{name} uses version {version} of the limits, this member version {self.version}",
             )
         self._voter_versions[name] = version
         if self.outdated_voters():
@@ -67,30 +67,30 @@
             self._all_adopted_at = now
 
     def settle_if_due(self, now: float) -> None:
-        """Settle the present version if all members have adopted it long enough ago."""
+        """Settle the current version if all members adopted it long enough ago."""
         if not self._grant_holder.settled and self.is_settled(now):
             self.settle()
 
     def settle(self) -> None:
-        """Use the present version alone: its shares no longer allow for members that use the previous one."""
+        """Divide limits by the current version alone, without allowing for members that use the previous one."""
         self._grant_holder.adopt_limits(self.limits, True)
 
     def settled_version(self, now: float) -> int:
-        """Return the latest version that is known to be settled, to be announced to the holders; 0 if none is.
+        """Return the latest version known to be settled, which is announced to the holders; 0 if none is.
 
-        While ours is not, that is the one before. A member that missed its settling would otherwise never hear of it
-        again, and could never adopt the version that ours waits for it to adopt.
+        While the current version is not settled, this is the previous one. A member that missed its settling could
+        otherwise never adopt the current version, and the current version can't settle before that member adopts it.
         """
         return self.version if self.is_settled(now) else self._settled_before
 
     def is_settled(self, now: float) -> bool:
-        """Whether all voters have our version, and whatever was granted under an earlier one has ended."""
+        """Return whether all voters use this version and all use of grants under earlier versions has ended."""
         if self._all_adopted_at is None:
             return False
         return now >= self._all_adopted_at + self.longest_grant_wait_ms()
 
     def longest_grant_wait_ms(self) -> float:
-        """Return how long to wait until any grant, and what it admitted, has ended."""
+        """Return the time in ms after which any earlier grant, and all use that it admitted, has ended."""
         longest_linger_ms = max((limit.linger_ms for limit in self.limits.values()), default=0)
         return self._settings.safe_wait_ms(self._settings.grant_ms + longest_linger_ms)
 
--- a/myrtlespar/quota/messages.py
+++ b/myrtlespar/quota/messages.py
@@ -1,7 +1,7 @@
 """Messages between members about limits, and the effects that a coordinator returns to its driver.
 
-The structs are arrays on the wire: the order of their fields and their tags are fixed, their names are not. The codec
-checks lengths and ranges.
+The structs are arrays on the wire: their tags and the order of their fields must not change, their names may. The
+codec checks lengths and ranges.
 """
 
 from __future__ import annotations
@@ -15,9 +15,8 @@
 class KeyDemand(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """One key in a grant request; amounts are starts in a window, or runs in flight.
 
-    `want` is the average demand beyond the guaranteed share and `peak` the demand at its swings. `acknowledged` is the
-    sequence number of the request whose response was adopted last, `in_flight` what is in use beyond the guaranteed
-    share.
+    `want` is the mean demand and `peak` the peak demand beyond the guaranteed share. `acknowledged` is the sequence
+    number of the request whose response was adopted last, `in_flight` the amount in use beyond the guaranteed share.
     """
 
     key: str
@@ -30,7 +29,7 @@
 class GrantRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
     """A holder asks the leader of a shard for grants.
 
-    `sequence_number` grows with each request of one incarnation; `version` is that of the limits the holder uses.
+    `sequence_number` grows with each request of one incarnation; `version` is the holder's version of the limits.
     """
 
     shard_id: int
@@ -40,10 +39,10 @@
 
 
 class GrantResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """The shard leader's response to the request of that `sequence_number`.
+    """The shard leader's response to the request with the same `sequence_number`.
 
-    The amounts hold for `duration_ms` from the sending of that request and replace all earlier ones of this holder.
-    `settled_version` is the leader's version of the limits once all members adopted it, otherwise 0.
+    The amounts are granted for `duration_ms` from when that request was sent, and replace all earlier amounts of the
+    same keys and holder. `settled_version` is the latest version of the limits known to be settled, 0 if none is.
     """
 
     shard_id: int
@@ -57,7 +56,7 @@
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
     """A candidate asks a voter to recognise no other leader of this shard for the duration of one lease.
 
-    `epoch` is greater than any that the candidate has heard of.
+    The `epoch` of a new candidacy is greater than any that the candidate has received.
     """
 
     shard_id: int
@@ -66,11 +65,11 @@
 
 
 class LeaseVote(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """A voter's response to the `LeaseRequest` of that `sequence_number`.
+    """A voter's response to the `LeaseRequest` with the same `sequence_number`.
 
-    `highest_epoch` is the greatest epoch ever promised; if `granted`, it is the candidate's, and `allowances` are all
-    amounts of this shard that the voter may still use or have in use. `complete` is false if they did not fit, or if an
-    earlier incarnation of the voter may have had more in use.
+    `highest_epoch` is the greatest epoch promised so far. If the vote is `granted`, it is the candidate's epoch, and
+    `allowances` are all amounts of this shard that the voter may use or have in use, as (key, amount). `complete` is
+    false if they did not fit, or if an earlier incarnation of the voter may have more in use.
     """
 
     shard_id: int
@@ -85,8 +84,8 @@
 class BudgetDrawRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=5):
     """A member asks a shard leader for `wanted` more of a budget.
 
-    `drawn_total` is what this incarnation has drawn so far, `returned_total` what it has returned to the leader of that
-    `epoch`.
+    `drawn_total` is the amount that this incarnation has drawn so far, `returned_total` the amount that it has returned
+    to the leader of `epoch`.
     """
 
     shard_id: int
@@ -99,7 +98,7 @@
 
 
 class BudgetDrawResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
-    """The shard leader's response: what this incarnation has drawn in all, and what remains for all members."""
+    """The shard leader's response: the total that the incarnation has drawn, and the rest left for all members."""
 
     shard_id: int
     epoch: int
@@ -110,9 +109,9 @@
 
 
 class BudgetReserveRequest(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
-    """A shard leader asks a voter to persist the amount of a budget that may be handed out.
+    """A shard leader asks a voter to persist the total of a budget that may be allocated.
 
-    A `reserved_total` of 0 only asks for the persisted one.
+    With a `reserved_total` of 0 it only asks for the persisted total.
     """
 
     shard_id: int
@@ -123,7 +122,7 @@
 
 
 class BudgetReserveResponse(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=8):
-    """The amount of a budget's period that is persisted at this voter."""
+    """A voter's response: the reserved total of a budget period that it has persisted."""
 
     shard_id: int
     epoch: int
@@ -149,10 +148,10 @@
 
     LEADERSHIP_BEGAN = "keeper"
     NOT_LEADER = "not keeper"
-    FENCED = "fenced"  # a message of an epoch that a later leader has ended
+    FENCED = "fenced"  # the message belongs to an epoch that was superseded by a later leader
     LATE_GRANT = "late grant"
     UNKNOWN_LIMIT = "unknown limit"
-    UNKNOWN_SHARD = "other ranges"  # the sender divides the keys into more shards
+    UNKNOWN_SHARD = "other ranges"  # the sender divides the keys into more shards than this member
     LATER_VERSION = "later version"
     LOWERED = "lowered"
 
@@ -165,14 +164,14 @@
 
 
 class PersistThenSend(NamedTuple):
-    """Effect: persist the budget journal, then send the message; if it cannot be written, send nothing."""
+    """Effect: persist the budget journal, then send the message; if the write fails, send nothing."""
 
     recipient: str
     message: LimitMessage
 
 
 class CountEvent(NamedTuple):
-    """Effect: increment `counter`; `log_message` goes to the log unless it is empty."""
+    """Effect: increment `counter`, and log `log_message` unless it is empty."""
 
     counter: LimitCounter
     log_message: str = ""
--- a/myrtlespar/quota/outbox.py
+++ b/myrtlespar/quota/outbox.py
@@ -1,4 +1,4 @@
-"""The effects that one member's coordinator collects while it handles a call."""
+"""Collects the effects of one call to a member's limit coordinator."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Outbox:
-    """Collects effects in order. A message to oneself is delivered at once."""
+    """Collects effects in order. A message to this member itself is delivered immediately."""
 
     def __init__(self, self_name: str, deliver: Callable[[float, LimitMessage], None]) -> None:
         self._self_name = self_name
@@ -23,7 +23,7 @@
         self._effects: list[LimitEffect] = []
 
     def send(self, now: float, recipient: str, message: LimitMessage) -> None:
-        """Send a message; one to nobody (an empty name) is dropped."""
+        """Send a message; it is dropped if `recipient` is empty."""
         if recipient == self._self_name:
             self._deliver(now, message)
         elif recipient:
@@ -34,11 +34,11 @@
         self._effects.append(PersistThenSend(recipient, message))
 
     def count(self, counter: LimitCounter, log_message: str = "") -> None:
-        """Increment a counter, and log the message unless it is empty."""
+        """Increment a counter, and log `log_message` unless it is empty."""
         self._effects.append(CountEvent(counter, log_message))
 
     def drain(self) -> list[LimitEffect]:
-        """Return the collected effects and forget them."""
+        """Return the collected effects and start with an empty list."""
         effects = self._effects
         self._effects = []
         return effects
--- a/myrtlespar/quota/shard_leadership.py
+++ b/myrtlespar/quota/shard_leadership.py
@@ -1,7 +1,7 @@
-"""Which shards this member leads: it votes, is a candidate for some, and has a ledger of each shard that it leads.
+"""One member's votes, its candidacies for shards, and the grant ledgers of the shards that it leads.
 
-The leases come from a majority of the voters or, if one is configured, from an engine. With an engine the votes only
-report what the voters may have in use.
+Leases are granted by a majority of the voters or, if one is configured, by an engine. With an engine, votes only report
+what the voters may have in use.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from myrtlespar.quota.settings import GrantSettings
 from myrtlespar.quota.shards import Shard, leader_of, shard_of
 
-MAX_ALLOWANCES_PER_VOTE = 14  # so that a vote fits a datagram
+MAX_ALLOWANCES_PER_VOTE = 14  # keeps a vote within one datagram
 
 
 class ShardLeadership:
-    """The leases of one member as voter, candidate and leader."""
+    """Handles the leases of one member as voter, candidate and leader."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.lease_voter = LeaseVoter(settings, now, engine)
         self.lease_session = LeaseSession(settings) if engine else None
         self.shards = [Shard(LeaseElection(settings, voters)) for _ in range(settings.ranges)]
-        self.wanted_shards: set[int] = set()  # those to lead, if the engine grants them
+        self.wanted_shards: set[int] = set()  # shards to request from the engine
         self._grant_holder = grant_holder
         self._versions = versions
         self._outbox = outbox
@@ -51,12 +51,12 @@
         self._sequence_number = 0
 
     def led_shard(self, now: float, shard_id: int) -> Shard | None:
-        """Return a shard while this member leads it."""
+        """Return the shard if this member leads it, otherwise None."""
         shard = self.shards[shard_id]
         return shard if shard.ledger is not None and shard.election.holds_lease(now) else None
 
     def retire(self) -> None:
-        """Stop leading all shards and being a candidate for them."""
+        """Stop leading shards and being a candidate for them."""
         self.wanted_shards.clear()
         for shard in self.shards:
             shard.election.stop_renewing()
@@ -65,14 +65,14 @@
     def tick(self, now: float, present_voters: frozenset[str], budget_periods: Mapping[str, int]) -> None:
         """Request the votes that are due, and drop expired leases and grants.
 
-        `budget_periods` are the present ones by limit.
+        `budget_periods` is the number of the current period by limit.
         """
         name = self.self_id.name
         for shard_id, shard in enumerate(self.shards):
             is_requested = now - shard.last_requested_at < self.settings.cold_ms
             is_preferred = name in self.voters and leader_of(shard_id, present_voters) == name
             if is_preferred and is_requested:
-                self._pursue(now, shard_id, shard)
+                self._campaign(now, shard_id, shard)
             else:
                 shard.election.stop_renewing()
                 self.wanted_shards.discard(shard_id)
@@ -84,7 +84,7 @@
                 shard.ledger.drop_idle(now)
                 shard.ledger.budget_allocator.drop_expired(budget_periods)
 
-    def _pursue(self, now: float, shard_id: int, shard: Shard) -> None:
+    def _campaign(self, now: float, shard_id: int, shard: Shard) -> None:
         holds_lease = shard.election.holds_lease(now)
         is_due = now - shard.last_candidacy_at >= self.settings.renewal_interval_ms
         if self.lease_session is not None:
@@ -107,13 +107,13 @@
         for name in sorted(self.voters):
             self._outbox.send(now, name, LeaseRequest(shard_id, epoch, sequence_number))
 
-    # An engine's leases.
+    # Leases granted by an engine.
 
     def next_engine_request(self, now: float) -> EngineRequest | None:
-        """Return the request to the engine that is due.
+        """Return the request to the engine that is due, if any.
 
-        A shard that the request releases is no longer led here once this returns, as another member may lead it before
-        the reply comes.
+        This member stops leading a shard before the request that releases it is sent, as another member may lead the
+        shard before the reply arrives.
         """
         assert self.lease_session is not None
         request = self.lease_session.next_request(now, frozenset(self.wanted_shards))
@@ -121,13 +121,13 @@
         return request
 
     def record_engine_reply(self, now: float, request: EngineRequest, reply: EngineReply | None) -> None:
-        """Apply the engine's reply; None: the outcome is not known."""
+        """Apply the engine's reply; None: the outcome is unknown."""
         assert self.lease_session is not None
         self.lease_session.record_reply(now, request, reply)
         self._apply_session(now)
 
     def _apply_session(self, now: float) -> None:
-        """Begin to lead the shards that the session acquired, and end with those that it lost."""
+        """Start leading the shards that the session has acquired, and stop leading those that it has lost."""
         assert self.lease_session is not None
         for shard_id, shard in enumerate(self.shards):
             epoch = self.lease_session.epoch(now, shard_id)
@@ -138,10 +138,10 @@
             elif not shard.election.holds_lease(now):
                 shard.ledger = None
 
-    # Votes.
+    # Votes and the allowances that they report.
 
     def vote(self, now: float, candidate: Incarnation, request: LeaseRequest) -> None:
-        """Answer a candidate with our vote and, if it is granted, with what we may have in use of the shard."""
+        """Answer a candidate with a vote and, if it is granted, with this member's allowances of the shard."""
         if candidate.name not in self.voters or self.self_id.name not in self.voters or self._grant_holder.retired:
             return
         vote = self.lease_voter.vote(now, candidate, request)
@@ -156,7 +156,8 @@
             key for key in self._grant_holder.allowances if shard_of(key, self.settings.ranges) == vote.shard_id
         )
         allowances = self._grant_holder.outstanding(now, shard_keys)
-        earlier_may_hold = now < self._started_at + self._versions.longest_grant_wait_ms()  # an earlier incarnation
+        # An earlier incarnation of this member may still have grants in use.
+        earlier_may_hold = now < self._started_at + self._versions.longest_grant_wait_ms()
         return LeaseVote(
             vote.shard_id,
             vote.sequence_number,
@@ -168,7 +169,7 @@
         )
 
     def record_vote(self, now: float, voter: Incarnation, vote: LeaseVote) -> None:
-        """Count a vote, begin to lead the shard if it completes a majority, and record the voter's allowances."""
+        """Count a vote, start leading the shard if it completes a majority, and record the voter's allowances."""
         shard = self.shards[vote.shard_id]
         self._versions.record(now, voter.name, vote.version)
         if self.lease_session is None and shard.election.record_vote(now, voter.name, vote):
--- a/myrtlespar/quota/shards.py
+++ b/myrtlespar/quota/shards.py
@@ -1,4 +1,4 @@
-"""The shards that the keys of limits are divided into, and which member is to lead each."""
+"""Division of the keys of limits into shards, and of the shards among members as leaders."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 def shard_of(key: str, shard_count: int) -> int:
-    """Return the shard of a key, which is the same on every member."""
+    """Return the shard of a key; every member computes the same one."""
     return zlib.crc32(key.encode()) % shard_count
 
 
 def leader_of(shard_id: int, names: Iterable[str]) -> str:
-    """Return which of these members is to lead a shard; empty if there is none.
+    """Return which of these members should lead a shard; empty without members.
 
-    Rendezvous hashing, so that one member's end moves only the shards that it led.
+    Uses rendezvous hashing, so that a member's failure moves only the shards that it led.
     """
     return max(names, key=lambda name: (zlib.crc32(f"{shard_id} {name}".encode()), name), default="")
 
 
 @dataclass(slots=True)
 class Shard:
-    """One shard as a possible leader has it. Times are its monotonic milliseconds."""
+    """A shard's state at a member that may lead it. Times are the member's monotonic milliseconds."""
 
     election: LeaseElection
     ledger: GrantLedger | None = None  # while this member leads the shard
-    last_requested_at: float = float("-inf")  # by a holder; a shard that nobody requests has no leader
+    last_requested_at: float = float("-inf")  # by a holder; a shard without requests has no leader
     last_candidacy_at: float = float("-inf")  # when votes were last requested
--- a/myrtlespar/quota/usage_windows.py
+++ b/myrtlespar/quota/usage_windows.py
@@ -1,4 +1,4 @@
-"""Counters of the usage of an allowance: starts in a sliding window, and runs in flight.
+"""Counters of the use of an allowance: starts in a sliding window, and runs in flight.
 
 Times are the caller's monotonic milliseconds.
 """
@@ -8,12 +8,12 @@
 from collections import deque
 from dataclasses import dataclass
 
-STEPS_PER_WINDOW = 256  # starts within one step of a window are counted together, as of the latest of them
+STEPS_PER_WINDOW = 256  # starts within one step of a window share one entry
 
 
 @dataclass(slots=True)
 class WindowStep:
-    """Starts that are counted together."""
+    """Starts that share one entry of a window."""
 
     first_at: float
     latest_at: float
@@ -21,9 +21,9 @@
 
 
 class UsageWindow:
-    """Starts within the last `span_ms`.
+    """Counts the starts within the last `span_ms`.
 
-    Starts within one step count as of the latest of them, so that none is forgotten early.
+    All starts of one step expire with the latest of them, so that none expires early.
     """
 
     __slots__ = ("_step_ms", "count", "span_ms", "steps")
@@ -35,7 +35,7 @@
         self.count = 0
 
     def in_use(self, now: float) -> int:
-        """Return the starts in the window that ends now."""
+        """Return the number of starts in the window that ends now."""
         steps = self.steps
         window_start = now - self.span_ms
         while steps and steps[0].latest_at <= window_start:
@@ -43,7 +43,7 @@
         return self.count
 
     def record(self, now: float, starts: int = 1) -> None:
-        """Count so many starts as of now."""
+        """Count a number of starts at the current time."""
         if self.steps and now - self.steps[-1].first_at < self._step_ms:
             step = self.steps[-1]
             step.latest_at = max(step.latest_at, now)
@@ -53,7 +53,7 @@
         self.count += starts
 
     def give_back(self, recorded_at: float) -> None:
-        """Count one start less that was recorded at that time, as it did not take place."""
+        """Remove one start recorded at `recorded_at`, as it did not take place."""
         for step in reversed(self.steps):
             if step.first_at <= recorded_at <= step.latest_at and step.count:
                 step.count -= 1
@@ -61,9 +61,9 @@
                 return
 
     def available_at(self, now: float, allowance: int, ahead: int = 0) -> float:
-        """Return when one more may start behind `ahead` waiting ones, if those start as soon as they can.
+        """Return when one more may start behind `ahead` queued requests, if those start as soon as they can.
 
-        The result is infinite without an allowance.
+        The result is infinity without an allowance.
         """
         if allowance <= 0:
             return float("inf")
@@ -71,7 +71,7 @@
         if must_expire <= 0:
             return now
         full_windows = max(0, -((self.count - must_expire) // allowance)) if must_expire > self.count else 0
-        must_expire -= full_windows * allowance  # those ahead use up the allowance so many times
+        must_expire -= full_windows * allowance  # each full window uses up the whole allowance once
         expired = 0
         available_at = now
         for step in self.steps:
@@ -83,7 +83,7 @@
 
 
 class ConcurrencyCounter:
-    """Runs in flight."""
+    """Counts the runs in flight."""
 
     __slots__ = ("count",)
 
@@ -91,11 +91,11 @@
         self.count = 0
 
     def in_use(self, now: float) -> int:
-        """Return the runs in flight."""
+        """Return the number of runs in flight."""
         return self.count
 
     def record(self, now: float, starts: int = 1) -> None:
-        """Count so many more runs; each ends by `release`."""
+        """Count more runs; the end of each is counted by `release`."""
         self.count += starts
 
     def release(self) -> None:
@@ -103,10 +103,10 @@
         self.count -= 1
 
     def give_back(self, recorded_at: float) -> None:
-        """Count one run less, as it did not take place."""
+        """Remove one run, as it did not take place."""
         if self.count > 0:
             self.count -= 1
 
     def available_at(self, now: float, allowance: int, ahead: int = 0) -> float:
-        """Return `now` if there is capacity, otherwise infinity, as the end of a run is not known."""
+        """Return `now` if there is capacity, otherwise infinity, as the end of a run can't be predicted."""
         return now if self.count + ahead < allowance else float("inf")
--- a/tests/test_quota_admission_queue.py
+++ b/tests/test_quota_admission_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity under fleet limits."""
+"""The queue of requests that wait for capacity under fleet limits."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from myrtlespar.quota.limit_coordinator import LimitCoordinator
 from myrtlespar.quota.settings import GrantSettings, Limit
 
-STARTED_MS = 20_000.0  # by then the guaranteed share may be used
+STARTED_MS = 20_000.0  # late enough that a new process may use its guaranteed share
 WINDOW_MS = 1000.0
 
 
 def single_member_queue(amount: int) -> AdmissionQueue:
-    """The queue of the only member of a fleet, with all of a rate as its guaranteed share."""
+    """Return the queue of a fleet's only member, whose guaranteed share is each whole limit."""
     coordinator = LimitCoordinator(
         Incarnation("a", 1),
         GrantSettings(),
@@ -36,7 +36,7 @@
     deadlines: dict[str, float] = {}
     for number, (gap_ms, patience_ms, is_given_up) in enumerate(arrivals):
         now += gap_ms
-        for id in queue.take_ready(now):  # whoever is ready has capacity, and none that still waits goes before it
+        for id in queue.take_ready(now):  # a ready request has capacity, and no request that still waits is ahead of it
             assert queue.try_acquire(now, id, ("x",))[0] == ""
             assert all(deadlines[id] <= deadlines[other] for other in queue.waiting)
             starts.append(now)
@@ -57,10 +57,10 @@
     assert not queue.take_ready(now + 5000)
 
 
-def test_waiting_requests_are_admitted_when_they_were_told() -> None:
+def test_waiting_requests_are_admitted_at_their_announced_retry_time() -> None:
     queue = single_member_queue(3)
     expected_at: dict[str, float] = {}
-    for number in range(9):  # three start, six wait: three for each of the next two windows
+    for number in range(9):  # three start; six wait, three for each of the next two windows
         now = STARTED_MS + number
         rejecting_key, check = queue.try_acquire(now, f"{number}", ("x",))
         if rejecting_key:
@@ -76,7 +76,7 @@
     assert all(abs(admitted_at[id] - at) < 12 for id, at in expected_at.items()), (expected_at, admitted_at)
 
 
-def test_no_request_passes_one_that_waits_for_two_limits() -> None:
+def test_no_request_overtakes_one_that_waits_for_two_limits() -> None:
     queue = single_member_queue(4)
     for number in range(2):
         assert queue.try_acquire(STARTED_MS, f"y{number}", ("x", "y"))[0] == ""
@@ -101,15 +101,17 @@
     assert dict(queue.waiting_by_caller) == {1: 2, 0: 1}
 
 
-def test_a_start_that_is_sent_late_takes_its_place_when_it_is_sent() -> None:
+def test_a_late_start_uses_capacity_of_the_time_when_it_is_sent() -> None:
     queue = single_member_queue(1)
     assert queue.try_acquire(STARTED_MS, "late", ("x",))[0] == ""
     assert queue.reacquire(STARTED_MS + 400, "late", ("x",), STARTED_MS, was_sent=False)
-    assert queue.try_acquire(STARTED_MS + 1300, "next", ("x",))[0] == "x"  # a window after the decision, not the send
+    assert (
+        queue.try_acquire(STARTED_MS + 1300, "next", ("x",))[0] == "x"
+    )  # more than a window after the decision, less than one after the send
     assert queue.try_acquire(STARTED_MS + 1500, "next", ("x",))[0] == ""
 
 
-def test_a_late_start_is_not_sent_if_its_place_was_used_again() -> None:
+def test_a_late_start_is_not_sent_if_its_capacity_was_used_again() -> None:
     queue = single_member_queue(1)
     assert queue.try_acquire(STARTED_MS, "late", ("x",))[0] == ""
     assert queue.try_acquire(STARTED_MS + 1100, "next", ("x",))[0] == ""
@@ -117,7 +119,7 @@
     assert queue.coordinator.available(STARTED_MS + 1200, "x") == 0
 
 
-def test_a_start_that_is_sent_a_second_time_takes_another_place() -> None:
+def test_a_start_that_is_sent_a_second_time_uses_capacity_again() -> None:
     queue = single_member_queue(2)
     assert queue.try_acquire(STARTED_MS, "doubtful", ("x",))[0] == ""
     assert queue.reacquire(STARTED_MS + 100, "doubtful", ("x",), STARTED_MS, was_sent=True)
@@ -143,7 +145,7 @@
     assert coordinator.grant_holder.allowances["y"].usage.count == 0
 
 
-def test_a_late_start_is_paid_from_the_budget_of_the_period_in_which_it_is_sent() -> None:
+def test_a_late_start_is_spent_from_the_budget_of_the_period_in_which_it_is_sent() -> None:
     limit = Limit(per_day=5, standing=0.0)
     coordinator = LimitCoordinator(
         Incarnation("a", 1), GrantSettings(), {"z": limit}, frozenset(("a",)), 0.0, persisted_totals={}
@@ -153,7 +155,7 @@
     coordinator.budget_account.balance(midnight - 10, "z", limit).drawn_total = 2
     assert queue.try_acquire(midnight - 10, "early", ("z",))[0] == ""
     assert queue.reacquire(midnight - 5, "early", ("z",), midnight - 10, was_sent=False)
-    assert coordinator.available(midnight - 5, "z") == 1  # the same period: it is paid already
+    assert coordinator.available(midnight - 5, "z") == 1  # the same period, in which it is already spent
     assert not queue.reacquire(midnight + 5, "early", ("z",), midnight - 10, was_sent=False)
     coordinator.budget_account.balance(midnight + 5, "z", limit).drawn_total = 1
     assert queue.reacquire(midnight + 6, "early", ("z",), midnight - 10, was_sent=False)
--- a/tests/test_quota_grant_ledger.py
+++ b/tests/test_quota_grant_ledger.py
@@ -1,4 +1,4 @@
-"""The division of a pool among holders, and of shards among members."""
+"""Division of a pool among holders, and of shards among members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @given(st.integers(0, 1000), st.lists(st.integers(0, 300), min_size=1, max_size=12))
-def test_division_is_max_min_fair_and_gives_all_there_is(pool: int, wanted: list[int]) -> None:
+def test_division_is_max_min_fair_and_uses_the_whole_pool(pool: int, wanted: list[int]) -> None:
     wanted_by_holder = {Incarnation(f"m{n}", 1): amount for n, amount in enumerate(wanted)}
     parts = divide_fairly(pool, wanted_by_holder)
     assert sum(parts.values()) == min(pool, sum(wanted))
@@ -21,7 +21,7 @@
     assert all(part <= smallest + 1 for part in parts.values()) or sum(wanted) <= pool
 
 
-def test_one_member_s_end_moves_only_the_shards_that_it_led() -> None:
+def test_the_failure_of_a_member_moves_only_the_shards_that_it_led() -> None:
     names = [f"m{n}" for n in range(12)]
     for shard_id in range(64):
         leader = leader_of(shard_id, names)
--- a/tests/test_quota_lease_session.py
+++ b/tests/test_quota_lease_session.py
@@ -1,4 +1,4 @@
-"""The session of leases at an engine, and the coordinator that depends on it."""
+"""The lease session at an engine, and the coordinator that depends on it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 SETTINGS = GrantSettings()
 SHARDS = range(4)
 TTL_MS = 2000.0
-FAST_CLOCK = 1.01  # the engine's
+FAST_CLOCK = 1.01  # rate of the engine's clock
 
 
 @dataclass
 class EngineModel:
-    """One member's lease and keys as the engine has them."""
+    """The engine's state of one member's lease and keys."""
 
     lease_id: int = 0
     ends_at: float = 0.0
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_session_never_leads_past_what_the_engine_grants(seed: int) -> None:
-    """A shard is led only within the engine's latest lease, and never once it was given up.
+def test_a_session_leads_only_while_the_engine_s_lease_lasts(seed: int) -> None:
+    """A shard is led only within the engine's latest lease, and no longer once it is released.
 
-    Replies, losses and delays are random.
+    Losses and delays of replies are random.
     """
     random = Random(seed)
     session = LeaseSession(SETTINGS)
@@ -70,20 +70,20 @@
         assert not led_shards(session, now) - wanted
         if request is None:
             continue
-        now += random.choice((1.0, 5.0, 400.0, 1500.0))  # the request's way
+        now += random.choice((1.0, 5.0, 400.0, 1500.0))  # delay of the request
         reply: EngineReply | None = engine.reply(now, request)
         if random.random() < 0.3:
             reply = None
-        now += random.choice((1.0, 5.0, 300.0, 1900.0))  # the reply's way
+        now += random.choice((1.0, 5.0, 300.0, 1900.0))  # delay of the reply
         session.record_reply(now, request, reply)
         led = led_shards(session, now)
         assert not led or (now < engine.ends_at and led <= engine.keys), (now, engine, led)
 
 
-def test_a_shard_is_given_up_before_the_engine_is_told() -> None:
-    """A leader that gives its shard up grants nothing until the engine's reply comes.
+def test_a_leader_stops_leading_a_shard_before_it_releases_the_shard_at_the_engine() -> None:
+    """A leader that releases its shard must grant nothing more while it waits for the engine's reply.
 
-    Found on real members: the next leader had begun meanwhile, and 22 starts of 20 were counted.
+    With real members, the next leader had started before that reply, and 22 starts were counted at a limit of 20.
     """
     voters = frozenset(("a", "b", "c"))
     limits = {"x": Limit(per_s=20.0)}
--- a/tests/test_quota_messages.py
+++ b/tests/test_quota_messages.py
@@ -1,4 +1,4 @@
-"""Bytes of messages about limits, and of the budget journal's file."""
+"""Encoding of messages about limits, and of the budget journal's file."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert MAX_AMOUNT == 10**7
 
 
-def test_every_message_about_limits_fits_a_datagram_and_comes_back_complete() -> None:
+def test_every_message_about_limits_fits_a_datagram_and_is_decoded_unchanged() -> None:
     random = Random(1)
     for message in LARGEST_MESSAGES:
         datagram = LimitDatagram("f" * 48, "n" * 48, 2**45, message)
@@ -46,7 +46,7 @@
         decode(encode(LimitDatagram("f", "n", 1, GrantResponse(0, 1, 1, 1, (("k", -1),)))))
 
 
-def test_a_budget_journal_comes_back_complete_or_not_at_all(tmp_path: Path) -> None:
+def test_a_budget_journal_is_read_unchanged_or_rejected(tmp_path: Path) -> None:
     path = tmp_path / "budgets.bin"
     totals = {BudgetPeriod("x", 20_000): 17, BudgetPeriod("x/shop", 20_000): 2**40}
     assert budget_file.read(path) == {}
--- a/tests/test_quota_retry_budget.py
+++ b/tests/test_quota_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of retries."""
+"""The bound of the retry budget."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @given(st.lists(st.sampled_from(["first", "retry", "rejected"]), max_size=400), st.floats(0, 2), st.integers(1, 9))
-def test_retries_stay_within_their_budget(events: list[str], share: float, burst: int) -> None:
+def test_accepted_retries_stay_within_the_budget(events: list[str], share: float, burst: int) -> None:
     settings = RetryBudgetSettings(share, burst)
     budget = RetryBudget(settings)
     first_attempts = 0
--- a/tests/test_quota_usage_windows.py
+++ b/tests/test_quota_usage_windows.py
@@ -1,4 +1,4 @@
-"""Counters of usage: no start leaves a window early."""
+"""Usage windows: no start expires early."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.floats(0, 400), max_size=200), st.integers(1, 20))
-def test_a_window_forgets_no_start_early(gaps_ms: list[float], allowance: int) -> None:
+def test_no_start_expires_early_from_a_window(gaps_ms: list[float], allowance: int) -> None:
     window = UsageWindow(SPAN_MS)
     now = 0.0
     starts: list[float] = []
@@ -29,9 +29,9 @@
 def test_starts_that_are_counted_when_they_are_sent_exceed_the_allowance_in_no_window(
     starts: list[tuple[float, float]], allowance: int
 ) -> None:
-    """Each is recorded at its decision, given back when it is sent, and recorded again if there is room by then."""
+    """A start is recorded when admitted, given back when sent, and recorded again then if there is capacity."""
     window = UsageWindow(SPAN_MS)
-    events: list[tuple[float, int, float | None]] = []  # when, order, the decision of a send
+    events: list[tuple[float, int, float | None]] = []  # time, order, time of the decision (None for a decision)
     now = 0.0
     for number, (gap_ms, delay_ms) in enumerate(starts):
         now += gap_ms
