--- a/myrtlespar/fleet/__init__.py
+++ b/myrtlespar/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""Wiring of one process's fleet parts: membership, fleet limits, and the sockets, files and clocks that they need.
+"""Connects membership and fleet limits of one process to the sockets, files and clocks that they need.
 
-Loaded only with MYRTLESPAR_FLEET set, and the only package that knows all of these parts. It makes no promises of its
-own; those of membership and of limits are stated in `membership` and `quota`.
+Imported only if MYRTLESPAR_FLEET is set, and the only package that depends on all of these parts. It adds no guarantees
+of its own; those of membership and of limits are stated in `membership` and `quota`.
 """
 
 from myrtlespar.fleet.node import FleetNode, open_fleet
--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -1,4 +1,4 @@
-"""Carries out a limit coordinator's requests to the engine (etcd), one at a time, in the order that it returns them."""
+"""Carries out a limit coordinator's requests to the engine (etcd), one at a time and in order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LeaseSource:
-    """One greenlet that acquires, renews and releases the leases of shards."""
+    """Acquires, renews and releases the leases of shards at the engine, in one greenlet."""
 
     def __init__(
         self,
@@ -28,27 +28,27 @@
         apply_effects: Callable[[list[LimitEffect]], None],
         counters: Counters,
     ) -> None:
-        """`now` is the clock of limits, in ms; `apply_effects` carries out the coordinator's effects."""
+        """Create the etcd client; `now` returns the limits' clock in ms, `apply_effects` carries out effects."""
         assert coordinator.lease_session is not None
         self.coordinator = coordinator
         self.session = coordinator.lease_session
         self.now = now
         self.apply_effects = apply_effects
         self.counters = counters
-        self.answered_at = float("-inf")  # time of the engine's last answer, on the clock of `now`
+        self.answered_at = float("-inf")  # time of the engine's latest reply, in ms of `now`
         self.etcd = EtcdClient(
             settings.address,
             f"/myrtlespar/{fleet}/ranges/",
             coordinator.self_id.name,
             settings.ttl_s,
             settings.timeout_ms / MS_PER_S,
-            self._shard_freed,
+            self._shard_released,
             self._request_failed,
         )
         self._shard_free = Event()
 
     def run(self) -> None:
-        """Run until the coordinator retires, then revoke the lease, so that another member can lead at once."""
+        """Run until the coordinator retires, then revoke the lease, so that another member can lead immediately."""
         self.etcd.watch()
         while not self.coordinator.grant_holder.retired:
             self._step(self.coordinator.settings.ask_ms / 2.0 / MS_PER_S)
@@ -57,7 +57,7 @@
         self.etcd.close()
 
     def _step(self, pause_s: float) -> None:
-        """Send the request that is due, or wait for one; pause after a request without an answer."""
+        """Send the request that is due, or wait until one may be; pause after a request without a reply."""
         request, effects = self.coordinator.next_engine_request(self.now())
         self.apply_effects(effects)
         if request is None:
@@ -72,7 +72,7 @@
         else:
             self.answered_at = self.now()
 
-    def _shard_freed(self, shard_id: int) -> None:
+    def _shard_released(self, shard_id: int) -> None:
         self.session.shard_released(shard_id)
         self._shard_free.set()
 
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -1,6 +1,6 @@
 """Runs the limit coordinator of one process: its clock, its datagrams, and the effects that it returns.
 
-Admission itself is `limits_port`, the budget file `budget_writer`, what operators see `limits_report`.
+`limits_port` admits requests, `budget_writer` writes the budget file, and `limits_report` reports to operators.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from myrtlespar.fleet import limits_report
 from myrtlespar.fleet.budget_writer import BudgetWriter
 from myrtlespar.fleet.limits_port import FleetLimitsAdmission
-from myrtlespar.fleet.settings import FleetSettings, limits_fault
+from myrtlespar.fleet.settings import FleetSettings, limits_change_error
 from myrtlespar.net.codec.limits import MAGIC, LimitDatagram, decode, encode
 from myrtlespar.net.codec.peer import MAX_DATAGRAM_BYTES, MalformedPeerMessageError, UnsupportedPeerVersionError
 from myrtlespar.net.peer_transport import PeerTransport, monotonic_ms
@@ -36,9 +36,9 @@
 
 
 class LimitsDriver:
-    """The fleet's limits in one process.
+    """Drives the fleet's limits in one process.
 
-    Created with the process; `start` creates the coordinator once the peer address is this process's own.
+    It is created when the process starts; `start` creates the coordinator once this process owns the peer address.
     """
 
     def __init__(
@@ -53,15 +53,15 @@
     ) -> None:
         """Create the driver without a coordinator.
 
-        `key_of` returns the idempotency key of a request's id. `reload` reads the fleet's file again; it is called once
-        a change that came too early can be adopted. ConfigError if the budget file can't be used.
+        `key_of` returns the idempotency key of a request, by its id. `reload` reads the fleet file again; it is called
+        when a change that was rejected as too early can be adopted. ConfigError if the budget file can't be used.
         """
         self.settings = settings
         self.peers = peers
         self.counters = counters
         self.clock_rate = settings.clock_rate
         self._reload = reload
-        self._awaits_settling = False  # a change was rejected only because the present version is not settled
+        self._reload_when_settled = False  # a change was rejected only because the current version is not settled
         self.coordinator: LimitCoordinator | None = None
         self.lease_source: LeaseSource | None = None
         self.port = FleetLimitsAdmission(settings, classes, counters, Random(seed), self.now, key_of)
@@ -71,14 +71,14 @@
         self.budget_writer = BudgetWriter(budget_path, counters)
         unknown = {limit.cls for limit in settings.limits.values()} - {"", *classes}
         if unknown:
-            log.warning("fleet: limits on classes that this server does not have", classes=sorted(unknown))
+            log.warning("fleet: limits on request classes that this server does not have", classes=sorted(unknown))
 
     def now(self) -> float:
-        """Return the time on the clock of limits, in monotonic ms."""
+        """Return the time of the limits' clock in monotonic ms, at the rate `clock_rate`."""
         return monotonic_ms() * self.clock_rate
 
     def start(self, incarnation: int) -> None:
-        """Create the coordinator and run it, as the peer address is this process's own now."""
+        """Create the coordinator and run it; call it once this process owns the peer address."""
         now = self.now()
         self.budget_writer.reload()
         coordinator = LimitCoordinator(
@@ -89,7 +89,7 @@
             now,
             self.settings.limits_version,
             self.settings.engine is not None,
-            self.budget_writer.rows,
+            self.budget_writer.persisted_totals,
         )
         self.coordinator = coordinator
         coordinator.wall_offset_ms = self._wall_offset_ms(now)
@@ -98,7 +98,7 @@
         gevent.spawn(self._run_clock, coordinator)
         if self.budget_writer.path is not None:
             gevent.spawn(self.budget_writer.run, coordinator, self._persisted)
-        if self.settings.engine is not None:  # loaded only where one is set
+        if self.settings.engine is not None:  # gRPC is imported only if an engine is set
             from myrtlespar.fleet.lease_source import LeaseSource
 
             self.lease_source = LeaseSource(
@@ -112,56 +112,60 @@
             gevent.spawn(self.lease_source.run)
 
     def retire(self) -> None:
-        """Use no allowance any more, as this process ends or a second one of its name takes over. Returns at once."""
+        """Stop using allowances, as this process ends or a second one of its name takes over. Returns immediately."""
         if self.coordinator is not None:
             self.coordinator.retire()
 
-    def adopt(self, fresh: FleetSettings) -> str:
+    def adopt(self, new_settings: FleetSettings) -> str:
         """Adopt a later version of the limits, completely or not at all.
 
         Returns:
-            Why it was rejected, beginning with the key; empty if it was adopted or is the present one.
+            Why it was rejected, beginning with the key; empty if it was adopted or is the current version.
         """
-        fault = self.change_fault(fresh)
-        if fault or not self._is_change(fresh):
-            return fault
-        self.settings = replace(self.settings, limits=fresh.limits, limits_version=fresh.limits_version)
+        rejection = self.change_error(new_settings)
+        if rejection or not self._is_change(new_settings):
+            return rejection
+        self.settings = replace(self.settings, limits=new_settings.limits, limits_version=new_settings.limits_version)
         if self.coordinator is not None:
-            self._apply_effects(self.coordinator.adopt_limits(self.now(), fresh.limits, fresh.limits_version))
-        log.info("fleet: limits taken over", version=fresh.limits_version)
+            self._apply_effects(
+                self.coordinator.adopt_limits(self.now(), new_settings.limits, new_settings.limits_version)
+            )
+        log.info("fleet: adopted new limits", version=new_settings.limits_version)
         return ""
 
-    def change_fault(self, fresh: FleetSettings) -> str:
+    def change_error(self, new_settings: FleetSettings) -> str:
         """Return why a version of the limits can't be adopted, beginning with the key; empty if it can.
 
-        One that only comes too early is read again once it can be adopted.
+        If it is rejected only because the current version is not settled, the fleet file is read again once it is.
         """
-        if not self._is_change(fresh):
+        if not self._is_change(new_settings):
             return ""
-        fault = limits_fault(self.settings, fresh)
-        if not fault and self.coordinator is not None and not self.coordinator.grant_holder.settled:
-            fault = f"limits_version: version {self.settings.limits_version} is not yet known to be taken by all"
-            # Nobody sends the change again, and all other members would wait for this one to adopt it.
-            self._awaits_settling = True
-        if fault:
+        rejection = limits_change_error(self.settings, new_settings)
+        if not rejection and self.coordinator is not None and not self.coordinator.grant_holder.settled:
+            rejection = (
+                f"limits_version: version {self.settings.limits_version} is not yet known to be adopted by all members"
+            )
+            # The operator does not repeat the reload, and the other members can't settle before this one adopts.
+            self._reload_when_settled = True
+        if rejection:
             self.counters.add("limits.change_refused")
-        return fault
+        return rejection
 
-    def _is_change(self, fresh: FleetSettings) -> bool:
-        present = self.settings
-        return (fresh.limits, fresh.limits_version) != (present.limits, present.limits_version)
+    def _is_change(self, new_settings: FleetSettings) -> bool:
+        current = self.settings
+        return (new_settings.limits, new_settings.limits_version) != (current.limits, current.limits_version)
 
     def set_present_members(self, names: frozenset[str]) -> None:
-        """Set the other members that are alive or suspect in this member's view."""
+        """Set the names of the other members that are alive or suspect in this member's view."""
         if self.coordinator is not None:
             self.coordinator.present_members = names
 
     def report(self) -> bytes:
-        """Return the answer to LIMITS: one JSON line."""
+        """Return the answer to LIMITS: one line of JSON."""
         return limits_report.limits_line(self)
 
     def metrics(self) -> list[str]:
-        """Return lines of Prometheus text, by limit."""
+        """Return the limits' metrics as lines of Prometheus text."""
         return limits_report.metrics_lines(self)
 
     def _wall_offset_ms(self, now: float) -> float:
@@ -174,8 +178,8 @@
             coordinator.wall_offset_ms = self._wall_offset_ms(now)
             if coordinator.next_at() <= now:
                 self._apply_effects(coordinator.tick(now))
-            if self._awaits_settling and coordinator.grant_holder.settled:
-                self._awaits_settling = False
+            if self._reload_when_settled and coordinator.grant_holder.settled:
+                self._reload_when_settled = False
                 self._reload()
             gevent.sleep(max(MIN_TICK_S, (coordinator.next_at() - self.now()) / 1000.0))
 
@@ -184,8 +188,8 @@
             datagram = decode(data)
         except UnsupportedPeerVersionError:
             return self.counters.add("limits.other_version")
-        except MalformedPeerMessageError as why:
-            return self.counters.add(f"limits.spoilt.{str(why).replace(' ', '_')}")
+        except MalformedPeerMessageError as error:
+            return self.counters.add(f"limits.spoilt.{str(error).replace(' ', '_')}")
         if datagram.fleet != self.settings.fleet or datagram.name == self.settings.name or self.coordinator is None:
             return self.counters.add("limits.foreign")
         sender = Incarnation(datagram.name, datagram.incarnation)
@@ -205,7 +209,7 @@
         assert self.coordinator is not None
         name, incarnation = self.coordinator.self_id
         data = encode(LimitDatagram(self.settings.fleet, name, incarnation, effect.message))
-        if len(data) > MAX_DATAGRAM_BYTES:  # keys too long for one datagram; the link promises to carry none
+        if len(data) > MAX_DATAGRAM_BYTES:  # its keys are too long for one datagram, the largest that a link carries
             self.counters.add("limits.oversized")
             return
         self.peers.send(effect.recipient, data)
--- a/myrtlespar/fleet/limits_port.py
+++ b/myrtlespar/fleet/limits_port.py
@@ -1,7 +1,7 @@
-"""Admission under the fleet's limits: what the policy calls for each request (`policy.messages.FleetLimitsPort`).
+"""Admits requests under the fleet's limits, as the policy's port `policy.fleet_port.FleetLimitsPort`.
 
-Nothing here waits or sends. A request is checked against the allowances that the limit coordinator holds at the
-moment; one that finds no capacity may be queued until there is some, or is rejected with a Retry-After time.
+Nothing here blocks or sends. A request is checked against the current allowances of the limit coordinator. If there is
+no capacity, it is either queued until there is some or rejected with a Retry-After time.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from myrtlespar.quota.settings import CountedWork, Limit, caller_prefix
 from myrtlespar.runtime.counters import Counters
 
-MAX_QUEUED_PER_CALLER = 8  # a caller's connections carry this many unanswered requests, and other work beside them
-RETRY_AFTER_BEFORE_START_MS = 100.0  # while no coordinator has been started, nothing is admitted under a limit
+MAX_QUEUED_PER_CALLER = 8  # a caller's connections can carry this many unanswered requests next to other work
+RETRY_AFTER_BEFORE_START_MS = 100.0  # without a coordinator, nothing is admitted under a limit
 
-# A start that is sent so long after its admission has to be admitted anew: in a window that begins between the two, its
-# capacity may have been used again. The time of an ordinary turn of the process is below it.
+# A start that is sent later than this after its admission has to be admitted again, as its capacity may have been used
+# again in a window that begins in between. An ordinary turn of the event loop takes less time.
 MAX_START_DELAY_MS = 20.0
 
 NamedLimits = list[tuple[str, Limit]]
@@ -31,39 +31,39 @@
 
 @dataclass(slots=True)
 class Shortage:
-    """The last request that found no capacity."""
+    """A request that found no capacity, and the check that rejected it."""
 
     request_id: str
     keys: Sequence[str]
-    key: str  # the one without capacity
+    key: str  # the one of `keys` without capacity
     check: AdmissionCheck
-    caller: int
+    caller: int  # number of the client that sent the request
 
 
 @dataclass(slots=True)
 class AdmittedStart:
-    """A request that was admitted under limits and has not ended."""
+    """A request that was admitted under limits and has not ended yet."""
 
     keys: Sequence[str]
-    acquired_at: float  # on the clock of limits, in ms
-    was_sent: bool = False  # its start was sent to the engine, perhaps more than once
+    acquired_at: float  # in ms of the limits' clock
+    was_sent: bool = False  # its start was sent to the engine at least once
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that was rejected under a limit, for operators."""
+    """A request that was rejected under a limit, as reported to operators."""
 
     key: str
-    at: float  # Unix ms
+    at: float  # Unix time in ms
     check: AdmissionCheck
-    leader: str  # member that grants this key
-    waiting: int  # requests queued at that time
+    leader: str  # the member that should lead the key's shard
+    waiting: int  # number of queued requests at that time
 
 
 class FleetLimitsAdmission:
     """Implements the policy's port to the fleet's limits.
 
-    Until `start`, only requests that no limit applies to are admitted.
+    Before `start`, only requests that no limit applies to are admitted.
     """
 
     def __init__(
@@ -75,38 +75,39 @@
         now: Callable[[], float],
         key_of: Callable[[str], str],
     ) -> None:
-        """`now` is the clock of limits, in ms; `key_of` returns the idempotency key of a request's id."""
+        """Create the port; `now` returns the limits' clock in ms, `key_of` the idempotency key of a request id."""
         self.counters = counters
         self.now = now
         self.coordinator: LimitCoordinator | None = None
         self.admission_queue: AdmissionQueue | None = None
         self.call_queue: AdmissionQueue | None = None
         self.retry_budget = RetryBudget(settings.repeats) if settings.repeats is not None else None
-        self.admitted: dict[str, int] = {}  # by limit
-        self.rejected: dict[str, int] = {}  # by limit
-        self.last_rejections: dict[str, Rejection] = {}  # by limit
+        self.admitted: dict[str, int] = {}  # number of requests and calls, by limit
+        self.rejected: dict[str, int] = {}  # number of requests, by limit
+        self.last_rejections: dict[str, Rejection] = {}  # by limit name
         self._site = settings.site
         self._random = random
         self._key_of = key_of
         self._request_limits = [limits_of(settings, name, CountedWork.RUNS) for name in classes]
         self._call_limits = [limits_of(settings, name, CountedWork.CALLS) for name in classes]
-        # Called with the id and the age of the decision in ms; for traces.
+        # Called with the request id and the time in ms since its admission; for traces.
         self.admission_observer: Callable[[str, float], None] | None = None
-        self._waiting_calls: set[str] = set()  # requests whose call to the dependency found no capacity yet
+        self._waiting_calls: set[str] = set()  # ids of requests whose call to the dependency waits for capacity
         self._last_shortage = Shortage("", [], "", ADMITTED, 0)
-        self._admitted_starts: dict[str, AdmittedStart] = {}  # by request
+        self._admitted_starts: dict[str, AdmittedStart] = {}  # by request id
 
     def start(self, coordinator: LimitCoordinator) -> None:
-        """Admit under this coordinator's allowances from now on."""
+        """Start admitting requests under the coordinator's allowances."""
         self.coordinator = coordinator
         self.admission_queue = AdmissionQueue(coordinator)
         self.call_queue = AdmissionQueue(coordinator)
 
     def admit(self, request_id: str, class_index: int, sender: int) -> float:
-        """Take capacity for a request under every limit that applies to it.
+        """Acquire capacity for a request under every limit that applies to it.
 
-        Returns 0 if it was admitted, otherwise the time in ms after which there may be capacity; infinity if its caller
-        has too many queued requests, so that it is not worth queueing.
+        Returns:
+            0 if it was admitted, otherwise the time in ms after which there may be capacity; infinity if its caller has
+            too many queued requests, so that this one must not be queued.
         """
         applying = self._request_limits[class_index]
         if not applying:
@@ -129,10 +130,10 @@
         return 0.0
 
     def confirm_start(self, request_id: str) -> bool:
-        """Confirm a request's admission right before its start is sent; false if it may not be sent.
+        """Confirm a request's admission right before its start is sent; False if it must not be sent.
 
-        Between the decision and the send the process may have stood still, or the start may have waited for a link. A
-        start that is sent a second time counts as another one.
+        Between the admission and the send, the process may have been paused, or the start may have waited for a link to
+        the engine. A start that is sent a second time counts as another start.
         """
         start = self._admitted_starts.get(request_id)
         if start is None or self.admission_queue is None:
@@ -149,7 +150,7 @@
         return True
 
     def enqueue(self, request_id: str, order: float) -> None:
-        """Queue the request that `admit` has just found no capacity for; the lowest `order` goes first."""
+        """Queue the request that `admit` has just not admitted; the lowest `order` is admitted first."""
         shortage = self._last_shortage
         if self.admission_queue is not None and shortage.request_id == request_id:
             self.counters.add("limits.held")
@@ -158,38 +159,39 @@
     def reject(self, request_id: str, after_ms: float) -> float:
         """Record a rejection for lack of capacity.
 
-        Returns the Retry-After time in ms: at random between once and twice `after_ms`, so that callers spread. For the
-        request that `admit` rejected last, the time of that check replaces `after_ms`.
+        Returns:
+            The Retry-After time in ms, at random between 1 and 2 times `after_ms`, so that callers do not retry at the
+            same time. For the request that `admit` rejected last, the time from that check replaces `after_ms`.
         """
         shortage = self._last_shortage
         if request_id == shortage.request_id:
             after_ms = shortage.check.retry_after_ms
         if self.admission_queue is not None and self.coordinator is not None:
-            if request_id in self.admission_queue.waiting:  # it waited in the queue in vain
+            if request_id in self.admission_queue.waiting:  # it was queued and never found capacity
                 self._record_queued_rejection(request_id, self.coordinator, self.admission_queue)
             elif request_id == shortage.request_id and shortage.key:
                 self._record_rejection(shortage.key, shortage.check, self.coordinator, self.admission_queue)
         return after_ms * (1 + self._random.random())
 
     def take_ready(self) -> list[str]:
-        """Remove and return the queued requests that may call `admit` again now."""
+        """Remove and return the ids of queued requests for which `admit` should be called again now."""
         queue = self.admission_queue
         return queue.take_ready(self.now()) if queue is not None and queue.waiting else []
 
     def next_ready_ms(self) -> float:
-        """Return the time in ms until the first queued request may have capacity; infinity if that is not known."""
+        """Return the time in ms until a queued request may have capacity; infinity if that is not known."""
         queue = self.admission_queue
         return queue.next_ready_ms(self.now()) if queue is not None and queue.waiting else float("inf")
 
     def release(self, request_id: str) -> None:
-        """Release a request that has ended or been given up."""
+        """Release the capacity of a request that has ended, or remove an abandoned one from the queue."""
         self._waiting_calls.discard(request_id)
         self._admitted_starts.pop(request_id, None)
         if self.admission_queue is not None:
             self.admission_queue.release(request_id)
 
     def admit_call(self, request_id: str, class_index: int) -> bool:
-        """Take capacity for a request's call to the dependency under every limit on calls, if there is some."""
+        """Acquire capacity for a request's call to the dependency under all limits on calls; False if there is none."""
         applying = self._call_limits[class_index]
         if not applying:
             return True
@@ -209,21 +211,21 @@
         return True
 
     def release_call(self, request_id: str, after_ms: float) -> None:
-        """Release a call that is over for this member; the dependency may go on with it for `after_ms`."""
+        """Release a call that has ended for this member, but on which the dependency may still work for `after_ms`."""
         if self.call_queue is not None and after_ms > 0:
             self.call_queue.release_after(self.now(), request_id, after_ms)
         elif self.call_queue is not None:
             self.call_queue.release(request_id)
 
     def record_attempt(self, is_retry: bool) -> bool:
-        """Record a first attempt or a retry (`is_retry`). Returns False if there is no budget for this retry."""
+        """Record a first attempt or a retry. Returns False for a retry that exceeds the retry budget."""
         if self.retry_budget is None or self.retry_budget.record_attempt(is_retry):
             return True
         self.counters.add("limits.repeat_refused")
         return False
 
     def may_retry(self) -> bool:
-        """Return whether a caller that is rejected now may be invited to retry, and reserve that retry."""
+        """Return whether a caller rejected now may be invited to retry; if so, reserve that retry."""
         if self.retry_budget is None or self.retry_budget.may_retry(self.now()):
             return True
         self.counters.add("limits.repeat_not_offered")
@@ -262,7 +264,7 @@
 
 
 def limits_of(settings: FleetSettings, class_name: str, work: CountedWork) -> NamedLimits:
-    """Return the limits that apply to a class of requests and count this kind of work."""
+    """Return the limits that apply to a request class and count this kind of work, with their names."""
     return [
         (name, limit)
         for name, limit in settings.limits.items()
--- a/myrtlespar/fleet/limits_report.py
+++ b/myrtlespar/fleet/limits_report.py
@@ -1,7 +1,7 @@
-"""What operators see of the fleet's limits in one process: the answer to LIMITS, and lines of METRICS.
+"""Reports about the fleet's limits in one process: the answer to the LIMITS command, and lines for METRICS.
 
-Keys of the JSON and names of the metrics are part of the operators' interface and differ from names in the code:
-`keeper` is a shard's leader, `range` a shard, `standing` the guaranteed share, `refused` rejected.
+The JSON keys and metric names are a public interface and differ from the names in the code: `keeper` is a shard's
+leader, `range` a shard, `standing` the guaranteed share, and `refused` means rejected.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def limits_line(driver: LimitsDriver) -> bytes:
-    """The answer to LIMITS: one JSON line, ages and times in ms."""
+    """Return the answer to LIMITS: one line of JSON with ages and times in ms."""
     coordinator = driver.coordinator
     if coordinator is None:
         return b'{"waiting": true}\n'
@@ -29,7 +29,7 @@
         "name": driver.settings.name,
         "version": coordinator.version,
         "settled": coordinator.grant_holder.settled,
-        "engine_ms": _engine_age(driver, now),
+        "engine_ms": _engine_answer_age_ms(driver, now),
         "behind": coordinator.outdated_voters() if shard_rows else None,
         "waiting": len(port.admission_queue.waiting) if port.admission_queue is not None else 0,
         "repeats_left": None if port.retry_budget is None else round(port.retry_budget.remaining, 1),
@@ -45,7 +45,7 @@
 
 
 def metrics_lines(driver: LimitsDriver) -> list[str]:
-    """Lines of Prometheus text, by limit; the keys of one limit are summed."""
+    """Return lines of Prometheus text with one value per limit, summed over its keys."""
     coordinator = driver.coordinator
     if coordinator is None:
         return []
@@ -73,8 +73,8 @@
     }
 
 
-def _engine_age(driver: LimitsDriver, now: float) -> int | str | None:
-    """Time since the engine's last answer in ms; None where no engine is set."""
+def _engine_answer_age_ms(driver: LimitsDriver, now: float) -> int | str | None:
+    """Return the time in ms since the engine's latest reply, "never" without one; None if no engine is set."""
     if driver.lease_source is None:
         return None
     answered_at = driver.lease_source.answered_at
@@ -100,7 +100,7 @@
 
 
 def _led_shard_rows(coordinator: LimitCoordinator, now: float) -> list[dict[str, Any]]:
-    """The shards that this member leads now."""
+    """Return one row for each shard that this member leads now."""
     return [
         {
             "range": shard_id,
--- a/myrtlespar/fleet/member_report.py
+++ b/myrtlespar/fleet/member_report.py
@@ -1,7 +1,7 @@
-"""What operators see of membership in one process: the answer to MEMBERS, and lines of METRICS.
+"""Reports about membership in one process: the answer to the MEMBERS command, and lines for METRICS.
 
-Keys of the JSON and names of the metrics are part of the operators' interface and differ from names in the code:
-`life` is the incarnation and its refutation counter, `roll` the version of the voter set, `standing` the quorum status.
+The JSON keys and metric names are a public interface and differ from the names in the code: `life` is the incarnation
+and its refutation counter, `roll` the version of the voter set, and `standing` the quorum status.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 def waiting_line(settings: FleetSettings) -> bytes:
-    """The answer to MEMBERS while an old process of our name still has the address."""
+    """Return the answer to MEMBERS while an old process of the same name still owns the peer address."""
     return json.dumps({"name": settings.name, "site": settings.site, "waiting": True}).encode() + b"\n"
 
 
 def members_line(
     settings: FleetSettings, member: Member, peers: PeerTransport, counters: Counters, now: float
 ) -> bytes:
-    """The answer to MEMBERS: one JSON line, ages in ms."""
+    """Return the answer to MEMBERS: one line of JSON with ages in ms."""
     report = {
         "name": settings.name,
         "site": settings.site,
@@ -51,11 +51,11 @@
 
 
 def metrics_lines(member: Member, peers: PeerTransport, counters: Counters, now: float) -> list[str]:
-    """Lines of Prometheus text for METRICS."""
+    """Return the membership metrics as lines of Prometheus text."""
     counts = {state: 0 for state in MemberState}
     for entry in member.view.entries.values():
         counts[MemberState(entry.update.state)] += 1
-    counts[MemberState.ALIVE] += 1  # this member itself
+    counts[MemberState.ALIVE] += 1  # this member itself is not in its view
     lines = ["# TYPE fleet_members gauge"]
     lines += [f'fleet_members{{state="{state.name.lower()}"}} {count}' for state, count in counts.items()]
     lines.append("# TYPE fleet_standing gauge")
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -1,4 +1,4 @@
-"""One process's fleet parts: the peer transport, the membership machine and, where some are set, the fleet's limits."""
+"""The fleet parts of one process: peer transport, membership state machine and, if configured, fleet limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from myrtlespar.config import Config, ConfigError
 from myrtlespar.fleet import member_report
-from myrtlespar.fleet.settings import FleetSettings, keys_for_a_restart, read_fleet
+from myrtlespar.fleet.settings import FleetSettings, keys_requiring_restart, read_fleet
 from myrtlespar.membership.member import Member
 from myrtlespar.membership.messages import CountEvent, MemberChanged, MemberState, QuorumChanged
 from myrtlespar.membership.quorum import QuorumStatus, VoterSet, voter_set_change_error
@@ -26,10 +26,10 @@
 
 
 class FleetNode:
-    """The fleet's parts in this process: the server has one if MYRTLESPAR_FLEET is set.
+    """The fleet parts of this process, which exist if MYRTLESPAR_FLEET is set.
 
-    The sockets are opened by `open_fleet`. Membership and limits start later, by `_join`, once the peer address is this
-    process's own and no longer that of an old process of the same name.
+    `open_fleet` opens the sockets. `_join` starts membership and limits later, once this process owns the peer address
+    and no old process of the same name still uses it.
     """
 
     def __init__(
@@ -43,8 +43,8 @@
     ) -> None:
         """Create the parts without opening sockets.
 
-        `path` is the fleet's file, read again by `reload`; `key_of` returns the idempotency key of a request's id.
-        ConfigError names a key that this process can't comply with.
+        `path` is the fleet file, which `reload` reads again; `key_of` returns the idempotency key of a request id.
+        ConfigError names the key of a setting that this process can't support.
         """
         self.settings = settings
         self.path = path
@@ -62,58 +62,59 @@
         )
         self.limits: LimitsDriver | None = None
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
-            raise ConfigError("engine: needs the libraries of requirements-engine.txt")
-        if settings.limits or settings.repeats is not None:  # loaded only where some are set
+            raise ConfigError("engine: the libraries in requirements-engine.txt are not installed")
+        if settings.limits or settings.repeats is not None:  # imported only if limits are set
             from myrtlespar.fleet.limits_driver import LimitsDriver
 
             self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of, self.reload)
         for scope in self.voter_set.even_scopes():
-            log.warning("fleet: an even split leaves no majority", scope=scope or "fleet")
+            log.warning("fleet: an even split of the voters would leave no majority", scope=scope or "fleet")
 
     def leave(self) -> None:
-        """Begin the graceful shutdown: use no limits any more and notify the members. Returns at once."""
+        """Start leaving the fleet: stop using limits and notify the other members. Returns immediately."""
         if self.limits is not None:
             self.limits.retire()
         self.peers.leave()
 
     def close(self) -> None:
-        """Close the sockets; call it last, after `leave` and the end of all requests."""
+        """Close the sockets; call it after `leave`, once all requests have ended."""
         self.peers.close()
 
     def reload(self) -> None:
-        """Read the fleet's file again.
+        """Read the fleet file again.
 
-        New numbers of limits and a new voter set are adopted together, or neither of them: a member with the one and
-        without the other would count by a file that nobody wrote. The fault is logged as one error. If limits only come
-        too early, the file is read again once they can be adopted. All else needs a restart, and is named in the log.
+        New amounts of limits and a new voter set are adopted together or not at all, as one without the other would be
+        a configuration that no file contains. A rejection is logged as one error. If only the limits are rejected, as
+        the current version is not settled, the file is read again once it is. Other changed keys require a restart, and
+        a warning names them.
         """
         try:
-            fresh = read_fleet(self.path, self.settings.name)
+            new_settings = read_fleet(self.path, self.settings.name)
         except ConfigError as error:
             log.error("fleet reload refused", error=str(error))
             return
-        fault = self._voter_set_fault(fresh.voter_set)
-        if not fault and self.limits is not None:
-            fault = self.limits.change_fault(fresh)
-        if fault:
-            log.error("fleet reload refused", error=fault)
+        rejection = self._voter_set_change_error(new_settings.voter_set)
+        if not rejection and self.limits is not None:
+            rejection = self.limits.change_error(new_settings)
+        if rejection:
+            log.error("fleet reload refused", error=rejection)
             return
-        keys = keys_for_a_restart(self.settings, fresh)
+        keys = keys_requiring_restart(self.settings, new_settings)
         if keys:
             log.warning("fleet: changes with a restart", keys=keys)
         if self.limits is not None:
-            self.limits.adopt(fresh)
-        self._adopt_voter_set(fresh.voter_set)
+            self.limits.adopt(new_settings)
+        self._adopt_voter_set(new_settings.voter_set)
 
     def members(self) -> bytes:
-        """Return the answer to MEMBERS: one JSON line."""
+        """Return the answer to MEMBERS: one line of JSON."""
         member = self.peers.member
         if member is None:
             return member_report.waiting_line(self.settings)
         return member_report.members_line(self.settings, member, self.peers, self.counters, monotonic_ms())
 
     def metrics(self) -> list[str]:
-        """Return lines of Prometheus text for METRICS."""
+        """Return the metrics of membership and limits as lines of Prometheus text."""
         member = self.peers.member
         if member is None:
             return []
@@ -123,7 +124,7 @@
         return lines
 
     def _join(self, now: float) -> Member:
-        """Create the membership state machine and start the limits, as the peer address is this process's own now."""
+        """Create the membership state machine and start the limits, as this process now owns the peer address."""
         settings = self.settings
         incarnation = int(time.time() * 1000) + settings.wall_shift_ms
         log.info(
@@ -153,7 +154,7 @@
         return member
 
     def _report_change(self, effect: MemberChanged | QuorumChanged | CountEvent) -> None:
-        """Log each change of the view and of the quorum status, and pass the present members to the limits."""
+        """Log a change of the view or of the quorum status, and pass the members present to the limits."""
         if isinstance(effect, MemberChanged):
             log.info(
                 "fleet member",
@@ -177,22 +178,22 @@
         elif effect.log_message and self.counters.count_and_sample(f"fleet.log.{effect.counter}"):
             log.warning("fleet: " + effect.log_message)
 
-    def _voter_set_fault(self, fresh: VoterSet) -> str:
-        """Return why a voter set can't be adopted, beginning with the key; empty if it can or is the present one."""
-        fault = "" if fresh == self.voter_set else voter_set_change_error(self.voter_set, fresh)
-        if not fault:
+    def _voter_set_change_error(self, new_voter_set: VoterSet) -> str:
+        """Return why a voter set can't be adopted, beginning with the key; empty if it can or is the current one."""
+        rejection = "" if new_voter_set == self.voter_set else voter_set_change_error(self.voter_set, new_voter_set)
+        if not rejection:
             return ""
         self.counters.add("fleet.roll_refused")
-        return f"electorate.{fault}"
+        return f"electorate.{rejection}"
 
-    def _adopt_voter_set(self, fresh: VoterSet) -> None:
-        if fresh == self.voter_set:
+    def _adopt_voter_set(self, new_voter_set: VoterSet) -> None:
+        if new_voter_set == self.voter_set:
             return
-        self.voter_set = fresh
+        self.voter_set = new_voter_set
         if self.peers.member is not None:
-            for effect in self.peers.member.adopt_voter_set(fresh, monotonic_ms()):
+            for effect in self.peers.member.adopt_voter_set(new_voter_set, monotonic_ms()):
                 self._report_change(effect)  # type: ignore[arg-type]
-        log.info("fleet: roll taken over", roll=fresh.version)
+        log.info("fleet: roll taken over", roll=new_voter_set.version)
 
 
 def _state_name(state: int | None) -> str | None:
@@ -200,7 +201,7 @@
 
 
 def open_fleet(config: Config, counters: Counters, key_of: Callable[[str], str]) -> FleetNode:
-    """Read the fleet's file and take the peer address, before any client is served. ConfigError names the key."""
+    """Read the fleet file and bind the peer address, before any client is served. ConfigError names the faulty key."""
     settings = read_fleet(config.fleet, config.name)
     node = FleetNode(settings, config.fleet, counters, config.seed, config.class_names, key_of)
     try:
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The fleet's YAML file: read, validated, and given defaults. Each fault is one line that names the key."""
+"""Reads and validates the fleet file (YAML). Each error is one line that begins with the faulty key."""
 
 from __future__ import annotations
 
@@ -22,93 +22,97 @@
 from myrtlespar.quota.retry_budget import RetryBudgetSettings
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
-KEY = "MYRTLESPAR_FLEET"
+ENVIRONMENT_VARIABLE = "MYRTLESPAR_FLEET"
 MIN_DATAGRAMS_PER_S = 10
 MAX_DATAGRAMS_PER_S = 1_000_000
 MAX_ENGINE_TTL_S = 600
 MIN_ENGINE_TIMEOUT_MS = 10
 MAX_LIMITS_VERSION = 2**40  # exclusive
 MAX_VOTER_SET_VERSION = 2**53  # exclusive
-KEYS_IN_SERVICE = frozenset(("limits", "limits_version", "electorate"))  # a reload adopts them
+RELOADABLE_KEYS = frozenset(("limits", "limits_version", "electorate"))  # other keys require a restart
 
 
 class VoterSetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who counts for majorities, by site."""
+    """The voters, whose majority decides."""
 
     version: int
-    sites: dict[str, list[str]]
+    sites: dict[str, list[str]]  # names of the voters, by site
 
 
 class EngineSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An engine with etcd's v3 API as the source of shard leases, whose length is in whole seconds."""
+    """An engine with the etcd v3 API that grants the leases of shards."""
 
     address: str
-    ttl_s: int = 2
-    timeout_ms: int = 500
+    ttl_s: int = 2  # duration of a lease, which the API takes in whole seconds
+    timeout_ms: int = 500  # of one request
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The complete file. `bind` is where this process listens (UDP and TCP), `advertise` where others reach it."""
+    """The complete fleet file. This process listens at `bind` (UDP and TCP); other members reach it at `advertise`."""
 
     fleet: str
     site: str
     bind: str
-    name: str = ""  # that of the platform's file, if empty
-    advertise: str = ""  # `bind`, if empty
+    name: str = ""  # if empty, the name in the platform's file
+    advertise: str = ""  # if empty, the address in `bind`
     seeds: list[str] = []
     electorate: VoterSetSettings | None = None
     membership: MembershipSettings = MembershipSettings()
     limits: dict[str, Limit] = {}
-    limits_version: int = 1  # grows by one with each change of a number; `before` names the one it replaces
+    limits_version: int = 1  # incremented with each change of an amount; `before` of the limit has the replaced one
     grants: GrantSettings = GrantSettings()
     repeats: RetryBudgetSettings | None = None
-    state: str = ""  # a folder that outlives the process, for budgets
-    engine: EngineSettings | None = None  # in place of majority leases
-    datagrams_per_s: int = 2000  # more are dropped and counted, so that a flood can't take the processor
-    clock_rate: float = 1.0  # for tests of a clock that runs fast or slow: that of the limits
-    wall_shift_ms: int = 0  # for tests of a wrong clock: added to the wall clock, which sets incarnations only
+    state: str = ""  # a directory that outlives the process, for the budget file
+    engine: EngineSettings | None = None  # if set, it grants the leases in place of a majority of the voters
+    datagrams_per_s: int = 2000  # further ones are dropped and counted, so that a flood can't exhaust the CPU
+    clock_rate: float = 1.0  # rate of the limits' clock, for tests of a fast or slow clock
+    wall_shift_ms: int = 0  # for tests of a wrong clock: added to Unix time, which sets incarnations and budget periods
 
     @property
     def voter_set(self) -> VoterSet:
-        """Who counts for majorities; version 0 and empty where none is set, so that no majority is claimed."""
+        """The voter set; version 0 and empty if `electorate` is not set, so that no majority is ever claimed."""
         if self.electorate is None:
             return VoterSet(0, {})
         return VoterSet(self.electorate.version, {site: tuple(names) for site, names in self.electorate.sites.items()})
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """Rejects a key that stands twice in one table."""
+    """Rejects duplicate keys in a mapping."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict[Any, Any]:
         """Build the mapping as the parent class does. ConfigError if a key is duplicated."""
         seen = set()
         for key, _ in node.value:
             if key.value in seen:
-                raise ConfigError(f"{key.value}: stands twice in one table, line {key.start_mark.line + 1}")
+                raise ConfigError(f"{key.value}: duplicate key in one mapping, line {key.start_mark.line + 1}")
             seen.add(key.value)
         return super().construct_mapping(node, deep)
 
 
 def read_fleet(path: str, own_name: str) -> FleetSettings:
-    """The file's settings. ConfigError names the faulty key."""
+    """Return the settings in a fleet file. ConfigError names the faulty key."""
     try:
         raw = yaml.load(Path(path).read_text(), _UniqueKeyLoader)
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{KEY}: cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
+        raise ConfigError(
+            f"{ENVIRONMENT_VARIABLE}: cannot read {path}: {getattr(error, 'strerror', None) or error}"
+        ) from None
     except yaml.YAMLError as error:
-        raise ConfigError(f"{KEY}: not YAML: " + " ".join(str(error).split())[:160]) from None
-    found = _convert(raw)
-    found = msgspec.structs.replace(found, name=found.name or own_name, advertise=found.advertise or found.bind)
-    _check(found)
-    return found
+        raise ConfigError(f"{ENVIRONMENT_VARIABLE}: not YAML: " + " ".join(str(error).split())[:160]) from None
+    settings = _convert(raw)
+    settings = msgspec.structs.replace(
+        settings, name=settings.name or own_name, advertise=settings.advertise or settings.bind
+    )
+    _check(settings)
+    return settings
 
 
 def _convert(raw: Any) -> FleetSettings:
-    """The settings in parsed YAML. ConfigError names the key of a wrong type."""
+    """Return the settings in parsed YAML. ConfigError names a key that is missing, unknown or of a wrong type."""
     path = ""
     try:
         rows = raw.get("limits") if isinstance(raw, dict) else None
-        for name, row in rows.items() if isinstance(rows, dict) else ():  # one by one, so that a fault names its limit
+        for name, row in rows.items() if isinstance(rows, dict) else ():  # one by one, so that an error names its limit
             path = f"limits.{name}."
             msgspec.convert(row, Limit)
         path = ""
@@ -118,48 +122,48 @@
 
 
 def _key_first(text: str) -> str:
-    """A message of msgspec, such as "Expected x - at `$.a.b`", with the key first."""
-    what, _, where = text.partition(" - at ")
-    path = where.strip("`").removeprefix("$").lstrip(".")
-    field = re.search(r"(missing required|unknown) field `([^`]*)`", what)
+    """Return a message of msgspec, such as "Expected x - at `$.a.b`", with the key first."""
+    description, _, location = text.partition(" - at ")
+    path = location.strip("`").removeprefix("$").lstrip(".")
+    field = re.search(r"(missing required|unknown) field `([^`]*)`", description)
     if field:
         path = f"{path}.{field[2]}" if path else field[2]
-        what = "missing" if field[1] == "missing required" else "unknown key"
-    return f"{path or KEY}: {what[:1].lower()}{what[1:]}"
+        description = "missing" if field[1] == "missing required" else "unknown key"
+    return f"{path or ENVIRONMENT_VARIABLE}: {description[:1].lower()}{description[1:]}"
 
 
-def _check(found: FleetSettings) -> None:
-    """Validate values. ConfigError names the first key that is faulty."""
-    for key, value in (("fleet", found.fleet), ("name", found.name), ("site", found.site)):
+def _check(settings: FleetSettings) -> None:
+    """Validate the values. ConfigError names the first faulty key."""
+    for key, value in (("fleet", settings.fleet), ("name", settings.name), ("site", settings.site)):
         if not is_valid_name(value):
             raise ConfigError(f"{key}: expected 1 to 48 printable characters without spaces, got {value!r}")
-    _check_addresses(found)
-    validation_error = found.membership.validation_error()
+    _check_addresses(settings)
+    validation_error = settings.membership.validation_error()
     if validation_error:
         raise ConfigError(f"membership.{validation_error}")
-    if not MIN_DATAGRAMS_PER_S <= found.datagrams_per_s <= MAX_DATAGRAMS_PER_S:
+    if not MIN_DATAGRAMS_PER_S <= settings.datagrams_per_s <= MAX_DATAGRAMS_PER_S:
         raise ConfigError(
             f"datagrams_per_s: expected a number from {MIN_DATAGRAMS_PER_S} to {MAX_DATAGRAMS_PER_S}, "
-            f"got {found.datagrams_per_s}"
+            f"got {settings.datagrams_per_s}"
         )
-    if not 0.5 <= found.clock_rate <= 2:
-        raise ConfigError(f"clock_rate: expected 0.5 to 2, got {found.clock_rate}")
-    if found.electorate is not None:
-        _check_voter_set(found, found.electorate)
-    _check_limits(found)
+    if not 0.5 <= settings.clock_rate <= 2:
+        raise ConfigError(f"clock_rate: expected 0.5 to 2, got {settings.clock_rate}")
+    if settings.electorate is not None:
+        _check_voter_set(settings, settings.electorate)
+    _check_limits(settings)
 
 
-def _check_addresses(found: FleetSettings) -> None:
+def _check_addresses(settings: FleetSettings) -> None:
     addresses = [
-        ("bind", found.bind),
-        ("advertise", found.advertise),
-        *((f"seeds[{n}]", seed) for n, seed in enumerate(found.seeds)),
+        ("bind", settings.bind),
+        ("advertise", settings.advertise),
+        *((f"seeds[{n}]", seed) for n, seed in enumerate(settings.seeds)),
     ]
     for key, value in addresses:
         if not is_valid_address(value):
             raise ConfigError(f"{key}: expected A.B.C.D:PORT, got {value!r}")
-    if split_address(found.advertise)[0] == "0.0.0.0":
-        raise ConfigError(f"advertise: others can't reach {found.advertise}")
+    if split_address(settings.advertise)[0] == "0.0.0.0":
+        raise ConfigError(f"advertise: expected an address that other members can reach, got {settings.advertise}")
 
 
 def _check_engine(engine: EngineSettings) -> None:
@@ -173,52 +177,56 @@
         )
 
 
-def _check_limits(found: FleetSettings) -> None:
-    validation_error = found.grants.validation_error()
+def _check_limits(settings: FleetSettings) -> None:
+    validation_error = settings.grants.validation_error()
     if validation_error:
         raise ConfigError(f"grants.{validation_error}")
-    if found.engine is not None:
-        _check_engine(found.engine)
-    if found.repeats is not None and found.repeats.validation_error():
-        raise ConfigError(f"repeats.{found.repeats.validation_error()}")
-    members = sum(len(names) for names in found.electorate.sites.values()) if found.electorate else 0
-    if 0 < found.grants.members_most < members:
-        raise ConfigError(f"grants.members_most: the roll has {members} members, got {found.grants.members_most}")
-    if not 1 <= found.limits_version < MAX_LIMITS_VERSION:
-        raise ConfigError(f"limits_version: expected a number from 1, got {found.limits_version}")
-    for name, limit in found.limits.items():
-        _check_limit(name, limit, found.state, members)
-
-
-def _check_limit(name: str, limit: Limit, state: str, members: int) -> None:
+    if settings.engine is not None:
+        _check_engine(settings.engine)
+    if settings.repeats is not None and settings.repeats.validation_error():
+        raise ConfigError(f"repeats.{settings.repeats.validation_error()}")
+    voter_count = sum(len(names) for names in settings.electorate.sites.values()) if settings.electorate else 0
+    if 0 < settings.grants.members_most < voter_count:
+        raise ConfigError(
+            f"grants.members_most: expected 0 or at least the {voter_count} voters, got {settings.grants.members_most}"
+        )
+    if not 1 <= settings.limits_version < MAX_LIMITS_VERSION:
+        raise ConfigError(f"limits_version: expected a number from 1, got {settings.limits_version}")
+    for name, limit in settings.limits.items():
+        _check_limit(name, limit, settings.state, voter_count)
+
+
+def _check_limit(name: str, limit: Limit, state: str, voter_count: int) -> None:
     if not is_valid_limit_name(name):
         raise ConfigError(
-            f"limits.{name}: expected a name of at most {MAX_LIMIT_NAME_LENGTH} characters without spaces and slashes"
+            f"limits.{name}: expected a name of at most {MAX_LIMIT_NAME_LENGTH} characters without spaces or slashes"
         )
     validation_error = limit.validation_error()
     if validation_error:
         raise ConfigError(f"limits.{name}.{validation_error}")
     if limit.per_day is not None and not state:
-        raise ConfigError(f"limits.{name}.per_day: needs state, a folder that outlives the process")
-    if limit.kind is not LimitKind.ADVISORY and not members:
-        raise ConfigError(f"limits.{name}.kind: {limit.kind.value} needs an electorate, as else nobody may grant")
+        raise ConfigError(f"limits.{name}.per_day: needs state, a directory that outlives the process")
+    if limit.kind is not LimitKind.ADVISORY and not voter_count:
+        raise ConfigError(
+            f"limits.{name}.kind: {limit.kind.value} needs an electorate, as no member could grant capacity without one"
+        )
 
 
-def limits_fault(old: FleetSettings, new: FleetSettings) -> str:
-    """Return why these changes of limits can't be adopted without a restart, beginning with the key; empty if they can.
+def limits_change_error(old: FleetSettings, new: FleetSettings) -> str:
+    """Return why a change of limits can't be adopted without a restart, beginning with the key; empty if it can.
 
-    Only the numbers of limits may change, each with the present one as `before`, and the version grows by one.
+    Only the amounts of limits may change, with the current amount as `before`, and the version must grow by one.
     """
     if new.limits_version != old.limits_version + 1:
         return (
-            f"limits_version: {old.limits_version} is in force, expected {old.limits_version + 1}, "
+            f"limits_version: {old.limits_version} is in use, expected {old.limits_version + 1}, "
             f"got {new.limits_version}"
         )
     if set(new.limits) != set(old.limits):
         name = min(set(new.limits) ^ set(old.limits))
-        return f"limits.{name}: a limit comes or goes with a restart of all members"
+        return f"limits.{name}: a limit can only be added or removed with a restart of all members"
     for name, limit in new.limits.items():
-        validation_error = _limit_fault(old.limits[name], limit)
+        validation_error = _limit_change_error(old.limits[name], limit)
         if validation_error:
             return f"limits.{name}{validation_error}"
     for key in ("grants", "repeats"):
@@ -227,39 +235,45 @@
     return ""
 
 
-def keys_for_a_restart(old: FleetSettings, new: FleetSettings) -> list[str]:
-    """Return the keys that differ and are adopted with a restart only, sorted."""
-    keys = set(FleetSettings.__struct_fields__) - KEYS_IN_SERVICE
-    if not old.limits:  # limits come and go with a restart
+def keys_requiring_restart(old: FleetSettings, new: FleetSettings) -> list[str]:
+    """Return the sorted names of the keys that differ and that only a restart adopts."""
+    keys = set(FleetSettings.__struct_fields__) - RELOADABLE_KEYS
+    if not old.limits:  # the first limits can only be added with a restart
         keys.add("limits")
     return sorted(key for key in keys if getattr(old, key) != getattr(new, key))
 
 
-def _limit_fault(old: Limit, new: Limit) -> str:
-    """Return the same for one limit; the text is appended to the limit's name."""
+def _limit_change_error(old: Limit, new: Limit) -> str:
+    """Return why a change of one limit can't be adopted, as text to append to its name; empty if it can."""
     number = old.at_once if old.per_s is None else old.per_s
     same = msgspec.structs.replace(new, before=old.before, per_s=old.per_s, at_once=old.at_once)
     if same != old or (new.per_s is None) != (old.per_s is None):
-        return ": only its number changes in service, all else with a restart of all members"
+        return ": only the amount can be changed without a restart of all members"
     if (new.per_s, new.at_once) != (old.per_s, old.at_once) and new.before != number:
-        return f".before: {number:g} is in force, got {new.before}"
+        return f".before: expected the current amount {number:g}, got {new.before}"
     if new.before is not None and new.before != number:
-        return f".before: {number:g} is in force, got {new.before:g}"
+        return f".before: expected the current amount {number:g}, got {new.before:g}"
     return ""
 
 
-def _check_voter_set(found: FleetSettings, voters: VoterSetSettings) -> None:
+def _check_voter_set(settings: FleetSettings, voters: VoterSetSettings) -> None:
     if not 1 <= voters.version < MAX_VOTER_SET_VERSION:
         raise ConfigError(f"electorate.version: expected a number from 1, got {voters.version}")
     seen: dict[str, str] = {}
     for site, names in voters.sites.items():
         for n, name in enumerate(names):
             if not is_valid_name(name) or not is_valid_name(site):
-                raise ConfigError(f"electorate.sites.{site}[{n}]: expected a name, got {name!r}")
+                raise ConfigError(
+                    f"electorate.sites.{site}[{n}]: expected 1 to 48 printable characters without spaces "
+                    f"in site and name, got {name!r}"
+                )
             if name in seen:
-                raise ConfigError(f"electorate.sites.{site}[{n}]: {name} stands twice, also in {seen[name]}")
+                raise ConfigError(f"electorate.sites.{site}[{n}]: {name} is listed twice, also in site {seen[name]}")
             seen[name] = site
     if not seen:
-        raise ConfigError("electorate.sites: empty, so no majority could ever be had; leave electorate out instead")
-    if seen.get(found.name, found.site) != found.site:
-        raise ConfigError(f"electorate.sites.{seen[found.name]}: {found.name} is of site {found.site} here")
+        raise ConfigError("electorate.sites: empty, so no majority would be possible; omit electorate instead")
+    if seen.get(settings.name, settings.site) != settings.site:
+        raise ConfigError(
+            f"electorate.sites.{seen[settings.name]}: {settings.name} is listed here, "
+            f"but the key site is {settings.site}"
+        )
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -1,4 +1,4 @@
-"""What tests of complete fleets do with members, and read from them."""
+"""Helpers for tests of complete fleets: actions on members, and queries of their state."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 
 def states(run: FleetRun, name: str) -> dict[str, str]:
-    """The states that a member holds the others for."""
+    """Return the states of the other members in one member's view, by name."""
     view = run.view(name)
     return {row["name"]: row["state"] for row in view["members"]} if view and "members" in view else {}
 
 
 def incarnation_of(run: FleetRun, observer: str, name: str) -> int:
-    """The incarnation of a member that another one knows; 0 if none."""
+    """Return the incarnation of a member in the view of an observer; 0 if it is unknown."""
     view = run.view(observer) or {"members": []}
     return max((row["life"][0] for row in view["members"] if row["name"] == name), default=0)
 
 
 def others_know_incarnation_after(run: FleetRun, name: str, incarnation: int) -> bool:
-    """Whether all other members know a later incarnation of this one."""
+    """Return whether all other members know a later incarnation of a member."""
     return all(incarnation_of(run, observer, name) > incarnation for observer in run.members if observer != name)
 
 
 def count_of(run: FleetRun, name: str) -> int:
-    """The sum of the first member's counters whose names begin so."""
+    """Return the sum of the first member's counters whose names begin with `name`."""
     counts = (run.view("a1") or {}).get("counts", {})
     return sum(count for key, count in counts.items() if key.startswith(name))
 
 
 def others_answered_since(run: FleetRun, name: str, since_s: float) -> bool:
-    """Whether all others have answered a probe of this member after a time on the monotonic clock."""
+    """Return whether all others have answered a probe of a member since a time on the monotonic clock."""
     elapsed_ms = (time.monotonic() - since_s) * 1000
     view = run.view(name)
     if view is None or "members" not in view:
@@ -58,7 +58,7 @@
 
 
 def failures(run: FleetRun) -> list[dict[str, Any]]:
-    """All log lines by which a member held another one for failed."""
+    """Return all log lines in which a member reports another one as failed."""
     return [
         row
         for member in run.members.values()
@@ -68,7 +68,7 @@
 
 
 def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the command line to its end."""
+    """Run a command of the command line to its end."""
     return subprocess.run(
         [sys.executable, "-m", "myrtlespar", *arguments],
         cwd=ROOT,
@@ -80,7 +80,7 @@
 
 
 def start_error(member: MemberProcess, **changes: Any) -> str:
-    """Start a member with changed keys in its fleet file; the line with which the start is rejected."""
+    """Start a member with changed keys in its fleet file; return the error line of the rejected start."""
     path = member.folder / "fleet.yaml"
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **changes}))
     env = {
--- a/tests/test_budget_writer.py
+++ b/tests/test_budget_writer.py
@@ -1,8 +1,8 @@
-"""The writer of the budget journal where the file can't be read, or the disk doesn't answer.
+"""The writer of the budget journal if the file can't be read, or if a write does not return.
 
-If the file could not be read when the process took over its address, nothing was ever written, but what depended on a
-write was queued all the same, for ever and without bound: memory grew by each request of a shard leader, which waited
-for what never came. Nothing was counted.
+Guards against an unbounded queue. If the file could not be read when the process took over its peer address, nothing
+was ever written, but effects that depend on a write were still queued. Memory grew with each request of a shard leader,
+which never got a response, and no counter showed it.
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
     )
 
 
-def test_what_depends_on_a_file_that_cannot_be_read_is_dropped_and_counted(tmp_path: Path) -> None:
+def test_effects_are_dropped_and_counted_if_the_file_cannot_be_read(tmp_path: Path) -> None:
     path = tmp_path / "budgets-a1.bin"
     counters = Counters()
     writer = BudgetWriter(path, counters)
-    path.write_bytes(b"spoilt by somebody meanwhile")
+    path.write_bytes(b"corrupted by another process")
     writer.reload()
     for number in range(5000):
         writer.enqueue(effect(number))
     assert writer.queued == 0
     assert counters.report()[COUNTER] == 5000
-    assert path.read_bytes() == b"spoilt by somebody meanwhile"
+    assert path.read_bytes() == b"corrupted by another process"
 
 
-def test_what_waits_for_a_disk_that_does_not_answer_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = threading.Event()
+def test_the_queue_is_bounded_while_a_write_does_not_return(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    write_returns = threading.Event()
 
     def hang(*_: object) -> None:
-        answers.wait()
+        write_returns.wait()
 
     monkeypatch.setattr(budget_file, "write", hang)
     counters = Counters()
@@ -63,11 +63,11 @@
     greenlet = gevent.spawn(writer.run, coordinator, completed.append)
     coordinator.budget_journal.totals[BudgetPeriod("z", 1)] = 3
     writer.enqueue(effect(0))
-    gevent.sleep(0.01)  # the writer waits for the disk
+    gevent.sleep(0.01)  # until the writer waits for the write
     for number in range(3 * MAX_QUEUED_EFFECTS):
         writer.enqueue(effect(number))
     assert writer.queued == MAX_QUEUED_EFFECTS
     assert counters.report()[COUNTER] == 2 * MAX_QUEUED_EFFECTS
-    answers.set()
+    write_returns.set()
     until(lambda: gevent.sleep(0.01) or len(completed) == 1 + MAX_QUEUED_EFFECTS)
     greenlet.kill()
--- a/tests/test_fleet_reload.py
+++ b/tests/test_fleet_reload.py
@@ -1,8 +1,8 @@
-"""Reading a fleet's file again: it is taken whole, or rejected whole with one line that names the key.
+"""A reload of the fleet file is adopted completely, or rejected completely with one log line that names the key.
 
-Limits were adopted before the voter set of the same file was looked at. Where that was rejected, the member went on
-with the new limits and the old voters, and the log's only line said that the reload was refused. Keys that change with
-a restart only (`grants`, `repeats` and others) were passed over without a word.
+Guards against two faults. Limits were adopted before the voter set of the same file was checked, so a rejected voter
+set left the member with the new limits and the old voters, while the only log line said that the reload was refused.
+Changes of keys that need a restart (`grants`, `repeats` and others) were ignored without a log line.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ReloadedNode:
-    """A node that has not joined, and its file."""
+    """A node that has not joined the fleet, and its fleet file."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "fleet.yaml"
@@ -41,7 +41,7 @@
         self.node = FleetNode(settings, str(self.path), Counters(), 1, ["order"])
 
     def reload(self, **changes: Any) -> list[Any]:
-        """Change the file and read it again; the log's lines."""
+        """Change keys of the file and reload it; return the log lines."""
         self.path.write_text(yaml.safe_dump({**ROWS, **changes}))
         with capture_logs() as lines:
             self.node.reload()
@@ -49,12 +49,12 @@
 
     @property
     def versions(self) -> tuple[int, int]:
-        """Those of the limits and of the voter set that are in use."""
+        """The versions of the limits and of the voter set in use."""
         assert self.node.limits is not None
         return self.node.limits.settings.limits_version, self.node.voter_set.version
 
 
-def test_limits_and_voters_of_one_file_are_taken_together(tmp_path: Path) -> None:
+def test_limits_and_voters_of_one_file_are_adopted_together(tmp_path: Path) -> None:
     reloaded = ReloadedNode(tmp_path)
     lines = reloaded.reload(**LOWERED, **NEXT_VOTERS)
     assert reloaded.versions == (2, 2)
@@ -65,11 +65,11 @@
     ("changes", "key"),
     [
         ({**LOWERED, **OTHER_VOTERS}, "electorate.version 2"),
-        ({**LOWERED, "limits_version": 3, **NEXT_VOTERS}, "limits_version: 1 is in force"),
+        ({**LOWERED, "limits_version": 3, **NEXT_VOTERS}, "limits_version: 1 is in use"),
         ({**LOWERED, "grants": {"grant_ms": 3000}}, "grants: changes with a restart"),
     ],
 )
-def test_a_reload_with_one_fault_changes_nothing_and_is_named_in_one_line(
+def test_a_reload_with_one_invalid_key_changes_nothing_and_logs_one_line_naming_the_key(
     tmp_path: Path, changes: dict[str, Any], key: str
 ) -> None:
     reloaded = ReloadedNode(tmp_path)
@@ -87,12 +87,14 @@
         ({"bind": "127.0.0.1:7200", "seeds": ["127.0.0.1:7300"], **NEXT_VOTERS}, ["advertise", "bind", "seeds"]),
     ],
 )
-def test_what_changes_with_a_restart_only_is_named(tmp_path: Path, changes: dict[str, Any], keys: list[str]) -> None:
+def test_keys_that_need_a_restart_are_named_in_the_log(
+    tmp_path: Path, changes: dict[str, Any], keys: list[str]
+) -> None:
     reloaded = ReloadedNode(tmp_path)
     lines = reloaded.reload(**changes)
     assert [line["keys"] for line in lines if line["event"] == "fleet: changes with a restart"] == [keys]
     assert reloaded.versions == (1, 2 if "electorate" in changes else 1)
 
 
-def test_a_file_that_is_the_same_says_nothing(tmp_path: Path) -> None:
+def test_reloading_an_unchanged_file_logs_nothing(tmp_path: Path) -> None:
     assert ReloadedNode(tmp_path).reload() == []
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""Errors in the fleet file."""
+"""Error messages for the fleet file."""
 
 from __future__ import annotations
 
@@ -29,9 +29,12 @@
         (GOOD + "membership: {suspect_min_ms: 9000}\n", "membership.suspect_min_ms: 9000 is over"),
         (GOOD.replace("127.0.1.2:7000", "localhost:7000"), "seeds[0]: expected A.B.C.D:PORT"),
         (GOOD.replace("[a, b, c]", "[]"), "electorate.sites: empty"),
-        (GOOD.replace("[a, b, c]", "[a, b, b]"), "electorate.sites.x[2]: b stands twice"),
-        (GOOD.replace("{x: [a, b, c]}", "{y: [a, b, c]}"), "electorate.sites.y: a is of site x"),
-        (GOOD.replace("{x: [a, b, c]}", "{x: [a], x: [b]}"), "x: stands twice in one table"),
+        (GOOD.replace("[a, b, c]", "[a, b, b]"), "electorate.sites.x[2]: b is listed twice"),
+        (
+            GOOD.replace("{x: [a, b, c]}", "{y: [a, b, c]}"),
+            "electorate.sites.y: a is listed here, but the key site is x",
+        ),
+        (GOOD.replace("{x: [a, b, c]}", "{x: [a], x: [b]}"), "x: duplicate key in one mapping"),
         (GOOD.replace("version: 1", "version: 0"), "electorate.version: expected a number from 1"),
         ("- 1\n", "MYRTLESPAR_FLEET: expected `object`"),
         ("a: [", "MYRTLESPAR_FLEET: not YAML"),
--- a/tests/test_limits_driver.py
+++ b/tests/test_limits_driver.py
@@ -1,4 +1,4 @@
-"""The driver of fleet limits in one process."""
+"""The driver of the fleet's limits in one process."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class DisconnectedTransport:
-    """A peer transport that loses every datagram."""
+    """A peer transport that drops every datagram."""
 
     def __init__(self) -> None:
         self.handlers: dict[bytes, object] = {}
 
     def send(self, to: str, data: bytes) -> None:
-        """Lose the datagram."""
+        """Drop the datagram."""
 
 
-def test_one_caller_s_waiting_requests_are_bounded_and_leave_the_others_capacity_to_wait(tmp_path: Path) -> None:
+def test_the_queued_requests_of_one_caller_are_bounded_and_do_not_keep_others_from_queueing(tmp_path: Path) -> None:
     path = tmp_path / "fleet.yaml"
     path.write_text(
         "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1]}}\n"
@@ -56,7 +56,7 @@
     driver.retire()
 
 
-def test_a_change_that_comes_before_the_present_version_is_settled_is_read_again_once_it_is(tmp_path: Path) -> None:
+def test_a_change_rejected_before_the_current_version_is_settled_is_read_again_once_it_is(tmp_path: Path) -> None:
     path = tmp_path / "fleet.yaml"
     text = (
         "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1, a2, a3]}}\n"
@@ -76,7 +76,7 @@
     assert driver.coordinator is not None
     path.write_text(text % (2, 6))
     assert driver.adopt(read_fleet(str(path), "a1")).startswith("limits_version: version 1 is not yet known")
-    gevent.sleep(0.5)  # more than one turn of the clock of limits: nothing is read again before it is settled
+    gevent.sleep(0.5)  # more than one tick: the file is not read again before the version is settled
     assert not reloads
     driver.coordinator.versions.settle()
     until(lambda: gevent.sleep(0.01) or reloads)
@@ -87,7 +87,7 @@
     driver.retire()
 
 
-def test_a_leader_still_announces_the_version_before_while_its_own_is_not_settled() -> None:
+def test_a_leader_announces_the_previous_version_while_its_own_is_not_settled() -> None:
     coordinator = LimitCoordinator(
         Incarnation("a", 1), GrantSettings(), {"x": Limit(per_s=9.0)}, frozenset(("a", "b")), 0.0
     )
@@ -103,7 +103,7 @@
     assert versions.settled_version(3 * later) == 2
 
 
-def test_a_leader_that_never_knew_a_version_settled_announces_none_after_the_next() -> None:
+def test_a_leader_announces_no_previous_version_that_was_not_settled() -> None:
     coordinator = LimitCoordinator(
         Incarnation("a", 1), GrantSettings(), {"x": Limit(per_s=9.0)}, frozenset(("a", "b")), 0.0
     )
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""Limits of real members under fault scenarios."""
+"""Fleet limits of real member processes under fault scenarios."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.fleet
-def test_a_member_that_stood_still_at_the_start_takes_a_lowered_limit_all_the_same() -> None:
-    """A lowered limit was refused for good by a member that did not know yet that all had the version before.
+def test_a_member_that_was_paused_at_the_start_still_adopts_a_lowered_limit() -> None:
+    """A member that missed the settling of the previous version rejected a lowered limit permanently.
 
-    That knowledge comes 3.2 to 3.6 s after the load began, and the cut at 4 s; a standstill of 1.2 s is enough to miss
-    it. The members that had taken the change no longer confirmed the version before, so the member behind never heard
-    of it, and refused the change at every later attempt too (`fleet reload refused`, `limits_version: version 1 is not
-    yet known to be taken by all`, settled false). All others waited for it: 4 starts in a window where 12 are allowed.
+    The previous version settles 3.2 to 3.6 s after the load begins, and the cut begins at 4 s, so a pause of 1.2 s is
+    enough to miss it. Members that had adopted the change no longer announced the previous version as settled, so this
+    member also rejected every later reload (`fleet reload refused`, `limits_version: version 1 is not yet known to be
+    adopted by all members`, settled false). All others waited for it: 4 starts in a window where 12 are allowed.
     """
     done = lower_a_limit(1, stopped_member="c2")
     assert done["broken"] == [], done
@@ -46,7 +46,7 @@
     assert done["limits"]["order-farms"]["most"] > 16
 
 
-def test_a_script_may_cut_off_the_engine_only_where_there_is_one() -> None:
+def test_a_script_without_an_engine_must_not_cut_it_off() -> None:
     text = "fleet: {sites: {a: 3}, engine: %s}\nlength_s: 5\nevents: [{at_s: 1, cut: [all, engine], for_s: 2}]"
     assert parse(text % "true").engine
     with pytest.raises(ScriptError, match=r"^events\[0\]: engine: this fleet has none"):
--- a/tests/test_quota_settings.py
+++ b/tests/test_quota_settings.py
@@ -1,4 +1,4 @@
-"""Settings of limits: invalid ones, changes of version, the division of a limit, prefixes of keys."""
+"""Settings of limits: validation, changes of version, division of a limit, prefixes of keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from myrtlespar.config import ConfigError
-from myrtlespar.fleet.settings import FleetSettings, limits_fault, read_fleet
+from myrtlespar.fleet.settings import FleetSettings, limits_change_error, read_fleet
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind, caller_prefix
 
 FILE = "fleet: f\nsite: a\nname: a1\nbind: 127.0.0.1:7100\nelectorate: {version: 1, sites: {a: [a1, a2, a3]}}\n"
@@ -55,7 +55,7 @@
     assert read_fleet(str(path), "a1").limits["x"].kind is LimitKind.ADVISORY
 
 
-def test_amounts_change_in_service_one_version_at_a_time(tmp_path: Path) -> None:
+def test_a_reload_changes_amounts_one_version_at_a_time(tmp_path: Path) -> None:
     def read(limits: str) -> FleetSettings:
         path = tmp_path / "fleet.yaml"
         path.write_text(FILE + limits)
@@ -63,7 +63,7 @@
 
     old = read("limits: {x: {per_s: 20}, y: {at_once: 5}}")
     faults = [
-        limits_fault(old, read(limits))
+        limits_change_error(old, read(limits))
         for limits in (
             "limits_version: 2\nlimits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
             "limits: {x: {per_s: 10, before: 20}, y: {at_once: 5}}",
@@ -105,7 +105,7 @@
         assert pool + share * members <= max(amount, amount_before)
 
 
-def test_the_prefix_of_a_key_names_its_caller_in_a_safe_word() -> None:
+def test_the_caller_prefix_of_a_key_is_safe_in_a_limit_s_key() -> None:
     assert [caller_prefix(key, ":") for key in ("shop:17", "shop", "", ":17")] == ["shop", "-", "-", "-"]
     assert caller_prefix("a b:1", ":").startswith("#")
     assert len(caller_prefix("x" * 100 + ":1", ":")) == 9
