--- a/myrtlespar/fleet/budget_writer.py
+++ b/myrtlespar/fleet/budget_writer.py
@@ -89,9 +89,8 @@
                 if totals != written_totals:
                     gevent.get_hub().threadpool.apply(budget_file.write, (self.path, totals))
                     written_totals = totals
-            except (
-                OSError
-            ) as error:  # totals that are not on disk would be lost in a restart, so no effect is completed
+            except OSError as error:
+                # Totals that are not on disk would be lost in a restart, so these effects are not completed.
                 self.counters.add("limits.unwritten", len(effects))
                 if self.counters.count_and_sample("limits.log.unwritten"):
                     log.error("fleet: cannot write the budget journal", error=str(error))
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -209,7 +209,7 @@
         assert self.coordinator is not None
         name, incarnation = self.coordinator.self_id
         data = encode(LimitDatagram(self.settings.fleet, name, incarnation, effect.message))
-        if len(data) > MAX_DATAGRAM_BYTES:  # its keys are too long for one datagram, the largest that a link carries
+        if len(data) > MAX_DATAGRAM_BYTES:  # its keys are too long; receivers reject larger datagrams
             self.counters.add("limits.oversized")
             return
         self.peers.send(effect.recipient, data)
--- a/myrtlespar/fleet/node.py
+++ b/myrtlespar/fleet/node.py
@@ -63,7 +63,7 @@
         self.limits: LimitsDriver | None = None
         if settings.engine is not None and importlib.util.find_spec("grpc") is None:
             raise ConfigError("engine: the libraries in requirements-engine.txt are not installed")
-        if settings.limits or settings.repeats is not None:  # imported only if limits are set
+        if settings.limits or settings.repeats is not None:  # imported only if one of them is set
             from myrtlespar.fleet.limits_driver import LimitsDriver
 
             self.limits = LimitsDriver(settings, classes, self.peers, counters, seed, key_of, self.reload)
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -33,7 +33,7 @@
 
 
 class VoterSetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The voters, whose majority decides."""
+    """The voters, whose majority grants leases and decides the quorum status."""
 
     version: int
     sites: dict[str, list[str]]  # names of the voters, by site
@@ -173,7 +173,8 @@
         raise ConfigError(f"engine.ttl_s: expected 1 to {MAX_ENGINE_TTL_S}, got {engine.ttl_s}")
     if not MIN_ENGINE_TIMEOUT_MS <= engine.timeout_ms <= 250 * engine.ttl_s:
         raise ConfigError(
-            f"engine.timeout_ms: expected {MIN_ENGINE_TIMEOUT_MS} to a quarter of ttl_s, got {engine.timeout_ms}"
+            f"engine.timeout_ms: expected {MIN_ENGINE_TIMEOUT_MS} to {250 * engine.ttl_s} (a quarter of ttl_s), "
+            f"got {engine.timeout_ms}"
         )
 
 
@@ -191,7 +192,9 @@
             f"grants.members_most: expected 0 or at least the {voter_count} voters, got {settings.grants.members_most}"
         )
     if not 1 <= settings.limits_version < MAX_LIMITS_VERSION:
-        raise ConfigError(f"limits_version: expected a number from 1, got {settings.limits_version}")
+        raise ConfigError(
+            f"limits_version: expected a number from 1 to {MAX_LIMITS_VERSION - 1}, got {settings.limits_version}"
+        )
     for name, limit in settings.limits.items():
         _check_limit(name, limit, settings.state, voter_count)
 
@@ -231,7 +234,7 @@
             return f"limits.{name}{validation_error}"
     for key in ("grants", "repeats"):
         if getattr(new, key) != getattr(old, key):
-            return f"{key}: changes with a restart"
+            return f"{key}: can only be changed with a restart"
     return ""
 
 
@@ -258,7 +261,9 @@
 
 def _check_voter_set(settings: FleetSettings, voters: VoterSetSettings) -> None:
     if not 1 <= voters.version < MAX_VOTER_SET_VERSION:
-        raise ConfigError(f"electorate.version: expected a number from 1, got {voters.version}")
+        raise ConfigError(
+            f"electorate.version: expected a number from 1 to {MAX_VOTER_SET_VERSION - 1}, got {voters.version}"
+        )
     seen: dict[str, str] = {}
     for site, names in voters.sites.items():
         for n, name in enumerate(names):
--- a/myrtlespar/quota/__init__.py
+++ b/myrtlespar/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the whole fleet: rates, runs in flight and budgets.
+"""Fleet-wide limits on rates, runs in flight and budgets.
 
 A limit is divided into a guaranteed share for each member, used without any message, and a pool that the leader of
 the key's shard grants to the members that request it. A leader has its shard by a lease: from a majority of the
--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -42,9 +42,8 @@
         self.waiting: dict[str, WaitingRequest] = {}  # by request id
         self.waiting_by_caller: Counter[int] = Counter()
         self._waiting_by_key: dict[str, int] = {}
-        self._queues: dict[
-            str, list[tuple[float, str]]
-        ] = {}  # by key: heap of (order, request id); entries of requests that no longer wait are stale
+        # By key: heap of (order, request id). Entries of requests that no longer wait are stale.
+        self._queues: dict[str, list[tuple[float, str]]] = {}
         self._in_flight_keys: dict[str, list[str]] = {}  # by request id: its keys of limits on runs in flight
         self._ready: set[str] = set()  # ids that `take_ready` returned and that have not called `try_acquire` since
         self._lingering: list[LingeringRun] = []  # heap by `ends_at`
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -1,4 +1,4 @@
-"""Budgets: an amount in a period, such as a day, that holds across restarts of one member or of all at once.
+"""Budgets: fleet-wide amounts per period, such as a day, that are kept across restarts of any or all members.
 
 The protocol has three parts. All their totals only grow, so that any message may be lost, duplicated or late.
 
--- a/myrtlespar/quota/budget_account.py
+++ b/myrtlespar/quota/budget_account.py
@@ -23,7 +23,7 @@
     demand: UsageWindow
     drawn_total: int = 0
     returned_total: int = 0
-    spent: int = 0  # admitted by this incarnation
+    spent: int = 0  # by requests that this incarnation admitted
     leader: str = ""  # the latest leader that answered
     epoch: int = 0  # of that leader
     returned_to_leader: int = 0  # the part of `returned_total` returned in that epoch
@@ -46,9 +46,8 @@
         self.settings = settings
         # By key and period number. Plain tuples, as each admission under a budget creates one.
         self.balances: dict[tuple[str, int], BudgetBalance] = {}
-        self._latest_periods: dict[
-            str, int
-        ] = {}  # by limit; a clock that is set back must not reopen an earlier period
+        # By limit. A clock that is set back must not reopen an earlier period.
+        self._latest_periods: dict[str, int] = {}
 
     def balance(self, wall_ms: float, key: str, limit: Limit) -> BudgetBalance:
         """Return the balance of a key's current period; `wall_ms` is Unix time."""
--- a/myrtlespar/quota/budget_exchange.py
+++ b/myrtlespar/quota/budget_exchange.py
@@ -83,7 +83,7 @@
     def _reserve(self, sender: Incarnation, request: BudgetReserveRequest) -> None:
         """Persist a reservation of the leader to which this voter has promised the shard; reject one of other leaders.
 
-        A later leader has been told only the totals persisted before the promise to it, so a reservation of an earlier
+        A later leader has received only the totals persisted before the promise to it, so a reservation of an earlier
         leader must not be added after that.
         """
         promise = self._leadership.lease_voter.promises[request.shard_id]
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -26,7 +26,7 @@
 class GrantHolder:
     """The allowances of one member by key. Each is created at the key's first request and dropped when idle.
 
-    Budgets are held by `budget_account` instead.
+    Budgets are in `budget_account` instead.
     """
 
     def __init__(self, settings: GrantSettings, members: int, now: float) -> None:
@@ -35,7 +35,7 @@
         self.started_at = now
         self.allowances: dict[str, KeyAllowance] = {}
         self.settled = False  # all members are known to use this member's version of the limits
-        self.retired = False  # a second process of the same name has taken over the guaranteed share
+        self.retired = False  # this process ends, or a second one of the same name now uses the guaranteed share
         self._requests: dict[int, PendingRequest] = {}  # by sequence number
         self._sequence_number = 0
 
--- a/myrtlespar/quota/retry_budget.py
+++ b/myrtlespar/quota/retry_budget.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-RETRY_PLEDGE_MS = 2000.0  # a reservation expires after this time, within which an invited caller retries
+RETRY_RESERVATION_MS = 2000.0  # a reservation expires after this time, within which an invited caller retries
 MAX_RETRIES_PER_ATTEMPT = 20
 MAX_BURST = 100_000
 
@@ -44,7 +44,7 @@
     def __init__(self, settings: RetryBudgetSettings) -> None:
         self.settings = settings
         self.remaining = float(settings.burst)
-        self._pledges: deque[float] = deque()  # when each reserved retry expires, in monotonic milliseconds
+        self._reservations: deque[float] = deque()  # when each reserved retry expires, in monotonic milliseconds
 
     def record_attempt(self, is_retry: bool) -> bool:
         """Count an attempt that was received. Returns False for a retry that exceeds the budget."""
@@ -54,15 +54,15 @@
         if self.remaining < 1.0:
             return False
         self.remaining -= 1.0
-        if self._pledges:
-            self._pledges.popleft()
+        if self._reservations:
+            self._reservations.popleft()
         return True
 
     def may_retry(self, now: float) -> bool:
         """Reserve a retry for a rejected caller. Returns False if no unreserved retry is left."""
-        while self._pledges and self._pledges[0] <= now:
-            self._pledges.popleft()
-        if self.remaining - len(self._pledges) < 1.0:
+        while self._reservations and self._reservations[0] <= now:
+            self._reservations.popleft()
+        if self.remaining - len(self._reservations) < 1.0:
             return False
-        self._pledges.append(now + RETRY_PLEDGE_MS)
+        self._reservations.append(now + RETRY_RESERVATION_MS)
         return True
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -171,9 +171,7 @@
     lease_ms: int = 1500  # duration of a shard leader's lease from when its request was sent
     ranges: int = 4  # number of shards that the keys are divided into; each has one leader
     cold_ms: int = 3000  # a key without demand for this time is dropped
-    members_most: int = (
-        0  # number of members that guaranteed shares are divided among; 0: the number of voters at the start
-    )
+    members_most: int = 0  # number of members that share the guaranteed part; 0: the number of voters at the start
 
     def validation_error(self) -> str:
         """Return why the settings are invalid, beginning with the key; empty if they are valid."""
--- a/tests/test_fleet_reload.py
+++ b/tests/test_fleet_reload.py
@@ -66,7 +66,7 @@
     [
         ({**LOWERED, **OTHER_VOTERS}, "electorate.version 2"),
         ({**LOWERED, "limits_version": 3, **NEXT_VOTERS}, "limits_version: 1 is in use"),
-        ({**LOWERED, "grants": {"grant_ms": 3000}}, "grants: changes with a restart"),
+        ({**LOWERED, "grants": {"grant_ms": 3000}}, "grants: can only be changed with a restart"),
     ],
 )
 def test_a_reload_with_one_invalid_key_changes_nothing_and_logs_one_line_naming_the_key(
--- a/tests/test_quota_admission_queue.py
+++ b/tests/test_quota_admission_queue.py
@@ -15,7 +15,7 @@
 
 
 def single_member_queue(amount: int) -> AdmissionQueue:
-    """Return the queue of a fleet's only member, whose guaranteed share is each whole limit."""
+    """Return the queue of a fleet's only member, whose guaranteed share of each limit is the whole limit."""
     coordinator = LimitCoordinator(
         Incarnation("a", 1),
         GrantSettings(),
@@ -105,9 +105,8 @@
     queue = single_member_queue(1)
     assert queue.try_acquire(STARTED_MS, "late", ("x",))[0] == ""
     assert queue.reacquire(STARTED_MS + 400, "late", ("x",), STARTED_MS, was_sent=False)
-    assert (
-        queue.try_acquire(STARTED_MS + 1300, "next", ("x",))[0] == "x"
-    )  # more than a window after the decision, less than one after the send
+    # More than a window after the admission, but less than one after the send.
+    assert queue.try_acquire(STARTED_MS + 1300, "next", ("x",))[0] == "x"
     assert queue.try_acquire(STARTED_MS + 1500, "next", ("x",))[0] == ""
 
 
