--- a/myrtlespar/membership/settings.py
+++ b/myrtlespar/membership/settings.py
@@ -42,7 +42,7 @@
     cannot: int = 8  # maximum number of members in one reachability row
     link_tries: int = 3  # consecutive probes answered only indirectly, after which a link is reported as broken
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """Return why a setting is out of range or contradicts another, its name first; empty if all are valid."""
         for name in self.__struct_fields__:
             if getattr(self, name) < (0 if name in ZERO_ALLOWED else 1):
