--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
-        self.is_up = False
+        self.has_been_up = False
         self._coordinator = coordinator
         self._limits = config.limits
         self._classes = config.settings.classes
@@ -240,7 +240,7 @@
         if self._engine_started_at is not None and started_at > max(self._last_notice_at, known_start):
             self._fail_lost_runs()
         self._engine_started_at = unix_ms() - age_ms
-        self.is_up = True
+        self.has_been_up = True
         log.info("kernel up", status=notice.get("status"))
 
     def _fail_lost_runs(self) -> None:
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -47,7 +47,7 @@
             if self._moved.is_set():
                 self._moved.clear()
                 self._close()
-            if not self._engine.is_up:
+            if not self._engine.has_been_up:
                 next_at = started_at + self._limits.reconnect_ms
             elif self._report():
                 self._coordinator.counters.add("roster.report")
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -145,7 +145,7 @@
 
     def _is_ready(self) -> bool:
         """Whether this process can serve new clients."""
-        return self.engine_client.is_up and not self.coordinator.draining
+        return self.engine_client.has_been_up and not self.coordinator.draining
 
     def _metrics(self) -> MetricsSnapshot:
         """The metrics of this process, with those of the fleet's part."""
