--- a/myrtlespar/net/codec/__init__.py
+++ b/myrtlespar/net/codec/__init__.py
@@ -1,5 +1,5 @@
-"""Pure translation between the bytes of each protocol and the messages that the rest of the program knows.
+"""Codecs: pure functions between the bytes of each protocol and the messages that the rest of the program uses.
 
-Whatever a peer sends, a decoder returns a message within its bounds or raises the error that its docstring names. There
-are no sockets, clocks or retries here.
+For any input, a decoder returns a message whose values are in range, or raises the error that its docstring names.
+Codecs use no sockets, clocks or retries.
 """
--- a/myrtlespar/net/codec/ajp.py
+++ b/myrtlespar/net/codec/ajp.py
@@ -1,4 +1,4 @@
-"""The messages of AJP13: bytes to messages and back. No sockets here."""
+"""Codec for the messages of AJP13."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     "encode_packet",
 ]
 
-# Codes of the messages.
+# Message type codes.
 FORWARD = 2
 BODY = 3
 HEADERS = 4
@@ -46,7 +46,7 @@
     "VERSION-CONTROL CHECKIN CHECKOUT UNCHECKOUT SEARCH MKWORKSPACE UPDATE LABEL MERGE "
     "BASELINE-CONTROL MKACTIVITY"
 ).split()
-STORED_METHOD = 0xFF  # code of a method that is named in an attribute
+STORED_METHOD = 0xFF  # method code of a request whose method is in the attribute `stored_method`
 ATTRIBUTES = {
     1: "context",
     2: "servlet_path",
@@ -64,9 +64,9 @@
 NAMED_ATTRIBUTE = 10
 KEY_SIZE_ATTRIBUTE = 11
 LAST_ATTRIBUTE = 0xFF
-BODY_CHUNK_OVERHEAD_BYTES = 6  # of a packet with a part of a request's body
-REPLY_CHUNK_OVERHEAD_BYTES = 8  # of a packet with a part of an answer's body
-REASONS = {
+BODY_CHUNK_OVERHEAD_BYTES = 6  # packet header and chunk length
+REPLY_CHUNK_OVERHEAD_BYTES = 8  # packet header, message type, chunk length and terminating zero byte
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     403: "Forbidden",
@@ -80,7 +80,10 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """A request without its body. Header names are in lower case; an attribute with a name of its own begins with @."""
+    """A Forward Request message: an HTTP request without its body.
+
+    Header names are in lower case. An attribute that is sent by name instead of by code has a key that begins with `@`.
+    """
 
     method: str = "GET"
     uri: str = "/"
@@ -94,7 +97,7 @@
     attributes: dict[str, str] = field(default_factory=dict)
 
     def header(self, name: str) -> str:
-        """Return the first header of this name, or an empty text."""
+        """Return the value of the first header with this name, which is in lower case; empty if there is none."""
         return next((value for key, value in self.headers if key == name), "")
 
 
@@ -102,14 +105,14 @@
     """Return the request in a Forward Request payload.
 
     Raises:
-        MalformedPacketError: The payload is none.
+        MalformedPacketError: The payload is not a valid Forward Request.
     """
     reader = PayloadReader(payload)
     if reader.byte() != FORWARD:
-        raise MalformedPacketError("no Forward Request")
+        raise MalformedPacketError("payload does not start with the type code of a Forward Request")
     method_code = reader.byte()
     if not (1 <= method_code <= len(METHODS) or method_code == STORED_METHOD):
-        raise MalformedPacketError(f"method code {method_code}")
+        raise MalformedPacketError(f"unknown method code {method_code}")
     request = ForwardRequest("" if method_code == STORED_METHOD else METHODS[method_code - 1])
     request.protocol = reader.text()
     request.uri = reader.text()
@@ -135,14 +138,14 @@
         elif code in ATTRIBUTES:
             attributes[ATTRIBUTES[code]] = reader.text()
         else:
-            raise MalformedPacketError(f"attribute code {code}")
+            raise MalformedPacketError(f"unknown attribute code {code}")
 
 
 def encode_forward_request(request: ForwardRequest, max_bytes: int = DEFAULT_MAX_PACKET_BYTES) -> bytes:
     """Return a Forward Request packet.
 
     Raises:
-        MalformedPacketError: It would be longer than `max_bytes`.
+        MalformedPacketError: The packet would be longer than `max_bytes`.
     """
     has_code = request.method in METHODS
     attributes = dict(request.attributes)
@@ -166,15 +169,15 @@
 
 
 def encode_body_chunk(data: bytes) -> bytes:
-    """Return a packet with a part of a request's body; an empty part ends the body."""
+    """Return a packet with a chunk of a request's body; an empty chunk ends the body."""
     return encode_packet(TO_SERVLET, struct.pack(">H", len(data)) + data if data else b"")
 
 
 def decode_body_chunk(payload: bytes) -> bytes:
-    """Return a part of a request's body; an empty one ends the body.
+    """Return the chunk of a request's body in a payload; an empty chunk ends the body.
 
     Raises:
-        MalformedPacketError: The payload holds none.
+        MalformedPacketError: The payload is shorter than the chunk length in it.
     """
     if not payload:
         return b""
@@ -183,36 +186,36 @@
 
 
 def decode_reply_chunk(payload: bytes) -> bytes:
-    """Return the part of an answer's body in a Send Body Chunk payload.
+    """Return the chunk of an answer's body in a Send Body Chunk payload.
 
     Raises:
-        MalformedPacketError: The payload holds none.
+        MalformedPacketError: The payload is shorter than the chunk length in it.
     """
     reader = PayloadReader(payload[1:])
     return reader.take(reader.number())
 
 
 def max_body_chunk_bytes(max_packet_bytes: int) -> int:
-    """Return how many bytes of a request's body fit one packet."""
+    """Return how many bytes of a request's body fit into one packet."""
     return max_packet_bytes - BODY_CHUNK_OVERHEAD_BYTES
 
 
 def encode_reply(
     status: int, headers: Headers, body: bytes, reuse: bool, max_bytes: int = DEFAULT_MAX_PACKET_BYTES
 ) -> Iterator[bytes]:
-    """Yield the packets of a complete answer: Send Headers, the body in parts, End Response.
+    """Yield the packets of a complete answer: Send Headers, Send Body Chunk for each chunk, End Response.
 
     Args:
         status: The HTTP status.
         headers: The headers.
         body: The body.
         reuse: Whether the connection may carry another request.
-        max_bytes: Size of the longest packet.
+        max_bytes: Maximum size of a packet.
 
     Raises:
-        MalformedPacketError: The headers do not fit a packet.
+        MalformedPacketError: The headers do not fit into one packet.
     """
-    start_line = struct.pack(">BH", HEADERS, status) + encode_text(REASONS.get(status, "Unknown"))
+    start_line = struct.pack(">BH", HEADERS, status) + encode_text(REASON_PHRASES.get(status, "Unknown"))
     yield encode_packet(TO_GATEWAY, start_line + encode_headers(headers, REPLY_HEADERS), max_bytes)
     max_chunk_bytes = max_bytes - REPLY_CHUNK_OVERHEAD_BYTES
     for start in range(0, len(body), max_chunk_bytes):
@@ -222,12 +225,12 @@
 
 
 def encode_end_response(reuse: bool) -> bytes:
-    """Return an End Response packet; `reuse` tells whether the connection may carry another request."""
+    """Return an End Response packet; `reuse` states whether the connection may carry another request."""
     return encode_packet(TO_GATEWAY, bytes([END, reuse]))
 
 
 def encode_get_body_chunk(size: int) -> bytes:
-    """Return a Get Body Chunk packet, which requests at most `size` bytes."""
+    """Return a Get Body Chunk packet, which requests at most `size` bytes of the request's body."""
     return encode_packet(TO_GATEWAY, struct.pack(">BH", GET_BODY, size))
 
 
@@ -235,9 +238,9 @@
     """Return the status and the headers in a Send Headers payload.
 
     Raises:
-        MalformedPacketError: The payload is none.
+        MalformedPacketError: The payload is not a valid Send Headers message.
     """
     reader = PayloadReader(payload[1:])
     status = reader.number()
-    reader.text()  # the reason
+    reader.text()  # skips the reason phrase
     return status, tuple(reader.header(REPLY_HEADERS) for _ in range(reader.number()))
--- a/myrtlespar/net/codec/dependency.py
+++ b/myrtlespar/net/codec/dependency.py
@@ -1,4 +1,7 @@
-"""The dependency's protocol: calls and their replies, each with a head line of words and a body of a stated length."""
+"""Codec for the dependency's protocol.
+
+A call or reply is a header line of space-separated words, followed by a body whose length the header line states.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,9 @@
 from myrtlespar.policy.messages import RunOutcome
 
 LINE_END = b"\r\n"
-MAX_FAULT_BYTES = 80  # of a malformed line, in an error's text
+MAX_QUOTED_BYTES = 80  # how much of a malformed line is quoted in an error message
 MAX_SIZE_DIGITS = 9
-# BUSY and VOID prove that the call never ran; ERR and LATE prove nothing.
+# BUSY and VOID prove that the call never ran; after ERR or LATE it may have run.
 CALL_OUTCOMES = {
     b"OK": RunOutcome.OK,
     b"BUSY": RunOutcome.REJECTED,
@@ -21,17 +24,17 @@
 
 
 class MalformedReplyError(MyrtlesparError):
-    """The dependency sent what can't be read: nothing more on this connection means anything."""
+    """The dependency sent a malformed reply, after which nothing on the connection can be decoded."""
 
 
 @dataclass(slots=True)
 class ReplyHead:
-    """The first line of a reply.
+    """The header line of a reply.
 
     Attributes:
-        request_id: The request whose call it answers.
+        request_id: Id of the request that the call belongs to.
         outcome: How the call ended.
-        body_bytes: Length of the body that follows; None if none does.
+        body_bytes: Length of the body that follows; None if the reply has no body.
     """
 
     request_id: str
@@ -40,7 +43,7 @@
 
 
 def encode_call(request_id: str, time_limit_ms: int, body: bytes) -> bytes:
-    """Return a call for a request; the reply is awaited for `time_limit_ms`."""
+    """Return the message that makes a call for a request, with the time in ms that the dependency has to answer it."""
     return b"CALL %s %d %d\r\n%s\r\n" % (request_id.encode(), time_limit_ms, len(body), body)
 
 
@@ -50,31 +53,33 @@
 
 
 def decode_reply_head(line: bytes, max_body_bytes: int) -> ReplyHead:
-    """Return the head in a line, which is given without its LF.
+    """Return the reply header in a line, which is passed without its LF.
 
     Raises:
-        MalformedReplyError: The line holds none, or states a longer body than allowed.
+        MalformedReplyError: The line is malformed, or states a body longer than `max_body_bytes`.
     """
     words = line.removesuffix(b"\r").split(b" ")
     outcome = CALL_OUTCOMES.get(words[1]) if len(words) == (3 if words[1:2] == [b"OK"] else 2) else None
     if outcome is None or not line.endswith(b"\r"):
-        raise MalformedReplyError(f"line {line[:MAX_FAULT_BYTES]!r}")
+        raise MalformedReplyError(f"malformed reply line {line[:MAX_QUOTED_BYTES]!r}")
     body_bytes = _decode_size(words[2], max_body_bytes) if outcome is RunOutcome.OK else None
     return ReplyHead(words[0].decode("latin-1"), outcome, body_bytes)
 
 
 def _decode_size(digits: bytes, max_bytes: int) -> int:
     if not digits.isdigit() or len(digits) > MAX_SIZE_DIGITS or int(digits) > max_bytes:
-        raise MalformedReplyError(f"reply of {digits[:20]!r} bytes")
+        raise MalformedReplyError(
+            f"reply states the body length {digits[:20]!r}, which is not a number or over the limit"
+        )
     return int(digits)
 
 
 def decode_reply_body(data: bytes) -> bytes:
-    """Return a reply's body, which is given with its line end.
+    """Return a reply's body, which is passed with its line end.
 
     Raises:
-        MalformedReplyError: The line end is missing: the body has another length than stated.
+        MalformedReplyError: The line end is missing, so the body does not have the stated length.
     """
     if not data.endswith(LINE_END):
-        raise MalformedReplyError("reply of another length than told")
+        raise MalformedReplyError("reply body is not followed by CRLF at its stated length")
     return data[: -len(LINE_END)]
--- a/myrtlespar/net/codec/engine.py
+++ b/myrtlespar/net/codec/engine.py
@@ -1,6 +1,6 @@
-"""The execution engine's protocol: one JSON object a line, commands to the engine and notices from it.
+"""Codec for the execution engine's protocol: commands to the engine and notices from it, one JSON object per line.
 
-Notices that belong to a run carry a number; all others do not.
+Notices about a run are numbered; all others are not.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from myrtlespar.policy.messages import RunOutcome
 
-# Types of notices (the value of `t`).
+# Notice types (the value of field `t`).
 ENGINE_STARTED = "BOOTED"
 GAUGES = "INFO"
 COMMAND_REJECTED = "EINVAL"
 RUN_ENDED = "REAP"
 CALL_NEEDED = "IOREQ"
 
-# Types of commands, as the engine names them when it rejects one.
+# Command types, also in the `status` of the notice that rejects a command.
 START_COMMAND = "SCHED"
 GAUGES_COMMAND = "SYSINFO"
 
@@ -30,7 +30,7 @@
     "KILLED": RunOutcome.STOPPED,
     "NOOP": RunOutcome.MOOT,
 }
-# What the functions below raise for a notice with a missing or malformed value.
+# Raised by the decoders below if a value of the notice is missing or malformed.
 MALFORMED_NOTICE_ERRORS = (KeyError, TypeError, ValueError, OverflowError)
 
 
@@ -41,8 +41,8 @@
     Attributes:
         outcome: Its outcome.
         status: The outcome as the engine named it.
-        elapsed_ms: How long it ran.
-        result: Its result, if it succeeded.
+        elapsed_ms: How long the run took.
+        result: The result of a run that succeeded.
     """
 
     outcome: RunOutcome
@@ -52,14 +52,14 @@
 
 
 def encode_class_name(name: str) -> bytes:
-    """Return a class's name as `encode_start` takes it."""
+    """Return the name of a request class as a JSON string, for `encode_start`."""
     return json.dumps(name).encode()
 
 
 def encode_start(request_id: str, class_name: bytes, body: bytes) -> bytes:
     """Return the command that starts a request.
 
-    It is written without the JSON library, for speed: ids are letters and digits, bodies base64.
+    It is formatted without the JSON library, for speed. Nothing needs escaping: ids are alphanumeric, bodies base64.
     """
     return b'{"t":"SCHED","rid":"%s","route":%s,"b64":"%s"}\n' % (
         request_id.encode(),
@@ -69,7 +69,7 @@
 
 
 def encode_call_reply(request_id: str, reply: bytes) -> bytes:
-    """Return the command that sends a run the reply to its call."""
+    """Return the command that passes a run the reply to its call to the dependency."""
     return b'{"t":"IODONE","rid":"%s","b64":"%s"}\n' % (request_id.encode(), base64.b64encode(reply))
 
 
@@ -79,7 +79,7 @@
 
 
 def encode_open(last_notice: int) -> bytes:
-    """Return the first command on a link; notices after number `last_notice` follow."""
+    """Return the first command on a link, which requests all numbered notices after `last_notice`."""
     return _encode_line(t="OPEN", no=last_notice)
 
 
@@ -88,9 +88,9 @@
 
 
 def decode_notice(line: bytes) -> dict[str, Any] | None:
-    """Return the object in a line, or None if it holds none."""
+    """Return the JSON object in a line, or None if the line is not one."""
     try:
-        notice = json.loads(line.decode())  # given bytes, json would detect their encoding each time
+        notice = json.loads(line.decode())  # for bytes, json.loads would first detect the encoding
     except (ValueError, RecursionError):
         return None
     return notice if isinstance(notice, dict) else None
@@ -109,21 +109,21 @@
 
 
 def decode_body(notice: dict[str, Any]) -> bytes:
-    """Return the body that a notice carries.
+    """Return the decoded body of a notice, empty if it has none.
 
     Raises:
-        TypeError, ValueError: It is no base64.
+        TypeError, ValueError: The body is not valid base64.
     """
     return base64.b64decode(notice.get("b64", ""), validate=True)
 
 
 def finite_number(value: Any) -> float:
-    """Return a number from a notice; an infinite one or NaN would spread through every mean that it enters.
+    """Return a number from a notice; NaN and infinity would make every average that includes them useless.
 
     Raises:
-        TypeError, ValueError, OverflowError: The value is no finite number.
+        TypeError, ValueError, OverflowError: The value is not a finite number.
     """
     number = float(value)
     if not math.isfinite(number):
-        raise ValueError(f"{number} is no time or gauge")
+        raise ValueError(f"{number} is not a finite number")
     return number
--- a/myrtlespar/net/codec/etcd.py
+++ b/myrtlespar/net/codec/etcd.py
@@ -1,7 +1,7 @@
-"""Messages of etcd's published v3 API that this project uses, as protobuf types.
+"""Protobuf types for the part of etcd's v3 API that this project uses.
 
-These are KV Range, DeleteRange and Txn, Lease grant, keep-alive and revoke, and Watch. Names and numbers are those of
-the API's documentation (rpc.proto, kv.proto); fields that are not used are left out, as protobuf skips unknown ones.
+The calls are KV Range, DeleteRange and Txn, Lease grant, keep-alive and revoke, and Watch. Names and field numbers are
+those of rpc.proto and kv.proto. Fields that are not used are left out, as protobuf ignores unknown fields.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
-# Numbers of descriptor.proto: FieldDescriptorProto.Type and .Label.
+# Values of FieldDescriptorProto.Type and .Label in descriptor.proto.
 _SCALAR_TYPES = {"int64": 3, "uint64": 4, "int32": 5, "bool": 8, "string": 9, "bytes": 12}
 _TYPE_MESSAGE = 11
 _LABEL_OPTIONAL = 1
 _LABEL_REPEATED = 3
 
-# By message: fields as "number name type", "*" before a type that is repeated, "|" before one of a oneof.
+# Fields of each message as "number name type"; "*" before the type marks a repeated field, "|" a member of a oneof.
 _KV_MESSAGES = {
     "KeyValue": "1 key bytes, 2 create_revision int64, 3 mod_revision int64, 4 version int64, 5 value bytes, "
     "6 lease int64",
-    "Event": "1 type int32, 2 kv KeyValue",  # 0 put, 1 delete
+    "Event": "1 type int32, 2 kv KeyValue",  # values of `type`: 0 put, 1 delete
 }
 _RPC_MESSAGES = {
     "ResponseHeader": "1 cluster_id uint64, 2 member_id uint64, 3 revision int64, 4 raft_term uint64",
@@ -57,12 +57,19 @@
 
 
 class Method(NamedTuple):
-    """One call of the API."""
+    """One RPC of the API.
+
+    Attributes:
+        path: Path of the gRPC method.
+        request: Name of the request message.
+        response: Name of the response message.
+        is_streaming: Whether requests and responses are both streams.
+    """
 
     path: str
-    request: str  # name of the message
-    response: str  # name of the message
-    is_streaming: bool  # on both sides
+    request: str
+    response: str
+    is_streaming: bool
 
 
 METHODS = {
@@ -88,7 +95,7 @@
 
 
 def _add_field(message: descriptor_pb2.DescriptorProto, text: str) -> None:
-    """Add a field that is given as "number name type"."""
+    """Add a field that is described as "number name type"."""
     number, name, marked_type = text.split()
     marker = marked_type[0]
     type_name = marked_type.lstrip("*|")
@@ -120,4 +127,4 @@
     }
 
 
-TYPES: dict[str, Any] = _load_types()  # message classes by their names
+TYPES: dict[str, Any] = _load_types()  # message classes by name
--- a/myrtlespar/net/codec/limits.py
+++ b/myrtlespar/net/codec/limits.py
@@ -1,4 +1,7 @@
-"""Bytes of what members send each other about limits: `MPQ`, a version, a CRC-32, then msgpack, in one datagram."""
+"""Codec for the datagrams about limits that members exchange: `MPQ`, a version byte, a CRC-32, then a msgpack body.
+
+The texts of the errors are short because they become parts of counter names.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 VERSION = 1
 MAGIC = b"MPQ" + bytes([VERSION])
-MAX_KEY_LENGTH = 64  # characters
+MAX_KEY_LENGTH = 64  # in characters
 MAX_ROWS_PER_DATAGRAM = 32
 MAX_AMOUNT = 10_000_000
 
@@ -37,7 +40,14 @@
 
 
 class LimitDatagram(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One datagram: the fleet, the sender's name and incarnation, and its message."""
+    """A decoded datagram.
+
+    Attributes:
+        fleet: Name of the sender's fleet.
+        name: Name of the sender.
+        incarnation: Incarnation of the sender.
+        message: The message.
+    """
 
     fleet: str
     name: str
@@ -50,15 +60,16 @@
 
 
 def encode(datagram: LimitDatagram) -> bytes:
-    """Return the bytes of a datagram, which may exceed `MAX_DATAGRAM_BYTES`: the caller checks that."""
+    """Return the encoded datagram. The caller has to check its size: it may exceed `MAX_DATAGRAM_BYTES`."""
     return frame(MAGIC, _encoder.encode(datagram))
 
 
 def decode(data: bytes) -> LimitDatagram:
-    """Return the datagram in these bytes.
+    """Return the decoded datagram.
 
-    MalformedPeerMessageError if there is none or a value is out of range; UnsupportedPeerVersionError if its version is
-    another one.
+    Raises:
+        MalformedPeerMessageError: The bytes are not a valid datagram, or a value is out of range.
+        UnsupportedPeerVersionError: The datagram has another version than `VERSION`.
     """
     if len(data) > MAX_DATAGRAM_BYTES or len(data) < HEADER_BYTES:
         raise MalformedPeerMessageError("length")
@@ -85,7 +96,7 @@
 
 
 def _contents(message: LimitMessage) -> tuple[KeyAmounts, list[int]]:
-    """Keys with their amounts, and all other numbers but the shard's, of a message."""
+    """Return the keys of a message with their amounts, and all its other numbers except the shard id."""
     if isinstance(message, GrantRequest):
         rows = [(demand.key, demand.want) for demand in message.demands]
         numbers = [message.sequence_number, message.version]
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -1,7 +1,8 @@
-"""The peer link's bytes: `MPF`, a version, a CRC-32, then msgpack. Every length and range is checked.
+"""Codec for the membership protocol: `MPF`, a version byte, a CRC-32, then a msgpack body.
 
-A datagram is at most 1,200 bytes; what goes over TCP has a length of four bytes in front and is at most 2 MiB. The
-frame (magic, version, checksum) is shared by other protocols of the link, such as `codec.limits`.
+All lengths and ranges are checked. A datagram has at most 1,200 bytes. A message over TCP has at most 2 MiB and is
+preceded by its length in four bytes. Other protocols on the same socket, such as `codec.limits`, use the same header
+of magic, version and checksum. The texts of the errors are short because they become parts of counter names.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
 
 VERSION = 1
 MAGIC = b"MPF" + bytes([VERSION])
-NAME_CONFLICT_MAGIC = b"MPB" + bytes([VERSION])  # a second process of one name probes the first at its address
+NAME_CONFLICT_MAGIC = b"MPB" + bytes([VERSION])  # of the probe that a second process of a member sends to the first
 MAGIC_BYTES = 3
 HEADER_BYTES = 8  # magic, version, checksum
 MAX_DATAGRAM_BYTES = 1200
 MAX_STREAM_BYTES = 2 << 20
-NUMBER_LIMIT = 2**53  # of all counters, exclusive
-HASH_LIMIT = 2**64  # exclusive
+NUMBER_LIMIT = 2**53  # exclusive upper bound of all numbers but the hash and the age
+HASH_LIMIT = 2**64  # exclusive upper bound
 MAX_AGE_MS = 2**31
 MAX_LIMIT_NAME_LENGTH = 32
 MAX_UPDATES_PER_DATAGRAM = 9
 MAX_ROWS_PER_DATAGRAM = 1
 MAX_UNREACHABLE_PER_ROW = 8
 MAX_ENTRIES_PER_SYNC = 16384
-CACHED_NAMES = 8192  # names and addresses whose check is remembered
+CACHED_NAMES = 8192  # size of each cache of checked names or addresses
 
 _encoder = msgspec.msgpack.Encoder()
 _packet_decoder: msgspec.msgpack.Decoder[Packet] = msgspec.msgpack.Decoder(Packet)
@@ -52,20 +53,29 @@
 
 
 class MalformedPeerMessageError(MyrtlesparError):
-    """Bytes that hold no message; the text says why in a word or two."""
+    """Bytes that are not a valid message; the text is the reason in a word or two, and part of a counter's name."""
 
 
 class UnsupportedPeerVersionError(MalformedPeerMessageError):
-    """A complete message, but of another version of the link."""
+    """A message of another version of the protocol."""
 
 
 def frame(magic: bytes, body: bytes) -> bytes:
-    """A body with its magic, version and checksum in front; `magic` ends with the version."""
+    """Return a message: the magic, which ends with the version, the checksum of the body, and the body."""
     return magic + zlib.crc32(body).to_bytes(4, "big") + body
 
 
 def unframe(magic: bytes, data: bytes) -> bytes:
-    """The body of a frame of at least HEADER_BYTES. MalformedPeerMessageError or UnsupportedPeerVersionError."""
+    """Return the body of a message.
+
+    Args:
+        magic: The expected magic, which ends with the expected version.
+        data: The message, at least HEADER_BYTES long.
+
+    Raises:
+        MalformedPeerMessageError: The magic or the checksum is wrong.
+        UnsupportedPeerVersionError: The version is another one.
+    """
     if data[:MAGIC_BYTES] != magic[:MAGIC_BYTES]:
         raise MalformedPeerMessageError("no magic")
     if data[MAGIC_BYTES] != magic[MAGIC_BYTES]:
@@ -77,7 +87,11 @@
 
 
 def decode_body(decoder: msgspec.msgpack.Decoder[Any], body: bytes) -> Any:
-    """The message in a body. MalformedPeerMessageError if it has another shape."""
+    """Return the decoded body.
+
+    Raises:
+        MalformedPeerMessageError: The body is not valid msgpack, or does not have the type that `decoder` expects.
+    """
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
@@ -85,12 +99,17 @@
 
 
 def encode(message: Packet | ViewSync) -> bytes:
-    """The bytes of a message."""
+    """Return the encoded message with its header."""
     return frame(MAGIC, _encoder.encode(message))
 
 
 def decode(data: bytes) -> Packet:
-    """The packet in a datagram. MalformedPeerMessageError if there is none, or a value in it is out of range."""
+    """Return the packet in a datagram.
+
+    Raises:
+        MalformedPeerMessageError: The bytes are not a valid packet, or a value is out of range.
+        UnsupportedPeerVersionError: The packet has another version than `VERSION`.
+    """
     packet: Packet = _read(data, MAX_DATAGRAM_BYTES, _packet_decoder)
     if len(packet.updates) > MAX_UPDATES_PER_DATAGRAM or len(packet.reachability) > MAX_ROWS_PER_DATAGRAM:
         raise MalformedPeerMessageError("too many")
@@ -109,7 +128,12 @@
 
 
 def decode_sync(data: bytes) -> ViewSync:
-    """A complete view. MalformedPeerMessageError as for `decode`."""
+    """Return the complete view in a message that came over TCP.
+
+    Raises:
+        MalformedPeerMessageError: The bytes are not a valid view, or a value is out of range.
+        UnsupportedPeerVersionError: The message has another version than `VERSION`.
+    """
     sync: ViewSync = _read(data, MAX_STREAM_BYTES, _sync_decoder)
     if len(sync.updates) > MAX_ENTRIES_PER_SYNC or len(sync.reachability) > MAX_ENTRIES_PER_SYNC:
         raise MalformedPeerMessageError("too many")
@@ -176,32 +200,32 @@
 
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_name(name: str) -> bool:
-    """Whether it is printable ASCII without spaces, 1 to 48 characters."""
+    """Return whether a name consists of 1 to 48 printable ASCII characters other than spaces."""
     return _NAME.fullmatch(name) is not None
 
 
 def is_valid_limit_name(name: str) -> bool:
-    """Whether it is a valid name without slashes, of at most MAX_LIMIT_NAME_LENGTH.
+    """Return whether a limit's name is a valid name without slashes, of at most MAX_LIMIT_NAME_LENGTH characters.
 
-    In the keys of limits a slash separates the limit's name from what it counts separately.
+    With the setting `by`, a limit has one key for each value of a dimension: its name, a slash, and that value.
     """
     return is_valid_name(name) and "/" not in name and len(name) <= MAX_LIMIT_NAME_LENGTH
 
 
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_address(address: str) -> bool:
-    """Whether it is A.B.C.D:PORT; names of hosts are not valid, as there is no DNS."""
+    """Return whether an address has the form A.B.C.D:PORT; host names are not valid, as there is no DNS."""
     found = _ADDRESS.fullmatch(address)
     return found is not None and all(int(part) < 256 for part in found.groups()[:4]) and 0 < int(found[5]) < 65536
 
 
 @lru_cache(maxsize=CACHED_NAMES)
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of a valid address."""
+    """Return the host and the port of a valid address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def name_conflict_probe(fleet: str, name: str) -> bytes:
-    """The datagram that a second process of a member sends to the first, and gets back from it unchanged."""
+    """Return the datagram that a second process of a member sends to the first, which returns it unchanged."""
     return NAME_CONFLICT_MAGIC + f"{fleet} {name}".encode()
--- a/myrtlespar/net/codec/registry.py
+++ b/myrtlespar/net/codec/registry.py
@@ -1,4 +1,4 @@
-"""The service registry's protocol: load reports as HTTP/1.1 requests."""
+"""Codec for the service registry's protocol: reports of a server's availability as HTTP/1.1 requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def encode_report(name: str, duty: str) -> bytes:
-    """Return a complete request that reports the server `name` as `on` or `off`."""
+    """Return a complete HTTP request that reports the server `name`; `duty` is `on` or `off`."""
     body = json.dumps({"duty": duty}, separators=(",", ":"))
     return (
         f"PUT /roster/{quote(name, safe='')} HTTP/1.1\r\nHost: roster\r\nContent-Type: application/json\r\n"
@@ -18,10 +18,10 @@
 
 
 class ReplyParser:
-    """Parses the answer to one report, as its bytes come.
+    """Incremental parser of the response to one report.
 
     Attributes:
-        is_complete: Whether all of it has come.
+        is_complete: Whether the complete response was parsed.
     """
 
     def __init__(self) -> None:
@@ -29,15 +29,15 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer; the library's parser calls this."""
+        """Set `is_complete`; called by the httptools parser."""
         self.is_complete = True
 
     def feed(self, data: bytes) -> None:
         """Parse the next bytes.
 
         Raises:
-            httptools.HttpParserError: They are no HTTP.
-            httptools.HttpParserUpgrade: They change to another protocol.
+            httptools.HttpParserError: The bytes are not an HTTP response.
+            httptools.HttpParserUpgrade: The response switches to another protocol.
         """
         self._parser.feed_data(data)
 
@@ -48,5 +48,5 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status code."""
         return int(self._parser.get_status_code())
--- a/myrtlespar/net/codec/thrift.py
+++ b/myrtlespar/net/codec/thrift.py
@@ -1,6 +1,6 @@
-"""Thrift's strict binary protocol: the messages of clients, and the answers to them.
+"""Codec for Thrift's strict binary protocol: messages from clients and the answers to them.
 
-Messages are read here, with every length checked, and written by the library. The library's reader is not used: a
+Messages are encoded by the thriftpy2 library, but decoded here, with every length checked. In the library's decoder a
 negative length crashed the process, and a list of two thousand million elements that take no bytes kept it busy for
 minutes.
 """
@@ -20,19 +20,19 @@
 
 idl: Any = thriftpy2.load(str(Path(__file__).parent / "front.thrift"), module_name="front_thrift")
 METHODS = frozenset(idl.Front.thrift_services)
-ONE_WAY_METHODS = frozenset({"abort"})  # nobody waits for an answer to these
+ONE_WAY_METHODS = frozenset({"abort"})  # methods that have no answer
 
-# Types of messages.
+# Message types.
 CALL = int(TMessageType.CALL)
 REPLY = int(TMessageType.REPLY)
 EXCEPTION = int(TMessageType.EXCEPTION)
 ONEWAY = int(TMessageType.ONEWAY)
 
-# Kinds of application exceptions.
+# Types of application exceptions.
 UNKNOWN_METHOD = 1
 PROTOCOL_ERROR = 7
 
-# Types of values.
+# Types of field values.
 BOOL = 2
 BYTE = 3
 DOUBLE = 4
@@ -44,24 +44,24 @@
 MAP = 13
 SET = 14
 LIST = 15
-NUMBERS = {
-    kind: struct.Struct(shape)
-    for kind, shape in ((BOOL, ">?"), (BYTE, ">b"), (DOUBLE, ">d"), (I16, ">h"), (I32, ">i"), (I64, ">q"))
+NUMBER_FORMATS = {
+    value_type: struct.Struct(format_text)
+    for value_type, format_text in ((BOOL, ">?"), (BYTE, ">b"), (DOUBLE, ">d"), (I16, ">h"), (I32, ">i"), (I64, ">q"))
 }
 STRICT_VERSION = 0x8001
-MESSAGE_HEAD = struct.Struct(">HxBi")  # version, type, length of the name
-MAP_HEAD = struct.Struct(">BBi")  # type of the keys, type of the values, size
-LIST_HEAD = struct.Struct(">Bi")  # type of the elements, size
-UNPACK_SIZE_FROM = NUMBERS[I32].unpack_from
-MAX_DEPTH = 16  # of structs and containers in each other
+MESSAGE_HEADER = struct.Struct(">HxBi")  # version, type, length of the name
+MAP_HEADER = struct.Struct(">BBi")  # type of the keys, type of the values, size
+LIST_HEADER = struct.Struct(">Bi")  # type of the elements, size
+UNPACK_LENGTH = NUMBER_FORMATS[I32].unpack_from
+MAX_DEPTH = 16  # to which structs and containers may be nested
 
 
 class MalformedMessageError(MyrtlesparError):
-    """A message that can't be read, or that requests something unknown."""
+    """A message that can't be decoded, or whose contents are invalid."""
 
 
 class MalformedCallError(MalformedMessageError):
-    """A call whose head could be read, so that it can be answered, and whose arguments could not."""
+    """A call with malformed arguments; as its header is valid, it can be answered with an exception."""
 
     def __init__(self, name: str, sequence_number: int, text: str) -> None:
         super().__init__(text)
@@ -74,9 +74,9 @@
 
     Attributes:
         name: The method's name.
-        kind: The message's type, such as `CALL`.
-        sequence_number: What links an answer to its call.
-        args: Type and value of each field, by the field's number; None if the method is unknown.
+        kind: The message type, such as `CALL`.
+        sequence_number: Number chosen by the client, which an answer repeats.
+        args: Type and value of each argument by field number; None if the method is unknown.
     """
 
     name: str
@@ -85,7 +85,7 @@
     args: dict[int, tuple[int, Any]] | None
 
     def get(self, field: int, kind: int, default: Any) -> Any:
-        """Return a field's value, or the default if it is absent or, which Thrift treats alike, of another type."""
+        """Return a field's value; the default if the field is absent or, as usual in Thrift, has another type."""
         found = (self.args or {}).get(field)
         return found[1] if found and found[0] == kind else default
 
@@ -94,24 +94,24 @@
     """Return the message in a frame.
 
     Raises:
-        MalformedCallError: It is a call whose arguments can't be read.
-        MalformedMessageError: It can't be read, or not be answered.
+        MalformedCallError: The message is a call with malformed arguments, which can be answered.
+        MalformedMessageError: Any other malformed message.
     """
     reader = _FrameReader(frame)
-    version, kind, name_length = MESSAGE_HEAD.unpack(reader.take(MESSAGE_HEAD.size))
+    version, kind, name_length = MESSAGE_HEADER.unpack(reader.take(MESSAGE_HEADER.size))
     if version != STRICT_VERSION:
         raise MalformedMessageError("not strict binary Thrift")
     name = reader.take(name_length).decode("ascii", "replace")
-    sequence_number: int = NUMBERS[I32].unpack(reader.take(4))[0]
+    sequence_number: int = NUMBER_FORMATS[I32].unpack(reader.take(4))[0]
     try:
         return ThriftMessage(name, kind, sequence_number, reader.struct(MAX_DEPTH) if name in METHODS else None)
     except KeyError as error:
-        raise _malformed(name, kind, sequence_number, f"type {error} is unknown") from None
+        raise _malformed_error(name, kind, sequence_number, f"type {error} is unknown") from None
     except MalformedMessageError as error:
-        raise _malformed(name, kind, sequence_number, str(error)) from None
+        raise _malformed_error(name, kind, sequence_number, str(error)) from None
 
 
-def _malformed(name: str, kind: int, sequence_number: int, text: str) -> MalformedMessageError:
+def _malformed_error(name: str, kind: int, sequence_number: int, text: str) -> MalformedMessageError:
     if kind == CALL and name in METHODS - ONE_WAY_METHODS:
         return MalformedCallError(name, sequence_number, text)
     return MalformedMessageError(text)
@@ -120,8 +120,7 @@
 class _FrameReader:
     """Reads values from a frame in their order, with every length checked.
 
-    Its methods raise `MalformedMessageError` for a value that does not fit the frame, and `KeyError` for one of an
-    unknown type.
+    Its methods raise `MalformedMessageError` for a value that exceeds the frame, and `KeyError` for an unknown type.
     """
 
     __slots__ = ("_data", "_position")
@@ -140,20 +139,20 @@
         return out
 
     def struct(self, depth: int) -> dict[int, tuple[int, Any]]:
-        """Return type and value of each field of a struct, by the field's number."""
+        """Return type and value of each field of a struct by field number."""
         fields: dict[int, tuple[int, Any]] = {}
         while (kind := self.take(1)[0]) != 0:
-            field = NUMBERS[I16].unpack(self.take(2))[0]
+            field = NUMBER_FORMATS[I16].unpack(self.take(2))[0]
             fields[field] = (kind, self.value(kind, depth - 1))
         return fields
 
     def value(self, kind: int, depth: int) -> Any:
-        """Return one value; structs and containers may be nested `depth` deep."""
+        """Return one value; structs and containers in it may be nested up to `depth` levels."""
         if kind == STRING:
-            return self.take(NUMBERS[I32].unpack(self.take(4))[0])
-        if kind in NUMBERS:
-            shape = NUMBERS[kind]
-            return shape.unpack(self.take(shape.size))[0]
+            return self.take(NUMBER_FORMATS[I32].unpack(self.take(4))[0])
+        if kind in NUMBER_FORMATS:
+            number_format = NUMBER_FORMATS[kind]
+            return number_format.unpack(self.take(number_format.size))[0]
         if depth <= 0:
             raise MalformedMessageError("nested too deep")
         if kind == STRUCT:
@@ -161,44 +160,44 @@
         if kind == MAP:
             return self._map(depth)
         if kind in (SET, LIST):
-            element_kind, size = LIST_HEAD.unpack(self.take(LIST_HEAD.size))
+            element_type, size = LIST_HEADER.unpack(self.take(LIST_HEADER.size))
             self._check_size(size)
-            return [self.value(element_kind, depth - 1) for _ in range(size)]
+            return [self.value(element_type, depth - 1) for _ in range(size)]
         raise KeyError(kind)
 
     def _map(self, depth: int) -> dict[bytes, Any]:
-        """Return the entries of a map whose keys are texts."""
-        key_kind, value_kind, size = MAP_HEAD.unpack(self.take(MAP_HEAD.size))
+        """Return the entries of a map whose keys are strings."""
+        key_type, value_type, size = MAP_HEADER.unpack(self.take(MAP_HEADER.size))
         self._check_size(size)
-        if key_kind == value_kind == STRING:
-            return self._texts(size)
-        entries = [(self.value(key_kind, depth - 1), self.value(value_kind, depth - 1)) for _ in range(size)]
+        if key_type == value_type == STRING:
+            return self._string_map(size)
+        entries = [(self.value(key_type, depth - 1), self.value(value_type, depth - 1)) for _ in range(size)]
         return {key: value for key, value in entries if isinstance(key, bytes)}
 
-    def _texts(self, size: int) -> dict[bytes, bytes]:
-        """Return the entries of a map of texts: each request has one, so it is read without a call for each text."""
+    def _string_map(self, size: int) -> dict[bytes, bytes]:
+        """Return a map of strings to strings; inlined for speed, as every request has one."""
         data = self._data
         position = self._position
         end = len(data)
-        texts: list[bytes] = []
+        strings: list[bytes] = []
         for _ in range(2 * size):
             start = position + 4
-            length = UNPACK_SIZE_FROM(data, position)[0] if start <= end else -1
+            length = UNPACK_LENGTH(data, position)[0] if start <= end else -1
             position = start + length
             if length < 0 or position > end:
                 raise MalformedMessageError(f"length {length} does not fit the message")
-            texts.append(data[start:position])
+            strings.append(data[start:position])
         self._position = position
-        return dict(zip(texts[::2], texts[1::2], strict=True))
+        return dict(zip(strings[::2], strings[1::2], strict=True))
 
     def _check_size(self, size: int) -> None:
-        """Reject a container with more elements than there are bytes: reading it would take the processor's time."""
+        """Reject a container with more elements than bytes left in the frame, which could keep the process busy."""
         if not 0 <= size <= len(self._data) - self._position:
             raise MalformedMessageError(f"{size} elements do not fit the message")
 
 
 def encode(name: str, kind: int, sequence_number: int, body: Any) -> bytes:
-    """Return a complete frame; `body` is a struct of the interface."""
+    """Return a complete frame; `body` is a struct of the Thrift interface, such as the arguments of a method."""
     buffer = TCyMemoryBuffer()
     protocol = TCyBinaryProtocol(buffer, strict_write=True)
     protocol.write_message_begin(name, kind, sequence_number)
@@ -209,5 +208,5 @@
 
 
 def encode_exception(name: str, sequence_number: int, kind: int, text: str) -> bytes:
-    """Return the complete frame of an application exception."""
+    """Return the complete frame of an application exception of type `kind`."""
     return encode(name, EXCEPTION, sequence_number, TApplicationException(kind, text))
