--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -40,7 +40,7 @@
         is_ready: Callable[[], bool],
         take_metrics: Callable[[], MetricsSnapshot],
         limits: ResourceLimits,
-        give_up: Callable[[], bool],
+        is_cancelled: Callable[[], bool],
     ) -> None:
         """Bind the address and listen.
 
@@ -51,7 +51,7 @@
             is_ready: Returns whether this server takes requests.
             take_metrics: Returns the current metrics.
             limits: The process's limits.
-            give_up: Returns whether waiting for the address has become pointless.
+            is_cancelled: Returns whether to stop waiting for the address before the timeout.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -62,7 +62,7 @@
         self._take_metrics = take_metrics
         self._opened_at: dict[socket.socket, float] = {}  # of each open connection, in Unix milliseconds
         listening_socket = bind_with_retries(
-            "mgmt", address, ACCEPT_BACKLOG, False, limits.admin_bind_timeout_ms, limits, give_up
+            "mgmt", address, ACCEPT_BACKLOG, False, limits.admin_bind_timeout_ms, limits, is_cancelled
         )
         self._server = Acceptor(listening_socket, self._serve)
         self._server.max_accept = MAX_ACCEPTS_PER_TURN
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -19,16 +19,16 @@
 from myrtlespar.runtime.clock import unix_ms
 
 log = structlog.get_logger()
-MIN_TIMEOUT_S = 0.001  # of a request that is due already
+MIN_TIMEOUT_S = 0.001  # for a request whose due time has passed
 FIRST_FAILURE_STATUS = 500  # answers with this status or a higher one are failures
 
 
 class BackendUnreachableError(MyrtlesparError):
-    """No AJP server could be connected to: the request never ran."""
+    """No AJP server could be connected to; the request never ran."""
 
 
 class StartNotConfirmedError(MyrtlesparError):
-    """The request may no longer be started here: it never ran."""
+    """The coordinator no longer allows the start; the request never ran."""
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     reader: SocketReader
 
     def send(self, data: bytes) -> None:
-        """Send all of it.
+        """Send all bytes.
 
         Raises:
             OSError: The connection broke.
@@ -51,24 +51,24 @@
 
         Raises:
             ConnectionEndedError: The connection ended first.
-            MalformedPacketError: What came is no packet, or one longer than `max_bytes`.
+            MalformedPacketError: The packet header is invalid, or the packet is longer than `max_bytes`.
         """
         head = self.reader.read_exactly(codec.PACKET_HEAD_BYTES)
         size = int.from_bytes(head[2:], "big")
         if head[:2] != codec.TO_GATEWAY or not 0 < size <= max_bytes - codec.PACKET_HEAD_BYTES:
-            raise codec.MalformedPacketError(f"packet starts with {head.hex()}")
+            raise codec.MalformedPacketError(f"invalid packet header {head.hex()}")
         return self.reader.read_exactly(size)
 
 
 @dataclass(slots=True)
 class AjpBackend:
-    """What is known of one AJP server.
+    """State of one AJP server.
 
     Attributes:
         settings: Its configuration.
-        in_flight: How many requests it runs for this process.
-        unreachable_until: Until then the other servers are preferred to it; Unix milliseconds.
-        idle: Connections that carry no request.
+        in_flight: Number of requests of this process that the server is running.
+        unreachable_until: Other servers are preferred until this time, in Unix milliseconds.
+        idle: Connections without a request.
     """
 
     settings: AjpBackendSettings
@@ -86,7 +86,7 @@
 
 
 class AjpBackendPool:
-    """The execution engine of one target: an AJP server, or a balancer over several."""
+    """Runs the requests of one target: an AJP server, or a balancer over several."""
 
     def __init__(self, config: Config, coordinator: RequestCoordinator, backends: list[AjpBackend]) -> None:
         self._coordinator = coordinator
@@ -110,7 +110,7 @@
                 outcome = RunOutcome.OK if answer.kind is AnswerKind.SERVED else RunOutcome.ERROR
         except gevent.Timeout:
             answer = Answer(AnswerKind.FAILED, late=True)
-        except BackendUnreachableError:  # it never ran: a later attempt may
+        except BackendUnreachableError:  # it never ran, so a later attempt may run
             answer = Answer(AnswerKind.REFUSED, retry_after_ms=self._limits.backend_retry_ms)
         except StartNotConfirmedError:
             self._coordinator.start_refused(exchange.id)
@@ -120,12 +120,12 @@
         self._coordinator.run_ended(exchange.id, outcome, unix_ms() - started_at, answer)
 
     def _run_on_first_reachable(self, exchange: Exchange) -> Answer:
-        """Run a request on the first server that can be connected to; once sent, it is sent to no other.
+        """Run a request on the first server that can be connected to; once sent, it is not sent to another.
 
         Raises:
             BackendUnreachableError: No server can be connected to.
-            StartNotConfirmedError: A server could be connected to, and the start may not be sent any more.
-            OSError, ConnectionEndedError, MalformedPacketError: The request was sent, and no valid answer came.
+            StartNotConfirmedError: The coordinator no longer allows the start.
+            OSError, ConnectionEndedError, MalformedPacketError: The request was sent, but no valid answer was received.
         """
         for backend in self._by_preference(exchange.route):
             connection = self._acquire_connection(backend)
@@ -135,7 +135,7 @@
                 continue
             if not self._coordinator.confirm_start(exchange.id):  # connecting may have taken long
                 connection.sock.close()
-                raise StartNotConfirmedError("its admission is outdated")
+                raise StartNotConfirmedError("the admission expired before the start")
             backend.in_flight += 1
             self._coordinator.counters.add("worker.sent")
             reuse = False
@@ -152,7 +152,7 @@
         raise BackendUnreachableError("no AJP server can be reached")
 
     def _by_preference(self, route: str) -> list[AjpBackend]:
-        """Return the session's own server first, then the least loaded for its capacity; unreachable ones last."""
+        """Return the reachable servers first; of these the one of the session's route, then by load per capacity."""
         now = unix_ms()
         return sorted(
             self._backends,
@@ -177,7 +177,7 @@
         return BackendConnection(sock, SocketReader(sock, self._limits.max_ajp_packet_bytes))
 
     def _answers_ping(self, connection: BackendConnection) -> bool:
-        """Return whether a ping is answered: its server may have closed an idle connection."""
+        """Return whether the server answers a ping; it may have closed an idle connection."""
         try:
             with gevent.Timeout(self._limits.connect_timeout_ms / 1000.0, TimeoutError):
                 connection.send(codec.encode_packet(codec.TO_SERVLET, bytes([codec.CPING])))
@@ -206,18 +206,18 @@
             elif kind == codec.BODY:
                 result += codec.decode_reply_chunk(payload)
                 if len(result) > self._limits.max_ajp_reply_bytes:
-                    raise codec.MalformedPacketError("answer too long")
+                    raise codec.MalformedPacketError("answer's body exceeds the maximum length")
             elif kind == codec.GET_BODY:
                 connection.send(codec.encode_body_chunk(body[sent_bytes : sent_bytes + chunk_bytes]))
                 sent_bytes += chunk_bytes
             elif kind == codec.END:
                 if not status:
-                    raise codec.MalformedPacketError("answer without headers")
+                    raise codec.MalformedPacketError("answer ended without headers")
                 answer_kind = AnswerKind.SERVED if status < FIRST_FAILURE_STATUS else AnswerKind.FAILED
                 answer = Answer(answer_kind, bytes(result), status=status, headers=headers)
                 return BackendReply(answer, reuse=payload[1:2] == b"\x01")
             elif kind != codec.CPONG:
-                raise codec.MalformedPacketError(f"packet of kind {kind}")
+                raise codec.MalformedPacketError(f"unexpected packet of type {kind}")
 
 
 def _forward_request(settings: AjpBackendSettings, exchange: Exchange) -> codec.ForwardRequest:
@@ -233,7 +233,7 @@
 
 
 def create_backend_pools(config: Config, coordinator: RequestCoordinator) -> dict[str, AjpBackendPool]:
-    """Return a pool for each AJP server and each balancer, by name; they share what is known of a server."""
+    """Return a pool for each AJP server and each balancer, by name; pools share the state of a server."""
     backends = {settings.name: AjpBackend(settings) for settings in config.ajp.backends}
     pools = {name: AjpBackendPool(config, coordinator, [backend]) for name, backend in backends.items()}
     for name, members in config.ajp.balancers.items():
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -1,6 +1,6 @@
 """The AJP13 listener for gateways (Apache's mod_proxy_ajp, mod_jk).
 
-It translates packets into requests and answers, and decides nothing.
+It translates between packets and requests or answers; the coordinator makes all decisions.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     """Listens for gateways."""
 
     def __init__(
-        self, config: Config, coordinator: RequestCoordinator, listen: Address, give_up: Callable[[], bool]
+        self, config: Config, coordinator: RequestCoordinator, listen: Address, is_cancelled: Callable[[], bool]
     ) -> None:
-        """Bind the address; `give_up` returns whether waiting for it has become pointless.
+        """Bind the address; `is_cancelled` returns whether to stop waiting for it before the timeout.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -48,11 +48,11 @@
             coordinator,
             self.limits.max_connections // 4,
             lambda sock: AjpConnection(self, sock),
-            give_up,
+            is_cancelled,
         )
 
     def drain(self) -> None:
-        """Close idle connections, as AJP has no message for it; the others are closed after their answer."""
+        """Close idle connections, as AJP can't announce a shutdown; the others are closed after their answer."""
         for connection in list(self.connections):
             connection.close()
 
@@ -66,7 +66,7 @@
 
 
 class AjpConnection(ClientConnection):
-    """One gateway's connection, which carries one request at a time."""
+    """A connection from a gateway, which carries one request at a time."""
 
     def __init__(self, front: AjpFront, sock: socket.socket) -> None:
         front.connections_opened += 1
@@ -85,7 +85,7 @@
         self._request = codec.ForwardRequest()
 
     def has_open_requests(self) -> bool:
-        """Return whether a request that has begun is not answered yet."""
+        """Return whether a request that was at least partly read is not answered yet."""
         return self.lifecycle.state not in (ConnectionState.IDLE, ConnectionState.CLOSED)
 
     def read(self) -> None:
@@ -93,7 +93,7 @@
         try:
             while self._accepts_requests():
                 packet = self._read_packet()
-                if not self._accepts_requests():  # it came while we closed, and could still be read
+                if not self._accepts_requests():  # it arrived while this side was closing
                     self.coordinator.counters.add("in.behind_close.ajp")
                     break
                 rejected_before = self.consecutive_rejected
@@ -101,7 +101,7 @@
                 if self.consecutive_rejected == rejected_before:
                     self.consecutive_rejected = 0
                 elif self.consecutive_rejected >= self.limits.max_consecutive_rejected:
-                    raise codec.MalformedPacketError("too many requests that could not be taken")
+                    raise codec.MalformedPacketError("too many consecutive rejected requests")
                 self.reader.yield_if_buffered()
         except ConnectionEndedError:
             pass
@@ -110,7 +110,7 @@
             if self.lifecycle.state == ConnectionState.READING:
                 self._reply(400)
             self._stop_reading()
-        except gevent.Timeout:  # the gateway began a request and did not finish it
+        except gevent.Timeout:  # the gateway did not complete a request in time
             self.coordinator.counters.add("in.slow_request.ajp")
         self._close_after_reading()
 
@@ -118,7 +118,7 @@
         head = self.reader.read_exactly(codec.PACKET_HEAD_BYTES)
         size = int.from_bytes(head[2:], "big")
         if head[:2] != codec.TO_SERVLET or size + codec.PACKET_HEAD_BYTES > self.limits.max_ajp_packet_bytes:
-            raise codec.MalformedPacketError(f"packet starts with {head.hex()}")
+            raise codec.MalformedPacketError(f"invalid packet header {head.hex()}")
         return self.reader.read_exactly(size)
 
     def _handle_packet(self, payload: bytes) -> None:
@@ -128,16 +128,16 @@
         if kind == codec.CPING and len(payload) == 1:
             self._handle_ping()
         elif kind in (codec.SHUTDOWN, codec.PING) and len(payload) == 1:
-            self.coordinator.counters.add("in.ignored.ajp")  # a gateway may not stop the server
+            self.coordinator.counters.add("in.ignored.ajp")  # a gateway must not be able to stop the server
         elif kind == codec.FORWARD and self.lifecycle.state == ConnectionState.IDLE:
             self._handle_request(payload)
         else:
-            raise codec.MalformedPacketError(f"packet of kind {kind} out of place")
+            raise codec.MalformedPacketError(f"unexpected packet of type {kind}")
 
     def _handle_ping(self) -> None:
-        """Answer a ping, which Apache sends before a request: without an answer it uses another server.
+        """Answer a ping, which Apache sends before a request; it uses another server if there is no answer.
 
-        While draining or unhealthy the connection is closed instead.
+        While draining or unhealthy, the connection is closed instead.
         """
         self.coordinator.counters.add("in.check.ajp")
         if self.coordinator.healthy and not self.coordinator.draining:
@@ -156,7 +156,7 @@
             self._submit(rule, body)
 
     def _find_allowed_rule(self) -> PathRule | None:
-        """Return the rule for the request, or reject the request and return None."""
+        """Return the rule for the request's path; without one, or if the secret is wrong, reject it and return None."""
         secret = self.front.settings.secret
         if secret and not compare_digest(self._request.attributes.get("secret", "").encode(), secret.encode()):
             self.coordinator.counters.add("in.wrong_secret.ajp")
@@ -170,15 +170,15 @@
         return rule
 
     def _read_body(self) -> bytes | None:
-        """Return the complete body, or reject the request and return None if it is too long.
+        """Return the complete body; if it is too long, reject the request and return None.
 
-        The first part of a body with a stated length comes without a request for it; all other parts are requested.
+        The gateway sends the first chunk of a body with a content-length unasked; every other chunk is requested.
         """
-        stated_length = self._request.header("content-length")
+        content_length = self._request.header("content-length")
         chunked = "chunked" in self._request.header("transfer-encoding").lower()
-        if stated_length and not (stated_length.isascii() and stated_length.isdigit()):
-            raise codec.MalformedPacketError("content-length is no number")
-        length = int(stated_length or 0)
+        if content_length and not (content_length.isascii() and content_length.isdigit()):
+            raise codec.MalformedPacketError("content-length is not a number")
+        length = int(content_length or 0)
         if length > self.limits.max_body_bytes:
             self._reply(413)
             return None
@@ -197,12 +197,12 @@
                 self._reply(413)
                 return None
         if len(body) != length and not chunked:
-            raise codec.MalformedPacketError(f"body of {len(body)} bytes, {length} were told")
+            raise codec.MalformedPacketError(f"body has {len(body)} bytes, content-length is {length}")
         return body
 
     def _submit(self, rule: PathRule, body: bytes) -> None:
         request = self._request
-        if not body and not rule.target:  # the engine gets a body alone: without one, it gets what is asked for
+        if not body and not rule.target:  # the engine gets only a body: without one, path and query
             query = request_query(request)
             body = (request.uri + (f"?{query}" if query else "")).encode("latin-1")
             if len(body) > self.limits.max_body_bytes:
@@ -234,8 +234,8 @@
     def _reply(self, status: int, body: bytes = b"", headers: codec.Headers = ()) -> None:
         """Send a complete answer.
 
-        The connection is closed after it while draining, or if the request's body was not read: what comes next on
-        it would be that body.
+        The connection is closed afterwards while draining, or if the request's body was not read, as the body would be
+        taken for the next packets.
         """
         self.last_active_at = unix_ms()
         has_body = self._request.header("content-length") or self._request.header("transfer-encoding")
@@ -246,7 +246,7 @@
         max_bytes = self.limits.max_ajp_packet_bytes
         try:
             data = b"".join(codec.encode_reply(status, headers, body, reuse, max_bytes))
-        except codec.MalformedPacketError:  # headers of an AJP server that fill more than a packet
+        except codec.MalformedPacketError:  # the AJP server's headers do not fit into one packet
             status = 500
             data = b"".join(codec.encode_reply(status, (), b"", reuse, max_bytes))
         self.coordinator.counters.add(f"sent.{status}.ajp")
--- a/myrtlespar/net/ajp_requests.py
+++ b/myrtlespar/net/ajp_requests.py
@@ -1,4 +1,4 @@
-"""Turns a Forward Request of a gateway into an `Exchange`."""
+"""Converts a Forward Request of a gateway into an `Exchange`."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     key_header: str,
     deliver: Callable[[Exchange, Answer], None],
 ) -> Exchange:
-    """Return the request as the coordinator takes it.
+    """Return the `Exchange` for a gateway's request.
 
     Args:
-        request_id: Its id, new for each request.
+        request_id: A unique id for the request.
         request: The gateway's request.
-        rule: The rule for its path.
-        body: Its complete body.
-        key_header: Name of the header with the idempotency key; empty if none holds it.
-        deliver: Takes the answer.
+        rule: The rule for the request's path.
+        body: The request's complete body.
+        key_header: Name of the header with the idempotency key; empty if none has it.
+        deliver: Called with the answer.
     """
     exchange = Exchange(request_id, "ajp", rule.class_index, body, unix_ms(), deliver)
     exchange.memory_kb = rule.memory_kb
@@ -50,11 +50,11 @@
 
 
 def request_query(request: ForwardRequest) -> str:
-    """Return the request's query, without the question mark."""
+    """Return the request's query string, without the question mark."""
     return request.attributes.get("query_string", "")
 
 
 def session_route(request: ForwardRequest) -> str:
-    """Return the route behind the dot of a session's id, from the path or a cookie; else the gateway's."""
+    """Return the route: the part of the session id after the dot, from the path or a cookie, or else the gateway's."""
     found = SESSION_ROUTE.search(request.uri) or SESSION_ROUTE.search(request.header("cookie"))
     return found.group(1) if found else request.attributes.get("jvm_route", "")
--- a/myrtlespar/net/binding.py
+++ b/myrtlespar/net/binding.py
@@ -1,4 +1,4 @@
-"""Binding of listening addresses, and accepting of connections."""
+"""Binding of listening addresses and accepting of connections."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from myrtlespar.resource_limits import ResourceLimits
 from myrtlespar.runtime.clock import unix_ms
 
-# What accept reports when the system is short of descriptors or memory for a moment.
+# Errors of accept when the system is temporarily short of descriptors or memory.
 EXHAUSTION_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# What accept reports about one connection alone.
+# Errors of accept that concern a single connection.
 SINGLE_CONNECTION_ERRORS = frozenset({errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.EPERM})
-EXHAUSTION_PAUSE_S = 0.05  # before accepting goes on
+EXHAUSTION_PAUSE_S = 0.05  # before the next accept
 
 
 class AddressInUseError(MyrtlesparError):
-    """An address could not be bound in time; the message is one line that names its key."""
+    """An address could not be bound in time; the message is one line that names the configuration key."""
 
 
 class Acceptor(StreamServer):  # type: ignore[misc]
-    """Accepts connections; an error of one of them, or a passing one of the system, does not delay the others."""
+    """Accepts connections; errors of one connection and temporary errors of the system do not stop it."""
 
     min_delay = max_delay = EXHAUSTION_PAUSE_S
-    free_descriptor: Callable[[], object] = staticmethod(lambda: None)  # called when the system has none left
+    free_descriptor: Callable[[], object] = staticmethod(lambda: None)  # called when no descriptor is left
 
     def do_read(self) -> Any:
         """Return one accepted connection and its address, or None if none is waiting."""
@@ -51,21 +51,21 @@
     shared: bool,
     timeout_ms: float,
     limits: ResourceLimits,
-    give_up: Callable[[], bool],
+    is_cancelled: Callable[[], bool],
 ) -> socket.socket:
     """Return a bound socket.
 
-    An earlier process may hold the address for a moment: one that is still ending, or a connection that happens to
-    have this port. So binding is retried.
+    Binding is retried, as the address may be in use for a moment: by an earlier process that is still ending, or by an
+    outgoing connection that happens to have this port.
 
     Args:
         key: The address's key in the configuration.
         address: Where to listen.
-        backlog: Connections that may wait to be accepted; 0 to bind without listening.
+        backlog: How many connections may wait to be accepted; 0 to bind without listening.
         shared: Whether a second process of the same server may bind the address too.
-        timeout_ms: For how long binding is retried.
-        limits: Holds the pause between attempts.
-        give_up: Returns whether waiting for the address has become pointless.
+        timeout_ms: How long binding is retried.
+        limits: Provides the pause between attempts.
+        is_cancelled: Returns whether to stop retrying before the timeout, as at a shutdown.
 
     Raises:
         AddressInUseError: The address could not be bound in time; the message names `key`.
@@ -75,7 +75,7 @@
         try:
             return bind(address, backlog, shared)
         except OSError as error:
-            if unix_ms() > retry_until or give_up():
+            if unix_ms() > retry_until or is_cancelled():
                 raise AddressInUseError(
                     f"{key}: cannot listen on {address[0]}:{address[1]}: {error.strerror}"
                 ) from None
@@ -83,9 +83,9 @@
 
 
 def bind(address: Address, backlog: int, shared: bool) -> socket.socket:
-    """Return a socket that listens, or with a backlog of 0 is only bound to its address.
+    """Return a listening socket; with a backlog of 0 it is only bound.
 
-    With `shared`, a second process of the same server may listen beside it (SO_REUSEPORT).
+    With `shared`, a second process of the same server may bind the address too (SO_REUSEPORT).
 
     Raises:
         OSError: The address can't be bound.
--- a/myrtlespar/net/client_connection.py
+++ b/myrtlespar/net/client_connection.py
@@ -1,4 +1,4 @@
-"""What the client connections of both protocols have in common: how one ends without losing an answer."""
+"""Base class of client connections, which ends them without losing an answer."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class ClientConnection:
-    """One client's connection.
+    """A connection from a client.
 
-    A subclass reads the messages of its protocol and reports to the state machine what happens. There are three ways
-    to end it from this side: `close` while idle, `end` at the end of the process, and `fail` after a fault. Only `fail`
-    blocks.
+    A subclass reads the messages of its protocol and reports events to the state machine. This side can end the
+    connection with `close` while it is idle, with `end` at the end of the process, and with `fail` after an unexpected
+    exception. Only `fail` blocks.
 
     Attributes:
-        outbox: Sends the answers.
+        outbox: Queue of unsent answers.
         reader: Reads from the socket.
         lifecycle: The connection's state machine.
-        last_active_at: When a message last came or went, in Unix milliseconds.
-        messages_read: How many complete messages were read.
-        consecutive_rejected: How many messages in a row were rejected without reaching the coordinator.
+        last_active_at: When a message was last received or sent, in Unix milliseconds.
+        messages_read: Number of complete messages read.
+        consecutive_rejected: Number of messages in a row that were rejected without reaching the coordinator.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
             name: The connection's name in traces.
             sock: The accepted socket.
             limits: The process's limits.
-            max_outbox_bytes: Unsent bytes it may hold.
-            max_message_bytes: Size of the longest message.
-            outbox_budget: Unsent bytes it may hold together with other connections.
-            finish_answers: Closes a connection of which no more is read, once its requests are answered.
+            max_outbox_bytes: Unsent bytes that may be queued.
+            max_message_bytes: Maximum size of a message.
+            outbox_budget: Limit on the unsent bytes of all connections of the listener.
+            finish_answers: Blocks until all requests of the connection are answered, and closes it.
         """
         self.limits = limits
         self.outbox = Outbox(sock, max_outbox_bytes, limits.send_timeout_ms, limits.close_linger_ms, outbox_budget)
@@ -60,7 +60,7 @@
         self._finish_answers = finish_answers
 
     def has_open_requests(self) -> bool:
-        """Return whether a request on it is not answered yet."""
+        """Return whether a request on the connection is not answered yet."""
         raise NotImplementedError
 
     def read(self) -> None:
@@ -68,18 +68,18 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close it if it is idle; nothing happens while a request on it is open."""
+        """Close the connection if it is idle; do nothing while a request on it is open."""
         self._handle_event(ConnectionEvent.CLOSE)
 
     def end(self) -> None:
-        """Read nothing more, not even the rest of a request, and close it after what is queued.
+        """Stop reading, even within a request, and close the connection after its queued answers.
 
-        All requests must have been answered: while an answer is outstanding, the event is only counted as invalid.
+        All requests must have been answered: while one is open, the event is only counted as invalid.
         """
         self._handle_event(ConnectionEvent.END)
 
     def fail(self) -> None:
-        """Read nothing more after a fault; block until its open requests are answered, then close it."""
+        """Stop reading after an unexpected exception, block until all open requests are answered, then close."""
         self._stop_reading()
         self._close_after_reading()
 
@@ -91,24 +91,24 @@
                 self._abandon_requests()
 
     def _abandon_requests(self) -> None:
-        """Report that nobody waits any longer for the answers to the open requests."""
+        """Report to the coordinator that the client no longer waits for the answers to the open requests."""
         raise NotImplementedError
 
     def _accepts_requests(self) -> bool:
-        """Return whether a message that comes may still be handled.
+        """Return whether a received message may still be handled.
 
-        A client retries elsewhere what it sent while we closed. If that ran here too, it would run twice, and its
-        answer could not be sent.
+        A client sends a request again elsewhere if this side closed the connection meanwhile. If the request also ran
+        here, it would run twice, and its answer could not be sent.
         """
         return self.lifecycle.accepts_requests and not self.outbox.finishing and not self.outbox.closed
 
     def _stop_reading(self) -> None:
-        """Read nothing more, and block until the open requests are answered."""
+        """Stop reading, and block until the open requests are answered."""
         self._handle_event(ConnectionEvent.SPOILT)
         self._finish_answers(self)
 
     def _close_after_reading(self) -> None:
-        """Send the last answers, if it is this side that ends the connection, and close."""
+        """Close; if this side ends the connection, send the last answers before."""
         if self.outbox.finishing:
             self.outbox.wait_sent(self.limits.send_timeout_ms / 1000.0)
             self.reader.discard()
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -1,6 +1,7 @@
-"""The link to the execution engine: reconnects, moves to another address, resends where no second run can do harm.
+"""Client of the execution engine: sends commands and reads notices over one link, which it reconnects when it breaks.
 
-`CommandLog` decides what is resent. A run that the engine lost ends in `_fail_lost_runs` or by an `EndRun` effect.
+`CommandLog` decides which commands are sent again: only those where a second run would do no harm. A run that the
+engine lost is ended by `_fail_lost_runs` or an `EndRun` effect.
 """
 
 from __future__ import annotations
@@ -37,15 +38,15 @@
 from myrtlespar.state_machines.silence_watch import SilenceWatch
 
 log = structlog.get_logger()
-MAX_FAULT_CHARS = 200
-SILENCE_CHECKS = 3  # within the silence timeout
+MAX_LOGGED_ERROR_CHARS = 200
+SILENCE_CHECKS_PER_TIMEOUT = 3
 
 
 class EngineClient:
     """Runs requests on the execution engine and reads its gauges.
 
     Attributes:
-        is_up: Whether the engine has been up on some link.
+        has_been_up: Whether the engine was up at least once; stays true after it is lost.
     """
 
     def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
@@ -61,14 +62,14 @@
             lambda request_id: coordinator.confirm_start(request_id),
         )
         self._link: Outbox | None = None
-        self._connected_at = 0.0  # the present link
+        self._connected_at = 0.0  # when the current link was connected, in Unix milliseconds
         self._last_notice_at = 0.0
         self._engine_started_at: float | None = None
-        self._started_on_link: set[str] = set()  # runs started on the present link that have not ended
+        self._started_on_link: set[str] = set()  # runs started on the current link that have not ended
         self._gauges: list[float] = []
         self._gauges_at = 0.0
 
-    # What the coordinator requests.
+    # Called by the coordinator.
 
     def run(self, exchange: Exchange) -> None:
         """Start a request."""
@@ -77,19 +78,22 @@
         self._carry_out(self._commands.send(Command(exchange.id, line, True, is_idempotent)))
 
     def resume(self, exchange: Exchange, reply: bytes) -> None:
-        """Send a run the reply to its call to the dependency."""
+        """Pass a run the reply to its call to the dependency."""
         self._carry_out(self._commands.send(Command(exchange.id, codec.encode_call_reply(exchange.id, reply), False)))
 
     def request_gauges(self) -> None:
-        """Request the gauges; the answer also proves that all commands before it were read."""
+        """Request the gauges; the answer also proves that the engine read all commands before the request."""
         self._carry_out(self._commands.request_gauges())
 
     def latest(self, now: float) -> list[float]:
-        """Return the latest gauges, or none if they are outdated."""
+        """Return the latest gauges, or an empty list if they are older than `max_gauge_age_ms`."""
         return self._gauges if now - self._gauges_at <= self._limits.max_gauge_age_ms else []
 
     def move(self, address: Address) -> None:
-        """Connect to another address, after a reload, once the old link confirmed all commands or its time is over."""
+        """Connect to another address after a reload.
+
+        The old link is closed once the engine confirmed all commands on it, or after `engine_move_timeout_ms`.
+        """
         if address == self._address:
             return
         self._address = address
@@ -109,7 +113,7 @@
             elif self._link is None:
                 continue
             elif isinstance(effect, WriteCommand):
-                if not self._link.put(effect.command.line):  # nothing of it was sent: it can't have been lost
+                if not self._link.put(effect.command.line):  # nothing was sent, so it can't have been lost
                     self._commands.send_failed(effect.command)
                 elif effect.command.is_start:
                     self._started_on_link.add(effect.command.request_id)
@@ -120,36 +124,37 @@
             else:
                 self._link.close()
 
-    # The link.
+    # The link to the engine.
 
     def serve(self) -> None:
-        """Keep a link to the engine, and never return."""
+        """Connect to the engine, and reconnect whenever the link ends; never return."""
         counters = self._coordinator.counters
         while True:
             started_at = unix_ms()
             try:
                 self._connect()
             except (OSError, ConnectionEndedError) as error:
-                if counters.count_and_sample("kernel.link_ended"):  # an engine that is down is retried very often
-                    log.info("kernel link", error=str(error))
-            except (ValueError, TypeError, OverflowError) as error:  # a number in a notice is none
-                log.error("kernel sent what can't be read", error=str(error)[:MAX_FAULT_CHARS])
+                if counters.count_and_sample("kernel.link_ended"):  # sampled: an engine that is down is retried often
+                    log.info("engine link ended", error=str(error))
+            except (ValueError, TypeError, OverflowError) as error:  # malformed number in a notice
+                log.error("malformed notice from the engine; reconnecting", error=str(error)[:MAX_LOGGED_ERROR_CHARS])
                 counters.add("kernel.bad_notice")
-            finally:  # whatever ended it: otherwise the next link would never be greeted
+            finally:  # also after an unexpected exception: the next link could not be opened without `broken`
                 if self._link is not None:
                     self._link = None
                     self._commands.broken()
-            # A link that held is replaced at once: runs go on meanwhile, and their notices wait.
+            # The delay counts from the last attempt: a link that lasted longer is replaced at once, as runs go on
+            # without a link and their notices wait.
             gevent.sleep(max(0.0, started_at + self._limits.reconnect_ms - unix_ms()) / 1000.0)
 
     def _connect(self) -> None:
         """Open a link and read notices until it ends."""
         address = self._address
         sock = connect(address, self._limits.connect_timeout_ms)
-        if address != self._address:  # a reload has moved the link meanwhile
+        if address != self._address:  # changed by a reload while connecting
             self._coordinator.counters.add("kernel.moved_meanwhile")
             sock.close()
-            raise ConnectionEndedError("moved while it was reached")
+            raise ConnectionEndedError("the address was changed while connecting to it")
         self._coordinator.counters.add("kernel.link")
         self._connected_at = unix_ms()
         self._started_on_link.clear()
@@ -168,17 +173,17 @@
         """Handle notices until the link ends.
 
         Raises:
-            ConnectionEndedError: The link ended, or has to be replaced as something was lost on it.
+            ConnectionEndedError: The link ended, or has to be replaced because a notice was lost on it.
         """
         greeted = False
         while True:
             notice = codec.decode_notice(reader.read_line())
-            if notice is None:  # a numbered notice that was lost with it shows as a gap
+            if notice is None:  # if it was numbered, the next number shows a gap
                 self._coordinator.counters.add("kernel.bad_notice")
                 notice = {}
             if not notice and not self._commands.is_synchronized:
-                # The greeting or the mark that the link waits for may have been in that line.
-                raise ConnectionEndedError("unreadable line before the link was in step")
+                # The line may have been the greeting or the mark that the link waits for.
+                raise ConnectionEndedError("malformed line before the link was synchronized")
             if notice.get("t") == codec.ENGINE_STARTED and not greeted:
                 greeted = True
                 self._handle_greeting(notice)
@@ -191,7 +196,11 @@
                 self._handle_unnumbered(notice)
 
     def _check_number(self, number: int, notice: dict[str, Any]) -> None:
-        """Handle a numbered notice unless it was read before; a gap before it ends the link, to request a replay."""
+        """Handle a numbered notice unless it is a duplicate.
+
+        Raises:
+            ConnectionEndedError: Notices before it are missing; the next link requests them again.
+        """
         position = self._commands.classify_notice(number)
         if position == RENUMBERED:
             self._coordinator.counters.add("kernel.renumbered")
@@ -199,17 +208,17 @@
             position = self._commands.classify_notice(number)
         if position == GAP:
             self._coordinator.counters.add("kernel.gap")
-            raise ConnectionEndedError(f"notice {number} after {self._commands.last_notice}")
+            raise ConnectionEndedError(f"notice {number} came after notice {self._commands.last_notice}")
         if position == NEXT:
             self._handle_numbered(notice)
 
     def _close_if_silent(self, link: Outbox, reader: SocketReader) -> None:
-        """Close the link when it is dead without having ended.
+        """Close the link when the engine has not answered a mark for too long.
 
-        It is not dead if this process stood still, or if answers came and were not read yet: each run on a link that
-        is closed for nothing is in doubt, and an order among them may fail.
+        Pauses of this process do not count, and the link is kept while answers wait in the socket: on a working link
+        that is closed by mistake every run becomes unconfirmed, and orders may fail.
         """
-        period_ms = self._limits.engine_silence_timeout_ms / SILENCE_CHECKS
+        period_ms = self._limits.engine_silence_timeout_ms / SILENCE_CHECKS_PER_TIMEOUT
         watch = SilenceWatch(self._limits.engine_silence_timeout_ms, period_ms)
         while True:
             gevent.sleep(period_ms / 1000.0)
@@ -220,19 +229,19 @@
                 link.close()
 
     def _check_unconfirmed(self) -> None:
-        """Request marks that show which commands a broken link has lost, until none is unconfirmed."""
+        """Periodically request a mark while commands are in doubt; its answer shows which ones a broken link lost."""
         while True:
             gevent.sleep(self._limits.unconfirmed_check_ms / 1000.0)
             self._carry_out(self._commands.request_doubt_mark())
 
-    # Notices.
+    # Handling of notices.
 
     def _handle_greeting(self, notice: dict[str, Any]) -> None:
-        """Find out from the engine's age whether it is a new one.
+        """Determine from the engine's age in the greeting whether it was restarted.
 
-        It is new only if it started after the last notice was read, and after the known start by more than
-        `same_engine_start_ms`. Its age counts from the connection: after a pause of this machine, or over a slow
-        link, the same start would otherwise seem to be later.
+        It was if it started after the last notice was read, and more than `same_engine_start_ms` after the known
+        start. The start is computed from the time of the connection: computed from the time of the greeting, the same
+        start would seem later after a pause of this machine or over a slow link.
         """
         age_ms = codec.finite_number(notice.get("time_ms", 0.0))
         started_at = self._connected_at - age_ms
@@ -244,9 +253,9 @@
         log.info("kernel up", status=notice.get("status"))
 
     def _fail_lost_runs(self) -> None:
-        """Fail the runs of an engine that was replaced by a new one; nobody would ever report their end."""
+        """Fail the runs of an engine that was restarted, as nothing will report their end."""
         log.warning("the kernel started anew")
-        self._commands.restarted()  # commands that wait for a link are sent to the new engine
+        self._commands.restarted()  # queued starts are sent to the new engine
         lost = [
             request_id
             for request_id, exchange in self._coordinator.tracker.requests.items()
@@ -267,13 +276,13 @@
 
     def _handle_rejection(self, command: Any, request_id: str, notice: dict[str, Any]) -> None:
         if self._coordinator.counters.count_and_sample("kernel.einval"):
-            log.error("command not carried out", command=command, rid=notice.get("rid"))
+            log.error("engine rejected a command", command=command, rid=notice.get("rid"))
         if command == codec.GAUGES_COMMAND:
             self._carry_out(self._commands.mark_rejected())
         elif command == codec.START_COMMAND:
             self._commands.run_reported(request_id)
             self._started_on_link.discard(request_id)
-            # Nothing was started, so this is no failed run: clients may invent ids.
+            # MOOT, not ERROR, as nothing was started: clients may make up ids, and must not cause failed runs by that.
             self._coordinator.run_ended(request_id, RunOutcome.MOOT, 0.0)
 
     def _handle_numbered(self, notice: dict[str, Any]) -> None:
@@ -289,14 +298,17 @@
                 self._coordinator.call_needed(request_id, codec.decode_body(notice))
         except codec.MALFORMED_NOTICE_ERRORS as error:  # one malformed notice does not end the link
             if self._coordinator.counters.count_and_sample("kernel.bad_notice"):
-                log.error("notice can't be read", error=f"{type(error).__name__}: {error}"[:MAX_FAULT_CHARS])
-            if kind == codec.RUN_ENDED:  # it has ended all the same, and nobody knows how
+                log.error(
+                    "malformed notice from the engine",
+                    error=f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR_CHARS],
+                )
+            if kind == codec.RUN_ENDED:  # the run has ended, its outcome is not known
                 self._coordinator.run_ended(request_id, RunOutcome.ERROR, 0.0)
 
     def _handle_run_end(self, request_id: str, end: codec.RunEnd) -> None:
         self._coordinator.counters.add(f"kernel.{end.status.lower()}")
         answer = Answer(AnswerKind.SERVED, end.result) if end.outcome is RunOutcome.OK else None
-        if end.outcome is RunOutcome.MOOT:  # it never ran: a repeat with its idempotency key may
+        if end.outcome is RunOutcome.MOOT:  # it never ran, so a retry with its idempotency key may run
             answer = NEVER_RAN
         self._coordinator.run_ended(request_id, end.outcome, end.elapsed_ms, answer)
 
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -1,4 +1,4 @@
-"""What both listeners for clients, Thrift and AJP, have in common: accepting, idle connections, drain and end."""
+"""Base class of the client listeners (Thrift and AJP): accepting, idle connections and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -28,28 +28,27 @@
 CLOSED_CHECK_S = 0.005  # between checks whether all connections have ended
 ANSWERED_CHECK_S = 0.02  # between checks whether a connection's requests are answered
 
-
 ConnectionType = TypeVar("ConnectionType", bound=ClientConnection)
 
 
 class Listener(Generic[ConnectionType]):
-    """Accepts the client connections of one protocol, and holds them until they end.
+    """Accepts the client connections of one protocol, and keeps track of them until they end.
 
-    Its methods in the order of a graceful shutdown:
+    A graceful shutdown calls these methods in this order:
 
-    1. `stop`: accept no more; the connections already queued are served.
-    2. `drain`: ask the clients to send nothing new. Connections stay open; requests that still come are handled.
-    3. `end`: read nothing more and close each connection after what is queued, once all requests are answered.
-    4. `finish`: send what is queued and wait, for a limited time, until the clients have closed.
+    1. `stop`: accept no more connections; those already queued are served.
+    2. `drain`: ask the clients to send no new requests. Connections stay open; requests that still arrive are handled.
+    3. `end`: once all requests are answered, stop reading and close each connection after its queued answers are sent.
+    4. `finish`: wait, for a limited time, until queued answers are sent and the clients have closed.
 
     `server.drain`, `server.handover` and `server.shutdown` decide when. Without a replacement process, `drain` is also
-    called first.
+    called before `stop`.
 
     Attributes:
         name: The protocol's name in counters and log lines.
         connections: All open connections.
-        outbox_budget: Bytes of unsent answers that all of them together may queue.
-        idle_timeout_ms: Idle connections are closed after this time; 0 leaves that to the clients.
+        outbox_budget: Limit on the unsent bytes that all connections together may queue.
+        idle_timeout_ms: Idle connections are closed after this time; 0 disables the timeout.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         coordinator: RequestCoordinator,
         max_connections: int,
         open_connection: Callable[[socket.socket], ConnectionType],
-        give_up: Callable[[], bool],
+        is_cancelled: Callable[[], bool],
     ) -> None:
         """Bind the address, without listening yet.
 
@@ -68,10 +67,10 @@
             name: The protocol's name in counters and log lines.
             key: The address's key in the configuration.
             address: Where to listen.
-            coordinator: Takes the requests.
-            max_connections: How many may be open at a time.
-            open_connection: Makes the connection of an accepted socket.
-            give_up: Returns whether waiting for the address has become pointless.
+            coordinator: Receives the requests.
+            max_connections: How many connections may be open at a time.
+            open_connection: Creates the connection object for an accepted socket.
+            is_cancelled: Returns whether to stop waiting for the address before the timeout.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -84,16 +83,16 @@
         self.idle_timeout_ms = 0.0
         self._max_connections = max_connections
         self._open_connection = open_connection
-        # Connections with an unfinished message: how many messages they had finished, and the time since in ms.
+        # For connections with an unfinished message: messages read until then, and ms since the last one was complete.
         self._unfinished: dict[ConnectionType, tuple[int, float]] = {}
-        self._socket = bind_with_retries(key, address, 0, True, limits.bind_timeout_ms, limits, give_up)
+        self._socket = bind_with_retries(key, address, 0, True, limits.bind_timeout_ms, limits, is_cancelled)
         self._server = Acceptor(self._socket, self._serve)
         self._server.free_descriptor = self._close_longest_idle
-        # Were a crowd accepted at once, descriptors would run out before idle connections make place for it.
+        # Accepting many at once could exhaust the descriptors before idle connections are closed to free some.
         self._server.max_accept = limits.max_accepts_per_turn
 
     def start(self) -> None:
-        """Start listening. The address is bound before, but a process whose start fails must accept no connections."""
+        """Start listening; `__init__` only binds, as a process whose start fails must accept no connections."""
         self._socket.listen(self.coordinator.limits.accept_backlog)
         self._server.start()
         gevent.spawn(run_forever, f"{self.name}.look", self._check_connections, self.coordinator.counters)
@@ -104,9 +103,9 @@
         return int(self._server.server_port)
 
     def stop(self) -> None:
-        """Stop listening, but first accept what waits in the queue, which closing would reset unread.
+        """Accept the connections that are queued, which closing the socket would reset, and stop listening.
 
-        Those connections may have been queued here while a second process was listening too.
+        Connections may have been queued on this socket even after a replacement process began to listen.
         """
         if self._server.closed:
             return
@@ -116,22 +115,22 @@
         for sock, peer_address in self._accept_queued(listening_socket):
             self.coordinator.counters.add(f"in.taken_at_close.{self.name}")
             gevent.spawn(self._serve_then_close, sock, peer_address)
-        gevent.spawn(self.drain)  # it runs after those greenlets, so that their clients are asked too
+        gevent.spawn(self.drain)  # runs after those greenlets, so that it includes their connections
         self._server.close()
 
     def drain(self) -> None:
-        """Ask every client to send nothing new, in the way of the protocol. May be called repeatedly."""
+        """Ask every client to send no new requests, as far as the protocol allows. May be called repeatedly."""
         raise NotImplementedError
 
     def end(self) -> None:
-        """Read nothing more on any connection, and close each after what is queued; see `ClientConnection.end`."""
+        """Stop reading on all connections, and close each after its queued answers; see `ClientConnection.end`."""
         for connection in list(self.connections):
             connection.end()
 
     def finish(self, timeout_s: float) -> None:
-        """Send what is queued and close all connections; block until all have ended, for `timeout_s` at most.
+        """Send the queued answers and close all connections; block until all have ended, for `timeout_s` at most.
 
-        Each connection is closed when its client has closed its side or had the linger time to do so.
+        A connection is closed once its client has closed its side, or after the linger time.
         """
         self.end()
         for connection in list(self.connections):
@@ -147,14 +146,14 @@
         connection.close()
 
     def finish_answers(self, connection: ClientConnection) -> None:
-        """Block until the requests of a connection that is read no more are answered and the answers sent."""
+        """Block until all requests of a connection that is no longer read are answered and the answers sent."""
         while connection.has_open_requests() and not connection.outbox.closed:
             gevent.sleep(ANSWERED_CHECK_S)
         connection.outbox.finish()
         connection.outbox.wait_sent(self.coordinator.limits.send_timeout_ms / 1000.0)
 
     def _accept_queued(self, listening_socket: socket.socket) -> Iterator[tuple[socket.socket, Any]]:
-        """Yield all connections that wait to be accepted, also when one fails or descriptors run out."""
+        """Yield all connections that wait to be accepted, even if one fails or descriptors run out."""
         limits = self.coordinator.limits
         for _ in range(2 * limits.accept_backlog):
             try:
@@ -166,13 +165,13 @@
                     continue
                 if error.errno not in EXHAUSTION_ERRORS or not self._close_longest_idle():
                     return
-                # The descriptor is free once the connection that was closed has lingered.
+                # The closed connection frees its descriptor after the linger time.
                 gevent.sleep(limits.close_linger_ms / 1000.0 + EXHAUSTION_PAUSE_S)
 
     def _check_connections(self) -> None:
-        """Close connections that are idle for too long, that send nothing, or that stop within a message.
+        """Periodically close connections that are idle for too long, never send anything, or stop within a message.
 
-        The time of unfinished messages is counted in checks, so that a pause of the machine does not use it up.
+        How long a message is unfinished is counted in checks, so that a pause of the machine does not count.
         """
         while True:
             gevent.sleep(self.coordinator.limits.idle_check_ms / 1000.0)
@@ -187,7 +186,7 @@
                     self._close_silent(connection, *before.get(connection, (connection.messages_read, 0.0)))
 
     def _close_silent(self, connection: ConnectionType, messages_read: int, waited_ms: float) -> None:
-        """Close a connection that has finished no message for too long; what has just come is read first."""
+        """Close a connection that has completed no message for too long, unless data waits to be read."""
         limits = self.coordinator.limits
         waited_ms = waited_ms + limits.idle_check_ms if messages_read == connection.messages_read else 0.0
         if waited_ms >= limits.message_timeout_ms and not connection.reader.is_readable():
@@ -198,11 +197,11 @@
 
     @staticmethod
     def _is_idle(connection: ConnectionType) -> bool:
-        """Return whether it has no open request and no unread input."""
+        """Return whether a connection has no open request and no unread input."""
         return not connection.has_open_requests() and not connection.reader.has_unread()
 
     def _can_open_connection(self) -> bool:
-        """Return whether one more connection may be opened; if need be the longest idle one is closed for it."""
+        """Return whether one more connection may be opened; closes the longest idle one if the limit is reached."""
         return len(self.connections) < self._max_connections or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
@@ -229,10 +228,10 @@
         self.coordinator.counters.add(f"in.connection.{self.name}")
         try:
             connection.read()
-        except Exception:  # an unexpected fault with one message ends no other connection, nor unanswered requests
+        except Exception:  # a bug must not end other connections or leave requests unanswered
             if self.coordinator.counters.count_and_sample(f"in.fault.{self.name}"):
                 log.exception("connection failed", front=self.name)
             connection.fail()
         finally:
-            connection.outbox.close()  # its descriptor may be used anew: nothing may be written to it any longer
+            connection.outbox.close()  # nothing may be written any more, as the descriptor may be reused
             self.connections.discard(connection)
--- a/myrtlespar/net/outbox.py
+++ b/myrtlespar/net/outbox.py
@@ -1,4 +1,4 @@
-"""Bounded queues of unsent messages, one for each socket."""
+"""Bounded queues of unsent messages, one per socket."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OutboxBudget:
-    """How many unsent bytes the outboxes of many connections may hold together."""
+    """Limit on the unsent bytes that the outboxes of several connections hold together."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -25,7 +25,7 @@
 class Outbox:
     """Sends messages over one socket in their order, without ever blocking the caller.
 
-    What the socket does not take at once is queued, within bounds, and sent by a greenlet of its own.
+    Bytes that the socket does not accept at once are queued, within limits, and sent by a separate greenlet.
     """
 
     def __init__(
@@ -40,10 +40,10 @@
 
         Args:
             sock: The connected socket.
-            max_bytes: Unsent bytes it may hold; with more, the connection is closed.
-            send_timeout_ms: Time that the peer may block one send.
-            linger_ms: Time for the peer to end the connection after `finish`.
-            budget: Unsent bytes that it may hold together with others; None if it shares no budget.
+            max_bytes: Unsent bytes that may be queued; the connection is closed if there are more.
+            send_timeout_ms: How long the peer may block one send.
+            linger_ms: How long the peer may take to end the connection after `finish`.
+            budget: Limit shared with other outboxes; None if there is none.
         """
         self._sock = sock
         self._max_bytes = max_bytes
@@ -57,15 +57,15 @@
         self.finishing = False
 
     def put(self, data: bytes) -> bool:
-        """Send a message after those before it.
+        """Send a message after all earlier ones.
 
         Returns:
-            False if the message was not taken: the connection is closed or finishing, broke, or is closed now because
-            a limit of unsent bytes was exceeded.
+            False if the message is not sent: the connection is closed or finishing, has just broken, or was closed by
+            this call because a limit on unsent bytes was exceeded.
         """
         if self.closed or self.finishing:
             return False
-        if self._writer is None:  # most messages fit the socket: no switch of greenlets, no wait
+        if self._writer is None:  # most messages fit into the socket's buffer and need no greenlet
             try:
                 data = data[os.write(self._sock.fileno(), data) :]
             except OSError as error:
@@ -75,7 +75,7 @@
             if not data:
                 return True
             self._writer = gevent.spawn(self._write_queue)
-        # Peers that do not read, one alone or many together, may not fill our memory.
+        # Bounds the memory used for peers that do not read, for each peer and for all together.
         size = len(data)
         budget = self._budget
         if self._queued_bytes + size > self._max_bytes or budget.used_bytes + size > budget.max_bytes:
@@ -86,14 +86,14 @@
         return True
 
     def finish(self) -> None:
-        """Take no more messages, and close once all is sent."""
+        """Accept no more messages, and close once all queued ones are sent."""
         if not self.finishing:
             self.finishing = True
             if self._writer is None:
                 self._shut_down_writing()
 
     def close(self) -> None:
-        """Close at once; the reader of the socket sees its end."""
+        """Close at once; a reader of the socket sees the end of the connection."""
         if not self.closed:
             self.closed = True
             self._queue.clear()
@@ -104,7 +104,7 @@
                 self._writer.kill(block=False)
 
     def wait_sent(self, timeout_s: float) -> None:
-        """Wait until all is sent, for `timeout_s` at most."""
+        """Wait until all queued messages are sent, for `timeout_s` at most."""
         if self._writer is not None:
             self._writer.join(timeout_s)
 
@@ -113,11 +113,11 @@
         self._budget.used_bytes += size
 
     def _shut_down_writing(self) -> None:
-        """End our direction of the connection once all is sent.
+        """Shut down the sending side after the last message; close when the linger time is over.
 
-        Closing both directions while bytes of the peer are unread, or on their way, would reset the connection, and
-        the reset would discard what the peer has not read yet. So the reader of the socket drops what comes until
-        the peer ends the connection, or for the linger time.
+        Closing both sides while bytes from the peer are unread or in transit would reset the connection, and the reset
+        would discard what the peer has not read yet. So the reader of the socket discards data until the peer ends the
+        connection or the linger time is over.
         """
         try:
             self._sock.shutdown(socket.SHUT_WR)
@@ -133,7 +133,7 @@
                 while self._queue and len(data) < MAX_JOINED_BYTES:
                     data += self._queue.popleft()
                 self._count_queued(-len(data))
-                with gevent.Timeout(self._send_timeout_s, TimeoutError):  # the peer's window may stay shut
+                with gevent.Timeout(self._send_timeout_s, TimeoutError):  # the peer's receive window may stay closed
                     self._send(data)
         except OSError:
             self.close()
@@ -142,7 +142,7 @@
             self._shut_down_writing()
 
     def _send(self, data: bytes) -> None:
-        """Send all of it, and retry when the system is short of buffers for a moment."""
+        """Send all bytes; retry while the system is temporarily short of buffers."""
         unsent = memoryview(data)
         while unsent:
             try:
--- a/myrtlespar/net/socket_reader.py
+++ b/myrtlespar/net/socket_reader.py
@@ -11,17 +11,17 @@
 from myrtlespar.errors import MyrtlesparError
 from myrtlespar.net.connections import TRANSIENT_ERROR_PAUSE_S, TRANSIENT_ERRORS
 
-MAX_READ_BYTES = 16384  # at a time
+MAX_READ_BYTES = 16384  # of one recv call
 MAX_READS_PER_TURN = 16  # before other greenlets run
 MAX_LINES_PER_TURN = 64  # before other greenlets run
 
 
 class ConnectionEndedError(MyrtlesparError):
-    """The connection ended or broke, or the peer sent what can't be read."""
+    """The connection ended or broke, or has to be closed because of what the peer sent."""
 
 
 class PeerFinishedSendingError(ConnectionEndedError):
-    """The peer sends nothing more. It may still read."""
+    """The peer shut down its sending side; it may still read."""
 
 
 class ReadingStoppedError(MyrtlesparError):
@@ -31,8 +31,8 @@
 class SocketReader:
     """Reads exact sizes and lines from a socket.
 
-    A read that finds data does not switch greenlets, so a peer that sends faster than it is read could keep all
-    others waiting. Hence the reader pauses after some reads and some lines.
+    A read that finds data does not switch greenlets, so a peer that sends faster than we read could starve all other
+    greenlets. Hence the reader yields after a number of reads or lines.
     """
 
     def __init__(self, sock: socket.socket, max_line_bytes: int) -> None:
@@ -73,20 +73,20 @@
         while (end := self._data.find(b"\n", start)) < 0:
             start = len(self._data)
             if start > self._max_line_bytes:
-                raise ConnectionEndedError("line too long")
+                raise ConnectionEndedError("line exceeds the maximum length")
             self._fill()
         out = bytes(self._data[:end])
         del self._data[: end + 1]
         return out
 
     def stop(self) -> None:
-        """Read no more: a read in progress ends with `ReadingStoppedError`."""
+        """Stop reading: a read in progress and all later ones raise `ReadingStoppedError`."""
         self._stopped = True
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RD)
 
     def discard(self) -> None:
-        """Drop what comes until the peer ends the connection or the socket is shut down."""
+        """Read and discard data until the peer ends the connection or the socket is shut down."""
         try:
             while self._receive():
                 pass
@@ -94,19 +94,19 @@
             pass
 
     def has_unread(self) -> bool:
-        """Return whether something has come that was not returned by a read yet: bytes, or the connection's end."""
+        """Return whether data, or the connection's end, has arrived that no read has returned yet."""
         return self.has_buffered() or self.is_readable()
 
     def is_readable(self) -> bool:
-        """Return whether the socket has something to read, or its end."""
+        """Return whether data, or the connection's end, waits in the socket."""
         return bool(self._poll.poll(0))
 
     def has_buffered(self) -> bool:
-        """Return whether bytes were read from the socket that were not returned by a read yet."""
+        """Return whether bytes were received from the socket that no read has returned yet."""
         return bool(self._data)
 
     def yield_if_buffered(self) -> None:
-        """Let other greenlets run if more has been read already."""
+        """Let other greenlets run if received bytes are left in the buffer."""
         if self._data:
             gevent.sleep(0)
 
@@ -117,15 +117,15 @@
             if not self._stopped:
                 raise ConnectionEndedError(str(error)) from None
         if self._stopped:
-            raise ReadingStoppedError("nothing, or part of a message, in all the time for one")
+            raise ReadingStoppedError("no complete message within the message timeout")
         if not data:
             raise PeerFinishedSendingError("end of stream")
         self._data += data
 
     def _receive(self) -> bytes:
-        """Return what has come, once something has; nothing at the end of the connection.
+        """Wait for data and return it; empty at the end of the connection.
 
-        It is retried when the system is short of buffers for a moment.
+        Retries while the system is temporarily short of buffers.
         """
         self._reads_in_turn += 1
         if self._reads_in_turn >= MAX_READS_PER_TURN:
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -1,6 +1,6 @@
 """The Thrift listener for client proxies (framed transport, strict binary protocol).
 
-It translates messages into requests and answers, and decides nothing.
+It translates between messages and requests or answers; the coordinator makes all decisions.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
 
 log = structlog.get_logger()
-LENGTH_BYTES = 4  # in front of each frame
-MAX_FAULT_CHARS = 200
+LENGTH_BYTES = 4  # size of the length before each frame
+MAX_ERROR_CHARS = 200
 TOO_MANY_REQUESTS_BACKOFF_MS = 100
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once, as looking up an enum member takes as long as a step of the state machine.
 REQUEST = ConnectionEvent.REQUEST
 ANSWERED = ConnectionEvent.ANSWERED
 LAST_ANSWERED = ConnectionEvent.LAST_ANSWERED
@@ -37,8 +37,8 @@
 class ThriftFront(Listener["ThriftConnection"]):
     """Listens for client proxies."""
 
-    def __init__(self, config: Config, coordinator: RequestCoordinator, give_up: Callable[[], bool]) -> None:
-        """Bind the address; `give_up` returns whether waiting for it has become pointless.
+    def __init__(self, config: Config, coordinator: RequestCoordinator, is_cancelled: Callable[[], bool]) -> None:
+        """Bind the address; `is_cancelled` returns whether to stop waiting for it before the timeout.
 
         Raises:
             AddressInUseError: The address could not be bound in time.
@@ -47,26 +47,26 @@
         self.hides_advertised_value = config.settings.signal is Signal.NONE
         self.connections_opened = 0
         self.request_reader = ThriftRequestReader(config, coordinator.counters)
-        shared = self.limits.max_connections * 3 // 4  # the rest is the AJP listener's, where there is one
+        thrift_share = self.limits.max_connections * 3 // 4  # if the AJP listener is configured, it has the rest
         super().__init__(
             "thrift",
             "listen",
             config.listen,
             coordinator,
-            shared if config.ajp.listen else self.limits.max_connections,
+            thrift_share if config.ajp.listen else self.limits.max_connections,
             lambda sock: ThriftConnection(self, sock),
-            give_up,
+            is_cancelled,
         )
 
     def drain(self) -> None:
-        """Send `shutdown` once on each connection, which asks the client to send nothing new on it."""
+        """Send `shutdown` once on each connection, which asks the client to send no new requests on it."""
         for connection in [connection for connection in self.connections if not connection.shutdown_sent]:
             connection.shutdown_sent = True
             connection.outbox.put(codec.encode("shutdown", codec.ONEWAY, 0, idl.Front.ping_args()))
 
 
 class ThriftConnection(ClientConnection):
-    """One client's connection, which carries several requests at a time."""
+    """A connection from a client proxy, which carries several requests at a time."""
 
     def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
         front.connections_opened += 1
@@ -82,10 +82,10 @@
         self.front = front
         self.coordinator = front.coordinator
         self.shutdown_sent = False
-        self._open_requests: dict[int, Exchange] = {}  # by sequence number
+        self._open_requests: dict[int, Exchange] = {}  # key: sequence number
 
     def has_open_requests(self) -> bool:
-        """Return whether a request on it is not answered yet."""
+        """Return whether a request on the connection is not answered yet."""
         return self.lifecycle.state in (ConnectionState.OWING, ConnectionState.ENDING)
 
     def read(self) -> None:
@@ -93,7 +93,7 @@
         try:
             while self._accepts_requests():
                 frame = self._read_frame()
-                if not self._accepts_requests():  # it came while we closed, and could still be read
+                if not self._accepts_requests():  # it arrived while this side was closing
                     self.coordinator.counters.add("in.behind_close.thrift")
                     break
                 rejected_before = self.consecutive_rejected
@@ -101,9 +101,9 @@
                 if self.consecutive_rejected == rejected_before:
                     self.consecutive_rejected = 0
                 elif self.consecutive_rejected >= self.front.limits.max_consecutive_rejected:
-                    raise MalformedMessageError("too many messages that could not be taken")
+                    raise MalformedMessageError("too many consecutive rejected messages")
                 self.reader.yield_if_buffered()
-        except PeerFinishedSendingError:  # the client may still read: all requests that were read are answered
+        except PeerFinishedSendingError:  # the client may still read, so all requests received are answered
             if self.has_open_requests():
                 self.coordinator.counters.add("in.half_closed.thrift")
             self._stop_reading()
@@ -117,18 +117,19 @@
     def _read_frame(self) -> bytes:
         size = int.from_bytes(self.reader.read_exactly(LENGTH_BYTES), "big")
         if not 0 < size <= self.front.limits.max_frame_bytes:
-            raise MalformedMessageError(f"frame of {size} bytes")
+            raise MalformedMessageError(f"frame length {size} is zero or over the limit")
         return self.reader.read_exactly(size)
 
     def _report_malformed(self, error: MalformedMessageError | ReadingStoppedError) -> None:
-        """Log what could not be read, and answer it if it is a call whose sequence number no open request has.
+        """Log a malformed message, and answer it with an exception if it is a call.
 
-        Otherwise the exception would answer no call, or be a second answer to the open request.
+        There is no answer if an open request has the same sequence number: the client would take the exception for the
+        answer to that request.
         """
         if self.coordinator.counters.count_and_sample("in.bad_message.thrift"):
-            log.info("client's message can't be read", error=str(error)[:MAX_FAULT_CHARS])
+            log.info("malformed message from a client", error=str(error)[:MAX_ERROR_CHARS])
         if isinstance(error, MalformedCallError) and error.sequence_number not in self._open_requests:
-            text = str(error)[:MAX_FAULT_CHARS]
+            text = str(error)[:MAX_ERROR_CHARS]
             self._send_exception(error.name, error.sequence_number, codec.PROTOCOL_ERROR, text)
 
     def _handle_frame(self, frame: bytes) -> None:
@@ -139,7 +140,7 @@
         kind = message.kind
         sequence_number = message.sequence_number
         if kind not in (codec.CALL, codec.ONEWAY):
-            raise MalformedMessageError(f"message type {kind}")
+            raise MalformedMessageError(f"unexpected message type {kind}")
         if message.args is None:
             if kind == codec.CALL:
                 self._send_exception(name, sequence_number, codec.UNKNOWN_METHOD, "unknown method")
@@ -161,8 +162,8 @@
             self.coordinator.caller_gone(exchange)
 
     def _invoke(self, sequence_number: int, message: codec.ThriftMessage) -> None:
-        if sequence_number in self._open_requests:  # no answer could tell the two apart
-            raise MalformedMessageError(f"sequence number {sequence_number} is in use")
+        if sequence_number in self._open_requests:  # answers to the two requests could not be told apart
+            raise MalformedMessageError(f"sequence number {sequence_number} belongs to an open request")
         try:
             exchange = self.front.request_reader.read(
                 message.get(1, codec.MAP, {}),
@@ -192,7 +193,7 @@
         self._open_requests.clear()
 
     def _request_answered(self) -> None:
-        """Report to the state machine that one request less is open."""
+        """Report to the state machine that a request was answered or aborted."""
         self._handle_event(ANSWERED if self._open_requests else LAST_ANSWERED)
 
     def _answer(self, sequence_number: int, answer: Answer) -> None:
@@ -214,7 +215,7 @@
             self._request_answered()
 
     def _answer_fields(self, extra_fields: dict[str, str] | None = None) -> dict[str, str]:
-        """Return the fields of an answer: those given, and the advertised value unless the settings have none."""
+        """Return the fields of an answer: `extra_fields`, and the advertised value unless the settings disable it."""
         if self.front.hides_advertised_value:
             return extra_fields or {}
         return {"hint": f"{self.coordinator.advertised_value:.4f}", **(extra_fields or {})}
--- a/myrtlespar/net/thrift_requests.py
+++ b/myrtlespar/net/thrift_requests.py
@@ -1,4 +1,4 @@
-"""Turns the fields of a Thrift request into an `Exchange`, with every field checked."""
+"""Converts the fields of a Thrift request into an `Exchange`, and checks every field."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from myrtlespar.runtime.clock import unix_ms, wall_ms
 from myrtlespar.runtime.counters import Counters
 
-TOKEN_FIELD = "token"  # shared by all attempts of one request of a class with keys
+TOKEN_FIELD = "token"  # the same in all attempts of a request; for classes whose effect is `keyed`
 MAX_KEY_CHARS = 200
 MAX_REQUEST_ID_CHARS = 64
-MAX_CLOCK_DIFFERENCE_MS = 3.6e6  # between the client's stamp and our clock
+MAX_CLOCK_DIFFERENCE_MS = 3.6e6  # between the client's time stamp and our clock
 MAX_MEMORY_KB = 2000.0
 DEFAULT_MEMORY_KB = 20.0
 MAX_SENDER = 1e9
@@ -34,12 +34,12 @@
         self._counters = counters
 
     def read(self, fields: dict[bytes, Any], body: bytes, deliver: Callable[[Exchange, Answer], None]) -> Exchange:
-        """Return the request that these fields and this body describe.
+        """Return the `Exchange` for a request.
 
         Args:
             fields: The fields of the call.
-            body: The body, as it came.
-            deliver: Takes the answer.
+            body: The body of the call.
+            deliver: Called with the answer.
 
         Raises:
             MalformedMessageError: A field is missing, malformed or out of range, or the body is too long.
@@ -54,7 +54,7 @@
             raise MalformedMessageError("body too long")
         now = unix_ms()
         wall = wall_ms()
-        # No due time can be counted from a stamp in the future or in the far past.
+        # A time stamp too far from our clock can't be used for the due time. One in the future counts as now.
         earliest = wall - MAX_CLOCK_DIFFERENCE_MS
         stamp = _number(fields, "t0", wall, earliest, wall + MAX_CLOCK_DIFFERENCE_MS)
         exchange = Exchange(request_id, "thrift", class_index, body, now - max(0.0, wall - stamp), deliver)
@@ -66,26 +66,26 @@
         return exchange
 
     def _idempotency_key(self, fields: dict[bytes, Any], class_index: int, exchange: Exchange) -> str:
-        """Return what links the attempts of one request: the platform's token, or the operator's field."""
+        """Return the idempotency key, from the platform's token or the operator's field; empty if there is none."""
         if self._classes[class_index].effect is not Effect.KEYED:
             return _text(fields, self._key_field)[:MAX_KEY_CHARS] if self._key_field else ""
         token = _text(fields, TOKEN_FIELD)
-        if len(token) > MAX_KEY_CHARS:  # if cut off, two different tokens could become one key
+        if len(token) > MAX_KEY_CHARS:  # if truncated, two different tokens could become the same key
             raise MalformedMessageError(f"field {TOKEN_FIELD} is too long")
         if not token:
-            if exchange.is_retry:  # it could run a second time what an earlier attempt ran here
+            if exchange.is_retry:  # an earlier attempt may have run here
                 self._counters.add("in.no_token.thrift")
                 raise MalformedMessageError(f"field {TOKEN_FIELD} is missing in a further try")
             return ""
-        # A request with this token but another body is another request: it neither gets the result of this one nor
-        # keeps it from running.
+        # The digest tells apart requests with the same token but different bodies, so that neither gets the other's
+        # result or prevents the other's run.
         return f"{token} {blake2b(exchange.body, digest_size=BODY_DIGEST_BYTES).hexdigest()}"
 
 
 def _text(fields: dict[bytes, Any], name: str) -> str:
     value = fields.get(name.encode(), b"")
     try:
-        return str(value, "utf-8")  # classes are named as in the settings, in any language
+        return str(value, "utf-8")  # class names in the settings may be in any language
     except (TypeError, UnicodeDecodeError):
         raise MalformedMessageError(f"field {name} is no text") from None
 
