--- a/myrtlespar/net/__init__.py
+++ b/myrtlespar/net/__init__.py
@@ -1,4 +1,4 @@
-"""Everything that uses a socket: listeners for clients, clients of the upstream services, the admin server.
+"""All network I/O: listeners for clients, clients of the upstream services, the peer link, the admin server.
 
 - Clients: `listener` and `client_connection` are common to `thrift_front` and `ajp_front`; `thrift_requests` and
   `ajp_requests` turn messages into an `Exchange`. `listener.Listener` lists the steps of a graceful shutdown.
@@ -9,7 +9,7 @@
 - Operators: `admin_server`.
 - Sockets: `binding`, `connections`, `outbox` (sending) and `socket_reader` (receiving).
 
-`net.codec` translates between bytes and messages. The modules here read and write the bytes, and report to the
-request coordinator and the state machines, which decide whether a request is admitted, retried or rejected. The
-addresses of a reload come through the clients' `move` methods, after `server.reload` has accepted the file.
+`net.codec` converts between bytes and messages. The modules here read and write the bytes, and report to the request
+coordinator and the state machines, which decide whether a request is admitted, retried or rejected. After
+`server.reload` has accepted a changed configuration, it passes new addresses to the `move` methods of the clients.
 """
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -1,7 +1,7 @@
-"""The admin server: one line a connection, answered by `myrtlespar.admin.commands`, which is pure.
+"""The admin server: one command line per connection, answered by `myrtlespar.admin.commands`.
 
-It has a listener and greenlets of its own, and limits apart from those of the clients' listeners, so that neither
-many clients nor many operators' connections can use up the connections allowed to the others.
+Its listener, greenlets and connection limit are separate from those of the client listeners, so that neither clients
+nor operators can use up the connections of the others.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 
-MAX_CONNECTIONS = 64  # a further one ends the oldest one
+MAX_CONNECTIONS = 64  # one more closes the oldest one
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted before their greenlets run
 ACCEPT_BACKLOG = 64  # connections that wait to be accepted
-LINE_TIMEOUT_S = 5.0  # for a caller to send its complete line
+LINE_TIMEOUT_S = 5.0  # for each read of the line
 DISCARD_TIMEOUT_S = 0.2  # for each read of the rest of an overlong line
 MAX_DISCARD_READS = 16
 DISCARD_READ_BYTES = 4096
@@ -46,9 +46,9 @@
 
         Args:
             address: Where to listen.
-            commands: Answers the lines.
-            counters: Counts what happens.
-            is_ready: Returns whether this server takes requests.
+            commands: Answers the command lines.
+            counters: Counts connections and errors.
+            is_ready: Returns whether this process can serve new clients.
             take_metrics: Returns the current metrics.
             limits: The process's limits.
             is_cancelled: Returns whether to stop waiting for the address before the timeout.
@@ -68,7 +68,7 @@
         self._server.max_accept = MAX_ACCEPTS_PER_TURN
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         self._server.start()
 
     @property
@@ -77,7 +77,7 @@
         return int(self._server.server_port)
 
     def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self._server.close()
 
     def _serve(self, sock: socket.socket, _: Any) -> None:
@@ -93,7 +93,7 @@
             sock.close()
 
     def _close_oldest(self) -> None:
-        """Close the oldest connection, so that callers that leave connections open can't use up the descriptors."""
+        """Close the oldest connection, so that callers that leave connections open can't exhaust the descriptors."""
         oldest = min(self._opened_at, key=self._opened_at.__getitem__)
         self._counters.add("mgmt.evicted")
         self._opened_at.pop(oldest, None)
@@ -111,7 +111,7 @@
             _discard_rest(sock)
 
     def _read_line(self, sock: socket.socket) -> bytes | None:
-        """Return one line, or MAX_LINE_BYTES + 1 bytes of a longer one; None if the caller left or took too long."""
+        """Return one line, or MAX_LINE_BYTES + 1 bytes of a longer one; None if the caller left or timed out."""
         data = b""
         sock.settimeout(LINE_TIMEOUT_S)
         try:
@@ -127,7 +127,7 @@
 
 
 def _discard_rest(sock: socket.socket) -> None:
-    """Read the rest of an overlong line for a short time: closing over unread bytes would reset the reply."""
+    """Read the rest of an overlong line for a short time: closing with unread bytes would reset the connection."""
     sock.shutdown(socket.SHUT_WR)
     sock.settimeout(DISCARD_TIMEOUT_S)
     with contextlib.suppress(OSError):
--- a/myrtlespar/net/budget_file.py
+++ b/myrtlespar/net/budget_file.py
@@ -1,7 +1,6 @@
-"""The budget journal of a voter, in a file that outlives the process: `MPV1`, a CRC-32, then msgpack.
+"""File of a voter's budget journal: `MPV1`, a CRC-32, then msgpack.
 
-A new file is written completely beside the old one, synced, then renamed over it, so that a crash leaves one of the
-two.
+A new file is written completely, synced and then renamed over the old one, so that a crash leaves one of the two.
 """
 
 from __future__ import annotations
@@ -17,20 +16,22 @@
 from myrtlespar.quota.budget import BudgetPeriod
 
 MAGIC = b"MPV1"
-HEADER_BYTES = 8  # magic and checksum
+HEADER_BYTES = 8  # size of the magic and the checksum
 MAX_FILE_BYTES = 64 << 20
 
-BudgetRows = Mapping[BudgetPeriod, int]  # the total that may have been handed out in each period
+BudgetRows = Mapping[BudgetPeriod, int]  # upper bound on the total handed out in each period
 
 
 class CorruptBudgetFileError(MyrtlesparError):
-    """The file is incomplete or damaged, so the reserved totals are not known; the text is its path."""
+    """The file is incomplete or corrupt, so the reserved totals are unknown; the text is the path."""
 
 
 def read(path: Path) -> dict[BudgetPeriod, int]:
     """Return all rows; none if there is no file.
 
-    CorruptBudgetFileError if any part of the file is damaged; OSError if it can't be read.
+    Raises:
+        CorruptBudgetFileError: The file is incomplete or corrupt.
+        OSError: The file can't be read.
     """
     try:
         data = path.read_bytes()
@@ -47,7 +48,11 @@
 
 
 def write(path: Path, rows: BudgetRows) -> None:
-    """Replace the file and sync it. OSError if that fails: the file may be the old or the new one then."""
+    """Replace the file and sync it to the disk.
+
+    Raises:
+        OSError: Writing failed; the file may be the old or the new one.
+    """
     body = msgspec.msgpack.encode([(key, period, total) for (key, period), total in rows.items()])
     new_path = path.with_suffix(".new")
     with new_path.open("wb") as file:
@@ -63,7 +68,7 @@
 
 
 def _sync_directory(path: Path) -> None:
-    """Make a renaming in this directory durable."""
+    """Sync a directory, which makes the renaming of a file in it durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -1,6 +1,6 @@
-"""Calls to the dependency that runs need, over a few connections with one call at a time on each.
+"""Client of the dependency that runs call, with a few connections that carry one call at a time each.
 
-No call is repeated here: when a connection breaks its call ends, which is reported to the coordinator.
+No call is retried here: when a connection breaks, the end of its call is reported to the coordinator.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
 
 log = structlog.get_logger()
 MIN_TIME_LIMIT_MS = 1.0
-MAX_FAULT_CHARS = 200
+MAX_LOGGED_ERROR_CHARS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class DependencySocket:
-    """The sending and the receiving side of an open connection."""
+    """Sending and receiving side of an open connection."""
 
     outbox: Outbox
     reader: SocketReader
 
 
 class DependencyClient:
-    """Makes calls; which connection carries which call is decided by `DependencyCalls`."""
+    """Makes calls; `DependencyCalls` decides which connection carries which call."""
 
     def __init__(self, config: Config, coordinator: RequestCoordinator) -> None:
         limits = config.limits
@@ -62,7 +62,7 @@
         )
 
     def call(self, id: str, limit_ms: float, body: bytes) -> None:
-        """Make a call for a request; it replaces an earlier call for the same request."""
+        """Make a call for a request, in place of an earlier call for the same request."""
         self._carry_out(self._calls.start_call(id, limit_ms, body, unix_ms()))
 
     def drop(self, id: str) -> None:
@@ -72,16 +72,16 @@
             self._carry_out(self._calls.cancel(id))
 
     def move(self, address: Address | None) -> None:
-        """Make new calls at another address, after a reload; calls in flight end where they are.
+        """Make new calls at another address after a reload; calls in flight are finished at the old one.
 
-        None means that there is no dependency: each call then fails as one that never ran.
+        With None there is no dependency: each call fails as one that never ran.
         """
         if address != self._address:
             self._address = address
             self._carry_out(self._calls.change_address())
 
     def serve(self) -> None:
-        """Time calls out, and close connections that have been idle for too long; never return."""
+        """Time out calls and close connections that are idle for too long; never return."""
         while True:
             gevent.sleep(self._limits.dependency_check_ms / 1000.0)
             self._carry_out(self._calls.expire(unix_ms()))
@@ -105,19 +105,19 @@
                 self._coordinator.call_ended(call.id, effect.outcome, unix_ms() - call.started_at, effect.reply)
 
     def _send_call(self, connection: DependencyConnection, call: DependencyCall) -> None:
-        """Send a call with the time left to it.
+        """Send a call with its remaining time limit.
 
-        If it can't be written, `_read_reply` sees the connection's end, and the call ends with it.
+        If sending fails, the connection is closed, `_read_reply` notices that, and the call ends with the connection.
         """
         left_ms = min(call.started_at + call.limit_ms - unix_ms(), self._limits.max_dependency_call_ms)
         time_limit_ms = int(max(MIN_TIME_LIMIT_MS, left_ms))
         self._sockets[connection].outbox.put(codec.encode_call(call.id, time_limit_ms, call.body))
 
-    # One greenlet a connection.
+    # Run in one greenlet per connection.
 
     def _open(self, connection: DependencyConnection, address: Address | None) -> None:
         """Open a connection and read replies until it ends."""
-        if address is None:  # a configuration without a dependency: no call ever runs
+        if address is None:  # no dependency is configured
             self._carry_out(self._calls.open_failed(connection))
             return
         try:
@@ -136,7 +136,7 @@
         except ConnectionEndedError as error:
             self._report_broken_call(connection, "reset", str(error))
         except codec.MalformedReplyError as error:
-            self._report_broken_call(connection, "spoilt", str(error)[:MAX_FAULT_CHARS])
+            self._report_broken_call(connection, "spoilt", str(error)[:MAX_LOGGED_ERROR_CHARS])
         finally:
             outbox.close()
             sock.close()
@@ -147,10 +147,16 @@
         call = connection.call
         if call is not None and self._coordinator.counters.count_and_sample(f"store.{how}"):
             idle_ms = round(connection.idle_ms_before_call)
-            log.info("store broke a call", how=how, error=error, id=call.id, rested_ms=idle_ms)
+            log.info(
+                "a connection to the dependency broke during a call",
+                how=how,
+                error=error,
+                id=call.id,
+                rested_ms=idle_ms,
+            )
 
     def _read_reply(self, connection: DependencyConnection, reader: SocketReader) -> None:
-        """Read one reply. A reply to a call that this connection does not carry is counted and ignored."""
+        """Read one reply; a reply to a call that this connection does not carry is counted and ignored."""
         head = codec.decode_reply_head(reader.read_line(), self._limits.max_dependency_reply_bytes)
         body = b""
         if head.body_bytes is not None:
--- a/myrtlespar/net/etcd_client.py
+++ b/myrtlespar/net/etcd_client.py
@@ -1,7 +1,7 @@
-"""A client of etcd's v3 API over grpcio, for leases of shards.
+"""Client of etcd's v3 API over grpcio, for leases of shards.
 
-Calls block a thread of gevent's pool, never the loop. Each call has a deadline; a call that fails in any way returns
-None, which says that nobody knows whether it took effect.
+Calls block a thread of gevent's pool, never the event loop. Each call has a deadline; if a call fails, its result is
+None, as it is not known whether it took effect.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
 MS_PER_S = 1000.0
-WATCH_RETRY_S = 0.2
+WATCH_RETRY_S = 0.2  # before a watch that ended is started again
 CHANNEL_OPTIONS = [
     ("grpc.max_reconnect_backoff_ms", 500),
     ("grpc.initial_reconnect_backoff_ms", 100),
@@ -35,7 +35,7 @@
 
 
 class EtcdClient:
-    """One channel to one endpoint."""
+    """Client of one etcd endpoint, over one channel."""
 
     def __init__(
         self,
@@ -47,10 +47,16 @@
         shard_freed: Callable[[int], None],
         request_failed: Callable[[str], None],
     ) -> None:
-        """`prefix` starts all keys of the fleet, `name` is the value of the keys that this member creates.
-
-        `shard_freed` is called in the loop with the number of a shard whose key was deleted; `request_failed` in a
-        thread with the status code of a call that failed.
+        """Open the channel.
+
+        Args:
+            address: The endpoint.
+            prefix: Prefix of all keys of the fleet.
+            name: Value of the keys that this member creates.
+            ttl_s: Time to live of leases.
+            timeout_s: Deadline of each call.
+            shard_freed: Called in the event loop with the number of a shard whose key was deleted.
+            request_failed: Called in a thread with the status code of a call that failed.
         """
         self.prefix = prefix
         self.name = name
@@ -65,20 +71,20 @@
         self._call_in_loop = gevent.get_hub().loop.run_callback_threadsafe
 
     def execute(self, request: EngineRequest) -> EngineReply | None:
-        """Carry out one request. Waits, in the calling greenlet only; None if the outcome is unknown."""
+        """Execute one request; blocks only the calling greenlet. Returns None if the outcome is unknown."""
         reply: EngineReply | None = self._pool.apply(self._execute, (request,))
         return reply
 
     def revoke(self, lease: int) -> None:
-        """End the lease, which deletes all keys attached to it. A failure is only reported to `request_failed`."""
+        """Revoke a lease, which deletes all keys attached to it; a failure is only reported to `request_failed`."""
         self._pool.apply(self._revoke, (lease,))
 
     def watch(self) -> None:
-        """Follow deletions of the fleet's keys from now on, in a thread of its own, until closed."""
+        """Start a thread that watches for deletions of the fleet's keys until `close`."""
         threading.Thread(target=self._watch, daemon=True).start()
 
     def close(self) -> None:
-        """Close the channel, which also ends the thread of `watch`."""
+        """Close the channel and end the thread of `watch`."""
         self._closing = True
         self.channel.close()
 
@@ -119,7 +125,7 @@
         return EngineReply(ttl_ms=reply.TTL * MS_PER_S)
 
     def _create_key(self, request: EngineRequest) -> EngineReply:
-        """Create the shard's key if there is none; the reply has an epoch if the key is attached to our lease."""
+        """Create the shard's key if it does not exist; the reply has an epoch if the key is attached to our lease."""
         key = self._key(request.shard_id)
         transaction = TYPES["TxnRequest"]()
         transaction.compare.add(result=COMPARE_EQUAL, target=COMPARE_TARGET_CREATE, key=key, create_revision=0)
@@ -132,7 +138,7 @@
         if reply.succeeded:
             return EngineReply(epoch=reply.header.revision)
         for row in reply.responses[0].response_range.kvs if reply.responses else ():
-            if row.lease == request.lease_id:  # an earlier attempt whose answer was lost
+            if row.lease == request.lease_id:  # created by an earlier attempt whose answer was lost
                 return EngineReply(epoch=row.create_revision)
         return EngineReply()
 
@@ -156,7 +162,7 @@
 
     def _watch(self) -> None:
         first = self.prefix.encode()
-        end = first[:-1] + bytes([first[-1] + 1])  # exclusive: the next prefix
+        end = first[:-1] + bytes([first[-1] + 1])  # first key after all keys with the prefix
         while not self._closing:
             stream_ended = threading.Event()
             try:
@@ -175,7 +181,7 @@
 
 
 def _watch_requests(first: bytes, end: bytes, stream_ended: threading.Event) -> Any:
-    """The client's side of a watch's stream: one request, then kept open as long as the stream lasts."""
+    """Yield the requests of a watch: only one, but keep the stream of requests open until the watch ends."""
     request = TYPES["WatchRequest"]()
     request.create_request.key = first
     request.create_request.range_end = end
--- a/myrtlespar/net/name_conflict.py
+++ b/myrtlespar/net/name_conflict.py
@@ -1,7 +1,7 @@
-"""Two processes of one member name: the second finds out whether the first has the peer address, and waits for it.
+"""Start of a process whose peer address is in use, as by the old process of the same member during a hand-over.
 
-The second process sends a probe to its own address. An old process of the same fleet and name answers with the same
-bytes and hands the address over when it ends; any other program does not answer, and the start fails.
+The new process sends a probe to its own address. An old process of the same fleet and member name returns the probe
+unchanged, and the new one waits until it releases the address. Any other program does not, and the start fails.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 class ProbeResult(Enum):
-    """Who has the address."""
+    """Which process has the address bound."""
 
-    PREDECESSOR = auto()  # an old process of our name
-    BOUND = auto()  # this process: the address became free and was bound
+    PREDECESSOR = auto()  # an old process of the same member
+    BOUND = auto()  # this process, which bound the address as it became free
     UNKNOWN_PROGRAM = auto()
 
 
 class NameConflictProbe:
-    """The probe of one process, sent from the host of its own address."""
+    """Sends the probe of one process, from the host of its own address."""
 
     def __init__(self, address: tuple[str, int], fleet: str, name: str, counters: Counters) -> None:
         self.address = address
@@ -37,15 +37,15 @@
         self.datagram = name_conflict_probe(fleet, name)
 
     def is_from_successor(self, data: bytes, source: tuple[str, int]) -> bool:
-        """Whether a second process of our name sent this, from our own host."""
+        """Return whether a datagram is the probe of a second process of this member, sent from this host."""
         return data == self.datagram and source[0] == self.address[0]
 
     def run(self, wait_s: float, bind: Callable[[], bool]) -> ProbeResult:
-        """Probe the process that has the address, for `wait_s`, and attempt `bind` between the probes.
+        """Probe the process that has the address bound, and attempt to bind it after each probe.
 
         Args:
-            wait_s: For how long the probe is repeated.
-            bind: Attempts to bind the address, and returns whether it did.
+            wait_s: How long the probe is repeated.
+            bind: Attempts to bind the address, and returns whether it succeeded.
         """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind((self.address[0], 0))
@@ -64,12 +64,12 @@
         return ProbeResult.UNKNOWN_PROGRAM
 
     def wait_for_address(self, bind_or_closed: Callable[[], bool]) -> None:
-        """Repeat the probe, by which the old process knows that we wait, until `bind_or_closed` returns true."""
+        """Repeat the probe, which tells the old process that this one waits, until `bind_or_closed` returns true."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind((self.address[0], 0))
             while not bind_or_closed():
                 try:
                     sock.sendto(self.datagram, self.address)
-                except OSError:  # the old process closed the address after `bind_or_closed` failed
+                except OSError:  # the old process closed its socket since `bind_or_closed` was called
                     self.counters.add("peers.old_gone")
                 gevent.sleep(RETRY_S)
--- a/myrtlespar/net/peer_datagrams.py
+++ b/myrtlespar/net/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket of the peer link: a reader greenlet, bounded reading without waiting, and sending."""
+"""The UDP socket of the peer link."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from myrtlespar.net.codec.peer import split_address
 from myrtlespar.runtime.counters import Counters
 
-MAX_DATAGRAMS_PER_TURN = 32  # read before other greenlets get a turn
+MAX_DATAGRAMS_PER_TURN = 32  # read before other greenlets run
 MAX_RECEIVED_BYTES = 2048
 LOOP_READ_EVENT = 1  # libev's and libuv's number for "readable"
 
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class TrafficBytes:
-    """Bytes of the peer link, datagrams and TCP exchanges together."""
+    """Bytes sent and received over the peer link, in datagrams and TCP exchanges."""
 
     sent_bytes: int = 0
     read_bytes: int = 0
 
 
 class DatagramEndpoint:
-    """A bound non-blocking UDP socket. The reader and the clock of the peer transport both take datagrams from it."""
+    """A bound non-blocking UDP socket, read by a greenlet of its own and by the clock of the peer transport."""
 
     def __init__(
         self, bound: socket.socket, counters: Counters, traffic: TrafficBytes, datagram_received: DatagramHandler
@@ -41,18 +41,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it was not closed yet."""
+        """Whether the socket is open."""
         return self._socket is not None
 
     def start_reader(self) -> None:
-        """Read datagrams as they come, in a greenlet of their own."""
+        """Start the greenlet that reads datagrams."""
         self._reader = gevent.spawn(self._read)
 
-    def drain(self) -> None:
-        """Read what has arrived already, at most MAX_DATAGRAMS_PER_TURN datagrams, without waiting.
-
-        It has nothing to do with the drain of a server.
-        """
+    def read_available(self) -> None:
+        """Read the datagrams that have arrived, at most MAX_DATAGRAMS_PER_TURN, without waiting."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._socket is None:
                 return
@@ -60,23 +57,23 @@
                 data, source = self._socket.recvfrom(MAX_RECEIVED_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # "port unreachable" came back for a datagram sent before
+            except OSError:  # an ICMP "port unreachable" for an earlier datagram
                 self.counters.add("peers.refused")
                 continue
             self.datagram_received(data, source)
 
     def send(self, data: bytes, address: str) -> None:
-        """Send a datagram to A.B.C.D:PORT; one that can't be sent is as good as lost, and counted."""
+        """Send a datagram to A.B.C.D:PORT; one that can't be sent is dropped and counted."""
         if self._socket is None:
             return
         try:
             self._socket.sendto(data, split_address(address))
             self.traffic.sent_bytes += len(data)
-        except OSError:  # a full buffer, or an address that can't be reached
+        except OSError:  # the send buffer is full, or the address is unreachable
             self.counters.add("peers.unsent")
 
     def reply(self, data: bytes, source: tuple[str, int]) -> None:
-        """Answer to a source address; not counted as traffic between members."""
+        """Send a reply to a source address; it is not counted as traffic between members."""
         if self._socket is None:
             return
         try:
@@ -85,7 +82,7 @@
             self.counters.add("peers.unsent")
 
     def close(self) -> None:
-        """Close the socket at once; the reader ends by it."""
+        """Stop the reader and close the socket at once."""
         if self._socket is None:
             return
         if self._reader is not None:
@@ -100,7 +97,7 @@
         try:
             while self._socket is not None:
                 hub.wait(readable)
-                self.drain()
+                self.read_available()
                 gevent.sleep(0)
         finally:
             readable.stop()
--- a/myrtlespar/net/peer_sync.py
+++ b/myrtlespar/net/peer_sync.py
@@ -1,4 +1,4 @@
-"""The TCP side of the peer link: short exchanges of complete views, a bounded number at a time each way."""
+"""The TCP side of the peer link: exchanges of complete views, a bounded number at a time in each direction."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from myrtlespar.net.peer_datagrams import TrafficBytes
 from myrtlespar.runtime.counters import Counters
 
-MAX_EXCHANGES = 4  # under way at a time, for each direction
+MAX_EXCHANGES = 4  # in progress at a time, in each direction
 EXCHANGE_TIMEOUT_S = 2.0
 LENGTH_BYTES = 4
-MAX_READ_BYTES = 65536  # of one call
+MAX_READ_BYTES = 65536  # of one recv call
 
 
 class SyncExchanges:
-    """Requests a view from other members, and answers their requests."""
+    """Requests the complete views of other members, and answers their requests."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         sync_received: Callable[[ViewSync], None],
         sync_requested: Callable[[ViewSync], ViewSync | None],
     ) -> None:
-        """`sync_received` takes a reply; `sync_requested` takes a request and returns the reply, if there is one."""
+        """`sync_received` is called with a reply; `sync_requested` with a request, and returns the reply, if any."""
         self.local_host = local_host
         self.counters = counters
         self.traffic = traffic
@@ -47,7 +47,7 @@
         self._serving = 0
 
     def request(self, effect: RequestSync) -> None:
-        """Begin an exchange in a greenlet of its own; with MAX_EXCHANGES under way it is counted and dropped."""
+        """Start an exchange in a greenlet of its own; if MAX_EXCHANGES are in progress, only count the request."""
         if self._requesting >= MAX_EXCHANGES:
             self.counters.add("peers.exchange_spared")
             return
@@ -55,7 +55,7 @@
         gevent.spawn(self._request, effect)
 
     def serve(self, sock: socket.socket, _: Any) -> None:
-        """Answer one accepted connection and close it; with MAX_EXCHANGES under way it is closed without an answer."""
+        """Answer one accepted connection and close it; if MAX_EXCHANGES are in progress, close it unanswered."""
         if self._serving >= MAX_EXCHANGES:  # bounds descriptors and memory
             self.counters.add("peers.exchange_refused")
             sock.close()
@@ -93,17 +93,21 @@
 
 
 def write_sync(sock: Any, sync: ViewSync, traffic: TrafficBytes) -> None:
-    """Send a view with its length in front."""
+    """Send a view, preceded by its length."""
     data = encode(sync)
     sock.sendall(len(data).to_bytes(LENGTH_BYTES, "big") + data)
     traffic.sent_bytes += len(data) + LENGTH_BYTES
 
 
 def read_sync(sock: Any, traffic: TrafficBytes) -> ViewSync:
-    """Read a view with its length in front. MalformedPeerMessageError if there is none."""
+    """Read a view, which is preceded by its length.
+
+    Raises:
+        MalformedPeerMessageError: The data is not a valid view, or the connection ended first.
+    """
     size = int.from_bytes(_read_exactly(sock, LENGTH_BYTES), "big")
     if not HEADER_BYTES < size <= MAX_STREAM_BYTES:
-        raise MalformedPeerMessageError("length")
+        raise MalformedPeerMessageError("length of the view is out of range")
     traffic.read_bytes += size + LENGTH_BYTES
     return decode_sync(_read_exactly(sock, size))
 
@@ -113,6 +117,6 @@
     while len(received) < size:
         data = sock.recv(min(MAX_READ_BYTES, size - len(received)))
         if not data:
-            raise MalformedPeerMessageError("torn")
+            raise MalformedPeerMessageError("connection ended within a view")
         received += data
     return bytes(received)
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -1,8 +1,8 @@
-"""The peer link: sends what the pure `membership.member.Member` returns as effects, and passes it time and messages.
+"""The peer link: passes time and messages to `membership.member.Member`, and carries out the effects that it returns.
 
-One reader of datagrams (`peer_datagrams`), one clock, and a bounded number of short TCP exchanges (`peer_sync`), all
-greenlets. What is malformed, foreign, replayed or too much is counted and changes nothing. A late tick of the clock
-makes the member postpone its deadlines, so that a saturated process does not declare others failed.
+It consists of greenlets: a reader of datagrams (`peer_datagrams`), a clock, and a bounded number of short TCP exchanges
+(`peer_sync`). Messages that are malformed, foreign, replayed or over the rate limit are counted and ignored. After a
+late tick of the clock the member postpones its deadlines, so that a saturated process does not declare others failed.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 from myrtlespar.runtime.counters import Counters
 
 log = structlog.get_logger()
-RECEIVE_BUFFER_BYTES = 1 << 20  # the system's, for datagrams that wait: a pause of some seconds fits
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the UDP socket; holds the datagrams of a pause of some seconds
 LISTEN_BACKLOG = 16
-SUCCESSOR_FRESH_MS = 1000.0  # a waiting second process probes more often than this
-GOODBYE_S = 0.5  # from the announcement that this member leaves to the closing of the sockets
+SUCCESSOR_TIMEOUT_MS = 1000.0  # a waiting second process sends probes more often than this
+LEAVE_DELAY_S = 0.5  # from the announcement that this member leaves to the closing of the sockets
 
 
 def monotonic_ms() -> float:
-    """Milliseconds of the clock that membership uses, as the wall clock may jump."""
+    """Return the time for membership in milliseconds, of the monotonic clock, as the wall clock may jump."""
     return time.monotonic() * 1000.0
 
 
@@ -60,7 +60,7 @@
 
 
 class PeerTransport:
-    """Sockets and greenlets for one `Member`, which `make_member` creates once the address is bound."""
+    """Sockets and greenlets of one `Member`, which `make_member` creates once the address is bound."""
 
     def __init__(
         self,
@@ -72,15 +72,25 @@
         make_member: Callable[[float], Member],
         report_change: Callable[[MemberChanged | QuorumChanged | CountEvent], None],
     ) -> None:
-        """`bind` is A.B.C.D:PORT for UDP and TCP; `report_change` is called with all effects that need no sending."""
+        """Create the transport without binding its address.
+
+        Args:
+            bind: The address for UDP and TCP, as A.B.C.D:PORT.
+            fleet: Name of the fleet.
+            name: Name of this member.
+            max_datagrams_per_s: Rate limit on the received datagrams.
+            counters: Counts datagrams, exchanges and faults.
+            make_member: Creates the member, given the time in milliseconds of the monotonic clock.
+            report_change: Called with each effect that sends nothing.
+        """
         self.address = split_address(bind)
         self.counters = counters
         self.make_member = make_member
         self.report_change = report_change
-        self.handlers: dict[bytes, Callable[[bytes, float], None]] = {}  # of other protocols, by the first 3 bytes
-        self.member: Member | None = None  # none while an old process of our name has the address
+        self.handlers: dict[bytes, Callable[[bytes, float], None]] = {}  # of other protocols; key: first 3 bytes
+        self.member: Member | None = None  # None while an old process of this member has the address
         self.traffic = TrafficBytes()
-        self.tick_delay_ms = 0.0  # how late the last tick of the clock was
+        self.tick_delay_ms = 0.0  # how late the last tick was
         self._conflict_probe = NameConflictProbe(self.address, fleet, name, counters)
         self._successor_seen_at = float("-inf")
         self._bucket = TokenBucket(max_datagrams_per_s, monotonic_ms())
@@ -94,13 +104,13 @@
         self._effects_applied = Event()
 
     def open(self, wait_s: float = 1.5) -> None:
-        """Bind the address, or find an old process of our name there and wait for the address in the background.
+        """Bind the address; if an old process of this member has it, wait for the address in the background.
 
         Args:
-            wait_s: How long a process that has the address may take to answer the probe.
+            wait_s: How long the process that has the address may take to answer the probe.
 
         Raises:
-            PeerAddressInUseError: Another program has it.
+            PeerAddressInUseError: Another program has the address.
         """
         if self._bind():
             self._begin()
@@ -115,23 +125,23 @@
         self._greenlets.append(gevent.spawn(self._take_over))
 
     def has_successor(self) -> bool:
-        """Whether a second process of our name waits for the address."""
-        return monotonic_ms() - self._successor_seen_at < SUCCESSOR_FRESH_MS
+        """Return whether a second process of this member waits for the address."""
+        return monotonic_ms() - self._successor_seen_at < SUCCESSOR_TIMEOUT_MS
 
     def leave(self) -> None:
-        """Announce that this member leaves, and close GOODBYE_S later.
+        """Announce that this member leaves, and close LEAVE_DELAY_S later.
 
-        If a second process of our name waits for the address, close at once without the announcement: the member stays
-        in the fleet as that process.
+        If a second process of this member waits for the address, close at once without the announcement, as the member
+        stays in the fleet as that process.
         """
         if self.member is None or self.member.leaving or self.has_successor():
             self.close()
             return
         self._apply_effects(self.member.leave(monotonic_ms()))
-        self._greenlets.append(gevent.spawn_later(GOODBYE_S, self.close))
+        self._greenlets.append(gevent.spawn_later(LEAVE_DELAY_S, self.close))
 
     def close(self) -> None:
-        """Close the sockets at once; the greenlets end by it."""
+        """Close the sockets at once, which ends the greenlets."""
         self._closed = True
         if self._server is not None:
             self._server.close()
@@ -141,13 +151,17 @@
         self._effects_applied.set()
 
     def send(self, name: str, data: bytes) -> None:
-        """Send another protocol's datagram to a member; lost if it is not in the view, or can't be sent."""
+        """Send another protocol's datagram to a member; drop it if the member is not in the view or sending fails."""
         entry = self.member.view.entries.get(name) if self.member is not None else None
         if entry is not None and self._datagrams is not None:
             self._datagrams.send(data, entry.update.address)
 
     def _bind(self) -> bool:
-        """Bind both sockets; false if the address is in use. OSError for other faults."""
+        """Bind both sockets; return false if the address is in use.
+
+        Raises:
+            OSError: Binding failed for another reason.
+        """
         datagram_socket = blocking_socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         datagram_socket.setblocking(False)
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -190,7 +204,7 @@
                 self._effects_applied.clear()
                 continue
             self.tick_delay_ms = -wait_ms
-            datagrams.drain()  # what came while the clock was late is handled before anything is concluded
+            datagrams.read_available()  # before the tick, as they may prove that a member is alive
             self._apply_effects(member.tick(monotonic_ms()))
             gevent.sleep(0)
 
@@ -215,7 +229,7 @@
         return None
 
     def _probe_received(self, data: bytes, source: tuple[str, int], now: float) -> None:
-        """A second process of our name waits for the address; answer that we have it."""
+        """Answer the probe of a second process of this member, which waits for the address."""
         if self._datagrams is None or not self._conflict_probe.is_from_successor(data, source):
             self.counters.add("peers.foreign")
             return
--- a/myrtlespar/net/registry_client.py
+++ b/myrtlespar/net/registry_client.py
@@ -1,4 +1,4 @@
-"""Reports to the service registry, through which client proxies find this server."""
+"""Client of the service registry, through which client proxies find this server."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from myrtlespar.request_coordinator import RequestCoordinator
 from myrtlespar.runtime.clock import unix_ms
 
-MAX_READ_BYTES = 4096  # at a time
-MIN_PAUSE_S = 0.01
+MAX_READ_BYTES = 4096  # of one recv call
+MIN_PAUSE_S = 0.01  # between two reports
 STATUS_ACCEPTED = 204
 
 
 class RegistryClient:
-    """Reports often enough that the registry does not remove this server's entry.
+    """Reports this server as available, often enough that the registry keeps its entry.
 
-    Nothing is reported before the execution engine was up once. While draining it reports `off`.
+    Reports start when the execution engine was up for the first time. While the server drains, they state `off`.
     """
 
     def __init__(self, config: Config, coordinator: RequestCoordinator, engine: EngineClient) -> None:
@@ -35,13 +35,13 @@
         self._moved = Event()
 
     def move(self, address: Address) -> None:
-        """Report to another address from now on, after a reload; a report in flight ends where it is."""
+        """Send reports to another address after a reload; a report in flight is finished at the old one."""
         if address != self._address:
             self._address = address
             self._moved.set()
 
     def serve(self) -> None:
-        """Report at an interval, and soon again after a failure; never return."""
+        """Report at regular intervals, and sooner after a failure; never return."""
         while True:
             started_at = unix_ms()
             if self._moved.is_set():
@@ -60,7 +60,7 @@
     def _report(self) -> bool:
         """Send one report and return whether it was accepted.
 
-        A connection used before may have been closed or hang, so its failure is followed by an attempt on a new one.
+        A reused connection may be closed or hang, so after a failure there the report is sent on a new one.
         """
         duty = "off" if self._coordinator.draining else "on"
         if self._sock is not None and self._attempt(duty, self._limits.registry_reused_connection_timeout_ms):
@@ -84,7 +84,7 @@
         while not reply.is_complete:
             data = self._sock.recv(MAX_READ_BYTES)
             bytes_left -= len(data)
-            if not data or bytes_left < 0:  # an answer may not go on without end
+            if not data or bytes_left < 0:  # bounds the length of the answer
                 raise ConnectionResetError
             reply.feed(data)
         if not reply.keeps_connection:
