--- a/myrtlespar/cli/__init__.py
+++ b/myrtlespar/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line, on click: one file a command. Each command imports what it needs when it runs.
+"""The command line, built on click, with one file per command.
 
-So serving loads no tool.
+Commands import what they need when they run, so that serving loads no other tool.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 from myrtlespar.cli.try_command import try_command
 from myrtlespar.cli.version import version
 
-EXIT_FAULTY_INPUT = 2
+EXIT_INVALID_INPUT = 2
 EXIT_INTERRUPTED = 130
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """An overload controller for tile servers, and the server round it.
+    """Tile server with overload control.
 
-    Without a command it serves, as the platform starts it. BALANCER_CONFIG names the platform's file,
-    MYRTLESPAR_OPERATOR an operator's one. Faulty input ends with one line on standard error and status 2.
+    Without a command the server runs; this is how the platform starts it. BALANCER_CONFIG names the platform's
+    configuration file, MYRTLESPAR_OPERATOR the operator's. Invalid input ends with one line on standard error and exit
+    status 2.
     """
 
 
@@ -34,12 +35,12 @@
 
 
 def main() -> int:
-    """Run the command line; the exit status."""
+    """Run the command line and return the exit status."""
     try:
         code = cli.main(prog_name="myrtlespar", standalone_mode=False)
     except click.ClickException as error:
         print(f"myrtlespar: {error.format_message()}", file=sys.stderr)
-        return EXIT_FAULTY_INPUT
+        return EXIT_INVALID_INPUT
     except click.Abort:
         return EXIT_INTERRUPTED
     return code if isinstance(code, int) else 0
--- a/myrtlespar/cli/apache_importer.py
+++ b/myrtlespar/cli/apache_importer.py
@@ -1,4 +1,4 @@
-"""Turns mod_jk worker files and Apache BalancerMember lines into an operator's file.
+"""Converts mod_jk worker files and Apache BalancerMember lines into an operator's file.
 
     python -m myrtlespar.cli.apache_importer workers.properties [httpd.conf ...] > deploy/ajp.toml
 
@@ -22,19 +22,19 @@
 EXIT_PROBLEMS = 1
 EXIT_USAGE = 2
 
-Directives = dict[str, tuple[str, int]]  # value and number of the line, by name
+Directives = dict[str, tuple[str, int]]  # directive name to its value and line number
 
 
 @dataclass(slots=True)
-class Imported:
-    """Workers and balancers as found, and what could not be imported."""
+class ImportResult:
+    """Imported workers and balancers, and descriptions of what could not be imported."""
 
     workers: dict[str, dict[str, str]] = field(default_factory=dict)
     balancers: dict[str, list[str]] = field(default_factory=dict)
     problems: list[str] = field(default_factory=list)
 
     def toml(self) -> str:
-        """The operator's file."""
+        """Return the operator's file as TOML."""
         tables = []
         for name, row in self.workers.items():
             lines = [f"name = {json.dumps(name)}", f"address = {json.dumps(row['address'])}"]
@@ -54,60 +54,60 @@
 
 
 def _address(host: str, port: str) -> str | None:
-    """HOST:PORT, with an IPv6 host in brackets; None if the port is none."""
+    """Return HOST:PORT, with an IPv6 host in brackets; None if the port is invalid."""
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         return None
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-class Properties:
-    """One workers.properties file."""
+class WorkerProperties:
+    """Directives of one workers.properties file."""
 
-    def __init__(self, text: str, imported: Imported) -> None:
+    def __init__(self, text: str, imported: ImportResult) -> None:
         self.imported = imported
-        self.macros: dict[str, str] = {}  # values by key, for $(key)
-        self.rows: dict[str, Directives] = {}  # by worker
-        self.listed: list[tuple[str, int]] = []  # workers in use, and the number of the line
+        self.macros: dict[str, str] = {}  # values for $(key), by key
+        self.directives: dict[str, Directives] = {}  # by worker name
+        self.listed: list[tuple[str, int]] = []  # workers of worker.list, each with its line number
         for number, line in _joined_lines(text):
             self._read_line(line, number)
 
     def _read_line(self, line: str, number: int) -> None:
         key, equals, value = (part.strip() for part in line.partition("="))
         if not equals:
-            self.imported.problems.append(f"line {number}: {key}: no value")
+            self.imported.problems.append(f"line {number}: {key}: expected KEY=VALUE")
             return
         value = re.sub(r"\$\(([^)]+)\)", lambda found: self.macros.get(found.group(1), found.group(0)), value)
         if "$(" in value:
-            self.imported.problems.append(f"line {number}: {key}: unknown name in {value}")
+            self.imported.problems.append(f"line {number}: {key}: undefined macro in {value}")
             return
         self.macros[key] = value
         words = key.split(".")
         if key == "worker.list":
             self.listed += [(name, number) for name in re.split(r"[,\s]+", value) if name]
         elif len(words) == 3 and words[0] == "worker":
-            row = self.rows.setdefault(words[1], {})
-            if words[2] in MEMBER_LIST_KEYS and words[2] in row:  # the list may come in several lines
+            row = self.directives.setdefault(words[1], {})
+            if words[2] in MEMBER_LIST_KEYS and words[2] in row:  # the list may be spread over several lines
                 value = f"{row[words[2]][0]},{value}"
             row[words[2]] = (value, number)
         elif words[0] == "worker":
-            self.imported.problems.append(f"line {number}: {key}: not taken")
+            self.imported.problems.append(f"line {number}: {key}: not supported")
 
     def import_listed(self) -> None:
-        """Import all that is no template: what is listed, and what a balancer names."""
+        """Import the workers of worker.list and the members of their balancers; all others are only templates."""
         for name, number in self.listed:
-            if name not in self.rows:
+            if name not in self.directives:
                 self.imported.problems.append(f"line {number}: worker.list: no worker named {name}")
             else:
                 self._import(name)
 
     def _with_templates(self, name: str, seen: tuple[str, ...] = ()) -> Directives:
-        """A worker's directives over those of the template that it refers to."""
-        own = self.rows.get(name, {})
+        """Return a worker's directives, merged over those of the template that it refers to."""
+        own = self.directives.get(name, {})
         if "reference" not in own:
             return own
         value, number = own["reference"]
         target = value.removeprefix("worker.")
-        if target not in self.rows or target in (*seen, name):
+        if target not in self.directives or target in (*seen, name):
             self.imported.problems.append(f"line {number}: worker.{name}.reference: no template named {value}")
             return own
         return {**self._with_templates(target, (*seen, name)), **own}
@@ -122,14 +122,14 @@
         elif kind == "lb":
             self._import_balancer(name, row)
         else:
-            self.imported.problems.append(f"line {number}: worker.{name}.type: {kind} is not taken")
+            self.imported.problems.append(f"line {number}: worker.{name}.type: expected ajp13 or lb, got {kind}")
 
     def _import_worker(self, name: str, row: Directives) -> None:
         host, _ = row.pop("host", ("localhost", 0))
         port, port_line = row.pop("port", (str(DEFAULT_AJP_PORT), 0))
         address = _address(host, port)
         if address is None:
-            self.imported.problems.append(f"line {port_line}: worker.{name}.port: no port: {port}")
+            self.imported.problems.append(f"line {port_line}: worker.{name}.port: expected a port number, got {port}")
             return
         worker = {"address": address}
         for key, (value, number) in row.items():
@@ -148,7 +148,7 @@
                 self._report(name, key, value, number)
                 continue
             for member in (word for word in re.split(r"[,\s]+", value) if word):
-                if member not in self.rows:
+                if member not in self.directives:
                     self.imported.problems.append(f"line {number}: worker.{name}.{key}: no worker named {member}")
                     continue
                 self._import(member)
@@ -157,11 +157,11 @@
         self.imported.balancers[name] = members
 
     def _report(self, name: str, key: str, value: str, number: int) -> None:
-        self.imported.problems.append(f"line {number}: worker.{name}.{key}: not taken: {value}")
+        self.imported.problems.append(f"line {number}: worker.{name}.{key}: not imported: {value}")
 
 
 def _joined_lines(text: str) -> list[tuple[int, str]]:
-    """Lines that say something, with their numbers; a backslash at the end joins the next one."""
+    """Return the lines that are neither empty nor comments, with their numbers; a backslash continues a line."""
     lines = []
     joined = ""
     start = 0
@@ -178,8 +178,8 @@
     return lines
 
 
-def import_apache(text: str, imported: Imported) -> None:
-    """Import BalancerMember lines of an Apache file, inside a <Proxy balancer://name> or with the name first."""
+def import_apache(text: str, imported: ImportResult) -> None:
+    """Import the BalancerMember lines of an Apache file, in a <Proxy> section or with the URL of a balancer."""
     section = ""
     for number, raw in enumerate(text.splitlines(), start=1):
         line = raw.strip()
@@ -194,12 +194,16 @@
                 imported.problems.append(f"line {number}: BalancerMember: {error}")
 
 
-def _import_member(words: list[str], section: str, number: int, imported: Imported) -> None:
-    """Import one BalancerMember; ValueError says why it can't be."""
+def _import_member(words: list[str], section: str, number: int, imported: ImportResult) -> None:
+    """Import one BalancerMember line.
+
+    Raises:
+        ValueError: The line can't be imported; the text is the reason.
+    """
     if words and words[0].startswith("balancer://"):
         section = words.pop(0).removeprefix("balancer://").rstrip("/")
     if not section:
-        raise ValueError("outside of a balancer")
+        raise ValueError("expected a <Proxy balancer://NAME> section or a URL balancer://NAME")
     worker = {"address": _ajp_address(words.pop(0) if words else "")}
     for word in words:
         key, _, value = word.partition("=")
@@ -208,12 +212,12 @@
         elif key.lower() in ("route", "secret"):
             worker[key.lower()] = value
         else:
-            imported.problems.append(f"line {number}: BalancerMember {key}: not taken: {value}")
+            imported.problems.append(f"line {number}: BalancerMember {key}: not imported: {value}")
     name = worker.get("route") or worker["address"].replace(":", "-")
     if imported.workers.get(name, worker) != worker:
         name = f"{section}-{name}"
     if imported.workers.get(name, worker) != worker:
-        raise ValueError(f"a second member named {name}")
+        raise ValueError(f"another worker is already named {name}")
     imported.workers[name] = worker
     members = imported.balancers.setdefault(section, [])
     if name not in members:
@@ -221,7 +225,11 @@
 
 
 def _ajp_address(text: str) -> str:
-    """The address in ajp://host:port. ValueError if it is none."""
+    """Return the address in a URL ajp://host:port.
+
+    Raises:
+        ValueError: The text is not such a URL.
+    """
     url = urlsplit(text)
     if url.scheme != "ajp" or not url.hostname or url.path.strip("/"):
         raise ValueError(f"expected ajp://host:port, got {url.geturl()}")
@@ -231,11 +239,11 @@
 
 
 def main(paths: list[str]) -> int:
-    """Import files, each by its kind, and print the operator's file; the exit status."""
+    """Import files, each by its type, print the operator's file and return the exit status."""
     if not paths:
         print("usage: python -m myrtlespar.cli.apache_importer FILE ...", file=sys.stderr)
         return EXIT_USAGE
-    imported = Imported()
+    imported = ImportResult()
     for path in paths:
         try:
             text = Path(path).read_text()
@@ -244,7 +252,7 @@
             return EXIT_USAGE
         seen = len(imported.problems)
         if path.endswith(".properties"):
-            Properties(text, imported).import_listed()
+            WorkerProperties(text, imported).import_listed()
         else:
             import_apache(text, imported)
         imported.problems[seen:] = [f"{path}: {problem}" for problem in imported.problems[seen:]]
--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -1,4 +1,4 @@
-"""`myrtlespar check`: explore the state machines, find planted bugs, replay counter-examples."""
+"""`myrtlespar check`: explores the state machines, finds planted bugs, replays counterexamples."""
 
 from __future__ import annotations
 
@@ -12,30 +12,38 @@
 from myrtlespar.cli.check_trace import trace
 
 CORES = os.cpu_count() or 1
-TWO_PROCESSES = "twins"  # the scenario of an old and a new process, explored apart from the others
+PROCESS_PAIR = "twins"  # scenario with an old and a new process, which has an explorer of its own
 
 
-# Longer than 40 lines only by its options, each of which is a parameter.
+# Longer than the usual limit of 40 lines because each option is a parameter.
 @click.group(invoke_without_command=True)
-@click.option("--quick", is_flag=True, help="All small scenarios, every state.")
-@click.option("--full", is_flag=True, help="The large scenario: 3 tries, 2 lives of the server, 2 breaks.")
-@click.option("--scenario", "names", multiple=True, help="One scenario by name; may be repeated.")
-@click.option("--planted", is_flag=True, help="Find every planted bug.")
-@click.option("--replay", type=click.Path(), help="Play a saved counter-example and print the state after each event.")
-@click.option("--real", is_flag=True, help="With --replay: against the real program on loopback.")
-@click.option("--plant", default="", help="With --replay: with this planted bug in it.")
-@click.option("--save", type=click.Path(), help="Save the counter-examples found in this folder.")
-@click.option("--jobs", default=CORES, show_default=True, type=click.IntRange(1, 256), help="Processes.")
+@click.option("--quick", is_flag=True, help="Explore every state of all small scenarios.")
+@click.option(
+    "--full", is_flag=True, help="Explore the large scenario: 3 attempts, 2 server processes in turn, 2 broken links."
+)
+@click.option("--scenario", "names", multiple=True, help="Explore the scenario of this name; may be repeated.")
+@click.option("--planted", is_flag=True, help="Check that the explorer finds every planted bug.")
+@click.option("--replay", type=click.Path(), help="Replay a saved counterexample and print the state after each event.")
+@click.option("--real", is_flag=True, help="With --replay: replay it against the real program on loopback.")
+@click.option("--plant", default="", help="With --replay: add the planted bug of this name.")
+@click.option("--save", type=click.Path(), help="Folder to save counterexamples in.")
+@click.option("--jobs", default=CORES, show_default=True, type=click.IntRange(1, 256), help="Number of processes.")
 @click.option(
     "--seconds",
     default=600.0,
     show_default=True,
     type=click.FloatRange(0, 86400, min_open=True),
-    help="For each scenario; longer ends without a verdict.",
+    help="Time limit for each scenario; when it is reached, there is no verdict.",
 )
-@click.option("--states", default=8_000_000, show_default=True, type=click.IntRange(1), help="The same, in states.")
 @click.option(
-    "--memory-mb", default=6000, show_default=True, type=click.IntRange(64), help="The same, of the main process."
+    "--states", default=8_000_000, show_default=True, type=click.IntRange(1), help="The same limit in explored states."
+)
+@click.option(
+    "--memory-mb",
+    default=6000,
+    show_default=True,
+    type=click.IntRange(64),
+    help="The same limit in memory of the main process.",
 )
 @click.pass_context
 def check(
@@ -55,8 +63,8 @@
 ) -> int | None:
     """Explore the state machines that the server runs on, in every order of events.
 
-    Status 0: every rule holds in every state. 1: a rule fell; the shortest way there is printed. 2: faulty input.
-    3: stopped by time, states or memory, which is no verdict.
+    Exit status 0: every invariant holds in every state. 1: an invariant is violated, and the shortest path to the
+    violation is printed. 2: invalid input. 3: stopped by the limit on time, states or memory, without a verdict.
     """
     if ctx.invoked_subcommand is not None:
         return None
@@ -69,14 +77,14 @@
         return command.find_all_mutations(jobs, seconds, folder)
     if replay is not None:
         return command.replay(Path(replay), real, plant)
-    chosen = [*names, *((*QUICK, TWO_PROCESSES) if quick else ()), *(("large",) if full else ())]
+    chosen = [*names, *((*QUICK, PROCESS_PAIR) if quick else ()), *(("large",) if full else ())]
     for name in chosen:
-        if name not in (*ALL, TWO_PROCESSES):
+        if name not in (*ALL, PROCESS_PAIR):
             raise click.ClickException(
-                f"--scenario: no scenario named {name!r}; there are {', '.join(ALL)}, {TWO_PROCESSES}"
+                f"--scenario: no scenario named {name!r}; there are {', '.join(ALL)}, {PROCESS_PAIR}"
             )
     if not chosen:
-        raise click.ClickException("check: say --quick, --full, --scenario, --planted, --replay, tables or trace")
+        raise click.ClickException("check: expected --quick, --full, --scenario, --planted, --replay, tables or trace")
     return command.explore_all(chosen, Bounds(seconds, states, memory_mb), jobs, folder, sys.stderr.isatty())
 
 
--- a/myrtlespar/cli/check_tables.py
+++ b/myrtlespar/cli/check_tables.py
@@ -1,4 +1,4 @@
-"""`myrtlespar check tables`: the state machines as Markdown."""
+"""`myrtlespar check tables`: prints the state machines as Markdown."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 @click.command("tables")
-@click.option("--verify", type=click.Path(), help="Fail if this file differs from what would be printed.")
+@click.option("--verify", type=click.Path(), help="Print nothing; fail if this file is not up to date.")
 def tables(verify: str | None) -> int:
-    """Print the tables and diagrams of all machines, as Markdown."""
+    """Print the transition tables and diagrams of all state machines as Markdown."""
     from myrtlespar.model_checker.diagrams import document
 
     text = document()
@@ -19,5 +19,5 @@
         return 0
     path = Path(verify)
     if not path.is_file() or path.read_text() != text:
-        raise click.ClickException(f"{verify}: differs from the code; write it anew with `myrtlespar check tables`")
+        raise click.ClickException(f"{verify}: differs from the code; regenerate it with `myrtlespar check tables`")
     return 0
--- a/myrtlespar/cli/check_trace.py
+++ b/myrtlespar/cli/check_trace.py
@@ -1,4 +1,4 @@
-"""`myrtlespar check trace`: a recorded run against the state machines."""
+"""`myrtlespar check trace`: checks a recorded run against the state machines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @click.command("trace")
 @click.argument("file", type=click.Path())
 def trace(file: str) -> int:
-    """Accept or reject a recorded run: the log of a server with `[trace] transitions = true`."""
+    """Check a recorded run against the state machines: the log of a server with `[trace] transitions = true`."""
     from myrtlespar.model_checker.trace_checker import check_trace
 
     return check_trace(Path(file))
--- a/myrtlespar/cli/fleet/__init__.py
+++ b/myrtlespar/cli/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet`: fault scripts, the model checker, and views and limits of running members."""
+"""`myrtlespar fleet`: fault scripts, the model checker, and the views and limits of running members."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Tile servers that know each other: rehearse faults, look at views."""
+    """Test a fleet of tile servers with faults, and show the views and limits of its members."""
 
 
 for subcommand in (run, emulate, check, status, watch, limits, try_command):
--- a/myrtlespar/cli/fleet/check.py
+++ b/myrtlespar/cli/fleet/check.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet check`: the model checker on membership and limits."""
+"""`myrtlespar fleet check`: runs the model checker on membership and limits."""
 
 from __future__ import annotations
 
@@ -22,26 +22,33 @@
         "triples",
     ),
 }
-EXIT_BROKEN = 1
+EXIT_PROMISE_BROKEN = 1
 
 
 @click.command("check")
-@click.option("--quick", is_flag=True, help="One fault at every step, and two at coarse steps.")
-@click.option("--full", is_flag=True, help="Two faults a run at finer steps, three at coarse ones.")
-@click.option("--planted", is_flag=True, help="Find every planted bug.")
-@click.option("--jobs", default=0, type=click.IntRange(0, 256), help="Processes; 0 is one a core.")
+@click.option("--quick", is_flag=True, help="One fault at every step, and two faults at coarse steps.")
+@click.option("--full", is_flag=True, help="Two faults at finer steps, and three at coarse steps.")
+@click.option("--planted", is_flag=True, help="Check that the explorer finds every planted bug.")
+@click.option("--jobs", default=0, type=click.IntRange(0, 256), help="Number of processes; 0: one per core.")
 @click.option(
     "--seconds",
     default=600.0,
     show_default=True,
     type=click.FloatRange(0, 86400, min_open=True),
-    help="For each plan or bug; longer ends without a verdict.",
+    help="Time limit for each plan or bug; when it is reached, there is no verdict.",
+)
+@click.option(
+    "--area",
+    "areas",
+    multiple=True,
+    type=click.Choice(["members", "limits"]),
+    help="Check only this area; may be repeated.",
 )
-@click.option("--area", "areas", multiple=True, type=click.Choice(["members", "limits"]), help="Only this; repeatable.")
 def check(quick: bool, full: bool, planted: bool, jobs: int, seconds: float, areas: tuple[str, ...]) -> int:
     """Explore membership and limits: three members under every schedule with a bounded number of faults.
 
-    Status 0: every promise held. 1: one fell, the faults are printed. 3: stopped by time, which is no verdict.
+    Exit status 0: every promise held. 1: a promise was broken, and the faults that led to it are printed. 3: stopped by
+    the time limit, without a verdict.
     """
     import os
 
@@ -55,6 +62,6 @@
         else:
             plans = [*(QUICK_PLANS if quick else ()), *(FULL_PLANS[area] if full else ())]
             area_status = command.explored(area, plans or ["single"], jobs, seconds)
-        if status != EXIT_BROKEN:
+        if status != EXIT_PROMISE_BROKEN:
             status = area_status or status
     return status
--- a/myrtlespar/cli/fleet/emulate.py
+++ b/myrtlespar/cli/fleet/emulate.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet emulate`: a fault script in the simulation."""
+"""`myrtlespar fleet emulate`: plays a fault script in the simulation."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @click.command("emulate")
 @click.argument("script", type=click.Path())
-@click.option("--seed", default=1, show_default=True, help="For chances on links and members' own choices.")
+@click.option("--seed", default=1, show_default=True, help="Seed for the faults of links and the choices of members.")
 @click.option(
     "--members",
     default=0,
     type=click.IntRange(0, 20_000),
-    help="Grow the sites in proportion to so many members; 0 leaves them.",
+    help="Scale the sites in proportion to this number of members; 0: as in the script.",
 )
-@click.option("--baseline", is_flag=True, help="Plain heartbeats, all to all with a fixed time-out, instead.")
-@click.option("--json", "result", type=click.Path(), help="Write the line of figures to this file as well.")
+@click.option("--baseline", is_flag=True, help="Use plain heartbeats instead, all to all with a fixed timeout.")
+@click.option("--json", "result", type=click.Path(), help="Also write the JSON line of results to this file.")
 def emulate(script: str, seed: int, members: int, baseline: bool, result: str | None) -> int:
-    """Play a fault script on the pure modules in virtual time. Load, store and kernels are not modelled.
+    """Play a fault script on the pure modules in virtual time. Load, dependency and engines are not modelled.
 
-    Status as for `run`. The same script, seed and size give the same figures but for the speed.
+    The exit status is that of `run`. The same script, seed and size give the same figures except for the speed.
     """
     from pathlib import Path
 
--- a/myrtlespar/cli/fleet/limit_bounds.py
+++ b/myrtlespar/cli/fleet/limit_bounds.py
@@ -1,4 +1,4 @@
-"""What a fleet file's limits promise, in numbers, for `myrtlespar fleet limits bound`."""
+"""Prints the bounds that the limits of a fleet file promise, for `myrtlespar fleet limits bound`."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 from myrtlespar.quota.budget import DRAW_AHEAD_S
 from myrtlespar.quota.settings import CountedUnit, CountedWork, GrantSettings, Limit, LimitKind
 
-Promise = tuple[str, str]  # what, and its number with the unit
-EXAMPLE_FIRST_ATTEMPTS = 1000
+Promise = tuple[str, str]  # description, and the value with its unit
+EXAMPLE_FIRST_ATTEMPTS = 1000  # for which the number of retries is printed
 
 
 def print_bounds(file: str) -> None:
-    """Print the promises of all limits of a file. ConfigError names the faulty key."""
+    """Print the promises of all limits of a file.
+
+    Raises:
+        ConfigError: The file is invalid; the text names the key.
+    """
     settings = read_fleet(file, "any")
     members = settings.grants.members_most or len(settings.voter_set.names)
     grants = settings.grants
     print(
-        f"clocks may run fast or slow by {grants.drift:.1%}; grants {grants.grant_ms} ms, leases "
-        f"{grants.lease_ms} ms, asks every {grants.ask_ms} ms"
+        f"clock rates may be off by {grants.drift:.1%}; grants last {grants.grant_ms} ms, leases "
+        f"{grants.lease_ms} ms; members ask every {grants.ask_ms} ms"
     )
     for name, limit in settings.limits.items():
         class_text = f", class {limit.cls}" if limit.cls else ""
@@ -30,26 +34,26 @@
 
 
 def promises(limit: Limit, terms: GrantSettings, members: int) -> list[Promise]:
-    """Return each promise of one limit as (name, value in words)."""
+    """Return the promises of one limit."""
     if limit.counted_unit is CountedUnit.BUDGET:
         return _budget_promises(limit)
     work = "calls to the store" if limit.counts is CountedWork.CALLS else "runs"
     unit = f"starts in any {limit.window_ms} ms" if limit.counted_unit is CountedUnit.RATE else f"{work} at once"
     if limit.kind is LimitKind.ADVISORY:
-        return [("limit", f"{limit.amount} {unit}"), ("promise", "none: it is counted only")]
+        return [("limit", f"{limit.amount} {unit}"), ("promise", "none; use is only counted")]
     pool, each = terms.split(limit, members)
     return [
         ("limit", f"{limit.amount} {unit}"),
-        ("over", _overshoot(limit, terms)),
+        ("exceeded by at most", _overshoot(limit, terms)),
         ("granted by keepers", f"{pool}"),
-        ("standing share of each of so many members", f"{each} of {members}, in all {each * members}"),
-        ("a part of k members cut off without a majority may use", f"k x {each}"),
-        ("demand that moves has what is due to it after", f"{terms.max_reallocation_ms(limit):.0f} ms"),
+        ("standing share of each member", f"{each}; of {members} members together {each * members}"),
+        ("k members that are cut off without a majority may use", f"k x {each}"),
+        ("demand that moved to another member has its share after", f"{terms.max_reallocation_ms(limit):.0f} ms"),
         (
-            "after a keeper's death its keys are granted anew after",
-            f"{terms.max_leader_recovery_ms(limit):.0f} ms, beside what membership takes to notice",
+            "after a keeper's failure its keys are granted again after",
+            f"{terms.max_leader_recovery_ms(limit):.0f} ms, plus the time in which membership detects the failure",
         ),
-        ("a number that is lowered holds after", f"{terms.max_lowering_ms(limit):.0f} ms; never over the greater one"),
+        ("a lowered limit holds after", f"{terms.max_lowering_ms(limit):.0f} ms; the old limit is never exceeded"),
         ("a new process uses its standing share after", f"{terms.guaranteed_share_delay_ms(limit):.0f} ms"),
     ]
 
@@ -65,13 +69,13 @@
 def _budget_promises(limit: Limit) -> list[Promise]:
     return [
         ("limit", f"{limit.amount} starts in each {limit.period_ms / 1000:g} s of the members' clocks"),
-        ("over", "0, over restarts of any or all members whose state folders are kept"),
+        ("exceeded by at most", "0, also over restarts of any or all members that keep their state folders"),
         (
             "lost with a keeper",
-            f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice what was short",
+            f"at most what it reserved ahead: {max(limit.amount // 100, 1)}, or twice the amount that ran short",
         ),
         ("lost with a member", f"what it drew ahead: {DRAW_AHEAD_S:g} s of its demand"),
-        ("without a majority", "what is drawn is spent, nothing more is drawn"),
+        ("without a majority", "members may spend what they have drawn, and draw no more"),
     ]
 
 
@@ -79,9 +83,9 @@
     budget = settings.repeats
     if budget is not None:
         print(
-            f"repeats: at most {budget.share:g} x first tries + {budget.burst} x {members} = "
-            f"{budget.max_retries(EXAMPLE_FIRST_ATTEMPTS, members):.0f} with {EXAMPLE_FIRST_ATTEMPTS} first tries, "
-            "whatever links fail"
+            f"repeats: at most {budget.share:g} x first attempts + {budget.burst} x {members} = "
+            f"{budget.max_retries(EXAMPLE_FIRST_ATTEMPTS, members):.0f} with {EXAMPLE_FIRST_ATTEMPTS} first attempts, "
+            "whichever links fail"
         )
 
 
@@ -90,6 +94,6 @@
         grants = settings.grants
         lease_ms = grants.usable_span_ms(grants.usable_span_ms(settings.engine.ttl_s * 1000))
         print(
-            f"engine: keepers by leases of {settings.engine.ttl_s} s; without it a keeper goes on for at most "
-            f"{lease_ms:.0f} ms, grants for {grants.grant_ms} ms more"
+            f"engine: keepers have leases of {settings.engine.ttl_s} s; without the engine a keeper continues for at "
+            f"most {lease_ms:.0f} ms, and its grants for {grants.grant_ms} ms more"
         )
--- a/myrtlespar/cli/fleet/limit_tables.py
+++ b/myrtlespar/cli/fleet/limit_tables.py
@@ -1,4 +1,4 @@
-"""Tables of fleet limits in use, for `myrtlespar fleet limits` and `limits explain`."""
+"""Tables of the fleet limits in use, for `myrtlespar fleet limits` and `limits explain`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from myrtlespar.cli.fleet.member_tables import duration, request_report
 
-NEVER_GRANTED_MS = -1e8  # a grant that lapsed longer ago than this never was
+NEVER_GRANTED_MS = -1e8  # a remaining time below this means that there never was a grant
 
 
 @dataclass(slots=True)
-class KeySum:
-    """One key over all members."""
+class KeyTotals:
+    """Totals of one key over all members."""
 
     limit: int
     granted: int = 0
@@ -26,10 +26,10 @@
 
 
 def print_limits(addresses: Sequence[str]) -> int:
-    """Print one row for each key and member, then the sums; 1 if a member gave no answer."""
+    """Print a row for each key and member, then the totals; return 1 if a member did not answer, else 0."""
     console = Console()
     table = Table()
-    sums: dict[str, KeySum] = {}
+    totals: dict[str, KeyTotals] = {}
     status = 0
     for title in ("key", "member", "limit", "kind", "standing", "granted", "for", "used", "keeper"):
         table.add_column(title)
@@ -39,10 +39,10 @@
             console.print(report)
             status = 1
             continue
-        _add_keys(table, sums, report)
+        _add_keys(table, totals, report)
         _print_notes(console, report)
     console.print(table)
-    for key, row in sorted(sums.items()):
+    for key, row in sorted(totals.items()):
         console.print(
             f"{key}: {row.granted} granted + {row.standing} standing of {row.limit}, {row.used} used, "
             f"{max(0, row.limit - row.used)} fallow"
@@ -51,7 +51,7 @@
 
 
 def print_rejections(addresses: Sequence[str], name: str) -> int:
-    """Print the last rejection of a limit at each member; 1 if one gave no answer."""
+    """Print the last rejection of a limit at each member; return 1 if a member did not answer, else 0."""
     console = Console()
     status = 0
     for address in addresses:
@@ -64,7 +64,7 @@
     return status
 
 
-def _add_keys(table: Table, sums: dict[str, KeySum], report: Mapping[str, Any]) -> None:
+def _add_keys(table: Table, totals: dict[str, KeyTotals], report: Mapping[str, Any]) -> None:
     for row in report.get("keys", []):
         table.add_row(
             row["key"],
@@ -77,7 +77,7 @@
             str(row["used"]),
             row["keeper"],
         )
-        total = sums.setdefault(row["key"], KeySum(row["limit"]))
+        total = totals.setdefault(row["key"], KeyTotals(row["limit"]))
         total.granted += row["granted"]
         total.standing += row["standing"]
         total.used += row["used"]
@@ -93,7 +93,7 @@
         )
     if report.get("behind"):
         console.print(
-            f"{name}: not known to go by version {report['version']} of the limits: {' '.join(report['behind'])}"
+            f"{name}: not known to use version {report['version']} of the limits: {' '.join(report['behind'])}"
         )
     for row in report.get("budgets", []):
         left = "unknown" if row["left"] < 0 else f"{row['left']}"
@@ -104,24 +104,24 @@
 
 
 def _rejection(report: Mapping[str, Any], name: str, address: str) -> str:
-    """The last rejection of a limit at one member, as a line."""
+    """Return a line about the last rejection of a limit at one member."""
     why = report.get("why", {}).get(name)
     refused = report.get("refused", {}).get(name, 0)
     admitted = report.get("admitted", {}).get(name, 0)
     if why is None:
-        return f"{report.get('name', address)}: {name} has refused nothing, {admitted} let in"
+        return f"{report.get('name', address)}: {name} refused nothing, admitted {admitted}"
     return (
         f"{report['name']}: {why['key']} refused {duration(time.time() * 1000 - why['at'])} ago: "
         f"{why['used']} in use of {why['allowance']} that this member may use; {_grant(why)}. "
-        f"{refused} refused, {admitted} let in since the start"
+        f"{refused} refused, {admitted} admitted since the start"
     )
 
 
 def _grant(why: Mapping[str, Any]) -> str:
-    """The grant that a rejection was based on."""
+    """Return a description of the grant that a rejection was based on."""
     left_ms = why["granted_for_ms"]
     if left_ms > 0:
         return f"granted {why['granted']} by {why['keeper']}, for {duration(left_ms)} more"
     if left_ms > NEVER_GRANTED_MS:
-        return f"no grant: the last one from {why['keeper']} lapsed {duration(-left_ms)} before"
-    return f"never had a grant; {why['keeper']} is to keep it"
+        return f"no grant: the last one from {why['keeper']} expired {duration(-left_ms)} before"
+    return f"never had a grant; its keeper is {why['keeper']}"
--- a/myrtlespar/cli/fleet/limits.py
+++ b/myrtlespar/cli/fleet/limits.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet limits`: the fleet's limits as they are now, why one rejected, and what a file promises."""
+"""`myrtlespar fleet limits`: shows the limits in use, why a limit rejected a request, and what a file promises."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 @click.group("limits", invoke_without_command=True)
-@click.option("--at", "addresses", multiple=True, metavar="HOST:PORT", help="A member's management address; repeat.")
+@click.option(
+    "--at", "addresses", multiple=True, metavar="HOST:PORT", help="A member's management address; may be repeated."
+)
 @click.pass_context
 def limits(ctx: click.Context, addresses: tuple[str, ...]) -> int | None:
-    """Every key in use on these members: limit, granted, standing, used, keeper, age."""
+    """Show each key in use at these members: limit, kind, standing, granted, used and keeper."""
     ctx.obj = addresses
     if ctx.invoked_subcommand is not None:
         return None
@@ -23,7 +25,7 @@
 @click.argument("name")
 @click.pass_obj
 def explain(addresses: tuple[str, ...], name: str) -> int:
-    """Why the last request under limit NAME was refused, at each member: which number, from whom, how old."""
+    """Show why limit NAME last refused a request, at each member: the use, the allowance and its grant."""
     from myrtlespar.cli.fleet.limit_tables import print_rejections
 
     _require_addresses(addresses)
@@ -33,7 +35,7 @@
 @limits.command("bound")
 @click.argument("file", type=click.Path())
 def bound(file: str) -> int:
-    """The promises of a settings FILE in numbers, before it is used."""
+    """Show the bounds that the limits of a settings FILE promise, before it is used."""
     from myrtlespar.cli.fleet.limit_bounds import print_bounds
     from myrtlespar.config import ConfigError
 
@@ -46,4 +48,4 @@
 
 def _require_addresses(addresses: tuple[str, ...]) -> None:
     if not addresses:
-        raise click.ClickException("--at: at least one management address is wanted")
+        raise click.ClickException("--at: expected at least one management address")
--- a/myrtlespar/cli/fleet/member_tables.py
+++ b/myrtlespar/cli/fleet/member_tables.py
@@ -12,16 +12,16 @@
 from rich.live import Live
 from rich.table import Table
 
-MARKS = {"alive": ".", "suspect": "?", "failed": "X", "left": "-", "self": "o"}
+STATE_SYMBOLS = {"alive": ".", "suspect": "?", "failed": "X", "left": "-", "self": "o"}
 CHUNK_BYTES = 65536
 WATCH_TIMEOUT_S = 1.0
-HASH_SHOWN = 6  # characters
+SHOWN_HASH_CHARS = 6
 MS_PER_S = 1000
 MS_PER_MIN = 60_000
 
 
 def request_report(address: str, timeout_s: float = 3.0, command: bytes = b"MEMBERS") -> dict[str, Any] | str:
-    """Return one member's answer to a command of the management address; a text if there is none, which says why."""
+    """Return a member's report, requested from its management address; if there is none, an error text."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         return f"{address}: expected HOST:PORT"
@@ -35,13 +35,13 @@
         return f"{address}: {getattr(error, 'strerror', None) or error or 'no answer'}"
     lines = data.decode("utf-8", "replace").split("\n")
     if lines[0] != "done" or len(lines) < 3:
-        return f"{address}: {lines[0] or 'no answer'} (is the fleet set up there?)"
+        return f"{address}: {lines[0] or 'no answer'} (is a fleet configured there?)"
     found: dict[str, Any] = json.loads(lines[1])
     return found
 
 
 def duration(duration_ms: float | None) -> str:
-    """Return a duration as text in ms, s or min."""
+    """Return a duration as text in ms, s or min; `never` for None."""
     if duration_ms is None:
         return "never"
     if duration_ms < MS_PER_S:
@@ -55,7 +55,7 @@
     """Print one member's view."""
     console = Console()
     if view.get("waiting"):
-        console.print(f"{view['name']} waits for the address of an old process of its name")
+        console.print(f"{view['name']} waits for its address, which an old process of the same name has")
         return
     quorums = "  ".join(
         f"{scope} [bold]{row['is']}[/bold] {row['here']}/{row['of']} for {duration(row['for_ms'])}"
@@ -63,14 +63,14 @@
     )
     console.print(
         f"{view['name']} of {view['site']}, life {view['life'][0]}.{view['life'][1]}, roll "
-        f"{view['roll']}, view {view['hash']}, local health {view['health']} (0 is well)"
+        f"{view['roll']}, view {view['hash']}, local health {view['health']} (0 is healthy)"
     )
     console.print(f"standing: {quorums}")
     console.print(_member_table(view["members"]))
     for title, lines in (
         ("broken links", view["links"]),
-        ("heard, but do not hear us", view["unheard"]),
-        ("views that differ for long", view["disagree"]),
+        ("members that we receive from, but that do not receive from us", view["unheard"]),
+        ("members whose views have differed for long", view["disagree"]),
     ):
         if lines:
             console.print(f"{title}: {', '.join(lines)}")
@@ -96,7 +96,7 @@
 
 
 def view_matrix(views: Mapping[str, dict[str, Any] | str]) -> Table:
-    """Return all views side by side: a row is what one member believes of all."""
+    """Return a table of all views: each row is one member's view of all members."""
     complete = [view for view in views.values() if isinstance(view, dict) and "members" in view]
     names = sorted({row["name"] for view in complete for row in (view, *view["members"])})
     table = Table(title=". alive  ? suspect  X failed  - left  o itself")
@@ -110,14 +110,14 @@
         table.add_row(
             view["name"],
             view["standing"].get("fleet", {}).get("is", ""),
-            view["hash"][:HASH_SHOWN],
-            *(MARKS.get(states.get(name, ""), " ") for name in names),
+            view["hash"][:SHOWN_HASH_CHARS],
+            *(STATE_SYMBOLS.get(states.get(name, ""), " ") for name in names),
         )
     return table
 
 
 def watch_views(addresses: Sequence[str], seconds: float, every_s: float) -> int:
-    """Show all views for so many seconds, updated every `every_s`."""
+    """Show all views for `seconds`, updated every `every_s` seconds."""
     end = time.monotonic() + seconds
     with Live(refresh_per_second=4) as live:
         while time.monotonic() < end:
--- a/myrtlespar/cli/fleet/run.py
+++ b/myrtlespar/cli/fleet/run.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet run`: a fault script on real processes."""
+"""`myrtlespar fleet run`: plays a fault script on real processes."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 
 @click.command("run")
 @click.argument("script", type=click.Path())
-@click.option("--seed", default=1, show_default=True, help="For chances on links, load, and members' own choices.")
-@click.option("--json", "result", type=click.Path(), help="Write the line of figures to this file as well.")
-@click.option("--keep", type=click.Path(), help="Keep logs and configurations of all members in this folder.")
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed for the faults of links, the load and the choices of members."
+)
+@click.option("--json", "result", type=click.Path(), help="Also write the JSON line of results to this file.")
+@click.option("--keep", type=click.Path(), help="Folder to keep the logs and configurations of all members in.")
 def run(script: str, seed: int, result: str | None, keep: str | None) -> int:
     """Play a fault script on real processes behind the proxy that injects the faults.
 
-    Status 0: every promise judged held. 1: one was broken, named with time and members. 2: the script is faulty.
+    Exit status 0: every promise that was checked held. 1: a promise was broken, which is printed with the time and the
+    members. 2: the script is invalid.
     """
     from pathlib import Path
 
--- a/myrtlespar/cli/fleet/status.py
+++ b/myrtlespar/cli/fleet/status.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet status`: one member's view."""
+"""`myrtlespar fleet status`: shows one member's view."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @click.command("status")
 @click.argument("address")
-@click.option("--raw", is_flag=True, help="The JSON as it is.")
+@click.option("--raw", is_flag=True, help="Print JSON instead of a table.")
 def status(address: str, raw: bool) -> int:
-    """One member's view, over its management ADDRESS (HOST:PORT), as a table."""
+    """Show the view of the member with the management ADDRESS (HOST:PORT) as a table."""
     import json
 
     from myrtlespar.cli.fleet.member_tables import print_view, request_report
--- a/myrtlespar/cli/fleet/try_command.py
+++ b/myrtlespar/cli/fleet/try_command.py
@@ -1,4 +1,4 @@
-"""`myrtlespar fleet try`: a demonstration on real processes."""
+"""`myrtlespar fleet try`: runs a demonstration with real processes."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 
 @click.command("try")
-@click.option("--seed", default=1, show_default=True, help="For load and members' own choices.")
-@click.option("--keep", type=click.Path(), help="Keep logs and configurations of all members in this folder.")
+@click.option("--seed", default=1, show_default=True, help="Seed for the load and the choices of members.")
+@click.option("--keep", type=click.Path(), help="Folder to keep the logs and configurations of all members in.")
 def try_command(seed: int, keep: str | None) -> int:
-    """Three sites of three members serve a mixed burst through a cut and its healing.
+    """Serve a mixed burst with three sites of three members, while a network cut begins and heals.
 
-    Prints what each believed when, and requests by outcome. Status 0 only if every promise held.
+    Prints how the members' views changed over time, and the requests by outcome. Exit status 0 only if every promise
+    held.
     """
     from pathlib import Path
 
--- a/myrtlespar/cli/serve.py
+++ b/myrtlespar/cli/serve.py
@@ -1,4 +1,4 @@
-"""`myrtlespar serve`: the server itself."""
+"""`myrtlespar serve`: runs the server."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @click.command()
 def serve() -> int:
-    """Serve until the notice to drain (SIGTERM).
+    """Run the server until SIGTERM, which starts the drain.
 
-    SIGHUP reads the configuration again, SIGUSR1 logs the counters. Exit status 0 is a drain carried out.
+    SIGHUP reloads the configuration, SIGUSR1 logs the counters. Exit status 0: the drain was completed.
     """
     from myrtlespar.server.main import main
 
--- a/myrtlespar/cli/try_command.py
+++ b/myrtlespar/cli/try_command.py
@@ -1,4 +1,4 @@
-"""`myrtlespar try`: the real server between its own fakes, a short mixed load, and a verdict on the rules."""
+"""`myrtlespar try`: runs the real server with fake upstream services under a short load, and checks the outcome."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 @click.command("try")
-@click.option("--requests", default=120, show_default=True, type=click.IntRange(3, 5000), help="How many, in all.")
-@click.option("--seed", default=7, show_default=True, help="For classes, pauses and lengths of runs.")
-@click.option("--keep", type=click.Path(), help="Write the server's log here, transitions included.")
+@click.option("--requests", default=120, show_default=True, type=click.IntRange(3, 5000), help="Number of requests.")
+@click.option(
+    "--seed", default=7, show_default=True, help="Seed for the classes, pauses and run times of the requests."
+)
+@click.option("--keep", type=click.Path(), help="File for the server's log, which includes the transitions.")
 def try_command(requests: int, seed: int, keep: str | None) -> int:
-    """Serve a burst of real requests on loopback with nothing else at hand, and show what became of them.
+    """Serve a burst of real requests on loopback, without any other service, and print their outcomes.
 
-    Starts the server with a kernel, store and roster of its own, sends requests over Thrift and AJP, gives it the
-    notice to drain while some still run, and checks the rules. Status 0 only if every rule held.
+    Starts the server with a fake engine, dependency and registry, sends requests over Thrift and AJP, begins to drain
+    while some still run, and checks that the server's rules were kept. Exit status 0 only if all were.
     """
     from pathlib import Path
 
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -15,7 +15,7 @@
     [
         (["check", "--scenario", "moon"], 2, "no scenario named 'moon'"),
         (["check", "--jobs", "0"], 2, "--jobs"),
-        (["check"], 2, "say --quick"),
+        (["check"], 2, "expected --quick"),
         (["check", "trace", "/nowhere"], 2, "can't be read"),
         (["moon"], 2, "moon"),
         (["check", "tables", "--verify", "docs/state-machines.md"], 0, ""),
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -76,16 +76,16 @@
 @pytest.mark.parametrize(
     ("line", "problem"),
     [
-        ("worker.one.socket_timeout=9", "line 17: worker.one.socket_timeout: not taken: 9"),
-        ("worker.one.port=http", "line 17: worker.one.port: no port: http"),
-        ("worker.two.lbfactor=many", "line 17: worker.two.lbfactor: not taken: many"),
-        ("worker.two.type=ajp14", "line 17: worker.two.type: ajp14 is not taken"),
+        ("worker.one.socket_timeout=9", "line 17: worker.one.socket_timeout: not imported: 9"),
+        ("worker.one.port=http", "line 17: worker.one.port: expected a port number, got http"),
+        ("worker.two.lbfactor=many", "line 17: worker.two.lbfactor: not imported: many"),
+        ("worker.two.type=ajp14", "line 17: worker.two.type: expected ajp13 or lb, got ajp14"),
         ("worker.two.reference=worker.moon", "line 17: worker.two.reference: no template named worker.moon"),
         ("worker.base.reference=worker.one", "line 17: worker.base.reference: no template named worker.one"),
         ("worker.list=moon", "line 17: worker.list: no worker named moon"),
         ("worker.router.balance_workers=moon", "line 17: worker.router.balance_workers: no worker named moon"),
-        ("worker.maintain=60", "line 17: worker.maintain: not taken"),
-        ("worker.one.host=$(moon)", "line 17: worker.one.host: unknown name in $(moon)"),
+        ("worker.maintain=60", "line 17: worker.maintain: not supported"),
+        ("worker.one.host=$(moon)", "line 17: worker.one.host: undefined macro in $(moon)"),
     ],
 )
 def test_what_is_not_imported_is_named_by_line_and_key(tmp_path: Path, line: str, problem: str) -> None:
