--- a/tests/ajp_operator_file.py
+++ b/tests/ajp_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file of the tests of AJP."""
+"""The operator's file for tests with AJP."""
 
 from __future__ import annotations
 
--- a/tests/test_ajp_backends.py
+++ b/tests/test_ajp_backends.py
@@ -1,11 +1,11 @@
-"""Requests that AJP servers run."""
+"""Requests that are run by AJP servers."""
 
 from __future__ import annotations
 
 import pytest
 
 from myrtlespar.fakes import FakeAjpServer, FakeGateway, ServerProcess
-from myrtlespar.net.codec import ajp as wire
+from myrtlespar.net.codec import ajp
 
 
 def test_requests_reach_ajp_servers_with_body_secret_and_route(
@@ -20,7 +20,7 @@
     for servlet in (one, two):
         assert len(servlet.seen) == 3
         assert len(servlet.links) == 1
-        request = wire.decode_forward_request(servlet.seen[0])
+        request = ajp.decode_forward_request(servlet.seen[0])
         assert request.attributes == {"jvm_route": servlet.name, "query_string": "q=1", "secret": "w"}
         assert (request.method, request.uri) == ("POST", "/order/x")
     assert not server.engine.starts
@@ -37,7 +37,7 @@
     assert len(one.seen) + len(two.seen) == 1
 
 
-def test_an_unreachable_ajp_server_is_passed_over_none_is_503(
+def test_unreachable_ajp_servers_are_skipped_and_the_status_is_503_if_all_are(
     ajp_servers: tuple[ServerProcess, FakeAjpServer, FakeAjpServer],
 ) -> None:
     server, one, two = ajp_servers
--- a/tests/test_ajp_front.py
+++ b/tests/test_ajp_front.py
@@ -42,7 +42,7 @@
     assert FakeGateway(ajp_server.ports[1]).ask("/order", body)[0] == status
 
 
-def test_what_is_not_done_by_the_due_time_is_504(ajp_server: ServerProcess) -> None:
+def test_a_request_that_is_not_finished_by_its_due_time_gets_504(ajp_server: ServerProcess) -> None:
     ajp_server.dependency.script = ["hang"]
     assert FakeGateway(ajp_server.ports[1]).ask("/fetch", b"calls=1 ms=5")[0] == 504
 
@@ -79,26 +79,26 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x12", b"\x12\x34\x00\x09\x02"])
 def test_silent_and_half_sent_connections_are_closed(ajp_server: ServerProcess, data: bytes) -> None:
-    asked = FakeGateway(ajp_server.ports[1])
+    active = FakeGateway(ajp_server.ports[1])
     gateway = FakeGateway(ajp_server.ports[1])
-    assert asked.ask("/fetch")[0] == 200
+    assert active.ask("/fetch")[0] == 200
     gateway.sock.sendall(data)
     assert gateway.sock.recv(1) == b""
-    assert asked.ask("/fetch")[0] == 200
+    assert active.ask("/fetch")[0] == 200
 
 
-def test_idle_gateways_make_room(tmp_path: Path) -> None:
+def test_idle_gateways_are_closed_for_new_ones(tmp_path: Path) -> None:
     with server_process(tmp_path, operator=AJP_OPERATOR_FILE, sockets=100) as running:
         gateways = [FakeGateway(running.ports[1])]
         assert gateways[0].ask("/fetch")[0] == 200
-        for _ in range(11):  # a quarter of 44 places
+        for _ in range(11):  # the AJP listener has a quarter of 44 connections
             gateways.append(FakeGateway(running.ports[1]))
             assert gateways[-1].ask("/fetch")[0] == 200
         assert gateways[0].sock.recv(1) == b""
         assert gateways[-1].ask("/fetch")[0] == 200
 
 
-def test_ping_is_answered_and_remote_shutdown_is_not_heeded(ajp_server: ServerProcess) -> None:
+def test_ping_is_answered_and_remote_shutdown_is_ignored(ajp_server: ServerProcess) -> None:
     gateway = FakeGateway(ajp_server.ports[1])
     gateway.packet(b"\x07")
     gateway.packet(b"\x0a")
@@ -127,15 +127,15 @@
     assert all(int(headers["retry-after"]) >= 1 and took < 6.25 for headers, took in refused)
 
 
-def test_a_gateway_that_leaves_frees_what_is_held(ajp_server: ServerProcess) -> None:
+def test_a_queued_request_whose_gateway_disconnects_never_runs(ajp_server: ServerProcess) -> None:
     busy = [FakeGateway(ajp_server.ports[1]) for _ in range(3)]
     for gateway in busy:
         gateway.forward("/render", b"ms=1000")
     until(lambda: ajp_server.engine.starts)
-    leaver = FakeGateway(ajp_server.ports[1])
-    leaver.forward("/order", b"never")
+    leaving = FakeGateway(ajp_server.ports[1])
+    leaving.forward("/order", b"never")
     until(lambda: ajp_server.counters().get("in.request.ajp") == 4)
-    leaver.sock.close()
+    leaving.sock.close()
     assert [gateway.answer()[0] for gateway in busy] == [200] * 3
     assert ajp_server.counters()["answer.gone.ajp"] == 1
     assert b"never" not in ajp_server.engine.by_body
--- a/tests/test_ajp_retries.py
+++ b/tests/test_ajp_retries.py
@@ -24,7 +24,7 @@
     assert ajp_server.engine.by_body[b"ms=300"] == 2
 
 
-def test_a_repeat_of_a_held_attempt_whose_caller_left_runs_in_its_place_once(ajp_server: ServerProcess) -> None:
+def test_a_retry_of_a_queued_attempt_whose_caller_left_runs_in_its_place_once(ajp_server: ServerProcess) -> None:
     client = ThriftClient(ajp_server.ports[0])
     gateway = FakeGateway(ajp_server.ports[1])
     for _ in range(3):
@@ -39,7 +39,7 @@
     assert ajp_server.engine.by_body[b"held"] == 1
 
 
-def test_a_repeat_of_a_failed_order_is_failed_and_never_starts(ajp_server: ServerProcess) -> None:
+def test_a_retry_of_a_failed_order_is_failed_and_never_starts(ajp_server: ServerProcess) -> None:
     client = ThriftClient(ajp_server.ports[0])
     assert client.ask("order", b"end=FAIL", idem="f")[0] == "failed"
     assert FakeGateway(ajp_server.ports[1]).ask("/order", b"end=FAIL", Idempotency_Key="f")[0] == 500
@@ -59,7 +59,7 @@
         assert server.engine.by_body == {b"one": 1}
 
 
-def test_a_repeat_of_a_refused_order_may_run(ajp_server: ServerProcess) -> None:
+def test_a_retry_of_a_refused_order_may_run(ajp_server: ServerProcess) -> None:
     client = ThriftClient(ajp_server.ports[0])
     busy = [client.send("render", b"ms=1500") for _ in range(3)]
     until(lambda: ajp_server.engine.starts)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections that are malformed, silent, idle, too many, or do not read."""
+"""Client connections that send malformed data or nothing, are idle, are too many, or do not read."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def invoke(fields: bytes) -> bytes:
-    """A request whose arguments are these bytes."""
+    """Return the frame of a call to `invoke` whose arguments are these bytes."""
     frame = b"\x80\x01\x00\x01\x00\x00\x00\x06invoke\x00\x00\x00\x09" + fields
     return struct.pack(">I", len(frame)) + frame
 
@@ -31,8 +31,8 @@
         struct.pack(">I", 0) + b"x" * 9,
         struct.pack(">I", 8) + b"nonsense",
         struct.pack(">I", 20) + b"\x80\x01\x00\x01" + struct.pack(">I", 1 << 30) + b"x" * 12,
-        struct.pack(">I", 9) + b"\x80\x01",  # begun and never finished
-        invoke(b"\x0b\x00\x02\xff\xff\xff\x00"),  # a text of negative length
+        struct.pack(">I", 9) + b"\x80\x01",  # never completed
+        invoke(b"\x0b\x00\x02\xff\xff\xff\x00"),  # a string of negative length
         invoke(b"\x0f\x00\x07\x01\x7f\xff\xff\xff"),  # a long list of elements that take no bytes
         invoke(b"\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff"),  # a map of negative size
         invoke(b"\x0c\x00\x07" * 5000),
@@ -44,38 +44,38 @@
         "nonsense",
         "long name",
         "unfinished",
-        "negative text",
+        "negative string length",
         "long list",
-        "negative map",
+        "negative map size",
         "deep structures",
         "deep lists in a long frame",
     ],
 )
-def test_bytes_that_are_no_message_close_only_their_link(server: ServerProcess, data: bytes) -> None:
+def test_malformed_bytes_close_only_their_connection(server: ServerProcess, data: bytes) -> None:
     client = ThriftClient(server.ports[0])
     open_one = client.send("render", b"ms=3000" if len(data) < 10 else b"ms=400")
     until(lambda: server.engine.starts)
     client.sock.sendall(data)
     assert client.answer(open_one)[0] == "success"
     assert client.ended.wait(20)
-    # A call with a sequence number of its own is answered; nothing else is, as no request stands behind it.
+    # Only a call with a readable header is answered; nothing else is known to be a request.
     exceptions = {9: "exception"} if b"invoke" in data and len(data) <= 4 + 16384 else {}
     assert {seq: answer[0] for seq, answer in client.answers.items()} == {open_one: "success", **exceptions}
     assert set(client.count.values()) == {1}
     assert ThriftClient(server.ports[0]).ask("fetch")[0] == "success"
 
 
-def test_a_silent_connection_is_closed_and_one_that_asked_once_is_kept(server: ServerProcess) -> None:
-    asked = ThriftClient(server.ports[0])
+def test_a_connection_that_never_sent_a_message_is_closed_and_one_that_did_is_kept(server: ServerProcess) -> None:
+    active = ThriftClient(server.ports[0])
     silent = ThriftClient(server.ports[0])
-    assert asked.ask("fetch")[0] == "success"
+    assert active.ask("fetch")[0] == "success"
     assert silent.ended.wait(20)
     assert not silent.answers
     assert not silent.one_way_messages
-    assert asked.ask("fetch")[0] == "success"
+    assert active.ask("fetch")[0] == "success"
 
 
-def test_idle_connections_make_room_and_open_requests_keep_theirs(tmp_path: Path) -> None:
+def test_idle_connections_are_closed_for_new_ones_and_busy_ones_are_kept(tmp_path: Path) -> None:
     with server_process(tmp_path, sockets=100) as running:
         busy = ThriftClient(running.ports[0])
         answer = busy.send("order", b"ms=1500")
@@ -91,15 +91,15 @@
         assert running.counters()["in.idle_closed.thrift"] == 1
 
 
-def test_a_client_that_does_not_read_is_cut_off_and_nobody_else_waits(server: ServerProcess) -> None:
-    lazy = socket.create_connection(("127.0.0.1", server.ports[0]))
-    lazy.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    bad = b"\x80\x01\x00\x01" + struct.pack(">I", 40) + b"m" * 40 + struct.pack(">I", 7) + b"\0"
+def test_a_client_that_does_not_read_is_disconnected_and_delays_no_other(server: ServerProcess) -> None:
+    not_reading = socket.create_connection(("127.0.0.1", server.ports[0]))
+    not_reading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    malformed_call = b"\x80\x01\x00\x01" + struct.pack(">I", 40) + b"m" * 40 + struct.pack(">I", 7) + b"\0"
 
     def flood() -> None:
         try:
             for _ in range(400):
-                lazy.sendall((struct.pack(">I", len(bad)) + bad) * 500)
+                not_reading.sendall((struct.pack(">I", len(malformed_call)) + malformed_call) * 500)
         except OSError:
             pass
 
@@ -112,12 +112,12 @@
     assert server.process.poll() is None
 
 
-def test_no_connection_with_a_request_that_just_came_makes_room(tmp_path: Path) -> None:
+def test_a_connection_with_an_unread_request_is_not_closed_for_a_new_one(tmp_path: Path) -> None:
     with server_process(tmp_path, sockets=64) as running:
-        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
+        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # the maximum number
         for client in clients:
             assert client.answer(client.say("ping", full=False))
-        for busy in clients[:10:2]:  # each in turn is the idlest, and the one behind it goes
+        for busy in clients[:10:2]:  # each in turn is idle the longest; the next one has to be closed instead
             running.process.send_signal(signal.SIGSTOP)
             new = ThriftClient(running.ports[0])
             seq = busy.send("fetch", b"crosses")
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, one-line errors, and which modules serving loads."""
+"""The command line: exit codes, one-line errors, and that serving loads no modules of other commands."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert status != 2 or finished.stderr.count("\n") == 1
 
 
-def test_serving_loads_no_tool() -> None:
+def test_serving_loads_no_modules_of_other_commands() -> None:
     tools = "('click', 'yaml', 'xxhash', 'myrtlespar.model_checker', 'myrtlespar.fakes')"
     code = f"import sys, myrtlespar.server.main; print([m for m in {tools} if m in sys.modules])"
     finished = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -1,4 +1,4 @@
-"""What comes in the moment in which the server closes a connection (see docs/race-conditions.md)."""
+"""Requests and data that arrive while the server closes a connection (see docs/race-conditions.md)."""
 
 from __future__ import annotations
 
@@ -18,23 +18,21 @@
 from myrtlespar.runtime.counters import Counters
 from tests.gates import Gate
 
-# So much other work of the loop stands in front of the word to the reader that its connection is shut: the
-# request that came is seen first.
+# Delays the callback that tells the reader of the close behind so much other work of the event loop that the reader
+# finds the request first.
 BUSY = "import gevent, time; [gevent.get_hub().loop.run_callback(*c) for c in [(time.sleep, 0.02)] + [(int,)] * 3000]"
 
 
 @pytest.mark.parametrize("why", ["room", "flush"])
-def test_a_request_that_comes_between_our_check_and_our_close_runs_once_where_it_is_sent_again(
-    tmp_path: Path, why: str
-) -> None:
-    """Its client sends it once more on another connection; read behind the close and run, it would run twice."""
+def test_a_request_that_crosses_our_close_runs_only_where_it_is_sent_again(tmp_path: Path, why: str) -> None:
+    """The client sends the request again on another connection, so it would run twice if it also ran here."""
     gate = Gate(tmp_path, "myrtlespar.net.listener:Listener." + ("close_idle" if why == "room" else "end"), then=BUSY)
     with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
-        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
+        clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # the maximum number
         for client in clients:
             assert client.answer(client.say("ping", full=False))
         if why == "room":
-            new = ThriftClient(running.ports[0])  # the first one, which is the idlest, goes for it
+            new = ThriftClient(running.ports[0])  # the first one is closed for it, as it is idle the longest
         else:
             running.process.terminate()
         gate.reached(running)
@@ -53,12 +51,12 @@
         assert not [name for name in counts if name.startswith("impossible")], counts
 
 
-def test_a_request_whose_end_just_came_is_taken_though_its_time_is_over(tmp_path: Path) -> None:
+def test_a_request_that_is_complete_at_the_message_timeout_is_handled(tmp_path: Path) -> None:
     gate = Gate(
         tmp_path,
         "myrtlespar.net.socket_reader:SocketReader.has_buffered",
         "args[0]._data",
-        # The first check is the last one.
+        # With this interval the first check already closes the connection.
         "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
         "c.size_limits = lambda *args: dataclasses.replace(f(*args), idle_check_ms=2500.0)",
     )
@@ -75,9 +73,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "finish"])
-def test_what_lies_unread_behind_our_close_is_never_taken(how: str) -> None:
-    """As when a client that reads nothing has filled its outbox: its bytes can still be read then."""
-    taken: list[Any] = []
+def test_a_request_that_is_unread_at_our_close_is_never_handled(how: str) -> None:
+    """For example when a client that does not read has filled its outbox: what it sent can still be read then."""
+    submitted: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         limits = ResourceLimits()
         request_classes = [SimpleNamespace(effect=None)]
@@ -95,7 +93,7 @@
             request_reader=ThriftRequestReader(config, Counters()),
             finish_answers=lambda connection: None,
             coordinator=SimpleNamespace(
-                counters=Counters(), advertised_value=1.0, submit=taken.append, caller_gone=taken.append
+                counters=Counters(), advertised_value=1.0, submit=submitted.append, caller_gone=submitted.append
             ),
         )
         with server.accept()[0] as sock:
@@ -105,11 +103,11 @@
             client.shutdown(socket.SHUT_WR)
             getattr(connection.outbox, how)()
             connection.read()
-    assert not taken
+    assert not submitted
 
 
-def test_more_answers_than_the_last_moment_has_room_for_are_begun_in_time(tmp_path: Path) -> None:
-    """Each answer takes 5 ms to hand over, as with a small share of a core; the kill comes on time."""
+def test_a_shutdown_begins_early_enough_to_send_many_slow_answers(tmp_path: Path) -> None:
+    """Each answer takes 5 ms of CPU time, as with a small share of a core; the process is killed at its stop time."""
     (tmp_path / "slow.py").write_text("""import os, runpy, sys, time
 sys.path.insert(0, os.getcwd())
 from myrtlespar.net.thrift_front import ThriftConnection
@@ -141,10 +139,8 @@
 
 
 @pytest.mark.parametrize("why", ["exit", "spoilt"])
-def test_a_client_that_reads_slowly_gets_every_answer_though_its_bytes_cross_our_close(
-    tmp_path: Path, why: str
-) -> None:
-    """What it has not read lies in the system's buffers as we close; a reset would throw that away."""
+def test_a_slow_reader_gets_every_answer_although_its_bytes_cross_our_close(tmp_path: Path, why: str) -> None:
+    """Answers that it has not read are in the system's buffers at the close; a reset would discard them."""
     gate = Gate(tmp_path, "myrtlespar.net.outbox:Outbox.finish")
     with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -1,4 +1,4 @@
-"""The link to the execution engine: it breaks, moves, falls silent, or leads to a new engine."""
+"""The link to the execution engine: breaks, changes of the address, missing answers, restarts of the engine."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class LosingEngine(FakeEngine):
-    """Loses every command that it reads while it is deaf, and remembers its type."""
+    """Ignores every command that it reads while `deaf`, and records its type."""
 
     def __init__(self) -> None:
         self.lost: list[str] = []
@@ -55,13 +55,13 @@
 
 
 @pytest.mark.parametrize(("method", "kind", "runs"), [("render", "success", 1), ("order", "failed", 0)])
-def test_what_was_lost_with_the_link_is_sent_again_only_where_a_second_run_is_harmless(
+def test_a_start_lost_with_the_link_is_sent_again_only_where_a_second_run_is_harmless(
     tmp_path: Path, method: str, kind: str, runs: int
 ) -> None:
     engine = LosingEngine()
     with server_process(tmp_path, engine=engine) as server:
         client = ThriftClient(server.ports[0])
-        assert client.ask("fetch")[0] == "success"  # the link is in step: its first mark is not among what is lost
+        assert client.ask("fetch")[0] == "success"  # the link is synchronized: its first mark was answered
         with engine.lock:  # no command is being handled
             engine.deaf = True
         seq = client.send(method, b"lost")
@@ -84,11 +84,11 @@
     assert server.engine.link is not None
     server.engine.cut(server.engine.link)
     assert client.answer(seq)[0] == "success"
-    time.sleep(0.3)  # well past the time after which it would be sent again: that nothing happens takes time
+    time.sleep(0.3)  # longer than the time after which the start would be sent again
     assert server.engine.by_body[body] == 1
 
 
-def test_a_notice_lost_on_the_way_is_asked_for_again(server: ServerProcess) -> None:
+def test_a_lost_notice_is_requested_again(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     server.engine.mute = True
     lost = client.send("order", b"ms=1")
@@ -97,7 +97,7 @@
     assert client.ask("fetch")[0] == client.answer(lost)[0] == "success"
 
 
-def test_an_engine_that_starts_anew_fails_its_old_runs_at_once(server: ServerProcess) -> None:
+def test_the_runs_of_a_restarted_engine_fail_at_once(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
     server.dependency.script = ["hang"]
@@ -110,7 +110,7 @@
     assert client.ask("fetch", b"after")[0] == "success"
 
 
-def test_an_engine_that_comes_late_is_waited_for(tmp_path: Path) -> None:
+def test_the_server_waits_for_an_engine_that_starts_late(tmp_path: Path) -> None:
     with server_process(tmp_path, late_engine=True) as running:
         client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))[1].good
@@ -120,7 +120,7 @@
         assert client.ask("order")[0] == "success"
 
 
-def test_an_engine_that_is_gone_again_before_its_first_word_is_reached_again(tmp_path: Path) -> None:
+def test_a_link_that_ends_before_the_greeting_is_reconnected(tmp_path: Path) -> None:
     engine = FakeEngine()
     engine.leaves = 3
     with server_process(tmp_path, engine=engine) as running:
@@ -131,8 +131,8 @@
         assert running.stop() == 0
 
 
-def test_a_move_while_the_old_engine_is_being_reached_does_not_end_there(tmp_path: Path) -> None:
-    """The old address accepts and says nothing, as an engine does that starts later."""
+def test_a_reload_while_connecting_to_the_old_engine_connects_to_the_new_one(tmp_path: Path) -> None:
+    """The old address accepts connections but sends nothing, as an engine that is not up yet."""
     (tmp_path / "held.py").write_text("""import json, os, runpy, sys
 sys.path.insert(0, os.getcwd())
 import myrtlespar.net.engine_client as engine_client
@@ -164,14 +164,14 @@
 
 
 def test_an_engine_whose_answers_came_while_the_process_stood_still_is_not_taken_for_silent(tmp_path: Path) -> None:
-    """The check may run before the reader.
+    """After a pause of the process the silence check may run before the reader.
 
-    It found no answer for as long as the pause, and ended a link that was well, with the orders on it.
+    It then found no answer for the length of the pause, closed a working link, and orders on it failed.
     """
     gate = Gate(
         tmp_path,
         "myrtlespar.net.engine_client:EngineClient.move",
-        "False",  # it holds nothing up: for `first` alone
+        "False",  # never stops: the gate is only used for its `first` statements
         "import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits\n"
         "c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=400.0)",
     )
@@ -180,19 +180,19 @@
         for _ in range(6):
             assert client.ask("fetch", b"ms=1")[0] == "success"
             running.process.send_signal(signal.SIGSTOP)
-            time.sleep(0.7)  # the pause itself
+            time.sleep(0.7)  # longer than the silence timeout
             running.process.send_signal(signal.SIGCONT)
         assert client.ask("fetch", b"ms=1")[0] == "success"
         until(lambda: running.event("kernel up"))
         assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
 
 
-def test_an_engine_whose_answers_wait_to_be_read_is_not_taken_for_silent(tmp_path: Path) -> None:
-    """The same, forced: the reader is always later than the watch."""
+def test_a_link_is_kept_while_answers_wait_to_be_read(tmp_path: Path) -> None:
+    """The silence check always runs before the reader, as the reader is delayed for longer than the timeout."""
     slow_reader = """import gevent, myrtlespar.net.socket_reader as readers
 receive = readers.SocketReader._receive
 def late(self):
-    if self._max_line_bytes > 100_000:  # the engine's
+    if self._max_line_bytes > 100_000:  # the reader of the engine link
         gevent.sleep(0.7)
     return receive(self)
 readers.SocketReader._receive = late
@@ -206,32 +206,32 @@
         assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
 
 
-SILENCE_TIMEOUT = """import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits
+SET_SILENCE_TIMEOUT = """import dataclasses, myrtlespar.config.platform_file as c; f = c.size_limits
 c.size_limits = lambda *args: dataclasses.replace(f(*args), engine_silence_timeout_ms=%s)"""
 
 
-def test_an_engine_that_was_asked_only_when_the_process_woke_up_is_not_taken_for_silent(tmp_path: Path) -> None:
-    """After a standstill a link that was well was closed, and each run on it was in doubt.
+def test_a_link_is_kept_if_the_gauges_were_requested_only_after_a_pause(tmp_path: Path) -> None:
+    """After a pause of the process a working link was closed, and each run on it was in doubt.
 
-    On waking the program asked for the gauges, and the watch looked before the answer could come. It counted the
-    silence from the last notice, although nothing had been asked until then: at one close the notice was 495 ms old and
-    the only unanswered mark 0.4 ms. Seen here as `kernel.silent` 1 and a second OPEN.
+    When the process resumed, it requested the gauges, and the silence check ran before the answer could arrive. It
+    counted the silence from the last notice, although nothing had been requested until then: at one close the notice
+    was 495 ms old and the only unanswered mark 0.4 ms. The fault shows as `kernel.silent` 1 and a second OPEN.
     """
     gate = Gate(
         tmp_path,
         "myrtlespar.net.engine_client:EngineClient.request_gauges",
         "args[0]._commands.is_synchronized and not args[0]._commands.pending_marks and args[0]._started_on_link",
-        SILENCE_TIMEOUT % 400.0,
+        SET_SILENCE_TIMEOUT % 400.0,
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=1500")
         gate.reached(running)
-        time.sleep(0.7)  # the standstill itself, over the timeout
-        with running.engine.lock:  # the answer comes only after the program has looked for it
+        time.sleep(0.7)  # longer than the silence timeout
+        with running.engine.lock:  # the answer arrives only after the silence check has run
             gate.open()
             running.counters()
-            counters = running.counters()  # each takes a turn of the program's loop: the watch has run
+            counters = running.counters()  # each takes a turn of the event loop, so the silence check has run
         assert counters.get("kernel.silent", 0) == 0
         assert client.answer(order)[0] == "success"
         assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
@@ -239,7 +239,7 @@
 
 
 class GaugelessEngine(FakeEngine):
-    """Answers no request for gauges while `ignores_gauges`, and counts those."""
+    """Ignores and counts requests for gauges while `ignores_gauges`."""
 
     ignores_gauges = False
     ignored = 0
@@ -251,13 +251,13 @@
             super().sysinfo(link, command)
 
 
-def test_a_standstill_while_an_answer_is_on_its_way_is_not_taken_for_the_engines_silence(tmp_path: Path) -> None:
-    """Program and engine stand still together, as where the machine pauses, and the program wakes first.
+def test_a_link_is_kept_if_program_and_engine_pause_while_an_answer_is_due(tmp_path: Path) -> None:
+    """Program and engine pause together, as when the machine pauses, and the program resumes first.
 
-    The watch counted the standstill as the engine's silence, and closed the link before the answer could come: seen as
-    `kernel.silent` 1 and a second OPEN.
+    The silence check counted the pause as silence of the engine, and closed the link before the answer could arrive.
+    The fault shows as `kernel.silent` 1 and a second OPEN.
     """
-    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", SILENCE_TIMEOUT % 3000.0)
+    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", SET_SILENCE_TIMEOUT % 3000.0)
     engine = GaugelessEngine()
     with server_process(tmp_path, start=gate.start, engine=engine) as running:
         client = ThriftClient(running.ports[0])
@@ -266,19 +266,19 @@
         engine.ignores_gauges = True
         until(lambda: engine.ignored)
         running.process.send_signal(signal.SIGSTOP)
-        engine.mute = True  # as if it stood still as well
-        time.sleep(4.0)  # the standstill itself, over the timeout
+        engine.mute = True  # as if the engine were paused as well
+        time.sleep(4.0)  # longer than the silence timeout
         running.process.send_signal(signal.SIGCONT)
         running.counters()
-        counters = running.counters()  # each takes a turn of the program's loop: the watch has run
+        counters = running.counters()  # each takes a turn of the event loop, so the silence check has run
         engine.mute = engine.ignores_gauges = False
         assert counters.get("kernel.silent", 0) == 0
         assert client.answer(order)[0] in ("success", "failed")
         assert [row["t"] for row in engine.commands].count("OPEN") == 1
 
 
-def test_a_link_without_answers_is_replaced_once_the_timeout_is_over_and_not_before(tmp_path: Path) -> None:
-    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", SILENCE_TIMEOUT % 400.0)
+def test_a_link_without_answers_is_replaced_after_the_timeout_and_not_before(tmp_path: Path) -> None:
+    gate = Gate(tmp_path, "myrtlespar.net.engine_client:EngineClient.move", "False", SET_SILENCE_TIMEOUT % 400.0)
     engine = GaugelessEngine()
     with server_process(tmp_path, start=gate.start, engine=engine) as running:
         client = ThriftClient(running.ports[0])
@@ -287,18 +287,19 @@
         began = time.monotonic()
         engine.ignores_gauges = True
         until(lambda: [row["t"] for row in engine.commands].count("OPEN") == 2)
-        assert time.monotonic() - began > 0.3  # the last answer before it may have been on its way
+        # Less than the timeout, as an earlier answer may still have been in transit.
+        assert time.monotonic() - began > 0.3
         engine.ignores_gauges = False
-        engine.cut(*engine.links)  # its first mark was ignored as well
+        engine.cut(*engine.links)  # the first mark of the new link was ignored as well
         assert client.answer(order)[0] == "success"
         assert engine.by_body[b"ms=2000"] == 1
         assert running.counters()["kernel.silent"] >= 1
 
 
-def test_a_run_that_ends_at_the_old_engine_during_a_standstill_is_answered_after_a_move(tmp_path: Path) -> None:
-    """A standstill at a reload uses up the time to read the old link to its end.
+def test_a_run_that_ends_at_the_old_engine_during_a_pause_is_answered_after_a_reload(tmp_path: Path) -> None:
+    """A pause of the process at a reload uses up the time allowed for reading the old link to its end.
 
-    The old link is closed on waking, but what lies in its socket unread is read all the same.
+    When the process resumes, the old link is closed, but the unread notices in its socket are still read.
     """
     gate = Gate(tmp_path, "myrtlespar.net.registry_client:RegistryClient.move")
     old = GaugelessEngine()
@@ -306,14 +307,14 @@
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=300")
         until(lambda: old.by_body[b"ms=300"])
-        old.ignores_gauges = True  # nor does it answer the last mark, which would end the link earlier
+        old.ignores_gauges = True  # an answer to the last mark would end the link earlier
         running.engine = FakeEngine()
         running.config["kernel"] = running.engine.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
         gate.reached(running)
         until(lambda: [row["t"] for row in old.notices].count("REAP"))
-        time.sleep(0.5)  # the standstill itself, over the time to read the old link to its end
+        time.sleep(0.5)  # longer than the time allowed for reading the old link to its end
         gate.open()
         assert client.answer(order)[0] == "success"
         assert client.ask("order", b"at the new address")[0] == "success"
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -1,4 +1,4 @@
-"""Malformed and unexpected notices of the execution engine: no later request pays for them."""
+"""Malformed and unexpected notices of the execution engine: no later request is affected."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, settings, until
 from myrtlespar.fakes.upstreams import FakeEngine
 
-HUGE = "1" + "0" * 400  # a whole number that no float holds
+HUGE = "1" + "0" * 400  # an integer too large for a float
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     ["[NaN, NaN, NaN, NaN]", "[-Infinity, Infinity, 0, 0]", f"[{HUGE}]", "[[]]", "[null]"],
     ids=["no numbers", "endless", "huge", "lists", "null"],
 )
-def test_gauges_that_are_no_numbers_change_no_decision(tmp_path: Path, gauges: str) -> None:
+def test_invalid_gauges_change_no_decision(tmp_path: Path, gauges: str) -> None:
     class OddGaugesEngine(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             if command["mark"].startswith("gauges"):
@@ -60,7 +60,7 @@
     [{"time_ms": "NaN"}, {"time_ms": HUGE}, {"time_ms": "null"}, {"status": '"ODD"'}, {"b64": '"%%%%"'}, {"b64": "7"}],
     ids=["time is none", "time is huge", "time is null", "status", "not base64", "no text"],
 )
-def test_an_end_that_cannot_be_read_fails_its_request_at_once(tmp_path: Path, malformed: dict[str, str]) -> None:
+def test_a_malformed_end_of_a_run_fails_its_request_at_once(tmp_path: Path, malformed: dict[str, str]) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         engine = running.engine
@@ -86,8 +86,8 @@
 
 
 @pytest.mark.parametrize("gauges", [[], ["cpu_busy", "runnable", "mem_used", "sockets"]])
-def test_a_configuration_that_does_not_allow_gauges_is_served(tmp_path: Path, gauges: list[str]) -> None:
-    """The marks that prove a link to be in step are requests for gauges: refused, nothing was ever sent on it."""
+def test_requests_run_although_the_engine_rejects_requests_for_gauges(tmp_path: Path, gauges: list[str]) -> None:
+    """A link is synchronized by requests for gauges; as the engine rejected them, no command was ever sent."""
 
     class GaugesRejectingEngine(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
@@ -107,8 +107,8 @@
 
 
 @pytest.mark.parametrize("malformed", ["BOOTED", "INFO"])
-def test_a_greeting_or_mark_that_cannot_be_read_is_asked_for_again(tmp_path: Path, malformed: str) -> None:
-    """The link waited for it for good, with the engine well and telling other things."""
+def test_a_malformed_greeting_or_mark_is_requested_again(tmp_path: Path, malformed: str) -> None:
+    """The link waited for it forever, although the engine was up and sent other notices."""
 
     class MalformingEngine(FakeEngine):
         left = 2
@@ -138,9 +138,9 @@
     assert len([row for row in server.engine.commands if row["t"] == "OPEN"]) == 1
 
 
-def test_requests_unknown_to_the_engine_reject_nobody_else(server: ServerProcess) -> None:
-    rude = ThriftClient(server.ports[0])
+def test_requests_unknown_to_the_engine_do_not_reject_others(server: ServerProcess) -> None:
+    misbehaving = ThriftClient(server.ports[0])
     client = ThriftClient(server.ports[0])
-    aliens = [rude.send("fetch", b"alien") for _ in range(30)]
-    assert [rude.answer(seq)[0] for seq in aliens] == ["failed"] * 30
+    unknown = [misbehaving.send("fetch", b"alien") for _ in range(30)]
+    assert [misbehaving.answer(seq)[0] for seq in unknown] == ["failed"] * 30
     assert [client.ask("fetch")[0] for _ in range(5)] == ["success"] * 5
--- a/tests/test_engine_restarts.py
+++ b/tests/test_engine_restarts.py
@@ -1,4 +1,4 @@
-"""An engine that was replaced by a new one, and what tells the two apart."""
+"""Restarts of the engine, and how they are detected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def restart(engine: FakeEngine, born: float) -> None:
-    """The engine is gone with its runs, and another one is there: its notices begin with 1."""
+    """Replace the engine by a new one without runs, whose notices start at 1."""
     with engine.lock:
         engine.notices = []
         engine.waits = {}
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("born_s", [0.0, -3600.0], ids=["soon after its first start", "by a clock that was set back"])
-def test_an_engine_that_starts_anew_unseen_by_its_age_is_known_by_its_numbers(tmp_path: Path, born_s: float) -> None:
+def test_a_restart_that_the_age_does_not_show_is_detected_by_notice_numbers(tmp_path: Path, born_s: float) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("fetch")[0] for _ in range(3)] == ["success"] * 3  # notices 1 to 3
@@ -42,15 +42,15 @@
         assert running.counters()["kernel.renumbered"] == 1
 
 
-def test_a_reply_that_waits_for_a_link_is_not_sent_to_another_engine(tmp_path: Path) -> None:
-    """The run that it is for died with the old one; its request is failed at once."""
+def test_a_reply_that_waits_for_a_link_is_not_sent_to_a_restarted_engine(tmp_path: Path) -> None:
+    """The run was lost with the old engine, so its request fails at once."""
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         engine = running.engine
         running.dependency.script = ["slow"]
         seq = client.send("order", b"calls=1")
         until(lambda: running.dependency.calls)
-        engine.up.clear()  # the link is accepted, the engine is not up
+        engine.up.clear()  # the engine accepts the link, but is not up
         restart(engine, time.time() + 60)
         until(lambda: running.counters().get("store.ok"))
         engine.up.set()
@@ -61,8 +61,11 @@
         assert not engine.replies[0].endswith(b"order"), "a reply for a run of the old engine"
 
 
-def test_a_greeting_that_is_slow_on_its_way_is_no_new_engine(tmp_path: Path) -> None:
-    """An engine that started just before its link broke: its age, taken at the end of the way, made it look newer."""
+def test_a_delayed_greeting_is_not_taken_for_a_restart(tmp_path: Path) -> None:
+    """The start was computed from the arrival of the greeting, so a delayed greeting looked like a restart.
+
+    This happened with an engine that had started shortly before its link broke.
+    """
 
     class SlowGreetingEngine(FakeEngine):
         delay_s = 0.0
@@ -85,7 +88,7 @@
         assert running.event("the kernel started anew") is None
 
 
-def test_numbers_prove_another_engine_on_the_first_notice_of_a_link_only() -> None:
+def test_only_the_first_notice_of_a_link_can_prove_another_engine() -> None:
     commands = CommandLog(lambda rid: True, 8)
     commands.connected()
     assert [commands.classify_notice(n) for n in (1, 2)] == [NEXT, NEXT]
--- a/tests/test_etcd_client.py
+++ b/tests/test_etcd_client.py
@@ -1,4 +1,4 @@
-"""The etcd client against the fake engine."""
+"""The etcd client with a fake etcd."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReleasedShards:
-    """The shards whose keys the engine reports as deleted."""
+    """Records the shards whose keys the engine reports as deleted."""
 
     def __init__(self) -> None:
         self.shards: set[int] = set()
@@ -68,8 +68,8 @@
     epoch = reply_to(a, EngineOperation.TAKE, lease_a, 3).epoch
     assert epoch > 0
     assert reply_to(b, EngineOperation.TAKE, lease_b, 3).epoch == 0
-    assert reply_to(a, EngineOperation.TAKE, lease_a, 3).epoch == epoch  # as after a reply that was lost
-    reply_to(b, EngineOperation.DROP, lease_b, 3)  # not its own: changes nothing
+    assert reply_to(a, EngineOperation.TAKE, lease_a, 3).epoch == epoch  # a repeated request, as after a lost reply
+    reply_to(b, EngineOperation.DROP, lease_b, 3)  # another lease's key: nothing changes
     assert reply_to(b, EngineOperation.TAKE, lease_b, 3).epoch == 0
     assert reply_to(a, EngineOperation.KEEP, lease_a).ttl_ms == 2000
     reply_to(a, EngineOperation.DROP, lease_a, 3)
@@ -105,7 +105,7 @@
     b.close()
 
 
-def test_an_engine_that_is_away_is_no_reply() -> None:
+def test_an_unreachable_engine_gives_no_reply() -> None:
     unreachable = EtcdClient("127.0.0.1:1", "/t/", "a", TTL_S, 0.2, lambda shard_id: None, lambda code: None)
     assert unreachable.execute(EngineRequest(EngineOperation.GRANT, 0.0)) is None
     unreachable.close()
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -1,4 +1,4 @@
-"""The importer: mod_jk and Apache files become an operator's file that the program reads."""
+"""The importer, which converts mod_jk and Apache files into an operator's file."""
 
 import subprocess
 import sys
@@ -40,7 +40,7 @@
 
 
 def run_importer(path: Path) -> subprocess.CompletedProcess[str]:
-    """Import one file in a process."""
+    """Run the importer on one file in a process of its own."""
     return subprocess.run(
         [sys.executable, "-m", "myrtlespar.cli.apache_importer", str(path)],
         cwd=ROOT,
@@ -51,11 +51,11 @@
 
 
 def import_text(folder: Path, name: str, text: str) -> ImportResult:
-    """Import a text from a file of this name."""
+    """Write the text to a file of this name and import it."""
     (folder / name).write_text(text)
-    done = run_importer(folder / name)
-    problems = [line.split(f"{name}: ", 1)[1] for line in done.stderr.splitlines()]
-    return ImportResult(tomllib.loads(done.stdout), problems, done.returncode)
+    finished = run_importer(folder / name)
+    problems = [line.split(f"{name}: ", 1)[1] for line in finished.stderr.splitlines()]
+    return ImportResult(tomllib.loads(finished.stdout), problems, finished.returncode)
 
 
 def test_workers_with_templates_and_balancers_are_imported(tmp_path: Path) -> None:
@@ -89,7 +89,7 @@
     ],
 )
 def test_what_is_not_imported_is_named_by_line_and_key(tmp_path: Path, line: str, problem: str) -> None:
-    """One more line at the end of the file, and the problem that it makes."""
+    """Each case appends one line to the file; the importer reports the problem with it."""
     result = import_text(tmp_path, "workers.properties", WORKERS + line + "\n")
     assert problem in result.problems
     assert result.status == 1
@@ -124,15 +124,15 @@
 
 
 def test_server_forwards_to_imported_workers(tmp_path: Path) -> None:
-    """The printed file, with a listener in front, is one that the server starts with."""
+    """The server starts with the printed file and forwards requests to the imported worker."""
     servlet = FakeAjpServer("one")
     (tmp_path / "w.properties").write_text(
         f"worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=one\nworker.one.port={servlet.port}\n"
         "worker.one.host=127.0.0.1\n"
     )
-    done = run_importer(tmp_path / "w.properties")
-    assert done.returncode == 0, done.stderr
+    finished = run_importer(tmp_path / "w.properties")
+    assert finished.returncode == 0, finished.stderr
     front = '[ajp]\nlisten = "127.0.0.1:0"\n[[ajp.map]]\npath = "/"\nclass = "fetch"\nto = "lb"\n'
-    with server_process(tmp_path, operator=front + done.stdout) as server:
+    with server_process(tmp_path, operator=front + finished.stdout) as server:
         assert FakeGateway(server.ports[1]).ask("/a", b"xyz")[2] == b"one got 3"
     servlet.down()
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -1,4 +1,4 @@
-"""Bounds on unsent bytes: of one connection, and of many together."""
+"""Limits on unsent bytes, of one connection and of several together, and the send timeout."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
     assert not fast.closed
 
 
-def test_a_peer_that_reads_while_the_process_stands_still_loses_nothing() -> None:
-    """A standstill longer than the send timeout is not the peer's: gevent looks at sockets before its timeouts."""
+def test_a_peer_that_reads_while_the_process_is_paused_loses_nothing() -> None:
+    """A pause of the process does not count as the peer's: gevent handles sockets before timeouts."""
     ours, peer = socket.socketpair()
     outbox = Outbox(ours, 4_000_000, 200.0)
     messages = [bytes([number]) * 50_000 for number in range(60)]
     for message in messages:
         assert outbox.put(message)
-    gevent.sleep(0.05)  # the writer has filled the socket, and waits
+    gevent.sleep(0.05)  # the writer has filled the socket's buffer and waits
     received = bytearray()
-    time.sleep(0.5)  # no greenlet runs
-    with contextlib.suppress(BlockingIOError):  # the peer reads all there is meanwhile
+    time.sleep(0.5)  # longer than the send timeout; no greenlet runs
+    with contextlib.suppress(BlockingIOError):  # meanwhile the peer reads all that was sent
         while True:
             received += os.read(peer.fileno(), 100_000)
-    gevent.sleep(0.02)  # some turns of the loop
+    gevent.sleep(0.02)  # some turns of the event loop
     assert not outbox.closed
     while len(received) < sum(map(len, messages)):
         received += peer.recv(100_000)
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the peer link: round trips, corrupt bytes, ranges, sizes."""
+"""The codec of the peer link: round trips, corrupt bytes, ranges and sizes."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(PACKETS)
-def test_packets_are_decoded_as_they_were(packet: Packet) -> None:
+def test_packets_are_the_same_after_a_round_trip(packet: Packet) -> None:
     data = peer.encode(packet)
     if len(data) <= peer.MAX_DATAGRAM_BYTES:
         assert peer.decode(data) == packet
--- a/tests/test_registry_reports.py
+++ b/tests/test_registry_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the service registry, also when it is down, silent or answers anything else."""
+"""Reports to the service registry, also when it is down, does not answer or answers incorrectly."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_the_registry_hears_on_then_off_and_may_be_away(server: ServerProcess) -> None:
+def test_reports_state_on_then_off_and_survive_a_lost_connection(server: ServerProcess) -> None:
     until(lambda: len(server.registry.reports) >= 2)
     assert server.registry.reports[0] == ("/roster/n3", {"duty": "on"})
     server.registry.cut()
@@ -25,10 +25,10 @@
 
 
 @pytest.mark.parametrize("fault", ["silent", "down", "cut inside", "upgrade", "hangs twice"])
-def test_a_list_that_goes_quiet_hears_of_us_in_time_once_it_listens(tmp_path: Path, fault: str) -> None:
+def test_reports_resume_in_time_after_a_fault_of_the_registry(tmp_path: Path, fault: str) -> None:
     with server_process(tmp_path) as running:
         until(lambda: running.registry.reports)
-        if fault == "hangs twice":  # on the connection that was kept, and on the new one after it
+        if fault == "hangs twice":  # on the reused connection, and on the new one after it
             running.registry.hang = 2
             seen = len(running.registry.taken)
             until(lambda: len(running.registry.taken) > seen + 1)
@@ -37,7 +37,7 @@
         running.registry.mode = fault
         running.registry.cut()
         until(lambda: running.counters().get("roster.failed"))
-        if fault == "silent":  # each of its reports arrives whole, so it stays on the list
+        if fault == "silent":  # each report arrives completely, so the server's entry is kept
             seen = len(running.registry.reports)
             until(lambda: len(running.registry.reports) > seen + 2)
             times = [at for at in running.registry.times[-3:]]
--- a/tests/test_thrift_requests.py
+++ b/tests/test_thrift_requests.py
@@ -32,11 +32,11 @@
 @pytest.mark.parametrize(
     ("body", "kind"), [(b"end=FAIL", "failed"), (b"end=NOOP", "failed"), (b"end=KILLED", "failed")]
 )
-def test_ends_of_runs_become_answers(server: ServerProcess, body: bytes, kind: str) -> None:
+def test_failed_runs_are_answered_as_failed(server: ServerProcess, body: bytes, kind: str) -> None:
     assert ThriftClient(server.ports[0]).ask("order", body)[0] == kind
 
 
-def test_answers_come_out_of_order_and_the_check_is_good(server: ServerProcess) -> None:
+def test_answers_may_come_out_of_order_and_ping_is_answered(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     slow = client.send("render", b"ms=400")
     fast = client.send("fetch", b"ms=1")
@@ -57,7 +57,7 @@
         ("render", {"t0": "nan"}),
     ],
 )
-def test_bad_requests_get_an_exception_and_the_link_goes_on(
+def test_bad_requests_get_an_exception_and_the_connection_stays_open(
     server: ServerProcess, method: str, fields: dict[str, str]
 ) -> None:
     client = ThriftClient(server.ports[0])
@@ -77,7 +77,7 @@
     assert client.answer(seqs[-1])[0] == "refused"
 
 
-def test_abort_frees_what_is_held_and_its_answer_is_not_needed(server: ServerProcess) -> None:
+def test_an_aborted_queued_request_never_runs_and_gets_no_answer(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     running = [client.send("render", b"ms=1000") for _ in range(3)]
     until(lambda: server.engine.starts)
@@ -102,14 +102,14 @@
     assert all(count == 1 for client in clients for count in client.count.values())
 
 
-def test_a_client_that_closes_one_direction_gets_all_that_it_asked_for(
+def test_a_client_that_shuts_down_its_sending_side_gets_all_answers(
     scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient],
 ) -> None:
     server, engine, client = scripted
     seqs = [client.send("tide", b"one"), client.send("booking", b"two", token="dd")]
     until(engine.read)
     until(engine.read)
-    client.sock.sendall(b"\0\0")  # half of a length, which is no request
+    client.sock.sendall(b"\0\0")  # half of a frame's length, so not a request
     client.sock.shutdown(socket.SHUT_WR)
     until(lambda: server.counters().get("in.half_closed.thrift"))
     for body in (b"one", b"two"):
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("notice", [False, True])
 @pytest.mark.parametrize("at", [1, 4, 5, 40, -1])
-def test_a_request_cut_at_any_byte_is_whole_once_its_last_byte_came(tmp_path: Path, at: int, notice: bool) -> None:
+def test_a_request_that_arrives_in_two_parts_is_handled_once_complete(tmp_path: Path, at: int, notice: bool) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
         assert client.answer(client.say("ping", full=False))
