--- a/myrtlespar/cli/apache_importer.py
+++ b/myrtlespar/cli/apache_importer.py
@@ -17,12 +17,12 @@
 
 DEFAULT_AJP_PORT = 8009
 MEMBER_LIST_KEYS = ("balance_workers", "balanced_workers")
-MIN_FACTOR = 0.001
-MAX_FACTOR = 1000
+MIN_LOAD_FACTOR = 0.001
+MAX_LOAD_FACTOR = 1000
 EXIT_PROBLEMS = 1
 EXIT_USAGE = 2
 
-Directives = dict[str, tuple[str, int]]  # directive name to its value and line number
+Directives = dict[str, tuple[str, int]]  # key: directive name; value: its text and line number
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
 
 def _is_valid_factor(text: str) -> bool:
     try:
-        return MIN_FACTOR <= float(text) <= MAX_FACTOR
+        return MIN_LOAD_FACTOR <= float(text) <= MAX_LOAD_FACTOR
     except ValueError:
         return False
 
@@ -76,7 +76,7 @@
         if not equals:
             self.imported.problems.append(f"line {number}: {key}: expected KEY=VALUE")
             return
-        value = re.sub(r"\$\(([^)]+)\)", lambda found: self.macros.get(found.group(1), found.group(0)), value)
+        value = re.sub(r"\$\(([^)]+)\)", lambda match: self.macros.get(match.group(1), match.group(0)), value)
         if "$(" in value:
             self.imported.problems.append(f"line {number}: {key}: undefined macro in {value}")
             return
@@ -116,13 +116,13 @@
         if name in self.imported.workers or name in self.imported.balancers:
             return
         row = {key: value for key, value in self._with_templates(name).items() if key != "reference"}
-        kind, number = row.pop("type", ("ajp13", 0))
-        if kind == "ajp13":
+        worker_type, number = row.pop("type", ("ajp13", 0))
+        if worker_type == "ajp13":
             self._import_worker(name, row)
-        elif kind == "lb":
+        elif worker_type == "lb":
             self._import_balancer(name, row)
         else:
-            self.imported.problems.append(f"line {number}: worker.{name}.type: expected ajp13 or lb, got {kind}")
+            self.imported.problems.append(f"line {number}: worker.{name}.type: expected ajp13 or lb, got {worker_type}")
 
     def _import_worker(self, name: str, row: Directives) -> None:
         host, _ = row.pop("host", ("localhost", 0))
@@ -183,8 +183,8 @@
     section = ""
     for number, raw in enumerate(text.splitlines(), start=1):
         line = raw.strip()
-        if found := re.match(r"<Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>", line, re.I):
-            section = found.group(1)
+        if match := re.match(r"<Proxy\s+\"?balancer://([^\s\"/>]+)/?\"?\s*>", line, re.I):
+            section = match.group(1)
         elif re.match(r"</Proxy\s*>", line, re.I):
             section = ""
         elif re.match(r"BalancerMember\s", line, re.I):
--- a/myrtlespar/cli/fleet/emulate.py
+++ b/myrtlespar/cli/fleet/emulate.py
@@ -28,7 +28,7 @@
     from myrtlespar.simulation.runner import play
 
     try:
-        found = read(Path(script), members)
+        parsed_script = read(Path(script), members)
     except ScriptError as error:
         raise click.ClickException(str(error)) from None
-    return print_result(play(found, seed, plain=baseline), seed, Path(result) if result else None)
+    return print_result(play(parsed_script, seed, plain=baseline), seed, Path(result) if result else None)
--- a/myrtlespar/cli/fleet/limit_bounds.py
+++ b/myrtlespar/cli/fleet/limit_bounds.py
@@ -27,13 +27,13 @@
         class_text = f", class {limit.cls}" if limit.cls else ""
         part_text = f", one for each {limit.by}" if limit.by else ""
         print(f"{name}: {limit.kind.value}{class_text}{part_text}")
-        for what, number in promises(limit, grants, members):
-            print(f"  {what}: {number}")
+        for description, value in promises(limit, grants, members):
+            print(f"  {description}: {value}")
     _print_retry_budget(settings, members)
     _print_engine(settings)
 
 
-def promises(limit: Limit, terms: GrantSettings, members: int) -> list[Promise]:
+def promises(limit: Limit, grants: GrantSettings, members: int) -> list[Promise]:
     """Return the promises of one limit."""
     if limit.counted_unit is CountedUnit.BUDGET:
         return _budget_promises(limit)
@@ -41,28 +41,28 @@
     unit = f"starts in any {limit.window_ms} ms" if limit.counted_unit is CountedUnit.RATE else f"{work} at once"
     if limit.kind is LimitKind.ADVISORY:
         return [("limit", f"{limit.amount} {unit}"), ("promise", "none; use is only counted")]
-    pool, each = terms.split(limit, members)
+    pool, share = grants.split(limit, members)
     return [
         ("limit", f"{limit.amount} {unit}"),
-        ("exceeded by at most", _overshoot(limit, terms)),
+        ("exceeded by at most", _overshoot(limit, grants)),
         ("granted by keepers", f"{pool}"),
-        ("standing share of each member", f"{each}; of {members} members together {each * members}"),
-        ("k members that are cut off without a majority may use", f"k x {each}"),
-        ("demand that moved to another member has its share after", f"{terms.max_reallocation_ms(limit):.0f} ms"),
+        ("standing share of each member", f"{share}; of {members} members together {share * members}"),
+        ("k members that are cut off without a majority may use", f"k x {share}"),
+        ("demand that moved to another member has its share after", f"{grants.max_reallocation_ms(limit):.0f} ms"),
         (
             "after a keeper's failure its keys are granted again after",
-            f"{terms.max_leader_recovery_ms(limit):.0f} ms, plus the time in which membership detects the failure",
+            f"{grants.max_leader_recovery_ms(limit):.0f} ms, plus the time in which membership detects the failure",
         ),
-        ("a lowered limit holds after", f"{terms.max_lowering_ms(limit):.0f} ms; the old limit is never exceeded"),
-        ("a new process uses its standing share after", f"{terms.guaranteed_share_delay_ms(limit):.0f} ms"),
+        ("a lowered limit holds after", f"{grants.max_lowering_ms(limit):.0f} ms; the old limit is never exceeded"),
+        ("a new process uses its standing share after", f"{grants.guaranteed_share_delay_ms(limit):.0f} ms"),
     ]
 
 
-def _overshoot(limit: Limit, terms: GrantSettings) -> str:
+def _overshoot(limit: Limit, grants: GrantSettings) -> str:
     if limit.kind is LimitKind.STRICT:
-        return f"{terms.max_excess(limit)}"
+        return f"{grants.max_excess(limit)}"
     return (
-        f"{terms.max_excess(limit)}, for at most {terms.max_excess_duration_ms(limit):.0f} ms after a keeper's change"
+        f"{grants.max_excess(limit)}, for at most {grants.max_excess_duration_ms(limit):.0f} ms after a keeper's change"
     )
 
 
--- a/myrtlespar/cli/fleet/limit_tables.py
+++ b/myrtlespar/cli/fleet/limit_tables.py
@@ -105,23 +105,23 @@
 
 def _rejection(report: Mapping[str, Any], name: str, address: str) -> str:
     """Return a line about the last rejection of a limit at one member."""
-    why = report.get("why", {}).get(name)
+    rejection = report.get("why", {}).get(name)
     refused = report.get("refused", {}).get(name, 0)
     admitted = report.get("admitted", {}).get(name, 0)
-    if why is None:
+    if rejection is None:
         return f"{report.get('name', address)}: {name} refused nothing, admitted {admitted}"
     return (
-        f"{report['name']}: {why['key']} refused {duration(time.time() * 1000 - why['at'])} ago: "
-        f"{why['used']} in use of {why['allowance']} that this member may use; {_grant(why)}. "
+        f"{report['name']}: {rejection['key']} refused {duration(time.time() * 1000 - rejection['at'])} ago: "
+        f"{rejection['used']} in use of {rejection['allowance']} that this member may use; {_grant(rejection)}. "
         f"{refused} refused, {admitted} admitted since the start"
     )
 
 
-def _grant(why: Mapping[str, Any]) -> str:
+def _grant(rejection: Mapping[str, Any]) -> str:
     """Return a description of the grant that a rejection was based on."""
-    left_ms = why["granted_for_ms"]
+    left_ms = rejection["granted_for_ms"]
     if left_ms > 0:
-        return f"granted {why['granted']} by {why['keeper']}, for {duration(left_ms)} more"
+        return f"granted {rejection['granted']} by {rejection['keeper']}, for {duration(left_ms)} more"
     if left_ms > NEVER_GRANTED_MS:
-        return f"no grant: the last one from {why['keeper']} expired {duration(-left_ms)} before"
-    return f"never had a grant; its keeper is {why['keeper']}"
+        return f"no grant: the last one from {rejection['keeper']} expired {duration(-left_ms)} before"
+    return f"never had a grant; its keeper is {rejection['keeper']}"
--- a/myrtlespar/cli/fleet/member_tables.py
+++ b/myrtlespar/cli/fleet/member_tables.py
@@ -36,8 +36,8 @@
     lines = data.decode("utf-8", "replace").split("\n")
     if lines[0] != "done" or len(lines) < 3:
         return f"{address}: {lines[0] or 'no answer'} (is a fleet configured there?)"
-    found: dict[str, Any] = json.loads(lines[1])
-    return found
+    report: dict[str, Any] = json.loads(lines[1])
+    return report
 
 
 def duration(duration_ms: float | None) -> str:
--- a/myrtlespar/cli/fleet/run.py
+++ b/myrtlespar/cli/fleet/run.py
@@ -24,8 +24,8 @@
     from myrtlespar.fleet_tests.script import ScriptError, read
 
     try:
-        found = read(Path(script))
+        parsed_script = read(Path(script))
     except ScriptError as error:
         raise click.ClickException(str(error)) from None
-    played = play(found, seed, Path(keep) if keep else None)
+    played = play(parsed_script, seed, Path(keep) if keep else None)
     return print_result(played, seed, Path(result) if result else None)
--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -127,7 +127,7 @@
 
 
 def _discard_rest(sock: socket.socket) -> None:
-    """Read the rest of an overlong line for a short time: closing with unread bytes would reset the connection."""
+    """Read the rest of an overlong line for a short time: closing with unread bytes would lose the reply."""
     sock.shutdown(socket.SHUT_WR)
     sock.settimeout(DISCARD_TIMEOUT_S)
     with contextlib.suppress(OSError):
--- a/myrtlespar/net/ajp_backends.py
+++ b/myrtlespar/net/ajp_backends.py
@@ -152,7 +152,7 @@
         raise BackendUnreachableError("no AJP server can be reached")
 
     def _by_preference(self, route: str) -> list[AjpBackend]:
-        """Return the reachable servers first; of these the one of the session's route, then by load per capacity."""
+        """Sort the servers: reachable ones first, of these the session's own one, then by load per capacity."""
         now = unix_ms()
         return sorted(
             self._backends,
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -202,7 +202,7 @@
 
     def _submit(self, rule: PathRule, body: bytes) -> None:
         request = self._request
-        if not body and not rule.target:  # the engine gets only a body: without one, path and query
+        if not body and not rule.target:  # the engine only gets a body: without one, path and query
             query = request_query(request)
             body = (request.uri + (f"?{query}" if query else "")).encode("latin-1")
             if len(body) > self.limits.max_body_bytes:
--- a/myrtlespar/net/ajp_requests.py
+++ b/myrtlespar/net/ajp_requests.py
@@ -55,6 +55,6 @@
 
 
 def session_route(request: ForwardRequest) -> str:
-    """Return the route: the part of the session id after the dot, from the path or a cookie, or else the gateway's."""
-    found = SESSION_ROUTE.search(request.uri) or SESSION_ROUTE.search(request.header("cookie"))
-    return found.group(1) if found else request.attributes.get("jvm_route", "")
+    """Return the part of the session id after the dot, from the path or a cookie, or else the gateway's route."""
+    match = SESSION_ROUTE.search(request.uri) or SESSION_ROUTE.search(request.header("cookie"))
+    return match.group(1) if match else request.attributes.get("jvm_route", "")
--- a/myrtlespar/net/codec/peer.py
+++ b/myrtlespar/net/codec/peer.py
@@ -32,7 +32,7 @@
 MAGIC = b"MPF" + bytes([VERSION])
 NAME_CONFLICT_MAGIC = b"MPB" + bytes([VERSION])  # of the probe that a second process of a member sends to the first
 MAGIC_BYTES = 3
-HEADER_BYTES = 8  # magic, version, checksum
+HEADER_BYTES = 8  # size of magic, version and checksum
 MAX_DATAGRAM_BYTES = 1200
 MAX_STREAM_BYTES = 2 << 20
 NUMBER_LIMIT = 2**53  # exclusive upper bound of all numbers but the hash and the age
@@ -215,8 +215,8 @@
 @lru_cache(maxsize=CACHED_NAMES)
 def is_valid_address(address: str) -> bool:
     """Return whether an address has the form A.B.C.D:PORT; host names are not valid, as there is no DNS."""
-    found = _ADDRESS.fullmatch(address)
-    return found is not None and all(int(part) < 256 for part in found.groups()[:4]) and 0 < int(found[5]) < 65536
+    match = _ADDRESS.fullmatch(address)
+    return match is not None and all(int(part) < 256 for part in match.groups()[:4]) and 0 < int(match[5]) < 65536
 
 
 @lru_cache(maxsize=CACHED_NAMES)
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -191,11 +191,11 @@
             self._last_notice_at = unix_ms()
             number = notice.get("no")
             if isinstance(number, int):
-                self._check_number(number, notice)
+                self._handle_unless_duplicate(number, notice)
             else:
                 self._handle_unnumbered(notice)
 
-    def _check_number(self, number: int, notice: dict[str, Any]) -> None:
+    def _handle_unless_duplicate(self, number: int, notice: dict[str, Any]) -> None:
         """Handle a numbered notice unless it is a duplicate.
 
         Raises:
