--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -58,7 +58,7 @@
     client.sock.sendall(data)
     assert client.answer(open_one)[0] == "success"
     assert client.ended.wait(20)
-    # Only a call with a readable header is answered; nothing else is known to be a request.
+    # Only a call with a valid header and an unused sequence number is answered.
     exceptions = {9: "exception"} if b"invoke" in data and len(data) <= 4 + 16384 else {}
     assert {seq: answer[0] for seq, answer in client.answers.items()} == {open_one: "success", **exceptions}
     assert set(client.count.values()) == {1}
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -20,13 +20,17 @@
 
 # Delays the callback that tells the reader of the close behind so much other work of the event loop that the reader
 # finds the request first.
-BUSY = "import gevent, time; [gevent.get_hub().loop.run_callback(*c) for c in [(time.sleep, 0.02)] + [(int,)] * 3000]"
+DELAY_CLOSE = (
+    "import gevent, time; [gevent.get_hub().loop.run_callback(*c) for c in [(time.sleep, 0.02)] + [(int,)] * 3000]"
+)
 
 
 @pytest.mark.parametrize("why", ["room", "flush"])
 def test_a_request_that_crosses_our_close_runs_only_where_it_is_sent_again(tmp_path: Path, why: str) -> None:
     """The client sends the request again on another connection, so it would run twice if it also ran here."""
-    gate = Gate(tmp_path, "myrtlespar.net.listener:Listener." + ("close_idle" if why == "room" else "end"), then=BUSY)
+    gate = Gate(
+        tmp_path, "myrtlespar.net.listener:Listener." + ("close_idle" if why == "room" else "end"), then=DELAY_CLOSE
+    )
     with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # the maximum number
         for client in clients:
