--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -64,7 +64,7 @@
         if real:
             rows["real"].append(play(script, seed, say=lambda line: None, pin=pin))
         rows["emulated"].append(emulated(script, seed))
-        rows["baseline"].append(emulated(script, seed, plain=True))
+        rows["baseline"].append(emulated(script, seed, use_baseline=True))
         for kind, done in rows.items():
             if done:
                 shown = {key: done[-1][key] for key in (*FIGURES, "false_failures")}
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -38,19 +38,19 @@
 
 
 def joined_fleet(
-    size: int, seed: int, plain: bool = False, settings: MembershipSettings | None = None, sizes: bool = True
+    size: int, seed: int, use_baseline: bool = False, settings: MembershipSettings | None = None, sizes: bool = True
 ) -> SimulatedFleet:
     """A fleet that has joined and has no updates left to send; only the baseline joins in simulated time."""
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
     fleet = SimulatedFleet(
         sites,
-        heartbeat_factory() if plain else membership_factory(settings or MembershipSettings()),
+        heartbeat_factory() if use_baseline else membership_factory(settings or MembershipSettings()),
         seed,
         observers,
         sizes=sizes,
     )
-    if plain:
+    if use_baseline:
         fleet.start(400.0 + 2 * size)
     else:
         fleet.start_joined()
@@ -93,13 +93,13 @@
 
 def run_part(job: tuple[str, int, int, float, bool]) -> dict[str, Any]:
     """Run one part for one size and seed."""
-    part, size, seed, seconds, plain = job
+    part, size, seed, seconds, use_baseline = job
     began = time.monotonic()
-    fleet = joined_fleet(size, seed, plain)
+    fleet = joined_fleet(size, seed, use_baseline)
     start = fleet.event_loop.now
     events = fleet.event_loop.events
     before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
-    out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": plain}
+    out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": use_baseline}
     if part == "kill":
         out |= crash_figures(fleet, seconds)
     elif part == "cut":
@@ -170,15 +170,17 @@
         ("cut", "agree_ms", "views equal after a 10 s cut, ms"),
     ):
         figure, axes = pyplot.subplots(figsize=(6, 4))
-        for plain in (False, True):
+        for use_baseline in (False, True):
             points = [
                 (row["members"], row[key])
                 for row in rows
-                if row["part"] == part and row["baseline"] == plain and row.get(key) is not None
+                if row["part"] == part and row["baseline"] == use_baseline and row.get(key) is not None
             ]
             if points:
                 axes.plot(
-                    *zip(*points, strict=True), "x" if plain else "o", label="heartbeats" if plain else "membership"
+                    *zip(*points, strict=True),
+                    "x" if use_baseline else "o",
+                    label="heartbeats" if use_baseline else "membership",
                 )
         axes.set(xscale="log", xlabel="members", ylabel=title, ylim=(0, None))
         axes.legend()
@@ -212,12 +214,12 @@
                 print(json.dumps(row), flush=True)
             return
         work = [
-            (part, int(size), seed, seconds, plain)
+            (part, int(size), seed, seconds, use_baseline)
             for size in sizes.split(",")
             for part in parts.split(",")
             for seed in range(1, seeds + 1)
-            for plain in (False, True)
-            if not plain or (with_baseline and int(size) <= 200 and part != "cut")
+            for use_baseline in (False, True)
+            if not use_baseline or (with_baseline and int(size) <= 200 and part != "cut")
         ]
         rows = []
         for row in pool.map(run_part, work):
--- a/myrtlespar/cli/fleet/emulate.py
+++ b/myrtlespar/cli/fleet/emulate.py
@@ -31,4 +31,4 @@
         found = read(Path(script), members)
     except ScriptError as error:
         raise click.ClickException(str(error)) from None
-    return print_result(play(found, seed, plain=baseline), seed, Path(result) if result else None)
+    return print_result(play(found, seed, use_baseline=baseline), seed, Path(result) if result else None)
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -35,18 +35,21 @@
     datagrams: int = 0
 
 
-def play(script: Script, seed: int, settings: MembershipSettings | None = None, plain: bool = False) -> dict[str, Any]:
+def play(
+    script: Script, seed: int, settings: MembershipSettings | None = None, use_baseline: bool = False
+) -> dict[str, Any]:
     """Figures as `fleet_tests.runner` gives them, with datagrams, bytes and speed of the simulation.
 
-    `plain` plays the heartbeat baseline. In fleets of more than 64 some observers are judged, and no quorum status.
+    `use_baseline` plays the heartbeat baseline. In fleets of more than 64 some observers are judged, no
+    quorum status.
     """
     settings = settings or MembershipSettings()
     members = len(script.members)
     paired = members <= MAX_PAIRED_MEMBERS
     observers = list(script.members) if paired else unaffected_members(script, script.sites)
-    joined = members > MAX_JOINING_MEMBERS and not plain
+    joined = members > MAX_JOINING_MEMBERS and not use_baseline
     settle_ms = SETTLE_MS + (0 if joined else SETTLE_PER_MEMBER_MS * members)
-    factory = heartbeat_factory() if plain else membership_factory(settings)
+    factory = heartbeat_factory() if use_baseline else membership_factory(settings)
     fleet = SimulatedFleet(script.sites, factory, seed, observers)
     started = time.monotonic()
     if joined:
