--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -22,16 +22,16 @@
     engine = EventLoop()
 
     def again(n: int) -> None:
-        engine.at(engine.now + 1.0 + n % 7, again, n)
+        engine.call_at(engine.now + 1.0 + n % 7, again, n)
 
     for n in range(TIMERS):
-        engine.at(n / TIMERS, again, n)
+        engine.call_at(n / TIMERS, again, n)
     began = time.perf_counter()
     until = 0.0
-    while engine.events < events:
+    while engine.event_count < events:
         until += 5.0
         engine.run(until)
-    return engine.events / (time.perf_counter() - began)
+    return engine.event_count / (time.perf_counter() - began)
 
 
 def simpy_rate(events: int, processes: bool) -> float:
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -44,7 +44,7 @@
         self.starts_by_member: Counter[MemberSecond] = Counter()
         self.isolated: frozenset[str] = frozenset()
         for name in names:
-            self.engine.at(0.0, self._new_request, name)
+            self.engine.call_at(0.0, self._new_request, name)
 
     def isolate(self, isolated: frozenset[str]) -> None:
         """Cut these members off from the counter, and connect all others."""
@@ -57,11 +57,11 @@
     def _new_request(self, name: str) -> None:
         now = self.engine.now
         rate = self.rates[name]
-        self.engine.at(
+        self.engine.call_at(
             now + (self.random_source.expovariate(rate) * 1000 if rate > 0 else 20.0), self._new_request, name
         )
         if rate > 0 and name not in self.isolated:
-            self.engine.at(now + self.hop_ms, self._request_admission, name, now + self.hold_ms)
+            self.engine.call_at(now + self.hop_ms, self._request_admission, name, now + self.hold_ms)
 
     def _request_admission(self, name: str, until: float) -> None:
         now = self.engine.now
@@ -69,7 +69,7 @@
             self.meter.record(now)
             self.starts_by_member[MemberSecond(name, int((now + self.hop_ms) / 1000))] += 1
         elif (at := self.meter.available_at(now, self.limit.amount)) <= until:
-            self.engine.at(max(at, now + 1.0), self._request_admission, name, until)
+            self.engine.call_at(max(at, now + 1.0), self._request_admission, name, until)
 
 
 def run_once(kind: str, members: int, per_s: float, over: float, seed: int) -> dict[str, object]:
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -152,7 +152,7 @@
         for n, name in enumerate(fleet.names):
             fleet.rates[name] = demand * HOT_SHARE if n == hot else demand * (1 - HOT_SHARE) / (size - 1)
         if hot:
-            before = fleet.result.messages, fleet.result.bytes
+            before = fleet.result.message_count, fleet.result.byte_count
         fleet.run(until)
     starts = [fleet.result.starts[n] / per_s for n in range(27)]
     back = next((n - 15 for n in range(15, 27) if starts[n] >= 0.9 * sum(starts[8:15]) / 7), None)
@@ -163,7 +163,7 @@
     for name in cold.names:
         cold.rates[name] = 0.0
     cold.run(12_000)
-    quiet = cold.result.messages
+    quiet = cold.result.message_count
     cold.run(16_000)
     return {
         "members": size,
@@ -172,10 +172,10 @@
         "moved": round(sum(starts[19:27]) / 8, 3),
         "seconds_until_0.9_of_calm": back,
         "most_of_limit": round(fleet.result.max_in_window / per_s, 4),
-        "messages_s_member": round((fleet.result.messages - before[0]) / 12 / size, 2),
-        "bytes_s_member": round((fleet.result.bytes - before[1]) / 12 / size, 1),
+        "messages_s_member": round((fleet.result.message_count - before[0]) / 12 / size, 2),
+        "bytes_s_member": round((fleet.result.byte_count - before[1]) / 12 / size, 1),
         "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.coordinators.values()),
-        "messages_s_member_cold": round((cold.result.messages - quiet) / 4 / size, 2),
+        "messages_s_member_cold": round((cold.result.message_count - quiet) / 4 / size, 2),
         "real_s": round(time.monotonic() - began, 1),
     }
 
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -40,14 +40,14 @@
         self.calm = 0  # requests sent outside the outage
         self.calm_lost = 0  # of those, failed in the end
         for _ in range(members):
-            self.engine.at(self.random_source.expovariate(REQUESTS_PER_S) * 1000, self.new)
+            self.engine.call_at(self.random_source.expovariate(REQUESTS_PER_S) * 1000, self.new)
 
     def new(self) -> None:
         """Send one request of a member's callers, and schedule the next one."""
         now = self.engine.now
         if now >= STOP_MS:
             return
-        self.engine.at(now + self.random_source.expovariate(REQUESTS_PER_S) * 1000, self.new)
+        self.engine.call_at(now + self.random_source.expovariate(REQUESTS_PER_S) * 1000, self.new)
         self.requests += OUTAGE_BEGIN_MS <= now < OUTAGE_END_MS
         self.calm += not OUTAGE_BEGIN_MS <= now < OUTAGE_END_MS
         self.send(now, 0)
@@ -65,7 +65,7 @@
             return
         may = recorded and (budget is None or budget.may_retry(now))
         if retries < MAX_RETRIES and (may or self.random_source.random() < self.deaf):
-            self.engine.at(now + RETRY_AFTER_MS * (1 + self.random_source.random()), self.send, born, retries + 1)
+            self.engine.call_at(now + RETRY_AFTER_MS * (1 + self.random_source.random()), self.send, born, retries + 1)
         else:
             self.calm_lost += not counted
 
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -26,7 +26,7 @@
 from myrtlespar.simulation.baseline import heartbeat_factory
 from myrtlespar.simulation.fleet import SimulatedFleet
 from myrtlespar.simulation.member_factory import membership_factory
-from myrtlespar.simulation.runner import OBSERVERS
+from myrtlespar.simulation.runner import MAX_OBSERVERS
 
 DROP_PROBABILITY = 0.05
 JITTER_MS = 50.0
@@ -42,13 +42,13 @@
 ) -> SimulatedFleet:
     """A fleet that has joined and has no updates left to send; only the baseline joins in simulated time."""
     sites = sites_of(size)
-    observers = [name for row in sites.values() for name in row[1 : 1 + max(1, OBSERVERS // 3)]]
+    observers = [name for row in sites.values() for name in row[1 : 1 + max(1, MAX_OBSERVERS // 3)]]
     fleet = SimulatedFleet(
         sites,
         heartbeat_factory() if use_baseline else membership_factory(settings or MembershipSettings()),
         seed,
         observers,
-        sizes=sizes,
+        measure_bytes=sizes,
     )
     if use_baseline:
         fleet.start(400.0 + 2 * size)
@@ -62,9 +62,9 @@
     """Kill one member, run on for `seconds`, 12 at most, and tell when observers suspected it and knew of it."""
     start = fleet.event_loop.now
     victim = fleet.sites["b"][-1]
-    fleet.down(victim)
+    fleet.kill(victim)
     fleet.run(start + min(seconds, 12.0) * 1000)
-    rows = [b for b in fleet.beliefs if b.subject == victim and b.at > start]
+    rows = [b for b in fleet.observations if b.subject == victim and b.at > start]
     suspected = [b.at - start for b in rows if b.state == MemberState.SUSPECT]
     known = [b.at - start for b in rows if b.state == MemberState.FAILED]
     return {
@@ -97,8 +97,8 @@
     began = time.monotonic()
     fleet = joined_fleet(size, seed, use_baseline)
     start = fleet.event_loop.now
-    events = fleet.event_loop.events
-    before = [(node.sent_bytes, node.datagrams) for node in fleet.nodes.values()]
+    events = fleet.event_loop.event_count
+    before = [(node.sent_bytes, node.datagram_count) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": use_baseline}
     if part == "kill":
         out |= crash_figures(fleet, seconds)
@@ -108,14 +108,15 @@
         fleet.run(start + seconds * 1000)
     span = (fleet.event_loop.now - start) / 1000
     moved = [
-        (node.sent_bytes - b, node.datagrams - d) for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
+        (node.sent_bytes - b, node.datagram_count - d)
+        for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
     ]
     out |= {
         "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
         "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
         "virtual_s": round(fleet.event_loop.now / 1000, 1),
         "real_s": round(time.monotonic() - began, 1),
-        "events_per_s": round((fleet.event_loop.events - events) / max(1e-9, time.monotonic() - began)),
+        "events_per_s": round((fleet.event_loop.event_count - events) / max(1e-9, time.monotonic() - began)),
     }
     return out
 
@@ -125,7 +126,7 @@
     on, seed, seconds = job
     settings = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
-    fleet = SimulatedFleet(sites, membership_factory(settings), seed, sizes=False)
+    fleet = SimulatedFleet(sites, membership_factory(settings), seed, measure_bytes=False)
     random_source = Random(seed)
     fleet.start()
     fleet.run(6000)
@@ -137,11 +138,13 @@
         while at < 6000 + seconds * 1000:
             at += random_source.uniform(300, 3000)
             length = random_source.uniform(200, 6000)
-            fleet.event_loop.at(at, fleet.stop, name)
-            fleet.event_loop.at(at + length, fleet.resume, name)
+            fleet.event_loop.call_at(at, fleet.pause, name)
+            fleet.event_loop.call_at(at + length, fleet.resume, name)
             at += length
     fleet.run(6000 + seconds * 1000)
-    wrong = [b for b in fleet.beliefs if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick]
+    wrong = [
+        b for b in fleet.observations if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick
+    ]
     events = {(b.subject, round(b.at / 3000)) for b in wrong}
     days = (len(names) - len(sick)) * seconds / 86_400
     return {
--- a/myrtlespar/simulation/__init__.py
+++ b/myrtlespar/simulation/__init__.py
@@ -1,5 +1,8 @@
-"""The fleet's pure modules in virtual time: the same code as in the server, a simulated network, the same scripts.
+"""Discrete-event simulation of a fleet in virtual time.
 
-The same script and seed give the same run. Delay, loss, cuts, pauses and crashes are modelled; processor time is not,
-and of the bytes only those of the peer link, whose sizes are the codec's own.
+Runs the server's own membership and limit modules, which do no I/O, on a simulated network, from the same fault scripts
+as the tests with real processes. The same script and seed give the same run.
+
+Delay, loss, cuts, pauses and crashes are modelled; processor time is not. Bytes are counted only for messages between
+members, as encoded by the server's codec.
 """
--- a/myrtlespar/simulation/event_loop.py
+++ b/myrtlespar/simulation/event_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time on a heap. Measured beside simpy by `benchmarks/engines.py`."""
+"""A discrete-event loop on a heap. `benchmarks/engines.py` compares its speed with simpy's."""
 
 from __future__ import annotations
 
@@ -8,24 +8,31 @@
 
 
 class EventLoop:
-    """Calls what is scheduled in order of time and, at one time, in the order of scheduling. Times are ms."""
+    """Runs callbacks in order of virtual time; callbacks due at the same time run in the order of scheduling.
+
+    All times are in milliseconds.
+
+    Attributes:
+        now: The current virtual time.
+        event_count: How many callbacks have run.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.events = 0
+        self.event_count = 0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = 0
+        self._sequence_number = 0
 
-    def at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
-        """Call `callback` at `when`, or now if that has passed."""
-        self._count += 1
-        heappush(self._heap, (when if when > self.now else self.now, self._count, callback, args))
+    def call_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule `callback(*args)` for the time `when`, or for the current time if `when` has passed."""
+        self._sequence_number += 1
+        heappush(self._heap, (when if when > self.now else self.now, self._sequence_number, callback, args))
 
     def run(self, until: float) -> None:
-        """Call all that is due by `until` (ms)."""
+        """Run all callbacks due by the time `until`, and advance the clock to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, callback, args = heappop(heap)
-            self.events += 1
+            self.event_count += 1
             callback(*args)
         self.now = until
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet in virtual time: its processes and the messages between them."""
+"""A simulated fleet: its members' processes and the messages between them."""
 
 from __future__ import annotations
 
@@ -29,24 +29,27 @@
 from myrtlespar.simulation.node import Message, MessageKind, SimulatedNode
 
 FIRST_INCARNATION = 1_700_000_000_000
-LEAVE_MS = 300.0  # from leaving to the end of a process
+LEAVE_DURATION_MS = 300.0  # from the departure of a member to the end of its process
 MAX_SEEDS = 3
-MAX_FLEET_ALL_VOTERS = 300  # members; in a larger fleet only some of each site are voters
+MAX_MEMBERS_ALL_VOTERS = 300  # in a larger fleet only VOTERS_PER_SITE members of each site are voters
 VOTERS_PER_SITE = 5
-MAX_WAITING_MESSAGES = 400  # about what a socket buffer holds
+MAX_PENDING_MESSAGES = 400  # for a paused member; about as many as a socket buffer holds
 IP_UDP_HEADER_BYTES = 28
-TCP_EXCHANGE_BYTES = 200  # headers, handshake and acknowledgements
+TCP_EXCHANGE_BYTES = 200  # of one message over TCP: headers, handshake and acknowledgements
 
 
 def address_of(number: int) -> str:
-    """The address of the member with this number."""
+    """Return the address of the member with this number, from 1."""
     return f"127.8.{number >> 8}.{number & 255}:7000"
 
 
 class SimulatedFleet:
-    """Nodes, the network between them, and a record of what was done and what was believed.
+    """Simulated members and the network between them.
 
-    `observers` limits whose beliefs are kept (all, if empty); `sizes` false leaves packets unencoded and uncounted.
+    Attributes:
+        actions: What was done to members and links, for the ground truth.
+        observations: What the observers believed about other members and the quorum.
+        counters: How often members counted each event.
     """
 
     def __init__(
@@ -56,36 +59,46 @@
         seed: int,
         observers: Sequence[str] = (),
         voters: Mapping[str, Sequence[str]] | None = None,
-        sizes: bool = True,
+        measure_bytes: bool = True,
     ) -> None:
+        """Create the fleet; no member is started yet.
+
+        Args:
+            sites: The names of the members of each site.
+            factory: Creates the member of each process.
+            seed: The seed of all random choices.
+            observers: The members whose observations are recorded; all if empty.
+            voters: The voters of each site. By default all members, or some of each site of a large fleet.
+            measure_bytes: Whether packets and views are encoded to count their bytes.
+        """
         self.sites = sites
         self.factory = factory
         self.seed = seed
-        self.sizes = sizes
+        self.measure_bytes = measure_bytes
         self.event_loop = EventLoop()
         self.network = SimulatedNetwork(seed)
         self.site_of = {name: site for site, names in sites.items() for name in names}
         self.names = list(self.site_of)
-        self.address = {name: address_of(number) for number, name in enumerate(self.names, 1)}
-        self.name_at = {address: name for name, address in self.address.items()}
+        self.address_by_name = {name: address_of(number) for number, name in enumerate(self.names, 1)}
+        self.name_by_address = {address: name for name, address in self.address_by_name.items()}
         self.voter_set = _voter_set(sites if voters is None else voters, voters is None)
         self.observers = set(observers or self.names)
         self.nodes: dict[str, SimulatedNode] = {}
         self.actions: list[FaultAction] = []
-        self.beliefs: list[Observation] = []
+        self.observations: list[Observation] = []
         self.counters: dict[str, int] = {}
-        self._starts = 0
+        self._start_count = 0
 
     def start(self, within_ms: float = 400.0) -> None:
-        """Start all members, in an order and at times drawn from the seed."""
+        """Schedule the start of each member at a random time within `within_ms`."""
         random = Random(f"starts {self.seed}")
         for name in self.names:
-            self.event_loop.at(random.random() * within_ms, self.up, name)
+            self.event_loop.call_at(random.random() * within_ms, self.start_member, name)
 
     def start_joined(self) -> None:
-        """Start all members as if they had joined long ago, for large fleets whose joining is not of interest."""
+        """Start all members with complete views, for large fleets in which joining is not examined."""
         for name in self.names:
-            self.up(name, join=False)
+            self.start_member(name, join=False)
         members = [node.member for node in self.nodes.values() if isinstance(node.member, Member)]
         updates = [member.self_update for member in members]
         view_hash = 0
@@ -98,90 +111,90 @@
                 member.quorum.set_present(name, True, 0.0)
 
     def run(self, until: float) -> None:
-        """Run until this time (ms)."""
+        """Run the simulation until this virtual time (ms)."""
         self.event_loop.run(until)
 
-    # Processes.
+    # Start and end of processes.
 
-    def up(self, name: str, join: bool = True) -> None:
-        """Start a process of a member."""
-        self._starts += 1
+    def start_member(self, name: str, join: bool = True) -> None:
+        """Start a new process of a member; if `join` is false, it does not contact the seed members."""
+        self._start_count += 1
         now = self.event_loop.now
-        seed = hashlib.blake2b(f"{self.seed} {name} {self._starts}".encode(), digest_size=8).digest()
+        seed = hashlib.blake2b(f"{self.seed} {name} {self._start_count}".encode(), digest_size=8).digest()
         member = self.factory(
             MemberStart(
                 name,
                 self.site_of[name],
-                self.address[name],
+                self.address_by_name[name],
                 FIRST_INCARNATION + int(now),
                 Random(int.from_bytes(seed, "big")),
                 now,
-                [self.address[seed_name] for seed_name in self._seeds()],
+                [self.address_by_name[seed_name] for seed_name in self._seed_names()],
                 self.voter_set,
             )
         )
         node = self.nodes[name] = SimulatedNode(name, member)
-        self.record("up", name)
+        self.record_action("up", name)
         if name in self.observers:
-            self._observe_start(name, member)
+            self._record_start(name, member)
         self._apply_effects(node, member.start(now) if join else [])
 
-    def _seeds(self) -> list[str]:
-        """The first member of some sites, and the first of all."""
+    def _seed_names(self) -> list[str]:
+        """Return the names of the seed members: the first member of each of the first MAX_SEEDS sites."""
         return list(dict.fromkeys([names[0] for names in self.sites.values()][:MAX_SEEDS] + [self.names[0]]))
 
-    def _observe_start(self, name: str, member: FleetMember) -> None:
+    def _record_start(self, name: str, member: FleetMember) -> None:
         now = self.event_loop.now
-        self.beliefs.append(Observation(now, name, "begin"))
+        self.observations.append(Observation(now, name, "begin"))
         quorum: QuorumTracker | None = getattr(member, "quorum", None)
         if quorum is None:
             return
         for scope, count in quorum.scopes.items():
-            self.beliefs.append(Observation(now, name, "standing", scope, count.status))
+            self.observations.append(Observation(now, name, "standing", scope, count.status))
 
-    def down(self, name: str, kind: str = "down") -> None:
-        """End a process at once."""
+    def kill(self, name: str, kind: str = "down") -> None:
+        """End a process at once; `kind` is the action to record."""
         node = self.nodes.get(name)
-        if node is not None and node.up:
-            node.up = False
-            self.record(kind, name)
+        if node is not None and node.running:
+            node.running = False
+            self.record_action(kind, name)
 
-    def stop(self, name: str) -> None:
-        """Stop a process, as by SIGSTOP."""
+    def pause(self, name: str) -> None:
+        """Pause a process, as SIGSTOP does."""
         node = self.nodes[name]
-        if node.up and not node.stopped:
-            node.stopped = True
-            self.record("pause", name)
+        if node.running and not node.paused:
+            node.paused = True
+            self.record_action("pause", name)
 
     def resume(self, name: str) -> None:
-        """Resume a process, as by SIGCONT: messages that came meanwhile are handled before its timers."""
+        """Resume a process, as SIGCONT does: messages that arrived during the pause are handled before its timers."""
         node = self.nodes[name]
-        if not (node.up and node.stopped):
+        if not (node.running and node.paused):
             return
-        node.stopped = False
-        self.record("resume", name)
-        waiting = node.waiting
-        node.waiting = []
-        for message in waiting:
-            self._arrive(node, message)
+        node.paused = False
+        self.record_action("resume", name)
+        pending_messages = node.pending_messages
+        node.pending_messages = []
+        for message in pending_messages:
+            self._handle_message(node, message)
         self._tick(node)
 
     def leave(self, name: str) -> None:
-        """Leave the fleet, as by SIGTERM, and end a little later."""
+        """Let a member leave the fleet, as on SIGTERM; its process ends LEAVE_DURATION_MS later."""
         node = self.nodes[name]
-        if node.up:
+        if node.running:
             self._apply_effects(node, node.member.leave(self.event_loop.now))
-            self.event_loop.at(self.event_loop.now + LEAVE_MS, self._end, node)
-            self.record("left", name)
+            self.event_loop.call_at(self.event_loop.now + LEAVE_DURATION_MS, self._end_process, node)
+            self.record_action("left", name)
 
-    def _end(self, node: SimulatedNode) -> None:
-        node.up = False
+    def _end_process(self, node: SimulatedNode) -> None:
+        node.running = False
 
-    def record(self, kind: str, name: str = "", rule_number: int = 0, rule: FaultRule | None = None) -> None:
-        """Record what was done to a member, or which rule of links began or ended."""
+    def record_action(self, kind: str, name: str = "", rule_number: int = 0, rule: FaultRule | None = None) -> None:
+        """Record what was done to a member, or which fault rule was added or removed."""
         self.actions.append(FaultAction(self.event_loop.now, kind, name, rule_number, rule))
 
-    # Messages.
+    # Messages between members.
 
     def _apply_effects(self, node: SimulatedNode, effects: list[MembershipEffect]) -> None:
         for effect in effects:
@@ -192,64 +205,64 @@
             elif isinstance(effect, CountEvent):
                 self.counters[effect.counter] = self.counters.get(effect.counter, 0) + 1
             elif node.name in self.observers:
-                self._observe(node.name, effect)
+                self._record_observation(node.name, effect)
         next_tick_at = node.member.next_at()
         if next_tick_at != node.next_tick_at:
             node.next_tick_at = next_tick_at
-            self.event_loop.at(next_tick_at, self._tick, node)
+            self.event_loop.call_at(next_tick_at, self._tick, node)
 
-    def _observe(self, name: str, effect: MemberChanged | QuorumChanged) -> None:
+    def _record_observation(self, name: str, effect: MemberChanged | QuorumChanged) -> None:
         now = self.event_loop.now
         if isinstance(effect, MemberChanged):
-            belief = Observation(now, name, "member", effect.name, effect.new_state, effect.incarnation)
+            observation = Observation(now, name, "member", effect.name, effect.new_state, effect.incarnation)
         else:
-            belief = Observation(now, name, "standing", effect.scope, effect.new_status)
-        self.beliefs.append(belief)
+            observation = Observation(now, name, "standing", effect.scope, effect.new_status)
+        self.observations.append(observation)
 
     def _send_packet(self, node: SimulatedNode, effect: SendPacket) -> None:
-        node.datagrams += 1
-        if self.sizes:
+        node.datagram_count += 1
+        if self.measure_bytes:
             node.sent_bytes += len(encode(effect.packet)) + IP_UDP_HEADER_BYTES
-        receiver = self.name_at.get(effect.address)
+        receiver = self.name_by_address.get(effect.address)
         if receiver is None:
             return
         message = Message(MessageKind.PACKET, effect.packet, node.name)
         for at in self.network.datagram_arrivals(self.event_loop.now, node.name, receiver):
-            self.event_loop.at(at, self._deliver, receiver, message)
+            self.event_loop.call_at(at, self._deliver, receiver, message)
 
     def _request_sync(self, node: SimulatedNode, effect: RequestSync) -> None:
-        """Send a view over TCP; nothing happens while the link is cut or nobody listens."""
-        receiver = self.name_at.get(effect.address)
+        """Send a view over TCP. It is lost if the link is cut in either direction or the receiver does not run."""
+        receiver = self.name_by_address.get(effect.address)
         if receiver is None or self.network.is_cut(node.name, receiver) or self.network.is_cut(receiver, node.name):
             return
         target = self.nodes.get(receiver)
-        if target is None or not target.up:
+        if target is None or not target.running:
             return
         self._send_sync(node, receiver, MessageKind.SYNC_REQUEST, effect.sync, round_trips=2)
 
     def _send_sync(
         self, node: SimulatedNode, receiver: str, kind: MessageKind, sync: ViewSync, round_trips: int
     ) -> None:
-        if self.sizes:
+        if self.measure_bytes:
             node.sent_bytes += len(encode(sync)) + TCP_EXCHANGE_BYTES
-        at = self.event_loop.now + self.network.stream_ms(node.name, receiver, round_trips)
-        self.event_loop.at(at, self._deliver, receiver, Message(kind, sync, node.name))
+        at = self.event_loop.now + self.network.exchange_delay_ms(node.name, receiver, round_trips)
+        self.event_loop.call_at(at, self._deliver, receiver, Message(kind, sync, node.name))
 
     def _deliver(self, receiver: str, message: Message) -> None:
         node = self.nodes.get(receiver)
-        if node is None or not node.up:
+        if node is None or not node.running:
             return
-        if node.stopped:
-            if len(node.waiting) < MAX_WAITING_MESSAGES:
-                node.waiting.append(message)
+        if node.paused:
+            if len(node.pending_messages) < MAX_PENDING_MESSAGES:
+                node.pending_messages.append(message)
             return
-        self._arrive(node, message)
+        self._handle_message(node, message)
 
-    def _arrive(self, node: SimulatedNode, message: Message) -> None:
+    def _handle_message(self, node: SimulatedNode, message: Message) -> None:
         now = self.event_loop.now
         content = message.content
         if isinstance(content, Packet):
-            node.datagrams += 1
+            node.datagram_count += 1
             self._apply_effects(node, node.member.receive(now, content))
         elif message.kind is MessageKind.SYNC_REPLY:
             self._apply_effects(node, node.member.sync_received(now, content))
@@ -261,13 +274,13 @@
 
     def _tick(self, node: SimulatedNode) -> None:
         now = self.event_loop.now
-        if not node.up or node.stopped or now < node.member.next_at():
+        if not node.running or node.paused or now < node.member.next_at():
             return
         self._apply_effects(node, node.member.tick(now))
 
 
 def _voter_set(voters: Mapping[str, Sequence[str]], limited: bool) -> VoterSet:
-    """All of these as voters, or some of each site if `limited` and the fleet is large."""
+    """Return a voter set of all these members, or of some of each site if `limited` and the fleet is large."""
     members = sum(len(names) for names in voters.values())
-    max_voters = VOTERS_PER_SITE if limited and members > MAX_FLEET_ALL_VOTERS else None
+    max_voters = VOTERS_PER_SITE if limited and members > MAX_MEMBERS_ALL_VOTERS else None
     return VoterSet(1, {site: tuple(names[:max_voters]) for site, names in voters.items()})
--- a/myrtlespar/simulation/member_factory.py
+++ b/myrtlespar/simulation/member_factory.py
@@ -1,4 +1,4 @@
-"""What runs in a simulated process, and how it is made."""
+"""The interface of a simulated member, and the factory that creates members."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class FleetMember(Protocol):
-    """The interface of `Member` that the simulation drives; the heartbeat baseline has it too."""
+    """The part of `Member`'s interface that the simulation uses; `HeartbeatMember` implements it too."""
 
     def start(self, now: float) -> list[MembershipEffect]:
         """Join the fleet."""
         ...
 
     def next_at(self) -> float:
-        """When `tick` is due (ms)."""
+        """Return when `tick` is due (ms)."""
         ...
 
     def tick(self, now: float) -> list[MembershipEffect]:
@@ -35,7 +35,7 @@
         ...
 
     def sync_requested(self, now: float, sync: ViewSync) -> tuple[ViewSync | None, list[MembershipEffect]]:
-        """Answer another member's view with ours."""
+        """Merge another member's view and return the own view as the reply, if there is one."""
         ...
 
     def sync_received(self, now: float, sync: ViewSync) -> list[MembershipEffect]:
@@ -65,7 +65,7 @@
 
 
 def membership_factory(settings: MembershipSettings) -> MemberFactory:
-    """Makes members of `membership` itself."""
+    """Return a factory of members that run the membership protocol."""
 
     def make(start: MemberStart) -> FleetMember:
         return Member(
--- a/myrtlespar/simulation/node.py
+++ b/myrtlespar/simulation/node.py
@@ -1,4 +1,4 @@
-"""One member's process in the simulation, and the messages it receives."""
+"""The simulated process of a member, and the messages between such processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MessageKind(Enum):
-    """What a message on its way is."""
+    """The kind of a message between members."""
 
     PACKET = "packet"
     SYNC_REQUEST = "sync request"
@@ -19,7 +19,7 @@
 
 
 class Message(NamedTuple):
-    """One message on its way."""
+    """A message in transit to a member; `sender` is a member's name."""
 
     kind: MessageKind
     content: Packet | ViewSync
@@ -28,13 +28,13 @@
 
 @dataclass(slots=True)
 class SimulatedNode:
-    """The process of one member."""
+    """The process of a member, with its state and traffic counts."""
 
     name: str
     member: FleetMember
-    up: bool = True
-    stopped: bool = False
-    waiting: list[Message] = field(default_factory=list)  # arrived while it was stopped
+    running: bool = True
+    paused: bool = False
+    pending_messages: list[Message] = field(default_factory=list)  # arrived while the process was paused
     next_tick_at: float = float("inf")
     sent_bytes: int = 0
-    datagrams: int = 0  # sent and received
+    datagram_count: int = 0  # sent and received
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated fleet keeps its promises, and the judge of promises finds false beliefs."""
+"""Simulated fleets keep the invariants of membership, and the invariant checks detect false observations."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 KILL = "fleet: {sites: {a: 3, b: 3, c: 3}}\nlength_s: 14\nevents: [{at_s: 1, kill: b2}]\n"
 
 
-def beliefs_of(script: str, seed: int = 1) -> tuple[SimulatedFleet, GroundTruth]:
-    found = parse(script)
-    fleet = SimulatedFleet(found.sites, membership_factory(SETTINGS), seed, sizes=False)
+def run_script(text: str, seed: int = 1) -> tuple[SimulatedFleet, GroundTruth]:
+    script = parse(text)
+    fleet = SimulatedFleet(script.sites, membership_factory(SETTINGS), seed, measure_bytes=False)
     fleet.start()
-    ScriptPlayer(fleet).schedule(found.steps, 6000)
-    fleet.run(6000 + found.length_ms)
-    return fleet, GroundTruth(found.members, fleet.actions, 6000 + found.length_ms, SETTINGS.pause_ms())
+    ScriptPlayer(fleet).schedule(script.steps, 6000)
+    fleet.run(6000 + script.length_ms)
+    return fleet, GroundTruth(script.members, fleet.actions, 6000 + script.length_ms, SETTINGS.pause_ms())
 
 
 @pytest.mark.parametrize(
-    ("lie", "rule"),
+    ("false_observation", "invariant"),
     [
         (Observation(19_000, "a1", "member", "c1", FAILED, 10**13), "no false failure"),
         (Observation(12_000, "a1", "member", "b2", ALIVE, 10**13), "failure known"),
@@ -42,42 +42,48 @@
         (Observation(9_500, "a1", "standing", "a", QuorumStatus.MINORITY), "standing right"),
     ],
 )
-def test_the_judge_finds_a_false_belief(lie: Observation, rule: str) -> None:
-    fleet, truth = beliefs_of(KILL)
-    assert check_membership(truth, fleet.beliefs, SETTINGS, fleet.sites).broken == []
-    found = check_membership(truth, [*fleet.beliefs, lie], SETTINGS, fleet.sites).broken
-    assert any(line.startswith(rule) for line in found), found
+def test_the_invariant_checks_detect_a_false_observation(false_observation: Observation, invariant: str) -> None:
+    fleet, truth = run_script(KILL)
+    assert check_membership(truth, fleet.observations, SETTINGS, fleet.sites).broken == []
+    broken = check_membership(truth, [*fleet.observations, false_observation], SETTINGS, fleet.sites).broken
+    assert any(line.startswith(invariant) for line in broken), broken
 
 
 def test_the_simulation_is_deterministic_and_depends_on_the_seed() -> None:
-    runs = [[dataclasses.astuple(b) for b in beliefs_of(KILL, seed)[0].beliefs] for seed in (3, 3, 4)]
+    runs = [
+        [dataclasses.astuple(observation) for observation in run_script(KILL, seed)[0].observations]
+        for seed in (3, 3, 4)
+    ]
     assert runs[0] == runs[1]
     assert runs[0] != runs[2]
 
 
 @pytest.mark.parametrize("members", [0, 120])
-def test_simulated_fleets_keep_their_promises(members: int) -> None:
+def test_simulated_fleets_keep_the_invariants(members: int) -> None:
     script = KILL.replace(
         "[{at_s: 1, kill: b2}]",
         "[{at_s: 1, kill: b2, restart_after_s: 4}," "{at_s: 1, link: [all, all], drop: 0.05, jitter_ms: 50}]",
     )
-    done = play(parse(script, members), 1)
-    assert done["broken"] == []
-    assert done["false_failures"] == 0
-    assert done["detect_ms"]["worst"] < 4000
-    assert done["members"] >= (members or 9)
+    result = play(parse(script, members), 1)
+    assert result["broken"] == []
+    assert result["false_failures"] == 0
+    assert result["detect_ms"]["worst"] < 4000
+    assert result["members"] >= (members or 9)
 
 
-def test_without_lateness_detection_a_stopped_member_blames_others() -> None:
-    """The same stop with and without lateness looked at: it is what keeps others from being failed."""
+def test_lateness_detection_keeps_a_paused_member_from_suspecting_others() -> None:
+    """After a pause, a member's timers are overdue, so it would suspect members that were not silent.
+
+    Lateness detection prevents that: with it, members refute no more suspicions than without it.
+    """
     script = parse(
         "fleet: {sites: {a: 3, b: 3}}\nlength_s: 20\nevents:\n"
         + "".join(f"  - {{at_s: {n}, pause: a1, for_s: 1.2}}\n" for n in range(1, 16, 2))
     )
-    with_it = play(script, 1)
-    without = play(script, 1, MembershipSettings(health_most=0, late_ms=86_400_000))
-    blamed = "refuted"
-    assert with_it["counts"].get("late", 0) > 0
-    assert without["counts"].get("late", 0) == 0
-    assert with_it["counts"].get(blamed, 0) <= without["counts"].get(blamed, 0)
-    assert with_it["broken"] == []
+    with_detection = play(script, 1)
+    without_detection = play(script, 1, MembershipSettings(health_most=0, late_ms=86_400_000))
+    refutations = "refuted"
+    assert with_detection["counts"].get("late", 0) > 0
+    assert without_detection["counts"].get("late", 0) == 0
+    assert with_detection["counts"].get(refutations, 0) <= without_detection["counts"].get(refutations, 0)
+    assert with_detection["broken"] == []
