--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements and long searches, each a command: `python -m benchmarks.NAME`."""
+"""Benchmarks and long randomized tests; each module is a command, `python -m benchmarks.NAME`."""
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -1,4 +1,4 @@
-"""Events per second of the simulation's event loop and of simpy, under the load of membership: short callbacks.
+"""Events per second of the simulation's event loop and of simpy, with short callbacks as membership schedules them.
 
 python -m benchmarks.engines --events 300000
 """
@@ -14,52 +14,52 @@
 
 from myrtlespar.simulation.event_loop import EventLoop
 
-TIMERS = 1000  # at a time
+TIMER_COUNT = 1000  # timers pending at any time
 
 
 def event_loop_rate(events: int) -> float:
-    """Events per second of `EventLoop`."""
-    engine = EventLoop()
+    """Measure the events per second of `EventLoop`."""
+    event_loop = EventLoop()
 
-    def again(n: int) -> None:
-        engine.call_at(engine.now + 1.0 + n % 7, again, n)
+    def reschedule(number: int) -> None:
+        event_loop.call_at(event_loop.now + 1.0 + number % 7, reschedule, number)
 
-    for n in range(TIMERS):
-        engine.call_at(n / TIMERS, again, n)
+    for number in range(TIMER_COUNT):
+        event_loop.call_at(number / TIMER_COUNT, reschedule, number)
     began = time.perf_counter()
     until = 0.0
-    while engine.event_count < events:
+    while event_loop.event_count < events:
         until += 5.0
-        engine.run(until)
-    return engine.event_count / (time.perf_counter() - began)
+        event_loop.run(until)
+    return event_loop.event_count / (time.perf_counter() - began)
 
 
 def simpy_rate(events: int, processes: bool) -> float:
-    """Events per second of simpy, with its callbacks or with its processes."""
-    env = simpy.Environment()
+    """Measure the events per second of simpy, with timers as processes (generators) or as callbacks."""
+    environment = simpy.Environment()
     count = 0
 
-    def again(event: Any) -> None:
+    def reschedule(event: Any) -> None:
         nonlocal count
         count += 1
-        env.timeout(1.0 + event.value % 7, event.value).callbacks.append(again)
+        environment.timeout(1.0 + event.value % 7, event.value).callbacks.append(reschedule)
 
-    def process(n: int) -> Generator[Any, Any, None]:
+    def process(number: int) -> Generator[Any, Any, None]:
         nonlocal count
         while True:
-            yield env.timeout(1.0 + n % 7)
+            yield environment.timeout(1.0 + number % 7)
             count += 1
 
-    for n in range(TIMERS):
+    for number in range(TIMER_COUNT):
         if processes:
-            env.process(process(n))
+            environment.process(process(number))
         else:
-            env.timeout(n / TIMERS, n).callbacks.append(again)
+            environment.timeout(number / TIMER_COUNT, number).callbacks.append(reschedule)
     began = time.perf_counter()
     until = 0.0
     while count < events:
         until += 5.0
-        env.run(until=until)
+        environment.run(until=until)
     return count / (time.perf_counter() - began)
 
 
@@ -67,7 +67,7 @@
 @click.option("--events", default=300_000, show_default=True, type=click.IntRange(10_000, 10_000_000))
 @click.option("--rounds", default=3, show_default=True, type=click.IntRange(1, 20))
 def main(events: int, rounds: int) -> None:
-    """Print one line per round."""
+    """Compare the event loops; print one line per round."""
     for _ in range(rounds):
         print(
             f"own heap {event_loop_rate(events):,.0f}/s, simpy callbacks {simpy_rate(events, False):,.0f}/s, "
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -1,10 +1,11 @@
-"""Utilization of a strict limit under grants, static shares and a central counter, in virtual time.
+"""Utilization of a strict limit with grants, static shares and a central counter, in a simulation.
 
     python -m benchmarks.fleet_beside --members 12
 
-The same demand for each: 80% of twice the limit at one member (calm), then at another one (moved), then four members,
-the busy one among them, cut off from the rest (cut), then healed. The central counter lives at a member of the greater
-side; each request asks it, waits for its answer, and is admitted if the last window has capacity.
+The demand is the same for all three: twice the limit, 80% of it at one member (calm), then 80% at another member
+(moved). Then a third of the members, the busy one among them, are cut off from the rest (cut) and reconnected (healed).
+The central counter is at a member of the larger side. Each request asks the counter, waits for the reply, and is
+admitted if the last window has capacity.
 """
 
 from __future__ import annotations
@@ -20,60 +21,60 @@
 from myrtlespar.simulation.event_loop import EventLoop
 from myrtlespar.simulation.limits import MemberSecond, SimulatedLimits
 
-PHASES = {  # first and last second
+PHASES = {  # the first second of the run that is measured, and the one after the last
     "calm": (6, 15),
     "moved": (17, 25),
     "cut": (29, 39),
     "healed": (46, 55),
 }
-HOT_SHARE = 0.8  # of the demand, at one member
+HOT_SHARE = 0.8  # share of the demand that arrives at one member
 
 
 class CentralCounter:
-    """One counter for all members. Who can't reach it admits nothing, as the limit is strict."""
+    """One counter for all members. A member that can't reach it admits nothing, as the limit is strict."""
 
-    def __init__(self, names: list[str], limit: Limit, seed: int, hop_ms: float, hold_ms: float) -> None:
-        self.engine = EventLoop()
-        self.random_source = Random(seed)
+    def __init__(self, names: list[str], limit: Limit, seed: int, hop_ms: float, max_wait_ms: float) -> None:
+        self.event_loop = EventLoop()
+        self.random = Random(seed)
         self.limit = limit
         self.hop_ms = hop_ms
-        self.hold_ms = hold_ms
+        self.max_wait_ms = max_wait_ms
         self.names = names
         self.rates = dict.fromkeys(names, 0.0)
-        self.meter = UsageWindow(float(limit.window_ms))
+        self.usage_window = UsageWindow(float(limit.window_ms))
         self.starts_by_member: Counter[MemberSecond] = Counter()
         self.isolated: frozenset[str] = frozenset()
         for name in names:
-            self.engine.call_at(0.0, self._new_request, name)
+            self.event_loop.call_at(0.0, self._new_request, name)
 
     def isolate(self, isolated: frozenset[str]) -> None:
-        """Cut these members off from the counter, and connect all others."""
+        """Cut off these members from the counter, and reconnect all others."""
         self.isolated = isolated
 
     def run(self, until_ms: float) -> None:
-        """Go on to this time."""
-        self.engine.run(until_ms)
+        """Run the simulation until this virtual time (ms)."""
+        self.event_loop.run(until_ms)
 
     def _new_request(self, name: str) -> None:
-        now = self.engine.now
+        now = self.event_loop.now
         rate = self.rates[name]
-        self.engine.call_at(
-            now + (self.random_source.expovariate(rate) * 1000 if rate > 0 else 20.0), self._new_request, name
+        self.event_loop.call_at(
+            now + (self.random.expovariate(rate) * 1000 if rate > 0 else 20.0), self._new_request, name
         )
         if rate > 0 and name not in self.isolated:
-            self.engine.call_at(now + self.hop_ms, self._request_admission, name, now + self.hold_ms)
+            self.event_loop.call_at(now + self.hop_ms, self._request_admission, name, now + self.max_wait_ms)
 
-    def _request_admission(self, name: str, until: float) -> None:
-        now = self.engine.now
-        if self.meter.in_use(now) < self.limit.amount:
-            self.meter.record(now)
+    def _request_admission(self, name: str, deadline: float) -> None:
+        now = self.event_loop.now
+        if self.usage_window.in_use(now) < self.limit.amount:
+            self.usage_window.record(now)
             self.starts_by_member[MemberSecond(name, int((now + self.hop_ms) / 1000))] += 1
-        elif (at := self.meter.available_at(now, self.limit.amount)) <= until:
-            self.engine.call_at(max(at, now + 1.0), self._request_admission, name, until)
+        elif (at := self.usage_window.available_at(now, self.limit.amount)) <= deadline:
+            self.event_loop.call_at(max(at, now + 1.0), self._request_admission, name, deadline)
 
 
 def run_once(kind: str, members: int, per_s: float, over: float, seed: int) -> dict[str, object]:
-    """Run one kind (`grants`, `static` or `central`): its utilization in each phase, 1.0 being the whole limit."""
+    """Run one kind of limit (`grants`, `static`, `central`); return its utilization in each phase (1.0: all of it)."""
     names = [f"m{n}" for n in range(members)]
     limit = Limit(per_s=per_s, standing=1.0 if kind == "static" else 0.1)
     fleet: SimulatedLimits | CentralCounter = (
@@ -117,7 +118,7 @@
 @click.option("--over", default=2.0, show_default=True, type=click.FloatRange(0.1, 20))
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 20))
 def main(members: int, per_s: float, over: float, seeds: int) -> None:
-    """Print one JSON line per kind and seed."""
+    """Compare three ways to enforce a limit; print one JSON line per kind and seed."""
     for seed in range(1, seeds + 1):
         for kind in ("grants", "static", "central"):
             print(json.dumps(run_once(kind, members, per_s, over, seed)), flush=True)
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,9 +1,9 @@
-"""The cost of membership for one real member of a large fleet, and of the fleet's modules where they are off.
+"""The cost of membership for one real member of a large fleet, and of the fleet modules when the fleet is off.
 
     python -m benchmarks.fleet_cost --members 200 --seconds 30
-    python -m benchmarks.fleet_cost --off ../earlier               # imports and resident size against that checkout
+    python -m benchmarks.fleet_cost --off ../earlier        # modules loaded and resident size, against that checkout
 
-The other members run the same transport and state machines, some dozens in each of a few helper processes on loopback.
+The other members run the same transport and state machines; a few helper processes on loopback run some dozens each.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from myrtlespar.fakes import ROOT, ServerProcess
 from myrtlespar.fault_proxy.relay import PORTS
 
-HELPERS = 6  # processes
+HELPER_COUNT = 6  # processes that run the other members
 SETTLE_S = 1.0
 JOIN_TIMEOUT_S = 60.0
 
 
-def host(n: int) -> str:
-    """The address of member n; none of the fault proxy's."""
-    return f"127.20.{n >> 8}.{n & 255}"
+def address_of(number: int) -> str:
+    """Return the IP address of the member with this number; the fault proxy uses none of these."""
+    return f"127.20.{number >> 8}.{number & 255}"
 
 
 def rss_kb(pid: int) -> int:
-    """Resident size of a process in kB."""
+    """Return the resident size of a process in kB."""
     return next(
         int(line.split()[1])
         for line in Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -44,8 +44,8 @@
     )
 
 
-def helper(first: int, count: int, port: int, seconds: float) -> None:
-    """Run some members in this process for `seconds`."""
+def run_helper(first: int, count: int, port: int, seconds: float) -> None:
+    """Run the members from number `first` in this process for `seconds`."""
     import gevent
 
     from myrtlespar.membership.member import Member
@@ -58,19 +58,19 @@
         return Member(
             f"m{n}",
             f"s{n % 3}",
-            f"{host(n)}:{port}",
+            f"{address_of(n)}:{port}",
             int(time.time() * 1000),
             "cost",
             MembershipSettings(),
             VoterSet(0, {}),
-            [f"{host(1)}:{port}"],
+            [f"{address_of(1)}:{port}"],
             Random(n),
             now,
         )
 
     peers = [
         PeerTransport(
-            f"{host(n)}:{port}",
+            f"{address_of(n)}:{port}",
             "cost",
             f"m{n}",
             2000,
@@ -86,8 +86,8 @@
     gevent.sleep(seconds)
 
 
-def member(folder: Path, port: int, on: bool, root: Path = ROOT) -> ServerProcess:
-    """The real program, with the fleet on or off."""
+def start_server(folder: Path, port: int, on: bool, root: Path = ROOT) -> ServerProcess:
+    """Start the real program, with the fleet on or off."""
     folder.mkdir()
     if on:
         (folder / "fleet.yaml").write_text(
@@ -95,9 +95,9 @@
                 {
                     "fleet": "cost",
                     "site": "s0",
-                    "bind": f"{host(0)}:{port}",
+                    "bind": f"{address_of(0)}:{port}",
                     "name": "m0",
-                    "seeds": [f"{host(1)}:{port}"],
+                    "seeds": [f"{address_of(1)}:{port}"],
                 }
             )
         )
@@ -108,8 +108,8 @@
         os.environ.pop("MYRTLESPAR_FLEET", None)
 
 
-def imports(root: Path) -> int:
-    """Modules that the server loads before it reads its configuration."""
+def loaded_modules(root: Path) -> int:
+    """Return how many modules the server loads before it reads its configuration."""
     code = "import sys, myrtlespar.server.main; print(len(sys.modules))"
     return int(
         subprocess.run(
@@ -123,12 +123,13 @@
     )
 
 
-def compare_without_fleet(folder: Path, off: Path) -> None:
+def compare_without_fleet(folder: Path, earlier_checkout: Path) -> None:
     """Print modules loaded and resident sizes of this tree and of another checkout, with the fleet off."""
-    print(f"modules loaded: now {imports(ROOT)}, before {imports(off)}")
+    print(f"modules loaded: now {loaded_modules(ROOT)}, before {loaded_modules(earlier_checkout)}")
     for n in range(3):
         servers = [
-            member(folder / f"{kind}{n}", 0, False, root) for kind, root in (("now", ROOT), ("before", off.resolve()))
+            start_server(folder / f"{kind}{n}", 0, False, root)
+            for kind, root in (("now", ROOT), ("before", earlier_checkout.resolve()))
         ]
         time.sleep(SETTLE_S)
         now_kb, before_kb = (rss_kb(server.process.pid) for server in servers)
@@ -138,23 +139,23 @@
 
 
 def start_helpers(members: int, port: int, seconds: float) -> list[subprocess.Popen[bytes]]:
-    """Processes that run all members but the first."""
-    each = -(-(members - 1) // HELPERS)
+    """Start the processes that run all members but the first."""
+    per_helper = -(-(members - 1) // HELPER_COUNT)
     command = [sys.executable, "-m", "benchmarks.fleet_cost", "--helper"]
     return [
-        subprocess.Popen([*command, f"{first},{min(each, members - first)},{port},{seconds}"], cwd=ROOT)
-        for first in range(1, members, each)
+        subprocess.Popen([*command, f"{first},{min(per_helper, members - first)},{port},{seconds}"], cwd=ROOT)
+        for first in range(1, members, per_helper)
     ]
 
 
 def members_alive(server: ServerProcess) -> int:
-    """How many members it believes to be alive, itself among them."""
-    states = [row["state"] for row in view_of(server)["members"]]
+    """Return how many members the server believes alive, itself included."""
+    states = [row["state"] for row in fleet_view(server)["members"]]
     return states.count("alive") + 1
 
 
-def view_of(server: ServerProcess) -> dict[str, Any]:
-    """What its management address tells of the fleet."""
+def fleet_view(server: ServerProcess) -> dict[str, Any]:
+    """Return the fleet view that the server's management address reports."""
     view: dict[str, Any] = json.loads(server.ask(b"MEMBERS\n").split("\n")[1])
     return view
 
@@ -166,21 +167,24 @@
     servers: list[ServerProcess] = []
     try:
         time.sleep(3)
-        servers = [member(folder / "on", port, True), member(folder / "off", 0, False)]
+        servers = [start_server(folder / "on", port, True), start_server(folder / "off", 0, False)]
         end = time.monotonic() + JOIN_TIMEOUT_S
         while time.monotonic() < end and members_alive(servers[0]) < members:
             time.sleep(0.5)
-        time.sleep(5)  # until nothing new is disseminated
+        time.sleep(5)  # until all updates have been disseminated
         began = time.monotonic()
         before = [cpu_s(server.process.pid) for server in servers]
         time.sleep(seconds)
-        span = time.monotonic() - began
-        used = [100 * (cpu_s(server.process.pid) - was) / span for server, was in zip(servers, before, strict=True)]
-        view = view_of(servers[0])
-        size = [rss_kb(server.process.pid) for server in servers]
+        elapsed_s = time.monotonic() - began
+        used = [
+            100 * (cpu_s(server.process.pid) - was) / elapsed_s for server, was in zip(servers, before, strict=True)
+        ]
+        view = fleet_view(servers[0])
+        resident_kb = [rss_kb(server.process.pid) for server in servers]
         print(
             f"{members_alive(servers[0])} members: {used[0]:.2f}% of a core with the fleet on, {used[1]:.2f}% off; "
-            f"resident {size[0]} kB on, {size[1]} kB off: {(size[0] - size[1]) / 1024:.2f} MB; "
+            f"resident {resident_kb[0]} kB on, {resident_kb[1]} kB off: "
+            f"{(resident_kb[0] - resident_kb[1]) / 1024:.2f} MB; "
             f"late {view['late_ms']} ms, counts {view['counts']}"
         )
     finally:
@@ -194,14 +198,19 @@
 @click.command()
 @click.option("--members", default=200, show_default=True, type=click.IntRange(2, 1000))
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(1, 600))
-@click.option("--off", type=click.Path(exists=True, file_okay=False, path_type=Path), help="An earlier checkout.")
-@click.option("--helper", "helping", default="", hidden=True)
-def main(members: int, seconds: float, off: Path | None, helping: str) -> None:
-    """Print CPU and memory of a member, or memory and imports with the fleet off."""
-    if helping:
-        first_number, count, helper_port, length = helping.split(",")
-        return helper(int(first_number), int(count), int(helper_port), float(length))
-    for root in filter(None, (ROOT, off)):  # as the deployment's build does; compiling at the start costs 2 MB
+@click.option(
+    "--off",
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
+    help="An earlier checkout to compare with, with the fleet off.",
+)
+@click.option("--helper", "helper_arguments", default="", hidden=True)
+def main(members: int, seconds: float, off: Path | None, helper_arguments: str) -> None:
+    """Print CPU use and memory of a member, or memory and loaded modules with the fleet off."""
+    if helper_arguments:
+        first_number, count, helper_port, length = helper_arguments.split(",")
+        return run_helper(int(first_number), int(count), int(helper_port), float(length))
+    # The deployment's build compiles the modules too; compiling them at start-up adds 2 MB of memory.
+    for root in filter(None, (ROOT, off)):
         subprocess.run([sys.executable, "-m", "compileall", "-q", "myrtlespar"], cwd=root, check=True)
     with tempfile.TemporaryDirectory() as tmp:
         if off is not None:
--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -1,10 +1,10 @@
-"""Times of detection, restart, quorum change and healing: real processes, and the simulation of the same script.
+"""Times of failure detection, restart, quorum change and healing, on real processes and in the simulation.
 
     python -m benchmarks.fleet_detect --seeds 5                # 24 members in 3 sites, about 40 s a seed
     python -m benchmarks.fleet_detect --calm 600 --pin         # false failures under loss and jitter, 3 members a core
 
-Each seed: one member killed, back after 6 s, another killed and left away, then a site cut off for 8 s. Times are
-as the invariants measure them; the processes and this one share the machine's cores.
+With each seed, one member is killed and restarted after 6 s, another is killed for good, then a site is cut off for
+8 s. The invariant checks measure the times. This process shares the machine's cores with the members.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from myrtlespar.fleet_tests.runner import percentile, play
 from myrtlespar.fleet_tests.script import parse
-from myrtlespar.simulation.runner import play as emulated
+from myrtlespar.simulation.runner import play as simulate
 
 SITES = "fleet: {sites: {a: %d, b: %d, c: %d}}\n"
 KILLS = """
@@ -37,7 +37,7 @@
 
 
 def summarize(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """The median of the medians of all seeds, and the worst value."""
+    """Return the median of the seeds' medians, and the worst value, of each figure."""
     out: dict[str, Any] = {}
     for name in FIGURES:
         medians = [row[name]["median"] for row in rows if row[name]["median"] is not None]
@@ -52,19 +52,24 @@
 
 @click.command()
 @click.option("--seeds", default=5, show_default=True, type=click.IntRange(1, 100))
-@click.option("--each", default=8, show_default=True, type=click.IntRange(1, 20), help="Members of each site.")
-@click.option("--calm", default=0.0, type=click.FloatRange(0, 3600), help="Seconds with no fault but loss and jitter.")
-@click.option("--pin", is_flag=True, help="Three members share a core.")
-@click.option("--real/--no-real", default=True, help="Leave the real processes out.")
+@click.option("--each", default=8, show_default=True, type=click.IntRange(1, 20), help="Members per site.")
+@click.option(
+    "--calm",
+    default=0.0,
+    type=click.FloatRange(0, 3600),
+    help="Instead run this many seconds with no fault but loss and jitter.",
+)
+@click.option("--pin", is_flag=True, help="Pin three members to each core.")
+@click.option("--real/--no-real", default=True, help="Whether to run real processes too.")
 def main(seeds: int, each: int, calm: float, pin: bool, real: bool) -> None:
-    """Print one line per seed and kind, and one over all seeds."""
+    """Print one line per kind and seed, and one per kind over all seeds."""
     script = parse(SITES % (each, each, each) + (CALM % calm if calm else KILLS))
     rows: dict[str, list[dict[str, Any]]] = {"real": [], "emulated": [], "baseline": []}
     for seed in range(1, seeds + 1):
         if real:
             rows["real"].append(play(script, seed, say=lambda line: None, pin=pin))
-        rows["emulated"].append(emulated(script, seed))
-        rows["baseline"].append(emulated(script, seed, use_baseline=True))
+        rows["emulated"].append(simulate(script, seed))
+        rows["baseline"].append(simulate(script, seed, use_baseline=True))
         for kind, done in rows.items():
             if done:
                 shown = {key: done[-1][key] for key in (*FIGURES, "false_failures")}
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -1,9 +1,9 @@
-"""Utilization of a strict limit while demand moves from one member to another: grants and static shares.
+"""Utilization of a strict limit while demand moves between members, with grants and with static shares.
 
     python -m benchmarks.fleet_limits --members 12 --per-s 120 --over 2
     python -m benchmarks.fleet_limits --decisions 100000              # time of one decision, fleet on and off
 
-Real processes behind the fault proxy; starts are counted at the engines, not as the program reports them.
+Runs real processes behind the fault proxy. Starts are counted at the engines, not taken from the program's reports.
 """
 
 from __future__ import annotations
@@ -28,16 +28,20 @@
 from myrtlespar.quota.settings import GrantSettings, Limit
 from myrtlespar.simulation.limits import SimulatedLimits
 
-HOT_SHARE = 0.8  # of all demand, at one member
+HOT_SHARE = 0.8  # share of the demand that arrives at one member
 
 
 def send_orders(run: FleetRun, name: str, rates: list[tuple[float, float]], began: float, seed: int) -> None:
-    """Send orders to one member at random times. `rates` holds ends in seconds and orders per second."""
+    """Send orders to one member at random times.
+
+    Each pair in `rates` holds the end of a phase, in seconds after `began`, and the orders per second in that phase.
+    """
     random_source = Random(seed)
     n = 0
     at = 0.0
-    many = 1 + int(max(rate for _, rate in rates) // 20)  # a connection carries a bounded number unanswered
-    clients = [ThriftClient(run.client_address(name)[1], run.client_address(name)[0]) for _ in range(many)]
+    # The number of unanswered requests per connection is bounded.
+    connection_count = 1 + int(max(rate for _, rate in rates) // 20)
+    clients = [ThriftClient(run.client_address(name)[1], run.client_address(name)[0]) for _ in range(connection_count)]
     for until, rate in rates:
         while rate > 0 and n < 200_000:
             at += random_source.expovariate(rate)
@@ -47,10 +51,10 @@
             n += 1
             body = f"order p={name} n={n} ms=5".encode()
             try:
-                clients[n % many].send("order", body, peer="1")
-            except OSError:  # it was idle for long, and was closed
-                clients[n % many] = ThriftClient(run.client_address(name)[1], run.client_address(name)[0])
-                clients[n % many].send("order", body, peer="1")
+                clients[n % connection_count].send("order", body, peer="1")
+            except OSError:  # the server closed the connection, as it was idle for long
+                clients[n % connection_count] = ThriftClient(run.client_address(name)[1], run.client_address(name)[0])
+                clients[n % connection_count].send("order", body, peer="1")
         at = until
         time.sleep(max(0.0, began + at - time.monotonic()))
     for client in clients:
@@ -58,42 +62,47 @@
 
 
 def run_once(members: int, per_s: float, over: float, standing: float, seed: int) -> dict[str, object]:
-    """Run once: 12 s with most demand at the first member, then 10 s with it at the last one."""
-    each = members // 3
+    """Run a fleet once: 12 s with most of the demand at the first member, then 10 s with it at the last one."""
+    members_per_site = members // 3
     limit = f"{{order-farms: {{per_s: {per_s:g}, kind: strict, standing: {standing}}}}}"
-    script = parse(f"fleet: {{sites: {{a: {each}, b: {each}, c: {each}}}}}\nlength_s: 30\nlimits: {limit}")
+    script = parse(
+        f"fleet: {{sites: {{a: {members_per_site}, b: {members_per_site}, c: {members_per_site}}}}}\n"
+        f"length_s: 30\nlimits: {limit}"
+    )
     with tempfile.TemporaryDirectory() as tmp:
         run = FleetRun(script, seed, Path(tmp))
         try:
             run.start()
             time.sleep(3)  # until the first leases are granted
-            wall = time.time() * 1000
+            began_unix_ms = time.time() * 1000
             send_all_orders(run, per_s * over, seed)
             runs = [row for member in run.members.values() for row in member.runs()]
         finally:
             run.close()
 
-    def judged(slack_ms: float) -> tuple[list[str], dict[str, Any]]:
-        return check_limits(script.limits, runs, GrantSettings(), wall, wall + 22_000, slack_ms, {})
+    def check_with_slack(slack_ms: float) -> tuple[list[str], dict[str, Any]]:
+        return check_limits(script.limits, runs, GrantSettings(), began_unix_ms, began_unix_ms + 22_000, slack_ms, {})
 
     seconds = [0] * 22
     for _, at, _ in runs:
-        if 0 <= at - wall < 22_000:
-            seconds[int((at - wall) / 1000)] += 1
+        if 0 <= at - began_unix_ms < 22_000:
+            seconds[int((at - began_unix_ms) / 1000)] += 1
     return {
         "standing": standing,
         "seed": seed,
         "calm": round(sum(seconds[3:12]) / 9 / per_s, 3),
         "moved": round(sum(seconds[14:22]) / 8 / per_s, 3),
         "by_second": seconds,
-        "broken": judged(SLACK_MS)[0],
-        # By the slack for the way from a decision to its engine.
-        "most_by_slack_ms": {slack: judged(slack)[1]["order-farms"]["most"] for slack in (0.0, 25.0, 50.0, 100.0)},
+        "broken": check_with_slack(SLACK_MS)[0],
+        # By the slack that is allowed for the time from an admission to the start at the engine.
+        "most_by_slack_ms": {
+            slack: check_with_slack(slack)[1]["order-farms"]["most"] for slack in (0.0, 25.0, 50.0, 100.0)
+        },
     }
 
 
 def send_all_orders(run: FleetRun, demand: float, seed: int) -> None:
-    """Send `demand` orders per second for 22 s, most of them to the first member, after 12 s to the last one."""
+    """Send `demand` orders per second for 22 s, most of them to the first member and, after 12 s, to the last one."""
     names = list(run.members)
     hot = demand * HOT_SHARE
     rest = demand * (1 - HOT_SHARE) / (len(names) - 1)
@@ -109,39 +118,40 @@
 
 
 def measure_decisions(count: int) -> None:
-    """Print the microseconds of one decision."""
+    """Print the microseconds of one admission decision, with the fleet on and off."""
     limits = {"x": Limit(per_s=1e6), "y": Limit(at_once=1000)}
-    agent = LimitCoordinator(Incarnation("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
-    for key in limits:  # alone it is its own keeper
-        agent.check_admission(5000.0, key)
+    coordinator = LimitCoordinator(Incarnation("a", 1), GrantSettings(), limits, frozenset(("a",)), 0.0)
+    for key in limits:  # the only member leads all shards itself
+        coordinator.check_admission(5000.0, key)
     for n in range(200):
-        agent.tick(5000.0 + 200.0 * n)
-        agent.check_admission(5000.0 + 200.0 * n, "x")
+        coordinator.tick(5000.0 + 200.0 * n)
+        coordinator.check_admission(5000.0 + 200.0 * n, "x")
     now = 5000.0 + 200.0 * 200
     rows: dict[str, list[float]] = {"check and consume, a rate": [], "check and consume, at once": [], "off": []}
-    absent: LimitCoordinator | None = None
+    no_coordinator: LimitCoordinator | None = None
     for _ in range(5):
         for name, key in (("check and consume, a rate", "x"), ("check and consume, at once", "y")):
             began = time.perf_counter()
             for n in range(count // 5):
-                if agent.check_admission(now + n * 0.01, key).admitted:
-                    agent.consume(now + n * 0.01, key)
+                if coordinator.check_admission(now + n * 0.01, key).admitted:
+                    coordinator.consume(now + n * 0.01, key)
                     if key == "y":
-                        agent.run_ended(key)
+                        coordinator.run_ended(key)
             rows[name].append((time.perf_counter() - began) / (count // 5) * 1e6)
         began = time.perf_counter()
         for _ in range(count // 5):
-            _ = absent.check_admission(now, "x").admitted if absent else True
+            _ = no_coordinator.check_admission(now, "x").admitted if no_coordinator else True
         rows["off"].append((time.perf_counter() - began) / (count // 5) * 1e6)
     for name, values in rows.items():
         print(f"{name}: median {sorted(values)[2]:.3f} us, {min(values):.3f} to {max(values):.3f}")
 
 
 def simulate(size: int, seed: int) -> dict[str, object]:
-    """Simulate one large fleet, then many keys.
+    """Simulate a large fleet whose demand moves, then one with a limit per caller.
 
-    The limit is ten starts per second and member, the demand twice that, 80% of it at one member, and at another one
-    after 12 s. Then 10,000 callers' keys are each used about once, and nothing follows.
+    The first fleet's limit is ten starts per second times the number of members. The demand is twice the limit, 80% of
+    it at one member, and at another member after 12 s. In the second fleet each of 10,000 callers sends about one
+    request, and then there is no more demand; it shows what remains of the callers' keys.
     """
     per_s = 10.0 * size
     fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, measure_bytes=True, max_wait_ms=1000.0)
@@ -156,15 +166,17 @@
         fleet.run(until)
     starts = [fleet.result.starts[n] / per_s for n in range(27)]
     back = next((n - 15 for n in range(15, 27) if starts[n] >= 0.9 * sum(starts[8:15]) / 7), None)
-    cold = SimulatedLimits(size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, callers=10_000, measure_bytes=True)
-    for name in cold.names:
-        cold.rates[name] = 10_000 / 4 / size
-    cold.run(4000)
-    for name in cold.names:
-        cold.rates[name] = 0.0
-    cold.run(12_000)
-    quiet = cold.result.message_count
-    cold.run(16_000)
+    keyed_fleet = SimulatedLimits(
+        size, Limit(per_s=5.0, by="peer"), GrantSettings(), seed, callers=10_000, measure_bytes=True
+    )
+    for name in keyed_fleet.names:
+        keyed_fleet.rates[name] = 10_000 / 4 / size
+    keyed_fleet.run(4000)
+    for name in keyed_fleet.names:
+        keyed_fleet.rates[name] = 0.0
+    keyed_fleet.run(12_000)
+    messages_before = keyed_fleet.result.message_count
+    keyed_fleet.run(16_000)
     return {
         "members": size,
         "seed": seed,
@@ -174,8 +186,8 @@
         "most_of_limit": round(fleet.result.max_in_window / per_s, 4),
         "messages_s_member": round((fleet.result.message_count - before[0]) / 12 / size, 2),
         "bytes_s_member": round((fleet.result.byte_count - before[1]) / 12 / size, 1),
-        "keys_left": sum(len(agent.grant_holder.allowances) for agent in cold.coordinators.values()),
-        "messages_s_member_cold": round((cold.result.message_count - quiet) / 4 / size, 2),
+        "keys_left": sum(len(coordinator.grant_holder.allowances) for coordinator in keyed_fleet.coordinators.values()),
+        "messages_s_member_cold": round((keyed_fleet.result.message_count - messages_before) / 4 / size, 2),
         "real_s": round(time.monotonic() - began, 1),
     }
 
@@ -183,12 +195,14 @@
 @click.command()
 @click.option("--members", default=12, show_default=True, type=click.IntRange(3, 24))
 @click.option("--per-s", default=120.0, show_default=True, type=click.FloatRange(1, 2000))
-@click.option("--over", default=2.0, show_default=True, help="Demand, in limits.", type=click.FloatRange(0.1, 20))
+@click.option(
+    "--over", default=2.0, show_default=True, help="Demand, as a multiple of the limit.", type=click.FloatRange(0.1, 20)
+)
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 20))
-@click.option("--emulate", default="", help="Sizes of fleets in virtual time instead, such as 200,1000.")
+@click.option("--emulate", default="", help="Instead simulate fleets of these sizes, such as 200,1000.")
 @click.option("--decisions", "count", default=0, type=click.IntRange(0, 10_000_000))
 def main(members: int, per_s: float, over: float, seeds: int, emulate: str, count: int) -> None:
-    """Print one JSON line per run: grants (a tenth standing), then static shares (all standing)."""
+    """Print one JSON line per run: with grants (a tenth of the limit standing), then with static shares (all of it)."""
     if count:
         return measure_decisions(count)
     for size in filter(None, emulate.split(",")):
--- a/benchmarks/fleet_sizes.py
+++ b/benchmarks/fleet_sizes.py
@@ -1,11 +1,12 @@
-"""Simulated membership of 24 to 5,000 members: detection, dissemination, cost, healing, false failures, plots.
+"""Simulates membership of 24 to 5,000 members: detection, dissemination, cost, healing, false failures, plots.
 
     python -m benchmarks.fleet_sizes --sizes 24,200,1000 --plots plots
     python -m benchmarks.fleet_sizes --sizes 5000 --seconds 60 --parts calm,kill
-    python -m benchmarks.fleet_sizes --health                      # false failures a member-day, health on and off
+    python -m benchmarks.fleet_sizes --health              # false failures per member and day, local health on and off
 
-`calm` is a fleet with nothing to tell (datagrams and bytes a second a member), `kill` one crash seen by observers,
-`cut` a site cut off for 10 s and the time until all views are equal again. One process a run, over all cores.
+The part `calm` measures a fleet without changes (datagrams and bytes per second and member), `kill` how some observers
+learn of one crash, `cut` the time until all views are equal again after a site was cut off for 10 s. Runs are spread
+over `--jobs` processes.
 """
 
 from __future__ import annotations
@@ -33,14 +34,21 @@
 
 
 def sites_of(size: int) -> dict[str, tuple[str, ...]]:
-    """Members by site, in three sites of nearly equal size."""
+    """Return the members of three sites of nearly equal size, by site."""
     return {site: tuple(f"{site}{n + 1}" for n in range(size // 3 + (size % 3 > k))) for k, site in enumerate("abc")}
 
 
 def joined_fleet(
-    size: int, seed: int, use_baseline: bool = False, settings: MembershipSettings | None = None, sizes: bool = True
+    size: int,
+    seed: int,
+    use_baseline: bool = False,
+    settings: MembershipSettings | None = None,
+    measure_bytes: bool = True,
 ) -> SimulatedFleet:
-    """A fleet that has joined and has no updates left to send; only the baseline joins in simulated time."""
+    """Return a fleet whose members all know each other and have no updates left to send.
+
+    Members of the baseline join in simulated time; others start with complete views.
+    """
     sites = sites_of(size)
     observers = [name for row in sites.values() for name in row[1 : 1 + max(1, MAX_OBSERVERS // 3)]]
     fleet = SimulatedFleet(
@@ -48,7 +56,7 @@
         heartbeat_factory() if use_baseline else membership_factory(settings or MembershipSettings()),
         seed,
         observers,
-        measure_bytes=sizes,
+        measure_bytes=measure_bytes,
     )
     if use_baseline:
         fleet.start(400.0 + 2 * size)
@@ -58,15 +66,17 @@
     return fleet
 
 
-def crash_figures(fleet: SimulatedFleet, seconds: float) -> dict[str, Any]:
-    """Kill one member, run on for `seconds`, 12 at most, and tell when observers suspected it and knew of it."""
+def measure_crash(fleet: SimulatedFleet, seconds: float) -> dict[str, Any]:
+    """Kill a member, run for `seconds` (12 at most), and return when observers suspected it and knew of its failure."""
     start = fleet.event_loop.now
     victim = fleet.sites["b"][-1]
     fleet.kill(victim)
     fleet.run(start + min(seconds, 12.0) * 1000)
-    rows = [b for b in fleet.observations if b.subject == victim and b.at > start]
-    suspected = [b.at - start for b in rows if b.state == MemberState.SUSPECT]
-    known = [b.at - start for b in rows if b.state == MemberState.FAILED]
+    rows = [
+        observation for observation in fleet.observations if observation.subject == victim and observation.at > start
+    ]
+    suspected = [observation.at - start for observation in rows if observation.state == MemberState.SUSPECT]
+    known = [observation.at - start for observation in rows if observation.state == MemberState.FAILED]
     return {
         "first_suspected_ms": round(min(suspected, default=0), 1),
         "known": len(known),
@@ -76,8 +86,8 @@
     }
 
 
-def healing_ms(fleet: SimulatedFleet) -> int:
-    """Cut a site off for 10 s, and return the time from its healing until all views are equal; 120 s at most."""
+def measure_healing_ms(fleet: SimulatedFleet) -> int:
+    """Cut off a site for 10 s, and return the time from the end of the cut until all views are equal; 120 s at most."""
     isolated = frozenset(fleet.sites["a"])
     rest = frozenset((*fleet.sites["b"], *fleet.sites["c"]))
     fleet.network.faults.add_rule(1, FaultRule(isolated, rest, cut=True))
@@ -92,7 +102,7 @@
 
 
 def run_part(job: tuple[str, int, int, float, bool]) -> dict[str, Any]:
-    """Run one part for one size and seed."""
+    """Run one part for one size and seed; return its figures."""
     part, size, seed, seconds, use_baseline = job
     began = time.monotonic()
     fleet = joined_fleet(size, seed, use_baseline)
@@ -101,19 +111,19 @@
     before = [(node.sent_bytes, node.datagram_count) for node in fleet.nodes.values()]
     out: dict[str, Any] = {"part": part, "members": size, "seed": seed, "baseline": use_baseline}
     if part == "kill":
-        out |= crash_figures(fleet, seconds)
+        out |= measure_crash(fleet, seconds)
     elif part == "cut":
-        out["agree_ms"] = healing_ms(fleet)
+        out["agree_ms"] = measure_healing_ms(fleet)
     else:
         fleet.run(start + seconds * 1000)
-    span = (fleet.event_loop.now - start) / 1000
-    moved = [
-        (node.sent_bytes - b, node.datagram_count - d)
-        for node, (b, d) in zip(fleet.nodes.values(), before, strict=False)
+    span_s = (fleet.event_loop.now - start) / 1000
+    traffic = [
+        (node.sent_bytes - sent_bytes, node.datagram_count - datagram_count)
+        for node, (sent_bytes, datagram_count) in zip(fleet.nodes.values(), before, strict=False)
     ]
     out |= {
-        "bytes_per_s": round(sum(row[0] for row in moved) / len(moved) / span, 1),
-        "datagrams_per_s": round(sum(row[1] for row in moved) / len(moved) / span, 2),
+        "bytes_per_s": round(sum(row[0] for row in traffic) / len(traffic) / span_s, 1),
+        "datagrams_per_s": round(sum(row[1] for row in traffic) / len(traffic) / span_s, 2),
         "virtual_s": round(fleet.event_loop.now / 1000, 1),
         "real_s": round(time.monotonic() - began, 1),
         "events_per_s": round((fleet.event_loop.event_count - events) / max(1e-9, time.monotonic() - began)),
@@ -121,8 +131,11 @@
     return out
 
 
-def health(job: tuple[bool, int, float]) -> dict[str, Any]:
-    """False failures of healthy members while every third one pauses for 0.2 to 6 s again and again, under loss."""
+def measure_health(job: tuple[bool, int, float]) -> dict[str, Any]:
+    """Count false failures of healthy members on lossy links, while a third of the members pause again and again.
+
+    Each pause takes 0.2 to 6 s.
+    """
     on, seed, seconds = job
     settings = MembershipSettings() if on else MembershipSettings(health_most=0, late_ms=86_400_000)
     sites = sites_of(27)
@@ -132,8 +145,8 @@
     fleet.run(6000)
     names = frozenset(fleet.names)
     fleet.network.faults.add_rule(1, FaultRule(names, names, drop=DROP_PROBABILITY, jitter_ms=JITTER_MS))
-    sick = [name for row in sites.values() for name in row[::3]]
-    for name in sick:
+    paused_members = [name for row in sites.values() for name in row[::3]]
+    for name in paused_members:
         at = 6000.0
         while at < 6000 + seconds * 1000:
             at += random_source.uniform(300, 3000)
@@ -142,17 +155,21 @@
             fleet.event_loop.call_at(at + length, fleet.resume, name)
             at += length
     fleet.run(6000 + seconds * 1000)
-    wrong = [
-        b for b in fleet.observations if b.state == MemberState.FAILED and b.kind == "member" and b.subject not in sick
+    false_observations = [
+        observation
+        for observation in fleet.observations
+        if observation.state == MemberState.FAILED
+        and observation.kind == "member"
+        and observation.subject not in paused_members
     ]
-    events = {(b.subject, round(b.at / 3000)) for b in wrong}
-    days = (len(names) - len(sick)) * seconds / 86_400
+    events = {(observation.subject, round(observation.at / 3000)) for observation in false_observations}
+    days = (len(names) - len(paused_members)) * seconds / 86_400
     return {
         "part": "health",
         "on": on,
         "seed": seed,
         "false_failures": len(events),
-        "false_beliefs": len(wrong),
+        "false_beliefs": len(false_observations),
         "a_member_day": round(len(events) / days, 2),
         "member_days": round(days, 3),
         "accused": fleet.counters.get("accused", 0),
@@ -160,7 +177,7 @@
 
 
 def plot(rows: list[dict[str, Any]], folder: Path) -> None:
-    """Detection, cost and healing over the size, as PNG."""
+    """Write plots of detection, cost and healing over the size of the fleet, as PNG files."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -168,9 +185,9 @@
 
     folder.mkdir(parents=True, exist_ok=True)
     for part, key, title in (
-        ("kill", "known_worst_ms", "a crash known to all observers, ms"),
-        ("calm", "bytes_per_s", "bytes a second a member, nothing to tell"),
-        ("cut", "agree_ms", "views equal after a 10 s cut, ms"),
+        ("kill", "known_worst_ms", "time until all observers know of a crash, ms"),
+        ("calm", "bytes_per_s", "bytes per second and member, no changes"),
+        ("cut", "agree_ms", "time until views are equal after a 10 s cut, ms"),
     ):
         figure, axes = pyplot.subplots(figsize=(6, 4))
         for use_baseline in (False, True):
@@ -194,10 +211,14 @@
 @click.command()
 @click.option("--sizes", default="24,200,1000", show_default=True)
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 100))
-@click.option("--seconds", default=60.0, show_default=True, type=click.FloatRange(1, 3600), help="Of a calm run.")
+@click.option(
+    "--seconds", default=60.0, show_default=True, type=click.FloatRange(1, 3600), help="Length of a calm run."
+)
 @click.option("--parts", default="calm,kill,cut", show_default=True)
-@click.option("--with-baseline", is_flag=True, help="Heartbeats beside it, up to 200 members.")
-@click.option("--health", "only_health", is_flag=True, help="Local health on and off instead.")
+@click.option("--with-baseline", is_flag=True, help="Also run the heartbeat baseline, up to 200 members.")
+@click.option(
+    "--health", "only_health", is_flag=True, help="Instead measure false failures with local health on and off."
+)
 @click.option("--plots", type=click.Path(path_type=Path), help="Write plots to this folder.")
 @click.option("--jobs", default=8, show_default=True, type=click.IntRange(1, 256))
 def main(
@@ -210,10 +231,12 @@
     plots: Path | None,
     jobs: int,
 ) -> None:
-    """Print one JSON line per run."""
+    """Run the chosen parts for each size and seed; print one JSON line per run."""
     with ProcessPoolExecutor(jobs) as pool:
         if only_health:
-            for row in pool.map(health, [(on, seed, seconds) for seed in range(1, seeds + 1) for on in (True, False)]):
+            for row in pool.map(
+                measure_health, [(on, seed, seconds) for seed in range(1, seeds + 1) for on in (True, False)]
+            ):
                 print(json.dumps(row), flush=True)
             return
         work = [
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,4 +1,4 @@
-"""Checks that an earlier version of the program and this one work together, as they must during a rolling upgrade.
+"""Checks that an earlier version of the program works together with this one, as a rolling upgrade requires.
 
     python -m benchmarks.mixed_versions OLD_CHECKOUT           # about 15 s
 
@@ -9,7 +9,8 @@
   - a hand-over of idempotency keys from an old process to a new one, and from a new one to an old one;
   - a fleet of two new members and an old one: membership, a fleet-wide strict limit, and a graceful leave.
 
-Prints a line a check and one JSON line; the status is 0 only if every check passed. All sockets are on 127.0.0.0/8.
+Prints a line per check and one JSON line; the exit status is 0 only if every check passed. All sockets are on
+127.0.0.0/8.
 """
 
 from __future__ import annotations
@@ -32,25 +33,25 @@
 from myrtlespar.fakes import ROOT, ServerProcess, ThriftClient, server_process, until
 from myrtlespar.quota.settings import GrantSettings, Limit
 
-TIME_LIMIT_S = 180  # for all checks; each single wait is bounded by `until` besides
+TIME_LIMIT_S = 180  # for all checks together; `until` bounds each single wait as well
 STOP_TIMEOUT_S = 20.0
 IDEMPOTENCY = '[idempotency]\nthrift_field = "key"\n'
 MEMBERS = ("a1", "a2", "a3")
 OLD_MEMBER = "a3"
 STARTS_PER_S = 20
-PRESENT = ("alive", "suspect")
-QUORUM_COMPLETE = 'fleet_standing{scope="fleet"} 3'  # as the management address shows it
+PRESENT_STATES = ("alive", "suspect")
+QUORUM_COMPLETE = 'fleet_standing{scope="fleet"} 3'  # a line of METRICS; 3 is the value of a complete quorum
 LOAD_S = 8.0  # the first leases are granted about three seconds after the start of a fleet
 LOAD_PAUSE_S = 0.03  # of each client between two requests: three members are offered about 100 requests a second
-WINDOW_PART = 0.7  # of a limit's window that is judged; the rest is the way from the decision to the engine
+CHECKED_WINDOW_SHARE = 0.7  # of a limit's window; the rest allows for the time from admission to engine
 
 
 class CheckFailedError(Exception):
-    """A check that ran to its end and found something else than it expected."""
+    """Raised when a check finds something else than it expects."""
 
 
 def expect(holds: bool, what: str) -> None:
-    """Raise CheckFailedError unless this holds."""
+    """Raise CheckFailedError with the text `what` unless the condition holds."""
     if not holds:
         raise CheckFailedError(what)
 
@@ -59,7 +60,7 @@
 
 
 def check_handover(first_root: Path, second_root: Path, folder: Path) -> str:
-    """An order answered by the first process and repeated at its successor gets the same outcome and runs once."""
+    """Check that an order repeated at the successor of the process that ran it gets the same outcome and runs once."""
     shared = folder / "shared"
     first_folder = folder / "first"
     second_folder = folder / "second"
@@ -91,11 +92,11 @@
     return "known outcome returned, one run in all"
 
 
-# A fleet with one old member.
+# A fleet with one member of the old version.
 
 
 def free_port() -> int:
-    """A port that no member's address uses now, over TCP and UDP."""
+    """Return a port that is free over UDP at every member's address, and over TCP at the first one."""
     with contextlib.ExitStack() as stack:
         probe = stack.enter_context(socket.create_server(("127.0.1.1", 0)))
         port: int = probe.getsockname()[1]
@@ -124,7 +125,7 @@
 
 @contextlib.contextmanager
 def mixed_fleet(old_root: Path, folder: Path) -> Iterator[dict[str, ServerProcess]]:
-    """Three running members by name; the last is of the old version."""
+    """Run three members, the last of the old version; yields them by name."""
     port = free_port()
     with contextlib.ExitStack() as stack:
         members: dict[str, ServerProcess] = {}
@@ -144,25 +145,25 @@
 
 
 def member_view(member: ServerProcess) -> dict[str, Any]:
-    """What the member's management address tells of the fleet."""
+    """Return the fleet view that the member's management address reports."""
     lines = member.ask(b"MEMBERS\n").split("\n")
-    expect(lines[0] == "done", f"MEMBERS was answered with {lines[0]!r}")
+    expect(lines[0] == "done", f"MEMBERS: expected 'done', got {lines[0]!r}")
     view: dict[str, Any] = json.loads(lines[1])
     return view
 
 
 def peer_states(member: ServerProcess) -> dict[str, str]:
-    """The other members' states, as this member believes them."""
+    """Return the states of the other members in this member's view."""
     return {row["name"]: row["state"] for row in member_view(member)["members"]}
 
 
 def has_complete_quorum(member: ServerProcess) -> bool:
-    """Whether the member's figures show that it counts every member of the electorate."""
+    """Return whether the member's metrics show that its quorum counts every voter."""
     return QUORUM_COMPLETE in member.ask(b"METRICS\n").split("\n")
 
 
 def check_convergence(members: dict[str, ServerProcess]) -> str:
-    """Every member believes all others alive and the quorum complete."""
+    """Check that every member believes all others alive and the quorum complete."""
     for name, member in members.items():
         expected = {peer: "alive" for peer in MEMBERS if peer != name}
         until(lambda: peer_states(member) == expected, f"{name} sees {expected}")  # noqa: B023
@@ -171,16 +172,16 @@
 
 
 def offer_load(member: ServerProcess, end: float) -> None:
-    """Send short requests to one member until `end` (monotonic seconds), whatever becomes of them."""
+    """Send short requests to one member until `end` (monotonic seconds); their answers are ignored."""
     client = ThriftClient(member.ports[0])
     while time.monotonic() < end:
         client.send("render", b"ms=1")
-        time.sleep(LOAD_PAUSE_S)  # the rate of the load
+        time.sleep(LOAD_PAUSE_S)  # sets the rate of the load
     client.sock.close()
 
 
 def most_starts(begins: list[float], window_ms: float) -> int:
-    """The largest number of starts within any window. Times are Unix milliseconds in ascending order."""
+    """Return the largest number of starts within any window. Times are Unix milliseconds in ascending order."""
     most = 0
     first = 0
     for position, begin in enumerate(begins):
@@ -191,7 +192,7 @@
 
 
 def check_limit(members: dict[str, ServerProcess]) -> str:
-    """The engines of all members together start no more than the fleet-wide limit allows, and each starts some."""
+    """Check that all engines together start no more than the fleet-wide limit allows, and that each starts some."""
     end = time.monotonic() + LOAD_S
     loaders = [threading.Thread(target=offer_load, args=(member, end)) for member in members.values()]
     for loader in loaders:
@@ -199,18 +200,18 @@
     for loader in loaders:
         loader.join(LOAD_S + STOP_TIMEOUT_S)
     started = {name: len(member.engine.runs) for name, member in members.items()}
-    expect(all(started.values()), f"a member started nothing: {started}")
-    expect(sum(started.values()) >= 2 * STARTS_PER_S, f"leases were not renewed: {started}")
+    expect(all(started.values()), f"expected runs at every member, got {started}")
+    expect(sum(started.values()) >= 2 * STARTS_PER_S, f"too few runs in all, so leases were not renewed: {started}")
     limit = Limit(per_s=STARTS_PER_S)
     allowed = limit.amount + GrantSettings().max_excess(limit)
     begins = sorted(run[1] for member in members.values() for run in member.engine.runs)
-    most = most_starts(begins, limit.window_ms * WINDOW_PART)
+    most = most_starts(begins, limit.window_ms * CHECKED_WINDOW_SHARE)
     expect(most <= allowed, f"{most} starts within a window, {allowed} allowed")
     return f"at most {most} starts within a window, {allowed} allowed; started by member: {json.dumps(started)}"
 
 
 def check_leave(members: dict[str, ServerProcess]) -> str:
-    """The old member ends with status 0 on SIGTERM, and the others see that it left rather than failed."""
+    """Check that the old member ends with status 0 on SIGTERM, and that the others record it as left, not as failed."""
     old = members[OLD_MEMBER]
     old.process.send_signal(signal.SIGTERM)
     status = old.process.wait(STOP_TIMEOUT_S)
@@ -218,24 +219,24 @@
     for name, member in members.items():
         if name == OLD_MEMBER:
             continue
-        until(lambda: peer_states(member).get(OLD_MEMBER) not in PRESENT, f"{name} sees {OLD_MEMBER} leave")  # noqa: B023
+        until(lambda: peer_states(member).get(OLD_MEMBER) not in PRESENT_STATES, f"{name} sees {OLD_MEMBER} leave")  # noqa: B023
         seen = peer_states(member).get(OLD_MEMBER)
-        expect(seen == "left", f"{name} holds {OLD_MEMBER} for {seen}")
-    return f"{OLD_MEMBER} left, nobody holds it for failed"
+        expect(seen == "left", f"{name}: expected {OLD_MEMBER} to be 'left', got {seen!r}")
+    return f"{OLD_MEMBER} left, no member believes it failed"
 
 
-# The command.
+# The command line.
 
 
 class CheckRunner:
-    """Runs checks one by one and keeps what became of each."""
+    """Runs checks one by one and keeps their results."""
 
     def __init__(self) -> None:
         self.failures: dict[str, str] = {}
         self.passed: list[str] = []
 
     def run(self, name: str, check: Callable[[], str]) -> bool:
-        """Run one check, print its line, and tell whether it passed."""
+        """Run one check, print its line, and return whether it passed."""
         try:
             result = check()
         except (CheckFailedError, AssertionError, OSError) as error:
@@ -248,7 +249,7 @@
 
 
 def run_fleet_checks(runner: CheckRunner, old_root: Path, folder: Path) -> None:
-    """Start a mixed fleet and run the checks that build upon each other, up to the first that fails."""
+    """Start a mixed fleet and run its checks in order, up to the first that fails: each relies on the one before."""
     with mixed_fleet(old_root, folder) as members:
         for name, check in (
             ("fleet: membership converges", check_convergence),
@@ -260,8 +261,8 @@
 
 
 def stop_overdue(number: int, frame: object) -> None:
-    """End the command when all checks together take too long."""
-    raise CheckFailedError(f"not finished within {TIME_LIMIT_S} s")
+    """Signal handler for SIGALRM: ends the command when all checks together exceed the time limit."""
+    raise CheckFailedError(f"checks not finished within {TIME_LIMIT_S} s")
 
 
 @click.command()
@@ -270,7 +271,9 @@
     """Run all checks against the version in OLD_CHECKOUT."""
     old_root = old_checkout.resolve()
     if not (old_root / "myrtlespar" / "__main__.py").is_file():
-        raise click.BadParameter(f"{old_root} holds no myrtlespar/__main__.py", param_hint="OLD_CHECKOUT")
+        raise click.BadParameter(
+            f"{old_root}: not a checkout, myrtlespar/__main__.py is missing", param_hint="OLD_CHECKOUT"
+        )
     signal.signal(signal.SIGALRM, stop_overdue)
     signal.alarm(TIME_LIMIT_S)
     runner = CheckRunner()
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -1,13 +1,14 @@
-"""CPU per request of the server's process, of this tree and of an earlier checkout, round by round.
+"""CPU time per request of the server process, for this checkout and an earlier one.
 
     python -m benchmarks.served_path --against ../earlier --rounds 5 --requests 3000
-    python -m benchmarks.served_path --against ../earlier --figures    # also this tree with figures scraped
+    python -m benchmarks.served_path --against ../earlier --figures    # also with METRICS requested
 
-With --figures, each round also runs this tree with the management address on and METRICS asked for every
-0.5 s, as the operators' days do.
+Each round starts the two in turn on the same machine with the same fakes. It measures the CPU time that the operating
+system accounts to the server between the first and the last request. Prints both figures and their ratio for each
+round, and the medians.
 
-Both are started in turn on the same machine with the same fakes; measured is the processor time that the operating
-system accounted to the server between the first and the last request. Medians and the ratio round by round.
+With --figures, each round also runs this checkout with the management address on and METRICS requested every 0.5 s.
+The operators' day-long runs request it as often.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 from myrtlespar.fakes import ROOT, ServerProcess, ThriftClient, server_process
 
-MAX_OUTSTANDING = 24  # requests on the connection
+MAX_OUTSTANDING = 24  # unanswered requests on the connection
 WARM_UP_REQUESTS = 200
 TIMEOUT_S = 120.0
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far, in seconds."""
+    """Return the CPU time that a process has used so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -43,7 +44,7 @@
 
 
 def measure(root: Path, requests: int, figures: bool = False) -> float:
-    """Microseconds of CPU per request; one request in five makes a call."""
+    """Return the microseconds of CPU time per request; one request in five calls a dependency."""
     with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), root=root, mgmt=figures) as server:
         stop = threading.Event()
         if figures:
@@ -54,7 +55,7 @@
         began = 0.0
         while len(client.answers) < requests + WARM_UP_REQUESTS and time.monotonic() < end:
             if sent == WARM_UP_REQUESTS and not began and len(client.answers) >= WARM_UP_REQUESTS:
-                began = cpu_s(server.process.pid)  # the first are warming up
+                began = cpu_s(server.process.pid)  # the requests up to here warm the server up and are not measured
             limit = requests + WARM_UP_REQUESTS if began else WARM_UP_REQUESTS
             while sent < limit and sent - len(client.answers) < MAX_OUTSTANDING:
                 client.send(("render", "fetch", "order")[sent % 3], b"ms=1 calls=1" if sent % 5 == 0 else b"ms=1")
@@ -73,9 +74,9 @@
 )
 @click.option("--rounds", default=5, show_default=True, type=click.IntRange(1, 50))
 @click.option("--requests", default=3000, show_default=True, type=click.IntRange(100, 100_000))
-@click.option("--figures", is_flag=True, help="Also this tree with the management address on and scraped.")
+@click.option("--figures", is_flag=True, help="Also run this checkout with METRICS requested.")
 def main(against: Path, rounds: int, requests: int, figures: bool) -> None:
-    """Print the figures of both, and their ratio."""
+    """Print the CPU time per request of both checkouts, and the ratio."""
     ratios: list[float] = []
     ours: list[float] = []
     theirs: list[float] = []
