--- a/myrtlespar/coordinator/effect_executor.py
+++ b/myrtlespar/coordinator/effect_executor.py
@@ -105,4 +105,4 @@
             self.counters.add("store.call")
             self.dependency.call(exchange.id, limit_ms, exchange.call_body)
         else:
-            self.dependency.drop(exchange.id)
+            self.dependency.cancel_call(exchange.id)
--- a/myrtlespar/coordinator/ports.py
+++ b/myrtlespar/coordinator/ports.py
@@ -26,7 +26,7 @@
     def call(self, request_id: str, limit_ms: float, body: bytes) -> None:
         """Make a call for a request; its end is reported by `RequestCoordinator.call_ended`."""
 
-    def drop(self, request_id: str) -> None:
+    def cancel_call(self, request_id: str) -> None:
         """Cancel the call of a request."""
 
 
--- a/myrtlespar/model_checker/client_events.py
+++ b/myrtlespar/model_checker/client_events.py
@@ -27,7 +27,7 @@
         caller.stage = UNSENT
         return
     caller.stage = WAITING
-    caller.late = world.now > world.tracker.process.notice_at + world.tracker.process.grace_ms
+    caller.late = world.now > world.tracker.process.shutdown_signal_at + world.tracker.process.grace_ms
     exchange = world.exchanges[index] = Exchange(
         IDS[index], attempt.front, int(attempt.effectful), b"", world.now, discard_answer
     )
--- a/myrtlespar/model_checker/enabled_events.py
+++ b/myrtlespar/model_checker/enabled_events.py
@@ -176,5 +176,5 @@
     """Whether polling the process could change its state."""
     process = world.tracker.process
     return process.state == ProcessState.CROSSING or (
-        process.state == ProcessState.DRAINING and world.now > process.notice_at + GRACE_MS
+        process.state == ProcessState.DRAINING and world.now > process.shutdown_signal_at + GRACE_MS
     )
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -43,7 +43,7 @@
     "wire reply": dependency_events.connection_reply,
     "wire doubled": dependency_events.connection_reply_twice,
     "wire copy": dependency_events.connection_duplicate,
-    "notice": process_events.drain_notice,
+    "notice": process_events.begin_graceful_shutdown,
     "hand over": process_events.hand_over,
     "move": process_events.reload,
     "bad reload": process_events.bad_reload,
--- a/myrtlespar/model_checker/mutants/connection_mutations.py
+++ b/myrtlespar/model_checker/mutants/connection_mutations.py
@@ -70,8 +70,8 @@
     mutation(
         "call twice on one connection",
         "dependency_calls",
-        "if request_id not in connection.recent_requests and self.is_quiet(connection):",
-        "if self.is_quiet(connection):",
+        "if request_id not in connection.recent_requests and self.has_no_unread_input(connection):",
+        "if self.has_no_unread_input(connection):",
         "store",
     ),
     mutation(
--- a/myrtlespar/model_checker/mutants/process_mutations.py
+++ b/myrtlespar/model_checker/mutants/process_mutations.py
@@ -11,8 +11,8 @@
     mutation(
         "grace one step too long",
         "process",
-        "return arrived_at <= self.notice_at + self.grace_ms",
-        "return arrived_at <= self.notice_at + 2 * self.grace_ms",
+        "return arrived_at <= self.shutdown_signal_at + self.grace_ms",
+        "return arrived_at <= self.shutdown_signal_at + 2 * self.grace_ms",
         "quick",
     ),
     mutation(
--- a/myrtlespar/model_checker/process_events.py
+++ b/myrtlespar/model_checker/process_events.py
@@ -11,10 +11,10 @@
 HANDOVER_MS = 2700.0  # SIGKILL after a hand-over: the deadline of two ticks, and 0.7 s
 
 
-def drain_notice(world: World) -> None:
+def begin_graceful_shutdown(world: World) -> None:
     """The server gets the notice to drain."""
     world.count_fault("notice")
-    _apply_actions(world, world.tracker.process.drain_notice(world.now))
+    _apply_actions(world, world.tracker.process.begin_graceful_shutdown(world.now))
 
 
 def hand_over(world: World) -> None:
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -18,7 +18,7 @@
 from myrtlespar.state_machines.attempts import STARTED, AttemptAction, AttemptState
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_effects import FAILED, RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_effects import FAILED, RequestEffect, RequestTrackerSettings
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[str, ...]
@@ -62,7 +62,9 @@
     process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
     return ProcessSide(
         name,
-        RequestTracker(RequestTerms([8000.0], [True], 100.0, 1000.0), IdempotencyKeyTable(8, KEY_MS, 4, 1000), process),
+        RequestTracker(
+            RequestTrackerSettings([8000.0], [True], 100.0, 1000.0), IdempotencyKeyTable(8, KEY_MS, 4, 1000), process
+        ),
     )
 
 
--- a/myrtlespar/model_checker/state_decoding.py
+++ b/myrtlespar/model_checker/state_decoding.py
@@ -19,7 +19,7 @@
     World,
     call_limits,
     discard_answer,
-    is_quiet,
+    has_no_unread_input,
 )
 from myrtlespar.state_machines.client_connection import ConnectionLifecycle
 from myrtlespar.state_machines.command_log import Command, CommandLog
@@ -122,7 +122,7 @@
 
 def _unpack_process(row: Plain) -> ProcessLifecycle:
     process = ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0)
-    process.state, process.notice_at, process.kill_at, process.closed_at = row
+    process.state, process.shutdown_signal_at, process.kill_at, process.closed_at = row
     return process
 
 
@@ -154,7 +154,7 @@
 def _unpack_calls(scenario: Scenario, plain: Plain) -> tuple[DependencyCalls, list[DependencyConnection]]:
     out = DependencyCalls(
         call_limits(scenario),
-        is_quiet,
+        has_no_unread_input,
         connection_count=plain[0],
         last_connection_number=plain[1],
         address_epoch=plain[2],
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -67,7 +67,7 @@
         tuple([None if exchange is None else _pack_exchange(exchange) for exchange in world.exchanges]),
         tuple(tracker.requests),
         tracker.unanswered,
-        (int(process.state), process.notice_at, process.kill_at, process.closed_at),
+        (int(process.state), process.shutdown_signal_at, process.kill_at, process.closed_at),
         tuple([_pack_key(slot, entry) for slot, entry in tracker.keys.entries.items()]),
         tuple(tracker.keys.expiry),
         _pack_commands(world.commands, names),
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -14,7 +14,7 @@
 from myrtlespar.state_machines.client_connection import ConnectionAction, ConnectionEvent, ConnectionLifecycle
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessLifecycle, ProcessState
-from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
+from myrtlespar.state_machines.request_effects import RequestEffect, RequestTrackerSettings
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[Any, ...]  # a name and its arguments, as replays store it
@@ -39,12 +39,12 @@
     """The `deliver` of an exchange; the world delivers answers itself."""
 
 
-def is_quiet(connection: dependency_calls.DependencyConnection) -> bool:
+def has_no_unread_input(connection: dependency_calls.DependencyConnection) -> bool:
     """Whether nothing unexpected arrived: here only the world delivers something on a connection."""
     return True
 
 
-TERMS = RequestTerms((DUE_MS, DUE_MS), (False, True), OVERDUE_MS, 500.0)
+TERMS = RequestTrackerSettings((DUE_MS, DUE_MS), (False, True), OVERDUE_MS, 500.0)
 
 
 def call_limits(scenario: Scenario) -> dependency_calls.CallLimits:
@@ -128,7 +128,7 @@
             ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0),
         )
         self.commands = command_log.CommandLog(self.tracker.is_wanted, 8)
-        self.calls = dependency_calls.DependencyCalls(call_limits(scenario), is_quiet)
+        self.calls = dependency_calls.DependencyCalls(call_limits(scenario), has_no_unread_input)
         self.connections = [ConnectionLifecycle(IDS[n]) for n in range(len(scenario.attempts))]
         self.exchanges: list[Exchange | None] = [None for _ in scenario.attempts]
         self.pending: dict[str, int] = {}
--- a/myrtlespar/net/dependency_client.py
+++ b/myrtlespar/net/dependency_client.py
@@ -65,7 +65,7 @@
         """Make a call for a request; it replaces an earlier call for the same request."""
         self._carry_out(self._calls.start_call(id, limit_ms, body, unix_ms()))
 
-    def drop(self, id: str) -> None:
+    def cancel_call(self, id: str) -> None:
         """Cancel a request's call."""
         if id in self._calls.calls:
             self._coordinator.counters.add("store.drop")
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -30,7 +30,7 @@
 from myrtlespar.state_machines.command_log import confirm_every_start
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle
-from myrtlespar.state_machines.request_effects import RequestTerms
+from myrtlespar.state_machines.request_effects import RequestTrackerSettings
 from myrtlespar.state_machines.request_tracker import RequestTracker
 from myrtlespar.state_machines.transition_table import report_invalid_transitions
 
@@ -153,7 +153,7 @@
 
     def drain(self) -> bool:
         """Begin a graceful shutdown. Returns whether clients have to be notified."""
-        actions = self.process.drain_notice(unix_ms())
+        actions = self.process.begin_graceful_shutdown(unix_ms())
         if ProcessAction.TELL_POLICY in actions:
             self._post(api.Drain(self.process.answer_deadline(self.tracker.unanswered)))
         return ProcessAction.ASK_CLIENTS in actions
@@ -291,7 +291,7 @@
 
 def _create_tracker(settings: api.Settings, limits: ResourceLimits, process: ProcessLifecycle) -> RequestTracker:
     """Return a tracker without requests, with the settings of the policy and the limits of this process."""
-    terms = RequestTerms(
+    terms = RequestTrackerSettings(
         [request_class.client_timeout_ms for request_class in settings.classes],
         [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
         limits.overdue_grace_ms,
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -103,12 +103,12 @@
 class DependencyCalls:
     """All dependency calls of one server process, and the pool of connections that carries them.
 
-    Every public method takes one event and returns its effects in order. `is_quiet` returns whether a connection has
-    no unread input. Times are Unix milliseconds.
+    Every public method takes one event and returns its effects in order. `has_no_unread_input` returns
+    whether all bytes that arrived on a connection have been read. Times are Unix milliseconds.
     """
 
     limits: CallLimits
-    is_quiet: Callable[[DependencyConnection], bool]
+    has_no_unread_input: Callable[[DependencyConnection], bool]
     calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request
     idle: deque[DependencyConnection] = field(default_factory=deque)  # the one that became idle last is used first
     waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
@@ -253,7 +253,7 @@
         for connection in reversed(self.idle):
             if connection.idle_since < idle_since_min:
                 break
-            if request_id not in connection.recent_requests and self.is_quiet(connection):
+            if request_id not in connection.recent_requests and self.has_no_unread_input(connection):
                 self.idle.remove(connection)
                 return connection
         return None
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -112,7 +112,7 @@
         self.crossing_ms = crossing_ms
         self.state: int = ProcessState.SERVING
         self.average_answer_ms = 0.0  # moving average of the time to deliver one answer
-        self.notice_at = float("inf")  # the shutdown signal
+        self.shutdown_signal_at = float("inf")  # the shutdown signal
         self.kill_at = float("inf")
         self.closed_at = float("inf")  # the close of the listeners
 
@@ -127,10 +127,10 @@
         self.state = transition.next_state
         return transition.effects
 
-    def drain_notice(self, now: float) -> tuple[ProcessAction, ...]:
+    def begin_graceful_shutdown(self, now: float) -> tuple[ProcessAction, ...]:
         """Begin the graceful shutdown. Only the first signal sets the deadlines."""
         if self.state == ProcessState.SERVING:
-            self.notice_at = now
+            self.shutdown_signal_at = now
             self.kill_at = now + self.stop_ms
         return self.handle(ProcessEvent.NOTICE)
 
@@ -153,7 +153,7 @@
         answer is outstanding, at the latest at the kill. FLUSHING ends with the event FLUSHED.
         """
         if self.state == ProcessState.DRAINING:
-            if now > self.notice_at + self.grace_ms and not unanswered:
+            if now > self.shutdown_signal_at + self.grace_ms and not unanswered:
                 self.closed_at = now
                 return self.handle(ProcessEvent.EMPTY)
             if now > self.kill_at - 2 * self.flush_ms:
@@ -171,7 +171,7 @@
         It may not if it arrived after the grace period, nor once the process is in FLUSHING: the replacement then has
         the idempotency keys and would not know this run.
         """
-        return arrived_at <= self.notice_at + self.grace_ms and self.state < FLUSHING
+        return arrived_at <= self.shutdown_signal_at + self.grace_ms and self.state < FLUSHING
 
     def answer_reserve_ms(self, unanswered: int) -> float:
         """Return how long before the kill this many outstanding answers must be begun.
--- a/myrtlespar/state_machines/request_effects.py
+++ b/myrtlespar/state_machines/request_effects.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTerms:
+class RequestTrackerSettings:
     """The settings of the request tracker. Times in milliseconds."""
 
     client_timeout_ms: Sequence[float]  # by request class: from the arrival to the due time
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -25,7 +25,7 @@
     NO_DETAILS,
     EventDetails,
     RequestEffect,
-    RequestTerms,
+    RequestTrackerSettings,
 )
 
 # Bound once: looking a member up in its class costs as much as a step of a table.
@@ -72,7 +72,7 @@
     attempts that are over, or to an earlier process of this server. Times are Unix milliseconds.
     """
 
-    def __init__(self, settings: RequestTerms, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
+    def __init__(self, settings: RequestTrackerSettings, keys: IdempotencyKeyTable, process: ProcessLifecycle) -> None:
         self.settings = settings
         self.keys = keys
         self.process = process
--- a/tests/test_request_tracker.py
+++ b/tests/test_request_tracker.py
@@ -7,7 +7,7 @@
 from myrtlespar.state_machines.attempts import AttemptAction
 from myrtlespar.state_machines.idempotency_keys import IdempotencyKeyTable
 from myrtlespar.state_machines.process import ProcessLifecycle
-from myrtlespar.state_machines.request_effects import RequestTerms
+from myrtlespar.state_machines.request_effects import RequestTrackerSettings
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
 REFUSED = Answer(AnswerKind.REFUSED)
@@ -16,7 +16,7 @@
 def new_tracker() -> RequestTracker:
     """Return a tracker of two request classes, of which the second is effectful."""
     return RequestTracker(
-        RequestTerms((6000.0, 4000.0), (False, True), 60.0, 500.0),
+        RequestTrackerSettings((6000.0, 4000.0), (False, True), 60.0, 500.0),
         IdempotencyKeyTable(4, 60000.0, 8, 4096),
         ProcessLifecycle(3000.0, 1000.0, 50.0, 300.0, 50.0),
     )
@@ -53,7 +53,7 @@
 
 def test_a_start_after_the_grace_period_is_rejected() -> None:
     tracker = new_tracker()
-    tracker.process.drain_notice(0.0)
+    tracker.process.begin_graceful_shutdown(0.0)
     for id, arrived_at, action in (("a", 1000.0, AttemptAction.START_RUN), ("b", 1001.0, AttemptAction.DELIVER)):
         tracker.submit(effectful_attempt(id, arrived_at=arrived_at))
         assert tracker.start(id, arrived_at)[0].action is action
