--- a/myrtlespar/state_machines/__init__.py
+++ b/myrtlespar/state_machines/__init__.py
@@ -1,14 +1,17 @@
-"""The state machines of the served path.
+"""The state machines that track requests, connections and the server process.
 
-`request_tracker` steps the attempts of requests (`attempts`) and their `idempotency_keys`, `process` is the lifecycle
-of the server process, `command_log` the link to the execution engine and its commands (`engine_link`),
-`dependency_calls` the calls to the dependency, `client_connection` the connections of clients, and `lost_runs` detects
-runs that the execution engine lost.
+- `request_tracker`: the attempts of requests (`attempts`) and their `idempotency_keys`
+- `process`: the lifecycle of the server process
+- `command_log`: the commands to the execution engine and the link that carries them (`engine_link`)
+- `dependency_calls`: the calls to the dependency and its connections (`dependency_tables`)
+- `client_connection`: the connections of clients
+- `lost_runs`: detection of runs that the execution engine lost
+- `silence_watch`: detection of peers that no longer answer
 
 The package is pure: it uses no socket, file, greenlet, clock or random source. Times and observations are arguments,
-effects are return values. Each machine is a `TransitionTable`; an event that has no transition in the current state
-changes nothing and is counted as `impossible.MACHINE.STATE.EVENT`. `myrtlespar.model_checker` explores these very
-classes. Admission, scheduling and load shedding are decided in `myrtlespar.policy`, not here.
+effects are return values. Each machine has a `TransitionTable`; an event that has no transition in the current state
+changes nothing and is counted as `impossible.MACHINE.STATE.EVENT`. `myrtlespar.model_checker` explores these classes
+themselves, not a separate model. Admission, scheduling and load shedding are decided in `myrtlespar.policy`, not here.
 """
 
 from myrtlespar.state_machines.attempts import ATTEMPT_TABLE
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: from the complete request to its single final answer and the end of its run.
+"""The lifecycle of one attempt of a request, from the complete request to its final answer and the end of its run.
 
 `AttemptState`, `AttemptEvent` and `AttemptAction` members appear by name in recorded traces, so their names are fixed.
 """
@@ -11,17 +11,17 @@
 
 
 class AttemptState(IntEnum):
-    """The state of an attempt. From READ to CALLING, its client still waits for the final answer."""
+    """The state of an attempt. In the states from READ to CALLING, a client waits for the final answer."""
 
-    READ = 0  # the request is complete, nothing has been decided yet
+    READ = 0  # the request has been read completely; nothing has been decided yet
     HELD = auto()  # queued by the policy
     FOLLOWING = auto()  # waits for the outcome of another attempt with the same idempotency key
-    RUNNING = auto()  # the execution engine works on it
+    RUNNING = auto()  # its run is in progress
     AT_CALL = auto()  # the run waits until its dependency call is made
     CALLING = auto()  # the dependency call is in flight
-    RUNNING_UNWANTED = auto()  # answered, or its caller is gone; the run can't be cancelled
-    AT_CALL_UNWANTED = auto()  # the same, and the run waits at a dependency call
-    OVER = auto()  # answered, and no run of it goes on
+    RUNNING_UNWANTED = auto()  # like RUNNING, but no client waits any longer; a run can't be cancelled
+    AT_CALL_UNWANTED = auto()  # like AT_CALL, but no client waits any longer
+    OVER = auto()  # no client waits, and no run is in progress
 
 
 class AttemptEvent(IntEnum):
@@ -31,19 +31,19 @@
     FOLLOW = auto()  # another attempt owns its key
     KNOWN = auto()  # the outcome of its key is known, or the key table has no capacity for it
     START = auto()  # the policy starts it
-    BAR = auto()  # the policy starts it, and the graceful shutdown forbids that
+    BAR = auto()  # the policy starts it, but it arrived too late in a graceful shutdown
     REFUSE = auto()  # the policy rejects it
     FAIL = auto()  # the policy fails it
     GONE = auto()  # the caller disconnected or cancelled
     CALL_NEEDED = auto()  # the run waits for a dependency call
-    CALL = auto()  # the policy lets the call be made
-    CALL_OK = auto()
-    CALL_BAD = auto()  # the call failed; the policy may make another one
+    CALL = auto()  # the policy allows the dependency call
+    CALL_OK = auto()  # the dependency call succeeded
+    CALL_BAD = auto()  # the dependency call failed; the policy may make another one
     ENDED = auto()  # the run ended
     NEVER_RAN = auto()  # the run ended, and it is certain that it never began
-    OVERDUE = auto()  # its due time passed
-    SHARE = auto()  # the attempt that it follows has an outcome
-    PROMOTE = auto()  # it replaces the attempt that it followed
+    OVERDUE = auto()  # its due time passed, or the process is about to end
+    SHARE = auto()  # the attempt that it follows was answered, and the answer is shared
+    PROMOTE = auto()  # it becomes the owner of its key, as the attempt that it followed ended before it ran
 
 
 class AttemptAction(IntEnum):
@@ -57,21 +57,21 @@
     MAKE_CALL = auto()
     DROP_CALL = auto()
     RESUME = auto()  # send the run the reply to its dependency call
-    TELL_ARRIVAL = auto()  # the TELL_ members notify the policy
+    TELL_ARRIVAL = auto()  # the TELL_ members report an event to the policy
     TELL_GONE = auto()
     TELL_ENDED = auto()
     TELL_CALL_NEEDED = auto()
     TELL_CALL_ENDED = auto()
-    DELIVER_FAILED = auto()  # a rejection after the start: the answer is a failure, as the run may have had its effect
+    DELIVER_FAILED = auto()  # fail an attempt that was rejected after its start, as the run may have had its effect
     WITHDRAW = auto()  # no client waits for the answer any longer
     LEAVE = auto()  # remove the attempt from the tracker
     REMEMBER = auto()  # record the outcome of its key and share it with the followers
-    FREE_KEY = auto()  # it never ran: share the answer with the followers and free the key
-    PASS_ON = auto()  # it ends before it ran: its first follower replaces it
+    FREE_KEY = auto()  # free the key, as the attempt never ran, and share the answer with the followers
+    PASS_ON = auto()  # make the first follower the owner of the key, as the attempt ended before it ran
     UNFOLLOW = auto()  # remove it from the followers of its key
 
 
-LAST_COORDINATOR_ACTION = AttemptAction.TELL_CALL_ENDED  # see AttemptAction
+LAST_COORDINATOR_ACTION = AttemptAction.TELL_CALL_ENDED  # the request tracker carries out the later members
 AWAITING_ANSWER = frozenset(
     {
         AttemptState.READ,
@@ -92,7 +92,7 @@
     }
 )
 
-# Effects of the end of a run; UNWANTED: no client waits any longer.
+# Effects of the end of a run. UNWANTED: no client waits for the answer any longer.
 _ENDED = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
 _NEVER_RAN = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_ENDED)
 _UNWANTED_ENDED = (AttemptAction.LEAVE, AttemptAction.REMEMBER, AttemptAction.TELL_ENDED)
@@ -123,7 +123,7 @@
             AttemptState.OVER,
             (AttemptAction.LEAVE, AttemptAction.WITHDRAW, AttemptAction.PASS_ON, AttemptAction.TELL_GONE),
         ),
-        # The policy is notified, so that it can't start the attempt later when nobody waits.
+        # TELL_GONE prevents the policy from starting the attempt after its answer.
         (AttemptState.HELD, AttemptEvent.OVERDUE): Transition(
             AttemptState.OVER,
             (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.FREE_KEY, AttemptAction.TELL_GONE),
@@ -189,11 +189,11 @@
         ),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _UNWANTED_NEVER_RAN),
-        # The policy decided this before it was notified that the caller is gone: the first end is final.
+        # The policy may decide these before it is notified that the caller is gone. The first end is final.
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
-        # The policy decided these before it was notified that the caller is gone.
+        # The policy may decide these before it is notified that the caller is gone. They have no effect.
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED),
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection on any front: which answers are outstanding, and how it closes without losing one."""
+"""The lifecycle of a client connection on any front: the server closes it only after its last answer is sent."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     """The state of a client connection."""
 
     IDLE = 0  # no answer is outstanding
-    READING = auto()  # part of a request has arrived (only on fronts that detect this)
+    READING = auto()  # part of a request has arrived (only on fronts that detect partial requests)
     OWING = auto()  # answers are outstanding
-    ENDING = auto()  # nothing more is read; outstanding answers are still sent
+    ENDING = auto()  # no more input is read; outstanding answers are still sent
     CLOSED = auto()
 
 
@@ -24,18 +24,18 @@
     REQUEST = auto()  # a complete request was read and accepted
     ANSWERED = auto()  # one of several outstanding answers was sent
     LAST_ANSWERED = auto()  # the last outstanding answer was sent
-    TURNED_AWAY = auto()  # the request being read is answered without the request coordinator
-    SPOILT = auto()  # malformed or truncated input, after which nothing more can be read
-    CLOSE = auto()  # the server wants it closed, for example in a graceful shutdown or as idle
-    END = auto()  # the process ends: nothing more is accepted, not even a request half read
-    RESET = auto()  # the client closed it
+    TURNED_AWAY = auto()  # the front itself answers the request being read, without the request coordinator
+    SPOILT = auto()  # malformed or truncated input, after which no further request can be read
+    CLOSE = auto()  # the server closes it when no answer is outstanding, in a graceful shutdown or because it is idle
+    END = auto()  # the process ends: no more input is accepted, not even the rest of a partly read request
+    RESET = auto()  # the client closed the connection
 
 
 class ConnectionAction(IntEnum):
     """The effects of a transition."""
 
     GONE = 0  # no client waits for the outstanding answers
-    FINISH = auto()  # close once everything is sent
+    FINISH = auto()  # close the connection once everything is sent
 
 
 CONNECTION_TABLE = TransitionTable(
@@ -54,11 +54,11 @@
         (ConnectionState.READING, ConnectionEvent.SPOILT): Transition(
             ConnectionState.CLOSED, (ConnectionAction.FINISH,)
         ),
-        # The request being read is answered first.
+        # The connection stays open until the request being read is answered.
         (ConnectionState.READING, ConnectionEvent.CLOSE): Transition(ConnectionState.READING),
         (ConnectionState.READING, ConnectionEvent.END): Transition(ConnectionState.CLOSED, (ConnectionAction.FINISH,)),
         (ConnectionState.READING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED),
-        # On fronts that multiplex several requests.
+        # Only on fronts that multiplex several requests over one connection.
         (ConnectionState.OWING, ConnectionEvent.REQUEST): Transition(ConnectionState.OWING),
         (ConnectionState.OWING, ConnectionEvent.ANSWERED): Transition(ConnectionState.OWING),
         (ConnectionState.OWING, ConnectionEvent.LAST_ANSWERED): Transition(ConnectionState.IDLE),
@@ -71,7 +71,7 @@
         ),
         (ConnectionState.ENDING, ConnectionEvent.CLOSE): Transition(ConnectionState.ENDING),
         (ConnectionState.ENDING, ConnectionEvent.RESET): Transition(ConnectionState.CLOSED, (ConnectionAction.GONE,)),
-        # The client's end of stream, or part of a request, after the server closed.
+        # Input, or the end of input, that arrives after the server closed the connection.
         (ConnectionState.CLOSED, ConnectionEvent.SPOILT): Transition(ConnectionState.CLOSED),
         (ConnectionState.CLOSED, ConnectionEvent.CLOSE): Transition(ConnectionState.CLOSED),
         (ConnectionState.CLOSED, ConnectionEvent.END): Transition(ConnectionState.CLOSED),
@@ -80,7 +80,7 @@
 )
 
 
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 ENDING = ConnectionState.ENDING
 
 
@@ -102,7 +102,7 @@
         return self.state < ENDING
 
     def handle(self, event: ConnectionEvent) -> tuple[ConnectionAction, ...]:
-        """Make one step and return its actions, in order."""
+        """Apply an event and return the resulting actions in order."""
         transition = CONNECTION_TABLE.step(self.state, event, self.name)
         self.state = transition.next_state
         return transition.effects
--- a/myrtlespar/state_machines/command_log.py
+++ b/myrtlespar/state_machines/command_log.py
@@ -1,8 +1,8 @@
-"""The log of commands to the execution engine: which it certainly read, which may be lost, what is sent again.
+"""The log of commands to the execution engine: which were read, which may be lost, and which are sent again.
 
 The engine acknowledges no command. Two things prove that it read one: a notice of the run that the command concerns,
-and a mark. A mark is a request for the gauges under a name of its own; as the engine reads in order, the answer to it
-confirms all commands sent before. Notices are numbered, so that missing ones can be replayed after a break of the link.
+or the answer to a mark. A mark is a request for the gauges with a unique name; as the engine reads in order, the answer
+confirms all commands sent before it. Notices are numbered, so that missing ones can be replayed after the link broke.
 `engine_link` explains which commands are sent again.
 """
 
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True)
 class Command:
-    """One command to the execution engine, kept until something confirms that it was read."""
+    """One command to the execution engine, kept until the engine is known to have read it."""
 
     request_id: str
     line: bytes
-    is_start: bool  # a start of a run (SCHED); otherwise a reply to a call (IODONE)
-    is_idempotent: bool = False  # a second run of it would do no harm
+    is_start: bool  # whether it starts a run (SCHED); otherwise it is a reply to a dependency call (IODONE)
+    is_idempotent: bool = False  # whether a second run does no harm
     sequence_number: int = 0  # its position among all commands sent
     state: int = CommandState.KEPT
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMark:
-    """Effect: request the gauges under this name; their arrival confirms all commands sent before."""
+    """Effect: request the gauges under this name; the answer confirms all commands sent before."""
 
     name: str
 
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRun:
-    """Effect: report this run as ended. It was not started, or nothing shows what became of it."""
+    """Effect: report this run as ended. It was not started, or its outcome can't be known."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseStart:
-    """Effect: report this start as rejected. It was not sent."""
+    """Effect: report that this start was rejected and not sent."""
 
     request_id: str
 
@@ -82,20 +82,20 @@
 
 
 def confirm_every_start(_: str) -> bool:
-    """Confirm a start without a condition."""
+    """Allow every start."""
     return True
 
 
 class NoticeKind(IntEnum):
-    """What the number of a notice says about it."""
+    """The classification of a notice by its number."""
 
-    OLD = 0  # it was read before
-    NEXT = auto()  # it follows the last one, or a replay did not fill the gap before it
+    OLD = 0  # a duplicate: it was read before
+    NEXT = auto()  # it follows the last one, or a replay did not supply the missing ones before it
     GAP = auto()  # notices before it are missing
     RENUMBERED = auto()  # it comes from another engine process
 
 
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 OLD = NoticeKind.OLD
 NEXT = NoticeKind.NEXT
 GAP = NoticeKind.GAP
@@ -114,8 +114,8 @@
     """All unconfirmed commands of one server process, and the state of the link that carries them.
 
     Every public method takes one event and returns its effects in order. `is_wanted` returns whether a client waits
-    for a request; `max_marks` bounds the marks that are requested and not yet received (see the module's docstring).
-    `confirm_start` is called right before a start is sent, and returns whether it still may be.
+    for a request; `max_marks` bounds the marks that are requested and not yet answered. `confirm_start` is called right
+    before a start is sent, and returns whether it may be sent.
     """
 
     def __init__(self, is_wanted: IsWanted, max_marks: int, confirm_start: ConfirmStart = confirm_every_start) -> None:
@@ -124,9 +124,9 @@
         self.max_marks = max_marks
         self.state: int = LinkState.DOWN
         self.last_notice = 0  # number of the last notice read
-        self.gap_after = -1  # the last notice before a gap for which a replay was requested
-        self.awaits_first_notice = False  # whether no numbered notice has come on this link yet
-        self.unconfirmed: dict[str, Command] = {}  # by request, which has one at a time; in the order of sending
+        self.gap_after = -1  # number of the last notice before the gap for which a replay was requested
+        self.awaits_first_notice = False  # whether no numbered notice has arrived on this link yet
+        self.unconfirmed: dict[str, Command] = {}  # by request id, one for each, in the order of sending
         self.pending_marks: dict[str, int] = {}  # by name: how many commands were sent when the mark was requested
         self.last_mark_number = 0
         self.sent_count = 0  # commands sent, on all links
@@ -139,32 +139,35 @@
 
     @property
     def oldest_mark(self) -> str | None:
-        """The name of the oldest mark that was requested on this link and not received; None if there is none."""
+        """The name of the oldest mark that was requested on this link and not answered; None if there is none."""
         return next(iter(self.pending_marks), None)
 
-    # Requests of the server.
+    # Requests from the server.
 
     def send(self, command: Command) -> list[LinkEffect]:
-        """Send a command, or queue it until the link is READY. It replaces an earlier one of the same request."""
+        """Send a command, or queue it until the link is READY. It replaces an earlier command of the same request."""
         self.unconfirmed.pop(command.request_id, None)
         self.unconfirmed[command.request_id] = command
         return self._send_or_refuse(command) if self.state == LINK_READY else []
 
     def send_failed(self, command: Command) -> None:
-        """Queue a command again because the link accepted no byte of it."""
+        """Queue a command again after the link accepted no byte of it."""
         self._step_command(command, CommandEvent.UNSENT)
 
     def request_gauges(self) -> list[LinkEffect]:
-        """Request the gauges; their arrival also confirms all commands sent before."""
+        """Request the gauges; the answer also confirms all commands sent before."""
         return [self._request_mark("gauges")] if self._may_request_mark() else []
 
     def request_doubt_mark(self) -> list[LinkEffect]:
-        """Request a mark if a command is in doubt. When it arrives, the unwanted ones are abandoned."""
+        """Request a mark if a command is in doubt.
+
+        Once it is answered, the commands in doubt that no client waits for are abandoned.
+        """
         doubtful = any(command.state == COMMAND_DOUBTFUL for command in self.unconfirmed.values())
         return [self._request_mark("doubt")] if doubtful and self._may_request_mark() else []
 
     def move(self) -> list[LinkEffect]:
-        """Move the link to another address."""
+        """Begin to move the link to another address."""
         return self._step_link(LinkEvent.MOVE)
 
     # Events from the link.
@@ -186,7 +189,8 @@
     def restarted(self) -> list[str]:
         """Handle the start of a new engine process; returns the requests whose commands were lost with the old one.
 
-        Starts that are queued or were sent on this link reach the new process. Every reply is for a run that is lost.
+        Starts that are queued or were sent on this link reach the new process. Replies to dependency calls are always
+        lost, as their runs ended with the old process.
         """
         self.last_notice = 0
         lost = [
@@ -201,8 +205,8 @@
     def classify_notice(self, number: int) -> NoticeKind:
         """Classify a notice by its number, and record it as read if it is the next one.
 
-        A replay after a gap is requested only once, as the engine discards old notices. RENUMBERED
-        proves another engine process: the same one would continue after the last notice that OPEN named.
+        A replay of the same gap is requested only once, as the engine may have discarded the missing notices.
+        RENUMBERED proves that the engine restarted: the same process would continue after the number sent with OPEN.
         """
         is_first = self.awaits_first_notice
         self.awaits_first_notice = False
@@ -223,7 +227,7 @@
             self._step_command(command, EVENT_READ)
 
     def mark_received(self, mark: str) -> list[LinkEffect] | None:
-        """Handle the answer to a mark, which confirms all commands sent before its request.
+        """Handle the answer to a mark, which confirms all commands sent before the mark was requested.
 
         Returns None if this link did not request the mark.
         """
@@ -243,12 +247,12 @@
     def mark_rejected(self) -> list[LinkEffect]:
         """Handle the rejection of a mark by an engine that provides no gauges.
 
-        Commands are read in order, so this concerns the oldest mark, and the rejection confirms as much as an answer.
+        Commands are read in order, so this is the oldest mark, and its rejection confirms as much as an answer.
         """
         oldest = self.oldest_mark
         return [] if oldest is None else self.mark_received(oldest) or []
 
-    # Steps.
+    # Transitions of the link and of commands.
 
     def _belongs_to_this_link(self, command: Command) -> bool:
         return command.state == COMMAND_KEPT or command.sequence_number > self.sent_before_link
@@ -285,14 +289,14 @@
         return effects
 
     def _send_queued(self) -> list[LinkEffect]:
-        """Send queued commands, and idempotent ones in doubt again. All replayed notices were read before this."""
+        """Send the queued commands, and idempotent ones in doubt again, after all replayed notices were read."""
         effects: list[LinkEffect] = []
         for command in list(self.unconfirmed.values()):
             if command.state == COMMAND_DOUBTFUL and command.is_idempotent and self.is_wanted(command.request_id):
                 effects += self._repeat_if_confirmed(command)
             elif command.state == COMMAND_KEPT:
-                # A start that was never sent and that nobody waits for need not run. A reply is sent all the same, as
-                # its run waits for it.
+                # A start that was never sent and that no client waits for need not run. A reply is always sent, as its
+                # run waits for it.
                 if command.is_start and not self.is_wanted(command.request_id):
                     effects += self._step_command(command, CommandEvent.GIVE_UP)
                 else:
@@ -307,13 +311,13 @@
         return self._step_command(command, EVENT_SEND)
 
     def _repeat_if_confirmed(self, command: Command) -> list[LinkEffect]:
-        """Send a command in doubt again; one that may not be sent now stays in doubt."""
+        """Send a command in doubt again, unless its start is no longer allowed: then it stays in doubt."""
         if self.confirm_start(command.request_id):
             return self._step_command(command, CommandEvent.REPEAT)
         return []
 
     def _abandon_unwanted(self) -> list[LinkEffect]:
-        """Abandon the commands in doubt that no client waits for. The run of a wanted one may still be reported."""
+        """Abandon the commands in doubt that no client waits for. The other ones may still be confirmed by a notice."""
         effects: list[LinkEffect] = []
         for command in list(self.unconfirmed.values()):
             if command.state == COMMAND_DOUBTFUL and not self.is_wanted(command.request_id):
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency (the `store` of the settings): one at a time on each connection of a small pool."""
+"""Calls to the dependency (`store` in the settings), one at a time on each connection of a small pool."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True, eq=False)
 class DependencyCall:
-    """A call in flight, or waiting for a connection. Times in Unix milliseconds."""
+    """A call that is in flight or waits for a connection. Times in Unix milliseconds."""
 
-    id: str  # of the request
+    id: str  # the id of the request that it is made for
     body: bytes
     started_at: float
-    limit_ms: float
+    limit_ms: float  # time limit of the call, from `started_at`
     state: int = CallState.WAITING
     connection: DependencyConnection | None = None
 
@@ -35,8 +35,8 @@
     """One connection to the dependency. Times in Unix milliseconds."""
 
     number: int
-    address_epoch: int  # counts the changes of address; see DependencyCalls.address_epoch
-    recent_requests: deque[str]  # the latest requests whose calls it carried
+    address_epoch: int  # `DependencyCalls.address_epoch` when the connection was opened
+    recent_requests: deque[str]  # ids of the latest requests whose calls it carried
     state: int = DependencyConnectionState.OPENING
     call: DependencyCall | None = None
     idle_since: float = 0.0  # when it last became idle
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Effect: close this connection; `cancelled_request`, if set, names a call to cancel on it first."""
+    """Effect: close this connection; `cancelled_request`, if set, is the id of a request whose call to cancel first."""
 
     connection: DependencyConnection
     cancelled_request: str = ""
@@ -84,12 +84,12 @@
 
     max_connections: int  # connections open or being opened
     max_waiting: int  # calls that wait for a connection
-    max_idle_ms: float  # the dependency may have forgotten a connection that was idle for longer
-    max_recent_requests: int  # latest requests of a connection, to whose calls a duplicate reply may come
-    grace_ms: float  # from the time limit of a call until it is timed out here
+    max_idle_ms: float  # a connection that was idle for longer is not used, as the dependency may have dropped it
+    max_recent_requests: int  # how many requests a connection remembers, to whose calls a duplicate reply may arrive
+    grace_ms: float  # how long after its time limit a call ends as timed out
 
 
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 CONNECTION_BUSY = DependencyConnectionState.BUSY
 CONNECTION_REPLY = DependencyConnectionEvent.REPLY
 CONNECTION_TAKE = DependencyConnectionEvent.TAKE
@@ -109,14 +109,16 @@
 
     limits: CallLimits
     has_no_unread_input: Callable[[DependencyConnection], bool]
-    calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request
-    idle: deque[DependencyConnection] = field(default_factory=deque)  # the one that became idle last is used first
-    waiting: deque[DependencyCall] = field(default_factory=deque)  # may hold calls that are over
+    calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request id
+    idle: deque[DependencyConnection] = field(
+        default_factory=deque
+    )  # ordered by `idle_since`; the last one is used first
+    waiting: deque[DependencyCall] = field(default_factory=deque)  # may still contain calls that have ended
     connection_count: int = 0  # connections open or being opened
     last_connection_number: int = 0
-    address_epoch: int = 0  # counts the changes of address
+    address_epoch: int = 0  # incremented at each change of address
 
-    # Requests of the server.
+    # Requests from the server.
 
     def start_call(self, request_id: str, limit_ms: float, body: bytes, now: float) -> list[CallEffect]:
         """Make a call. A second call for one request replaces the first."""
@@ -136,7 +138,7 @@
         return effects + self._end(call, CallEvent.UNREACHED)
 
     def cancel(self, request_id: str) -> list[CallEffect]:
-        """Cancel a call that is no longer needed. Its connection closes, as the reply may come late or never."""
+        """Cancel a call that is no longer needed. Its connection closes, as the reply may arrive late or never."""
         call = self.calls.get(request_id)
         if call is None:
             return []
@@ -145,14 +147,14 @@
         return [] if connection is None else [self._close(connection, DependencyConnectionEvent.DROP, request_id)]
 
     def change_address(self) -> list[CallEffect]:
-        """Send new calls to another address. Calls in flight end at the old one."""
+        """Send new calls to another address. Calls in flight end at the old address."""
         self.address_epoch += 1
         return self._close_idle_since_before(float("inf"))
 
     # Events from the network.
 
     def opened(self, connection: DependencyConnection, now: float) -> list[CallEffect]:
-        """Handle an opened connection. It carries the next call that waits."""
+        """Handle an opened connection. It is used for the next call that waits."""
         self._step_connection(connection, DependencyConnectionEvent.OPENED)
         return self._release(connection, now)
 
@@ -193,17 +195,17 @@
         return effects
 
     def expire(self, now: float) -> list[CallEffect]:
-        """Time calls out, and close the connections that have been idle for too long."""
+        """End the calls that are out of time, and close the connections that have been idle for too long."""
         effects: list[CallEffect] = []
         for call in list(self.calls.values()):
             if now >= call.started_at + call.limit_ms + self.limits.grace_ms:
                 connection = call.connection
                 effects += self._end(call, CallEvent.OUT_OF_TIME)
-                if connection is not None:  # it no longer answers, so no later call may use it
+                if connection is not None:  # unresponsive, so no later call may use it
                     effects.append(self._close(connection, DependencyConnectionEvent.DROP))
         return effects + self._close_idle_since_before(now - self.limits.max_idle_ms)
 
-    # Steps.
+    # Transitions of calls and connections.
 
     def _step_connection(self, connection: DependencyConnection, event: DependencyConnectionEvent) -> None:
         machine_id = f"store-{connection.number}"
@@ -246,8 +248,9 @@
     def _take_idle_connection(self, request_id: str, now: float) -> DependencyConnection | None:
         """Remove an idle connection from the pool for a call of this request, or return None.
 
-        Connections that were idle for too long are not used, as the dependency may have forgotten them. Neither is one
-        that recently carried a call of the same request: a duplicate of that reply would be taken for this one.
+        Connections that were idle for too long are not used, as the dependency may have dropped them. Neither is one
+        that recently carried a call of the same request: a duplicate of the earlier reply would be mistaken for the
+        reply to this call.
         """
         idle_since_min = now - self.limits.max_idle_ms
         for connection in reversed(self.idle):
@@ -274,7 +277,7 @@
         if call is None:
             self.idle.append(connection)
             return []
-        if call.id in connection.recent_requests:  # the connection that replaces this one will carry the call
+        if call.id in connection.recent_requests:  # this connection closes, and another one takes the call
             self.waiting.appendleft(call)
             return [self._close(connection, DependencyConnectionEvent.RETIRE)]
         return [self._send(connection, call, now)]
--- a/myrtlespar/state_machines/dependency_tables.py
+++ b/myrtlespar/state_machines/dependency_tables.py
@@ -1,4 +1,4 @@
-"""The transition tables of a connection to the dependency and of a call, and the outcome of each kind of end."""
+"""The transition tables of dependency calls, with the outcome of each kind of end, and of their connections."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
     OPENING = 0
     IDLE = auto()
-    BUSY = auto()  # with one call
-    SPENT = auto()  # a stale reply may still arrive, so it is used for no further call
+    BUSY = auto()  # carries one call
+    SPENT = auto()  # being closed; a stale reply may still arrive, so it is used for no further call
     CLOSED = auto()
 
 
@@ -26,8 +26,8 @@
     TAKE = auto()  # a call is sent on it
     REPLY = auto()
     DROP = auto()  # its call is cancelled or timed out
-    BROKEN = auto()  # closed, by either side
-    RETIRE = auto()  # idle for too long, or at an old address
+    BROKEN = auto()  # the connection was closed, by either side
+    RETIRE = auto()  # not to be used again: idle for too long, at an old address, or unsuitable for the next call
 
 
 DEPENDENCY_CONNECTION_TABLE = TransitionTable(
@@ -61,8 +61,8 @@
 class CallState(IntEnum):
     """The state of a dependency call."""
 
-    WAITING = 0  # for a connection: it has not been sent
-    MADE = auto()  # sent
+    WAITING = 0  # not sent yet; waits for a connection
+    MADE = auto()  # sent, and not answered yet
     OVER = auto()
 
 
@@ -71,10 +71,10 @@
 
     PUT = 0  # sent on a connection
     ANSWERED = auto()
-    CUT = auto()  # its connection closed
+    CUT = auto()  # its connection closed before the reply
     UNREACHED = auto()  # no connection could be opened, or too many calls wait
-    OUT_OF_TIME = auto()
-    GIVEN_UP = auto()  # cancelled
+    OUT_OF_TIME = auto()  # its time limit passed
+    GIVEN_UP = auto()  # cancelled, as no longer needed
 
 
 CALL_TABLE = TransitionTable(
@@ -87,7 +87,7 @@
         (CallState.WAITING, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.UNREACHABLE,)),
         (CallState.WAITING, CallEvent.GIVEN_UP): Transition(CallState.OVER),
         (CallState.MADE, CallEvent.ANSWERED): Transition(CallState.OVER),
-        # Only a reply can prove that a call never ran.
+        # Once a call was sent, only a reply can prove that it never ran.
         (CallState.MADE, CallEvent.CUT): Transition(CallState.OVER, (RunOutcome.CUT_OFF,)),
         (CallState.MADE, CallEvent.OUT_OF_TIME): Transition(CallState.OVER, (RunOutcome.TIMED_OUT,)),
         (CallState.MADE, CallEvent.GIVEN_UP): Transition(CallState.OVER),
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -2,8 +2,9 @@
 
 When the link breaks, an unknown number of the last commands may be lost. A start may be sent again only if a
 second run does no harm. The start of an effectful request is never sent again: its run may end while the second start
-is on its way, and the engine would run it anew. Neither is a reply to a dependency call: the run may be at its next
-call when the second reply comes. Those commands are sent once, and a lost one is abandoned when nobody waits for it.
+is in transit, and the engine would run it again. Neither is a reply to a dependency call: the run may be at its next
+call when the second reply arrives. Such commands are sent once, and abandoned when they may be lost and no client
+waits for them.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
     DOWN = 0
     GREETING = auto()  # open; the engine has not yet reported that it is up
-    REPLAYING = auto()  # the engine sends the notices missed since the last link; a mark requested now shows their end
-    READY = auto()  # commands are sent
-    MOVING = auto()  # to another address, once a last mark shows that nothing more comes on this link
+    REPLAYING = auto()  # the engine sends the notices missed since the last link; the answer to a mark ends them
+    READY = auto()  # synchronized: commands can be sent
+    MOVING = auto()  # waits for the answer to a last mark, to move to another address
 
 
 class LinkEvent(IntEnum):
@@ -28,9 +29,9 @@
 
     CONNECTED = 0
     BOOTED = auto()  # the engine reports that it is up
-    SYNCED = auto()  # the mark after the replayed notices came
+    SYNCED = auto()  # the mark after the replayed notices was answered
     MOVE = auto()  # the configuration names another address
-    MOVED = auto()  # the mark before a move came
+    MOVED = auto()  # the mark before a move was answered
     BROKEN = auto()
 
 
@@ -38,7 +39,7 @@
     """The effects of a transition of the link."""
 
     GREET = 0  # send OPEN with the number of the last notice
-    DOUBT = auto()  # commands that were sent and not confirmed may be lost
+    DOUBT = auto()  # treat commands that were sent and not confirmed as possibly lost
     MARK_SYNC = auto()  # request the mark after the replayed notices
     MARK_MOVE = auto()  # request the mark before a move
     RELEASE = auto()  # send the queued commands, and the idempotent ones in doubt again
@@ -81,17 +82,17 @@
 
     SEND = 0
     UNSENT = auto()  # the link accepted no byte of it
-    READ = auto()  # confirmed: a notice of its run, or a mark requested after it, came
-    BREAK = auto()  # its link broke
+    READ = auto()  # confirmed by a notice of its run, or by the answer to a mark requested after it
+    BREAK = auto()  # the link that it was sent on broke
     REPEAT = auto()  # send it again, as a second run would do no harm
-    GIVE_UP = auto()  # nobody waits for it any longer
+    GIVE_UP = auto()  # abandoned, as no client waits for it, or a start that is not allowed
 
 
 class CommandAction(IntEnum):
     """The effects of a transition of a command."""
 
     WRITE = 0  # send it on the link
-    END = auto()  # report its run as ended: lost, or never begun
+    END = auto()  # report its run as ended, because it is lost or never began
 
 
 COMMAND_TABLE = TransitionTable(
@@ -101,7 +102,7 @@
     {
         (CommandState.KEPT, CommandEvent.SEND): Transition(CommandState.SENT, (CommandAction.WRITE,)),
         (CommandState.KEPT, CommandEvent.GIVE_UP): Transition(CommandState.DONE, (CommandAction.END,)),
-        # The run ended at its call before the reply could be sent.
+        # The run ended while it waited for a dependency call, before the reply could be sent.
         (CommandState.KEPT, CommandEvent.READ): Transition(CommandState.DONE),
         (CommandState.SENT, CommandEvent.UNSENT): Transition(CommandState.KEPT),
         (CommandState.SENT, CommandEvent.READ): Transition(CommandState.DONE),
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: link the attempts of one key, so that a retry of a started request never starts it again.
+"""Idempotency keys, which link the attempts of one request so that a retry never starts it a second time.
 
-The first attempt owns its key and may run. Attempts with the same key that arrive meanwhile follow it and share its
-answer, later ones get the cached outcome.
+The first attempt owns its key and may run. Attempts with the same key that arrive before its end follow it and share
+its answer; later ones get the cached outcome.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     """The state of an idempotency key."""
 
     FREE = 0
-    OWNED = auto()  # by an attempt that may run; further attempts follow it
+    OWNED = auto()  # owned by an attempt that may run; further attempts follow it
     KNOWN = auto()  # the outcome of a run is cached
 
 
@@ -27,9 +27,9 @@
 
     TRY = 0  # an attempt arrives
     FULL_TRY = auto()  # an attempt arrives with a new key that the table does not accept; see `register`
-    CROWDED_TRY = auto()  # an attempt arrives, and the key has its maximum of followers
+    CROWDED_TRY = auto()  # an attempt arrives, and the key has the maximum number of followers
     OUTCOME = auto()  # the owner ran
-    NEVER_RAN = auto()  # the owner is over and certainly did not run
+    NEVER_RAN = auto()  # the owner ended and certainly did not run
     OWNER_LEFT = auto()  # the owner left before it ran, followers wait
     LAST_LEFT = auto()  # the owner left before it ran, no follower waits
     EXPIRE = auto()  # the outcome has been cached for `key_ms`
@@ -38,14 +38,14 @@
 class KeyAction(IntEnum):
     """The effects of a transition."""
 
-    OWN = 0
-    FOLLOW = auto()
-    ANSWER = auto()  # with the cached outcome
-    TURN_AWAY = auto()  # no capacity: reject, with Retry-After
-    FAIL = auto()  # fail, as its outcome can't be known
-    SHARE = auto()  # answer the followers too
+    OWN = 0  # the attempt becomes the owner
+    FOLLOW = auto()  # the attempt follows the owner
+    ANSWER = auto()  # answer the attempt with the cached outcome
+    TURN_AWAY = auto()  # reject the attempt with Retry-After, as the table has no capacity
+    FAIL = auto()  # fail the attempt, as its outcome can't be known
+    SHARE = auto()  # give the followers the same answer
     PROMOTE = auto()  # the first follower becomes the owner
-    DROP = auto()  # forget the key
+    DROP = auto()  # remove the key from the table
 
 
 KEY_TABLE = TransitionTable(
@@ -96,7 +96,9 @@
         self.max_result_bytes = max_result_bytes
         self.entries: dict[KeyId, KeyEntry] = {}
         self.expiry: deque[tuple[float, KeyId]] = deque()  # times in Unix milliseconds, earliest first
-        self.awaiting_handover = False  # while the keys of an earlier process are awaited, no new key is accepted
+        self.awaiting_handover = (
+            False  # whether the keys of an earlier process are still to come; no new key is accepted meanwhile
+        )
 
     def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
         """Register a new attempt.
@@ -108,7 +110,7 @@
         entry = self.entries.get(key_id)
         if entry is None:
             # A full table rejects new keys, so that a flood of them makes no key expire early. While the keys of an
-            # earlier process are awaited, a new key might be one of them, and its request would run a second time.
+            # earlier process are still to come, a new key might be among them, and its request would run a second time.
             event = KeyEvent.FULL_TRY if self.awaiting_handover or len(self.entries) >= self.capacity else KeyEvent.TRY
             transition = KEY_TABLE.step(KeyState.FREE, event, exchange.key)
             if transition.next_state == KeyState.OWNED:
--- a/myrtlespar/state_machines/lost_runs.py
+++ b/myrtlespar/state_machines/lost_runs.py
@@ -1,8 +1,8 @@
 """Detection of lost runs: runs that the execution engine no longer has, although their end was never reported.
 
-The report of an end can be lost for good, after an unnoticed restart of the engine or when the engine no longer keeps
-it. Such a run would use capacity for ever, and with enough of them no request could start. The engine's gauge counts at
-least every run on its cores, so runs counted here in excess of the gauge for a whole window are lost.
+The report of an end can be lost for good, after an unnoticed restart of the engine or when the engine has discarded
+it. Such a run would occupy capacity for ever, and with enough of them no request could start. The engine's gauge counts
+at least every run on its cores, so runs that are tracked here in excess of the gauge for a whole window are lost.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LostRunDetector:
-    """Compares the number of runs counted here with the engine's gauge at each check. Times are Unix milliseconds."""
+    """Compares the number of tracked runs with the engine's gauge at each check. Times are Unix milliseconds."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
@@ -19,9 +19,9 @@
         self._min_surplus = 0.0  # the smallest surplus since then
 
     def count_lost(self, now: float, counted: int, gauge: float | None) -> int:
-        """Return how many of the counted runs are lost: the smallest surplus of a window in which each check found one.
+        """Return how many runs are lost: the smallest surplus in a window in which every check found a surplus.
 
-        `gauge` is None if there is no fresh value, which ends the window.
+        `counted` is the number of tracked runs. `gauge` is None if there is no fresh value, which ends the window.
         """
         surplus = 0.0 if gauge is None else counted - gauge
         if surplus < 1.0:
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -1,7 +1,7 @@
 """The lifecycle of the server process, from serving through a graceful shutdown or hand-over to its end.
 
-A graceful shutdown passes DRAINING, CROSSING and FLUSHING; a hand-over to a replacement starts at CROSSING. See
-`ProcessLifecycle.poll` for the conditions on which each stage ends.
+A graceful shutdown goes through DRAINING, CROSSING and FLUSHING; a hand-over to a replacement starts at CROSSING.
+`ProcessLifecycle.poll` describes when each stage ends.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
     SERVING = 0
     DRAINING = auto()  # shutdown was announced; requests that arrive within the grace period may still run
-    CROSSING = auto()  # listeners closed; requests that clients sent before they noticed that are still answered
+    CROSSING = auto()  # the listeners are closed; requests that clients sent before they noticed are still answered
     FLUSHING = auto()  # the last answers are being sent
     STOPPED = auto()
 
@@ -31,21 +31,23 @@
     RELOAD = auto()  # a reload was requested, and the configuration is valid
     BAD_RELOAD = auto()  # a reload was requested, and the configuration is invalid
     EMPTY = auto()  # no answer is outstanding, and the grace period for new requests has passed
-    KILL_NEAR = auto()  # the time until the kill is nearly used up
-    CROSSED = auto()  # all requests that crossed the close of the listeners are answered, or the kill is due
+    KILL_NEAR = auto()  # little time is left before SIGKILL
+    CROSSED = (
+        auto()
+    )  # the requests sent before clients noticed the close of the listeners are answered, or SIGKILL is due
     FLUSHED = auto()  # the last answers are sent
-    HANDOVER = auto()  # SIGTERM while a second process serves: stop listening at once, answer all that was read
+    HANDOVER = auto()  # SIGTERM while a replacement serves: stop listening at once, answer every request that was read
 
 
 class ProcessAction(IntEnum):
     """The effects of a transition."""
 
     TELL_POLICY = 0  # notify the policy of the shutdown
-    ASK_CLIENTS = auto()  # ask clients to send nothing new
+    ASK_CLIENTS = auto()  # ask clients to send no new requests
     MOVE_LINKS = auto()  # connect to the upstream addresses of the new configuration
     NAME_FAULT = auto()  # log why the configuration is invalid
     CLOSE_LISTENERS = auto()
-    FLUSH = auto()  # accept nothing more, and close each connection after its last answer
+    FLUSH = auto()  # accept no more input, and close each connection after its last answer
     STOP = auto()
 
 
@@ -66,7 +68,7 @@
         (ProcessState.FLUSHING, ProcessEvent.HANDOVER): Transition(ProcessState.FLUSHING),
         (ProcessState.SERVING, ProcessEvent.BAD_RELOAD): Transition(ProcessState.SERVING, (ProcessAction.NAME_FAULT,)),
         (ProcessState.DRAINING, ProcessEvent.NOTICE): Transition(ProcessState.DRAINING),
-        # A reload moves the links in a shutdown too, as the remaining runs end over the new ones.
+        # A reload moves the links in a shutdown too, as the remaining runs report their ends over the new ones.
         (ProcessState.DRAINING, ProcessEvent.RELOAD): Transition(ProcessState.DRAINING, (ProcessAction.MOVE_LINKS,)),
         (ProcessState.DRAINING, ProcessEvent.BAD_RELOAD): Transition(
             ProcessState.DRAINING, (ProcessAction.NAME_FAULT,)
@@ -92,13 +94,13 @@
 class ProcessLifecycle:
     """The state of the server process and the deadlines of its graceful shutdown.
 
-    Times are Unix milliseconds. "The kill" is the SIGKILL that the platform sends.
+    Times are Unix milliseconds. "The kill" is the SIGKILL with which the platform ends the process.
 
     Args:
-        stop_ms: From the signal for a graceful shutdown to the kill.
+        stop_ms: The time from the signal for a graceful shutdown to the kill.
         grace_ms: A request that arrives within this time after the signal may still run.
-        overdue_check_ms: Between two checks for overdue requests.
-        flush_ms: Reserved before the kill for the last answers.
+        overdue_check_ms: The interval between two checks for overdue requests.
+        flush_ms: The time reserved before the kill for sending the last answers.
         crossing_ms: How long after the close of the listeners a request may still arrive on an open connection.
     """
 
@@ -111,10 +113,10 @@
         self.flush_ms = flush_ms
         self.crossing_ms = crossing_ms
         self.state: int = ProcessState.SERVING
-        self.average_answer_ms = 0.0  # moving average of the time to deliver one answer
-        self.shutdown_signal_at = float("inf")  # the shutdown signal
+        self.average_answer_ms = 0.0  # moving average of the time in ms to deliver one answer
+        self.shutdown_signal_at = float("inf")  # when the shutdown signal arrived
         self.kill_at = float("inf")
-        self.closed_at = float("inf")  # the close of the listeners
+        self.closed_at = float("inf")  # when the listeners closed
 
     @property
     def draining(self) -> bool:
@@ -122,13 +124,13 @@
         return self.state != ProcessState.SERVING
 
     def handle(self, event: ProcessEvent) -> tuple[ProcessAction, ...]:
-        """Make one step and return its actions, in order."""
+        """Apply an event and return the resulting actions in order."""
         transition = PROCESS_TABLE.step(self.state, event, "process")
         self.state = transition.next_state
         return transition.effects
 
     def begin_graceful_shutdown(self, now: float) -> tuple[ProcessAction, ...]:
-        """Begin the graceful shutdown. Only the first signal sets the deadlines."""
+        """Handle a signal for a graceful shutdown. Only the first one sets the deadlines."""
         if self.state == ProcessState.SERVING:
             self.shutdown_signal_at = now
             self.kill_at = now + self.stop_ms
@@ -138,7 +140,7 @@
         """Handle SIGTERM while a second process serves beside this one.
 
         Unlike in a graceful shutdown, the policy is not notified and every request that was read may start. The
-        listeners close now, and all that was read is answered at the latest at the kill, `kill_in_ms` from now.
+        listeners close now, and every request that was read is answered by the kill, `kill_in_ms` from now.
         """
         if self.state in (ProcessState.SERVING, ProcessState.DRAINING):
             self.closed_at = now
@@ -149,8 +151,8 @@
         """Enter the next stage of the shutdown if it is due; `unanswered` counts the outstanding answers.
 
         DRAINING ends when the grace period has passed and no answer is outstanding, at the latest twice `flush_ms`
-        before the kill. CROSSING ends when `crossing_ms` have passed and no
-        answer is outstanding, at the latest at the kill. FLUSHING ends with the event FLUSHED.
+        before the kill. CROSSING ends when `crossing_ms` have passed and no answer is outstanding, at the latest at the
+        kill. FLUSHING ends with the event FLUSHED.
         """
         if self.state == ProcessState.DRAINING:
             if now > self.shutdown_signal_at + self.grace_ms and not unanswered:
@@ -168,19 +170,19 @@
     def may_start(self, arrived_at: float) -> bool:
         """Return whether a request that arrived at this time may start.
 
-        It may not if it arrived after the grace period, nor once the process is in FLUSHING: the replacement then has
-        the idempotency keys and would not know this run.
+        It may not if it arrived after the grace period, or once the process is in FLUSHING: the replacement then
+        has the idempotency keys and would not know of this run.
         """
         return arrived_at <= self.shutdown_signal_at + self.grace_ms and self.state < FLUSHING
 
     def answer_reserve_ms(self, unanswered: int) -> float:
-        """Return how long before the kill this many outstanding answers must be begun.
+        """Return how many ms before the kill the process must begin to send this many outstanding answers.
 
-        A check for overdue requests may come one interval late. Each answer takes its delivery and as long again to
-        decide on.
+        A check for overdue requests may come one interval late. Each answer takes its delivery time, and the same time
+        again to be decided.
         """
         return 2 * self.overdue_check_ms + 2 * self.average_answer_ms * unanswered
 
     def answer_deadline(self, unanswered: int = 0) -> float:
-        """Return when this many outstanding answers must be begun before the kill, whatever their own due times."""
+        """Return when the process must begin to send this many outstanding answers, whatever their own due times."""
         return self.kill_at - self.answer_reserve_ms(unanswered)
--- a/myrtlespar/state_machines/request_effects.py
+++ b/myrtlespar/state_machines/request_effects.py
@@ -1,4 +1,4 @@
-"""The typed inputs and outputs of the request tracker: its settings, the effects it returns, and its fixed answers."""
+"""The settings of the request tracker, the effects that it returns, and its fixed answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 FAILED = Answer(AnswerKind.FAILED)
 LATE = Answer(AnswerKind.FAILED, late=True)
-NEVER_RAN = Answer(AnswerKind.FAILED, headers=())  # compared by identity: the execution engine began nothing
+NEVER_RAN = Answer(AnswerKind.FAILED, headers=())  # the execution engine did not begin the run; compared by identity
 
 
 class RequestEffect(NamedTuple):
@@ -42,7 +42,7 @@
 class RequestTrackerSettings:
     """The settings of the request tracker. Times in milliseconds."""
 
-    client_timeout_ms: Sequence[float]  # by request class: from the arrival to the due time
-    effectful: Sequence[bool]  # by request class: must not run twice
-    overdue_ms: float  # from the due time until an attempt is failed, whatever else was decided
+    client_timeout_ms: Sequence[float]  # by request class: time from the arrival to the due time
+    effectful: Sequence[bool]  # by request class: whether a request must not run twice
+    overdue_ms: float  # how long after its due time an attempt fails, whatever the policy decided
     retry_after_ms: float  # Retry-After when the key table is full or a start is too late
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -28,7 +28,7 @@
     RequestTrackerSettings,
 )
 
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 ACTION_DELIVER = AttemptAction.DELIVER
 ACTION_DELIVER_FAILED = AttemptAction.DELIVER_FAILED
 ACTION_FREE_KEY = AttemptAction.FREE_KEY
@@ -62,7 +62,7 @@
 STATE_READ = AttemptState.READ
 STATE_RUNNING_UNWANTED = AttemptState.RUNNING_UNWANTED
 STATES_ON_CORES = (AttemptState.RUNNING, AttemptState.RUNNING_UNWANTED)
-_new_tuple = tuple.__new__  # builds a named tuple without the time that its defaults cost
+_new_tuple = tuple.__new__  # faster than the constructor of a named tuple, which fills in defaults
 
 
 class RequestTracker:
@@ -76,8 +76,8 @@
         self.settings = settings
         self.keys = keys
         self.process = process
-        self.requests: dict[str, Exchange] = {}  # by id
-        self.unanswered = 0  # attempts without their final answer
+        self.requests: dict[str, Exchange] = {}  # by request id
+        self.unanswered = 0  # attempts that await their final answer
 
     def find(self, request_id: str) -> Exchange | None:
         """Return the attempt with this id, or None if it is over."""
@@ -134,7 +134,7 @@
     def run_ended(
         self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None, now: float
     ) -> list[RequestEffect]:
-        """Handle the end of a run. A rejection or NEVER_RAN as its answer proves that it never began."""
+        """Handle the end of a run. An answer that is a rejection or NEVER_RAN proves that the run never began."""
         exchange = self.requests.get(request_id)
         if exchange is None or exchange.state not in STARTED:
             return []
@@ -143,7 +143,7 @@
         return self._step(exchange, event, _new_tuple(EventDetails, (final, outcome, elapsed_ms, b"")), now)
 
     def fail_overdue(self, now: float) -> list[RequestEffect]:
-        """Fail every attempt that is past its due time, and forget expired keys.
+        """Fail every attempt that is past its due time, and remove expired keys.
 
         This prevents an attempt from staying open for ever after a lost run or a fault of the policy.
         """
@@ -158,16 +158,16 @@
         return effects
 
     def runs_on_cores(self) -> tuple[int, list[Exchange]]:
-        """Return how many runs use a core of the execution engine, and those that nobody waits for, oldest first."""
+        """Return how many runs use a core of the execution engine, and those that no client waits for, oldest first."""
         running = [
             exchange for exchange in self.requests.values() if exchange.state in STATES_ON_CORES and not exchange.target
         ]
         return len(running), [exchange for exchange in running if exchange.state == STATE_RUNNING_UNWANTED]
 
     def abandoned_runs_at_calls(self) -> list[Exchange]:
-        """Return the runs at a dependency call whose answer nobody waits for, in the execution engine only.
+        """Return the runs of the execution engine that wait at a dependency call and whose answer no client waits for.
 
-        The engine usually ends and reports them by itself.
+        The engine usually ends them by itself and reports that.
         """
         return [
             exchange
@@ -176,18 +176,20 @@
         ]
 
     def fail_all(self, now: float) -> list[RequestEffect]:
-        """Fail every attempt that awaits its answer, because the process ends."""
+        """Fail every attempt that still awaits its answer, because the process ends."""
         effects: list[RequestEffect] = []
         for exchange in list(self.requests.values()):
-            if exchange.state in AWAITING_ANSWER:  # a follower may have been answered with its owner meanwhile
+            if (
+                exchange.state in AWAITING_ANSWER
+            ):  # no longer so for a follower that was answered together with its owner
                 effects += self._step(exchange, EVENT_OVERDUE, EventDetails(LATE), now)
         return effects
 
     def keys_to_hand_over(self, now: float) -> list[tuple[KeyId, Answer, float]]:
         """Return the keys for the process that takes over, each with its outcome and expiry time.
 
-        A run that has not ended goes on in the execution engine without this process. Its key gets a failure as its
-        outcome, since the real one will not be known.
+        A run that has not ended continues in the execution engine without this process. Its key gets a failure as its
+        outcome, since the real outcome will not be known.
         """
         running = [
             ((exchange.class_index, exchange.key), FAILED, now + self.keys.key_ms)
@@ -223,15 +225,15 @@
         return [] if exchange is None else self._step(exchange, EVENT_CALL, EventDetails(duration_ms=limit_ms))
 
     def rejection(self, is_last: bool = False) -> Answer:
-        """Return the answer to an attempt that did not run here; unless `is_last`, it may run elsewhere."""
+        """Return the rejection of an attempt that did not run here; unless `is_last`, it may be retried elsewhere."""
         return Answer(AnswerKind.REFUSED, retry_after_ms=self.settings.retry_after_ms, last=is_last)
 
-    # Steps.
+    # Transitions.
 
     def _step(
         self, exchange: Exchange, event: AttemptEvent, details: EventDetails = NO_DETAILS, now: float = 0.0
     ) -> list[RequestEffect]:
-        """Make one step of an attempt, and return its effects for the coordinator."""
+        """Apply an event to an attempt, and return the resulting effects for the coordinator."""
         transition = ATTEMPT_TABLE.step(exchange.state, event, exchange.id)
         exchange.state = transition.next_state
         effects: list[RequestEffect] = []
--- a/myrtlespar/state_machines/transition_table.py
+++ b/myrtlespar/state_machines/transition_table.py
@@ -1,4 +1,4 @@
-"""Transition tables: the common form of every state machine of this package."""
+"""Transition tables, the common representation of the state machines in this package."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Transition(NamedTuple):
-    """The result of one event in one state: the next state, and the effects in the order in which they apply."""
+    """The result of an event in a state: the next state, and the effects in the order in which they apply."""
 
     next_state: int
     effects: tuple[Any, ...] = ()
@@ -23,7 +23,7 @@
 
     Every machine of the kind shares the table and holds its own state. `observer`, if set, is called for each step
     with the table, the name of the machine, its state, the event and the transition (None for an invalid event). It
-    is only set while a trace is recorded.
+    is set only while a trace is recorded.
     """
 
     __slots__ = ("events", "invalid_counts", "name", "observer", "states", "transitions")
