--- a/myrtlespar/coordinator/effect_executor.py
+++ b/myrtlespar/coordinator/effect_executor.py
@@ -16,7 +16,7 @@
 from myrtlespar.state_machines.request_effects import RequestEffect
 
 log = structlog.get_logger()
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 ACTION_DELIVER = AttemptAction.DELIVER
 ACTION_MAKE_CALL = AttemptAction.MAKE_CALL
 ACTION_RESUME = AttemptAction.RESUME
@@ -26,19 +26,23 @@
 ACTION_TELL_CALL_NEEDED = AttemptAction.TELL_CALL_NEEDED
 ACTION_TELL_ENDED = AttemptAction.TELL_ENDED
 ACTION_TELL_GONE = AttemptAction.TELL_GONE
-ANSWER_COLUMNS = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2}  # of `answer_counts`
-ANSWER_TIME_WEIGHT = 1 / 16  # of the newest answer in the average: the time of a single one is noise
-MAX_ANSWER_TIME_MS = 5.0  # of one answer in the average; it takes under 0.3 ms of a whole core
+ANSWER_COLUMNS = {
+    AnswerKind.SERVED: 0,
+    AnswerKind.REFUSED: 1,
+    AnswerKind.FAILED: 2,
+}  # index into the counts of a class in `answer_counts`
+ANSWER_TIME_WEIGHT = 1 / 16  # weight of the newest answer in the moving average, as the time of a single one varies
+MAX_ANSWER_TIME_MS = 5.0  # bound on one answer in the average; an answer takes under 0.3 ms of a whole core
 
 
 class EffectExecutor:
     """Carries out the effects of the request tracker, and counts answers and runs by request class.
 
     The counts are totals since the start of the process. Each delivered answer also updates
-    `ProcessLifecycle.average_answer_ms`, which sets the last moment for answers in a shutdown.
+    `ProcessLifecycle.average_answer_ms`, on which the deadline for the last answers of a shutdown depends.
 
-    `post` queues an event for the policy. `engines` is shared with the coordinator; the empty name is the execution
-    engine, other names are back ends.
+    `post` queues an event for the policy. `engines` is the coordinator's dictionary, by target; the empty name
+    is the execution engine, other names are back ends.
     """
 
     def __init__(
@@ -58,11 +62,11 @@
         self._post = post
 
     def execute_all(self, effects: list[RequestEffect]) -> None:
-        """Carry out effects in order. A fault with one request is logged and counted, and affects no other one."""
+        """Carry out effects in order. An exception is logged and counted, and affects only its own request."""
         for effect in effects:
             try:
                 self._execute(effect)
-            except Exception:  # whatever fails here must not end the coordinator, which serves all other requests
+            except Exception:  # no exception here may end the coordinator, which serves all other requests
                 if self.counters.count_and_sample("core.effect_fault"):
                     log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
 
@@ -74,7 +78,7 @@
             self.answer_counts[exchange.class_index][ANSWER_COLUMNS[answer.kind]] += 1
             began_at = unix_ms()
             exchange.deliver(exchange, answer)
-            # The bound keeps a pause of the process that falls into one delivery out of the average.
+            # The bound limits how much a pause of the process during one delivery changes the average.
             answer_ms = min(MAX_ANSWER_TIME_MS, unix_ms() - began_at)
             self.process.average_answer_ms += ANSWER_TIME_WEIGHT * (answer_ms - self.process.average_answer_ms)
         elif action is ACTION_TELL_ARRIVAL:
--- a/myrtlespar/coordinator/lost_run_search.py
+++ b/myrtlespar/coordinator/lost_run_search.py
@@ -6,15 +6,15 @@
 from myrtlespar.state_machines.lost_runs import LostRunDetector
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
-RUNNABLE_GAUGE = "runnable"  # the engine's number of tasks that use or wait for a core
+RUNNABLE_GAUGE = "runnable"  # name of the gauge with the number of tasks that use or wait for a core
 
 
 class LostRunSearch:
     """Compares the tracked runs with the engine's gauge.
 
-    Only runs that no client waits for are treated as lost, since the others are failed at their due time. The oldest of
-    them are lost if for `window_ms` more runs are tracked than the gauge shows. A run at a dependency call, which the
-    gauge does not count, is lost after twice its client timeout; so is any run where the engine has no such gauge.
+    Only runs that no client waits for are treated as lost, since the others fail at their due time. The oldest of them
+    are lost if more runs are tracked than the gauge shows for `window_ms`. A run at a dependency call, which the gauge
+    does not count, is lost after twice its client timeout; so is any run if the engine does not provide the gauge.
     `gauge_names` are the gauges in the order of their values. Times are Unix milliseconds.
     """
 
@@ -26,7 +26,7 @@
     def find_lost(self, now: float, gauges: list[float]) -> list[Exchange]:
         """Return the runs that are lost; `gauges` are the latest values, empty if there are no fresh ones."""
         running, unwanted = self._tracker.runs_on_cores()
-        # No gauge counts the runs that wait at a call, so their age decides.
+        # The gauge does not count runs that wait at a dependency call, so they are lost by age.
         lost = [exchange for exchange in self._tracker.abandoned_runs_at_calls() if _is_long_overdue(exchange, now)]
         if not unwanted:
             return lost
--- a/myrtlespar/coordinator/ports.py
+++ b/myrtlespar/coordinator/ports.py
@@ -1,4 +1,4 @@
-"""What the request coordinator needs from the network side: engines that run requests, a dependency, and gauges."""
+"""The interfaces that the request coordinator needs from the network side: engines, a dependency, and gauges."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 class Dependency(Protocol):
     """Answers the calls that runs make.
 
-    `id` names the request; `limit_ms` is the time limit of the call in milliseconds.
+    `request_id` names the request that makes the call; `limit_ms` is the time limit of the call in milliseconds.
     """
 
     def call(self, request_id: str, limit_ms: float, body: bytes) -> None:
--- a/myrtlespar/coordinator/tick_schedule.py
+++ b/myrtlespar/coordinator/tick_schedule.py
@@ -7,7 +7,7 @@
 
 
 class ScheduledTick(NamedTuple):
-    """A tick of the policy: when it is due in Unix milliseconds, and the token that the policy gave it."""
+    """A tick of the policy: when it is due, in Unix milliseconds, and the token that the policy chose for it."""
 
     due_at: float
     token: int
@@ -23,7 +23,7 @@
     def __init__(self, first_tick_at: float, gauge_lead_ms: float) -> None:
         self._ticks = [ScheduledTick(first_tick_at, 0)]
         self._gauge_lead_ms = gauge_lead_ms
-        self.gauges_requested = False  # for the next tick with token 0
+        self.gauges_requested = False  # whether the gauges for the next regular tick have been requested
 
     @property
     def is_empty(self) -> bool:
@@ -35,7 +35,7 @@
         self._ticks.append(ScheduledTick(due_at, token))
 
     def next_due_at(self) -> float:
-        """Return when the next tick, or the request of gauges for it, is due."""
+        """Return when the next tick is due, or the request of the gauges for a regular tick if that is earlier."""
         next_tick_at = min(tick.due_at for tick in self._ticks)
         return min(next_tick_at, math.inf if self.gauges_requested else self._gauges_due_at())
 
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, as it passes from a front to the engine that runs it, and its final answer."""
+"""One attempt of a request, from the front that read it to the engine that runs it, and its final answer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AnswerKind(enum.Enum):
-    """The three kinds of final answers. The values stand in counters and in the hand-over file."""
+    """The three kinds of final answers. The values appear in counter names and in the hand-over file."""
 
     SERVED = "served"
     REFUSED = "refused"  # rejected: it certainly did not run
@@ -24,7 +24,7 @@
         body: The result of the run; empty for a rejection.
         retry_after_ms: For a rejection, how long the client should wait before a retry; 0 for no advice.
         last: Whether this is a final rejection: the client should not retry elsewhere.
-        late: Whether this is a failure because the due time passed.
+        late: Whether the request failed because its due time passed.
         status: The HTTP status; 0 unless a back end set it.
         headers: The HTTP headers; empty unless a back end set them.
     """
@@ -39,9 +39,9 @@
 
 
 class Exchange:
-    """One attempt of a request: what it asks for, when it arrived, and its `AttemptState`.
+    """One attempt of a request: its content, when it arrived, and its `AttemptState`.
 
-    The front creates it and sets what the client sent; the request tracker alone changes `state` and `due_at`, and
+    The front creates it and sets what the client sent. Only the request tracker changes `state` and `due_at`, and it
     causes at most one call of `deliver`. Times are Unix milliseconds.
     """
 
@@ -77,23 +77,23 @@
         arrived_at: float,
         deliver: Callable[[Exchange, Answer], None],
     ) -> None:
-        self.id = request_id  # unique among the open attempts; not the idempotency key
-        self.front = front  # "thrift" or "ajp"; part of counter names
-        self.class_index = class_index  # of the request class, by its position in the settings
+        self.id = request_id  # unique among the attempts in progress; not the idempotency key
+        self.front = front  # "thrift" or "ajp", which becomes part of counter names
+        self.class_index = class_index  # position of the request class in the settings
         self.body = body
         self.arrived_at = arrived_at
         self.deliver = deliver
         self.memory_kb = 1.0
-        self.rank = 0.0  # the priority that the client or the route gives it
-        self.sender = 0  # number of the client that sent it
+        self.rank = 0.0  # priority from the client or the route; no decision depends on it
+        self.sender = 0  # a number that identifies the client
         self.is_retry = False  # whether the client marked it as a retry
-        self.due_at = 0.0  # set by the request tracker, from the request class
-        self.key = ""  # idempotency key, where the front supplies one
-        self.target = ""  # the back end that runs it; empty is the execution engine
+        self.due_at = 0.0  # when the client stops waiting; set by the request tracker
+        self.key = ""  # the idempotency key; empty if the client sent none
+        self.target = ""  # name of the back end that runs it; empty for the execution engine
         self.method = "POST"
         self.uri = ""
         self.query = ""
         self.route = ""
         self.headers: tuple[tuple[str, str], ...] = ()
-        self.call_body = b""  # what the run requests from the dependency at the moment
+        self.call_body = b""  # body of the latest dependency call that the run requested
         self.state = 0  # an AttemptState
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -1,7 +1,8 @@
-"""The request coordinator: connects the request tracker, the policy and the network side. It knows no wire format.
+"""The request coordinator, which connects the request tracker, the policy and the network side.
 
-A request comes in through `submit`. The request tracker (`myrtlespar.state_machines`) holds its state, the policy
-(`myrtlespar.policy`) decides when it runs or is rejected, and `myrtlespar.coordinator` holds the other parts.
+A front passes each request to `submit`. The request tracker (`myrtlespar.state_machines`) holds its state, the policy
+(`myrtlespar.policy`) decides when it runs or is rejected, and `myrtlespar.coordinator` contains the other parts. The
+coordinator knows no wire format.
 """
 
 from __future__ import annotations
@@ -35,14 +36,14 @@
 from myrtlespar.state_machines.transition_table import report_invalid_transitions
 
 log = structlog.get_logger()
-# Bound once: looking a member up in its class costs as much as a step of a table.
+# Bound once at import: looking up an enum member in its class costs as much as a transition.
 ACTION_DELIVER = AttemptAction.DELIVER
 STATE_HELD = AttemptState.HELD
-DEFAULT_RETRY_AFTER_MS = 1000.0  # where the settings name no maximum
+DEFAULT_RETRY_AFTER_MS = 1000.0  # used if the settings contain no `max_retry_after_ms`
 
 
 class RequestCoordinator:
-    """One greenlet that passes events to the policy in batches and applies its decisions.
+    """Passes events to the policy in batches and applies its decisions, in one greenlet.
 
     The network side and the signal handlers report events by the public methods under "Events from the network side".
     Their effects are carried out at once; the events that they cause for the policy are queued for the next batch.
@@ -58,11 +59,11 @@
         self.engines: dict[str, ExecutionEngine] = {}  # by target; the empty name is the execution engine
         self.gauges: GaugeSource | None = None
         self.close_idle: Callable[[float], None] = lambda after_ms: None
-        # Called right before a start is sent; the limits of a fleet replace it.
+        # Called right before a start is sent; where a fleet has limits, their check replaces this one.
         self.confirm_start: Callable[[str], bool] = confirm_every_start
-        self.advertised_value = 1.0  # the load hint that the fronts send with every answer
+        self.advertised_value = 1.0  # the load advertisement that the fronts send with every answer
         self.policy_healthy = True
-        self.admin = AdminCommands()  # the pause that operators request on the management address
+        self.admin = AdminCommands()  # commands of operators on the management address, such as PAUSE
         self.process = ProcessLifecycle(
             limits.stop_ms,
             settings.drain_grace_ms,
@@ -71,12 +72,12 @@
             limits.close_linger_ms,
         )
         self.tracker = _create_tracker(settings, limits, self.process)
-        self._inbox: list[api.Event | Exchange] = []  # for the next batch
+        self._inbox: list[api.Event | Exchange] = []  # events for the policy, queued for the next batch
         self._executor = EffectExecutor(len(settings.classes), self.engines, self.process, counters, self._post)
         self._execute = self._executor.execute_all
         self._lost_run_search = LostRunSearch(self.tracker, limits.lost_run_ms, settings.gauges)
         self._ticks = TickSchedule(unix_ms(), limits.gauge_lead_ms)
-        self._next_overdue_check_at = 0.0  # of `_close_stuck_requests`
+        self._next_overdue_check_at = 0.0  # when `_close_stuck_requests` is due
         self._ready = Event()
         self._stopping = False
 
@@ -91,7 +92,7 @@
 
     @property
     def healthy(self) -> bool:
-        """Whether a health check succeeds."""
+        """Whether the fronts answer health checks as healthy."""
         return self.admin.is_healthy(self.policy_healthy)
 
     @property
@@ -100,7 +101,7 @@
         return self.process.draining
 
     def metrics_snapshot(self, names: Sequence[str]) -> MetricsSnapshot:
-        """Return the current counts for the management address; `names` are those of the request classes."""
+        """Return the current counts for the management address; `names` are the names of the request classes."""
         return MetricsSnapshot(
             names,
             [list(counts) for counts in self._executor.answer_counts],
@@ -132,11 +133,11 @@
         self._execute(self.tracker.caller_gone(exchange))
 
     def run_ended(self, request_id: str, outcome: RunOutcome, elapsed_ms: float, answer: Answer | None = None) -> None:
-        """Handle the end of a run; `answer` is its result, or how it failed, and None stands for a plain failure."""
+        """Handle the end of a run; `answer` is its result or failure, and None means a failure without details."""
         self._execute(self.tracker.run_ended(request_id, outcome, elapsed_ms, answer, unix_ms()))
 
     def start_refused(self, request_id: str) -> None:
-        """Handle a start that was not sent, as `confirm_start` did not confirm it: another attempt may run."""
+        """Handle a start that was not sent because `confirm_start` rejected it; a retry may still run."""
         self.counters.add("run.refused_late")
         fleet = self.policy.fleet
         is_last = fleet is not None and not fleet.may_retry()
@@ -177,7 +178,7 @@
         while not self._stopping:
             self._process_batch()
             if self._inbox:
-                gevent.sleep(0)  # lets the other greenlets run, also under a stream of events that never ends
+                gevent.sleep(0)  # lets the other greenlets run, even while events arrive without a pause
             else:
                 self._ready.wait(max(0.0, self._next_batch_at() - unix_ms()) / 1000.0)
             self._ready.clear()
@@ -188,7 +189,7 @@
         self._ready.set()
 
     def _next_batch_at(self) -> float:
-        """Return when something is due if no event comes. A batch any earlier would find nothing to do."""
+        """Return when the next batch is due if no event arrives before."""
         return min(self._next_overdue_check_at, self._ticks.next_due_at())
 
     def _process_batch(self) -> None:
@@ -212,7 +213,7 @@
         if events:
             for action in self._decide(now, events):
                 self._apply(action, now)
-            if self._ticks.is_empty:  # the policy must get a tick again, even after a fault that lost its request
+            if self._ticks.is_empty:  # the policy must get another tick, even if an exception lost its request for one
                 self._ticks.add(now + self.limits.overdue_check_ms, 0)
         if now >= self._next_overdue_check_at:
             self._next_overdue_check_at = now + self.limits.overdue_check_ms
@@ -224,13 +225,13 @@
     def _decide(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Return the decisions of the policy.
 
-        If it raises there are none, and `_close_stuck_requests` fails the requests at their due times.
+        If it raises an exception, there are none, and `_close_stuck_requests` fails the requests at their due times.
         """
         try:
             return self.policy.handle(now, events)
-        except Exception:  # a fault of the policy must not end the coordinator, which still has requests to answer
+        except Exception:  # no exception of the policy may end the coordinator, which still has requests to answer
             self.counters.add("core.fault")
-            log.exception("the module failed", events=len(events))
+            log.exception("policy failed; its batch of events has no decisions", events=len(events))
             return []
 
     def _arrival(self, exchange: Exchange, now: float) -> api.Arrival:
@@ -258,7 +259,7 @@
             case api.Call(request_id, limit_ms):
                 self._execute(self.tracker.start_call(request_id, limit_ms))
             case api.Keep() | api.Forget():
-                pass  # the tracker links the attempts of one key by itself, from the first one on
+                pass  # nothing to do: the tracker links the attempts of a key without the policy
             case _:
                 self._apply_to_server(action, now)
 
@@ -275,8 +276,8 @@
                 self._ticks.add(now + after_ms, token)
             case api.Log(text):
                 log.info("policy", text=text)
-            case _:  # stops, shared runs and skipped calls: `config` reads no setting that leads to them
-                log.error("action not served", action=repr(action))
+            case _:  # to stop or share runs, or to skip calls: no setting that `config` reads leads to these actions
+                log.error("unsupported action of the policy", action=repr(action))
 
     def _close_stuck_requests(self, now: float) -> None:
         """End lost runs and fail overdue requests, so that no fault elsewhere leaves a request open."""
@@ -290,7 +291,7 @@
 
 
 def _create_tracker(settings: api.Settings, limits: ResourceLimits, process: ProcessLifecycle) -> RequestTracker:
-    """Return a tracker without requests, with the settings of the policy and the limits of this process."""
+    """Return a tracker with the settings of the policy and the limits of this process."""
     terms = RequestTrackerSettings(
         [request_class.client_timeout_ms for request_class in settings.classes],
         [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -110,9 +110,7 @@
     limits: CallLimits
     has_no_unread_input: Callable[[DependencyConnection], bool]
     calls: dict[str, DependencyCall] = field(default_factory=dict)  # in flight or waiting, by request id
-    idle: deque[DependencyConnection] = field(
-        default_factory=deque
-    )  # ordered by `idle_since`; the last one is used first
+    idle: deque[DependencyConnection] = field(default_factory=deque)  # by `idle_since`; the last one is used first
     waiting: deque[DependencyCall] = field(default_factory=deque)  # may still contain calls that have ended
     connection_count: int = 0  # connections open or being opened
     last_connection_number: int = 0
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -96,9 +96,8 @@
         self.max_result_bytes = max_result_bytes
         self.entries: dict[KeyId, KeyEntry] = {}
         self.expiry: deque[tuple[float, KeyId]] = deque()  # times in Unix milliseconds, earliest first
-        self.awaiting_handover = (
-            False  # whether the keys of an earlier process are still to come; no new key is accepted meanwhile
-        )
+        # Whether the keys of an earlier process are still to come; no new key is accepted meanwhile.
+        self.awaiting_handover = False
 
     def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
         """Register a new attempt.
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -32,9 +32,7 @@
     BAD_RELOAD = auto()  # a reload was requested, and the configuration is invalid
     EMPTY = auto()  # no answer is outstanding, and the grace period for new requests has passed
     KILL_NEAR = auto()  # little time is left before SIGKILL
-    CROSSED = (
-        auto()
-    )  # the requests sent before clients noticed the close of the listeners are answered, or SIGKILL is due
+    CROSSED = auto()  # no more requests arrive on open connections and all are answered, or SIGKILL is due
     FLUSHED = auto()  # the last answers are sent
     HANDOVER = auto()  # SIGTERM while a replacement serves: stop listening at once, answer every request that was read
 
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -179,9 +179,7 @@
         """Fail every attempt that still awaits its answer, because the process ends."""
         effects: list[RequestEffect] = []
         for exchange in list(self.requests.values()):
-            if (
-                exchange.state in AWAITING_ANSWER
-            ):  # no longer so for a follower that was answered together with its owner
+            if exchange.state in AWAITING_ANSWER:  # false for a follower that was answered with its owner
                 effects += self._step(exchange, EVENT_OVERDUE, EventDetails(LATE), now)
         return effects
 
