--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: one line in, one reply out.
+"""The operators' commands: each line is a command and gets one reply.
 
 PAUSE makes the health check fail until RESUME, so that clients move to other servers; requests are still served.
 
@@ -13,8 +13,8 @@
 
 from myrtlespar.admin.metrics import MetricsSnapshot, exposition
 
-MAX_LINE_BYTES = 256  # of one command line, its end included; a longer one is an error and closes the connection
-MAX_SHOWN_BYTES = 40  # of an unknown command, in the reply
+MAX_LINE_BYTES = 256  # of a command line with its line end; a longer one is an error and closes the connection
+MAX_SHOWN_BYTES = 40  # how much of an unknown command the reply quotes
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
         paused: Whether the last of PAUSE and RESUME was PAUSE.
         paused_at: When the latest pause began; infinity before the first.
         resumed_at: When the latest pause ended; minus infinity before the first end.
-        pause_count: PAUSE lines that began a pause.
-        extra_commands: Further commands, each with the function that returns the lines of its reply.
+        pause_count: The number of pauses that began.
+        extra_commands: Further commands, each with a function that returns the lines of its reply.
     """
 
     paused: bool = False
@@ -44,7 +44,7 @@
     extra_commands: dict[bytes, Callable[[], bytes]] = field(default_factory=dict)
 
     def is_healthy(self, policy_healthy: bool) -> bool:
-        """The result of a health check: unhealthy while paused, otherwise as the policy decides."""
+        """Return the result of a health check: unhealthy while paused, otherwise as the policy decides."""
         return policy_healthy and not self.paused
 
     def handle_line(self, line: bytes, now: float, ready: bool, metrics: MetricsSnapshot | None = None) -> AdminReply:
@@ -52,9 +52,10 @@
 
         Args:
             line: The line, with or without its end.
-            now: The time now.
-            ready: Whether the process can serve new clients: listening, its execution engine connected, no hand-over.
-            metrics: Needed by METRICS only, which is an error without it.
+            now: The current time.
+            ready: Whether the process can serve new clients: its execution engine is connected, and no shutdown or
+                hand-over has begun.
+            metrics: The current metrics. Only METRICS needs them, and fails without them.
         """
         if len(line) > MAX_LINE_BYTES:
             return AdminReply(b"error line longer than %d bytes\n" % MAX_LINE_BYTES, close_connection=True)
--- a/myrtlespar/admin/metrics.py
+++ b/myrtlespar/admin/metrics.py
@@ -1,6 +1,6 @@
 """The metrics of one process in the Prometheus text exposition format.
 
-The names `app_*` are an interface to operators and stay fixed.
+Operators depend on the names `app_*`, so they must not change.
 """
 
 from __future__ import annotations
@@ -8,18 +8,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-ANSWER_METRICS = ("succeeded", "declined", "aborted")  # the `app_*` counters of served, refused and failed requests
+# Names of the `app_*` counters of served, rejected and failed requests.
+ANSWER_METRICS = ("succeeded", "declined", "aborted")
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """Counts since the process started, taken at one moment.
+    """The counts since the process started, at one moment.
 
     Attributes:
         class_names: The names of the request classes; the counts are in the same order.
-        answer_counts: For each class, the requests served, refused and failed.
-        engine_run_counts: For each class, the runs sent to the execution engine.
-        outstanding: Requests that were read and are not answered yet.
+        answer_counts: For each class, how many requests were served, rejected and failed.
+        engine_run_counts: For each class, how many runs were sent to the execution engine.
+        outstanding: How many requests were read and are not answered yet.
         extra_lines: Further lines of the exposition format.
     """
 
@@ -31,7 +32,7 @@
 
 
 def exposition(metrics: MetricsSnapshot) -> bytes:
-    """The metrics as Prometheus text exposition, each family with its TYPE line."""
+    """Return the metrics in the Prometheus text format, each family with its TYPE line."""
     labels = [_escaped_label(name) for name in metrics.class_names]
     lines: list[str] = []
     for position, name in enumerate(ANSWER_METRICS):
@@ -48,5 +49,5 @@
 
 
 def _escaped_label(name: str) -> str:
-    """The value of a label, escaped as the exposition format requires."""
+    """Return a label value, escaped as the exposition format requires."""
     return name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/myrtlespar/handover/driver.py
+++ b/myrtlespar/handover/driver.py
@@ -14,22 +14,22 @@
 from myrtlespar.runtime.clock import from_wall, to_wall, unix_ms, wall_ms
 
 log = structlog.get_logger()
-POLL_INTERVAL_S = 0.05  # between two reads of the folder while an old process lives
-UNUSABLE_INTERVAL_S = 1.0  # between two attempts to take a lock that can't be opened
+POLL_INTERVAL_S = 0.05  # between two reads of the folder while the old process runs
+UNUSABLE_INTERVAL_S = 1.0  # between two attempts to take the lock when its file can't be opened
 
 
 @dataclass(frozen=True, slots=True)
 class FolderContent:
-    """What one read of the shared folder found."""
+    """The result of one read of the shared folder."""
 
     keys_data: bytes | None  # the hand-over file; None if there is none
     old_process_alive: bool
 
 
 class KeyHandover:
-    """Receives the keys that the previous process published, and publishes those of this one at its end.
+    """Receives the keys that the previous process published, and publishes those of this process at its end.
 
-    While the folder can't be used, an old process may run unnoticed. Requests with a key are then rejected for as long
+    While the folder can't be used, an old process may run undetected. Requests with a key are then rejected for as long
     as an outcome is cached (`limits.idempotency_key_ms`), because they could run a second time.
     """
 
@@ -40,26 +40,27 @@
         self._started_at = unix_ms()
 
     def start(self) -> None:
-        """Import the keys that are there, or wait for them in a greenlet while an old process lives."""
+        """Import the keys that are available, or wait for them in a greenlet while an old process runs."""
         if not self._poll_folder():
             self._coordinator.tracker.keys.awaiting_handover = True
             log.info("an old process lives: keys wait for its hand-over")
         gevent.spawn(self._wait_for_old_process)
 
     def publish_keys(self) -> None:
-        """Write the outcomes of this process's keys for its replacement; a failure is logged and not raised."""
+        """Write the outcomes of the idempotency keys for the replacement; a failure is logged and not raised."""
         rows = self._coordinator.tracker.keys_to_hand_over(unix_ms())
         outcomes = key_outcomes((key_id, answer, to_wall(expires_at)) for key_id, answer, expires_at in rows)
         try:
             self._folder.write_keys(encode(outcomes))
-            log.info("keys left for the next process", keys=len(outcomes))
+            log.info("idempotency keys written for the replacement", keys=len(outcomes))
         except OSError as error:
-            log.error("keys could not be left", error=str(error))
+            log.error("writing the idempotency keys for the replacement failed", error=str(error))
 
     def _wait_for_old_process(self) -> None:
-        """Wait for the keys, then take the lock once the old process has ended, so that a later process waits for ours.
+        """Wait for the keys, then take the lock once the old process has ended.
 
-        The keys may come while the old process still holds the lock.
+        While this process holds the lock, a later one waits for its keys. The keys of the old process may arrive while
+        the old process still holds the lock.
         """
         while self._receiver.state is HandoverState.WAITING:
             gevent.sleep(POLL_INTERVAL_S)
@@ -68,7 +69,7 @@
             pass
 
     def _try_to_lock(self) -> bool:
-        """Return whether this process holds the lock; pause if not."""
+        """Return whether this process holds the lock now; if not, sleep before the next attempt."""
         try:
             if self._folder.acquire_lock():
                 return True
@@ -80,7 +81,7 @@
         return False
 
     def _poll_folder(self) -> bool:
-        """Read the folder once and import what it holds.
+        """Read the folder once and import the keys in it.
 
         Returns:
             Whether requests with a key may run now.
@@ -95,7 +96,7 @@
         return True
 
     def _receive(self, content: FolderContent) -> None:
-        """Pass what was read to the receiver and import the outcomes that it accepts."""
+        """Pass the content of the folder to the receiver and import the outcomes that it accepts."""
         rejection_before = self._receiver.rejection
         now = wall_ms()
         class_count = len(self._coordinator.settings.classes)
@@ -112,9 +113,9 @@
             )
 
     def _read_folder(self) -> FolderContent:
-        """Read the folder; a failure is logged, counted, and treated as an old process that may still live."""
+        """Read the folder; a failure is logged, counted, and treated as an old process that may still run."""
         try:
-            # The lock comes before the file: an old process writes its file before its end releases the lock.
+            # The lock is tried before the file is read, as an old process writes the file before it releases the lock.
             old_process_alive = not self._folder.acquire_lock()
             return FolderContent(self._folder.read_keys(), old_process_alive)
         except OSError as error:
--- a/myrtlespar/handover/folder.py
+++ b/myrtlespar/handover/folder.py
@@ -1,8 +1,8 @@
 """The storage of a hand-over: the folder (`$TMPDIR`) that two processes of one server share.
 
-It contains a lock that the running process holds, and the file of keys that an old process writes for its replacement.
-Every method except `remove_keys` may raise OSError: the folder can be missing or full, or contain something else under
-these names.
+It contains a lock file that the running process locks, and the file of keys that an old process writes for its
+replacement. Every method except `remove_keys` may raise OSError: the folder can be missing or full, or contain
+something else under these names.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from pathlib import Path
 from urllib.parse import quote
 
-MAX_FILE_BYTES = 1 << 25  # of a hand-over file; a longer one was not written by this program
-MAX_NAME_CHARS = 128  # of a server's name within a file name
+MAX_FILE_BYTES = 1 << 25  # of a hand-over file; a longer file was not written by this program
+MAX_NAME_CHARS = 128  # maximum length of a server's name within a file name
 NO_DESCRIPTOR = -1
 
 
@@ -50,9 +50,9 @@
         return True
 
     def read_keys(self) -> bytes | None:
-        """The content of the keys file; None if there is none.
+        """Return the content of the keys file, or None if there is none.
 
-        A pipe or device under that name, whose reading might not end, and a file of excessive length raise OSError.
+        A pipe or device of that name, which could be endless, and a file longer than MAX_FILE_BYTES raise OSError.
         """
         try:
             descriptor = os.open(self.keys_path, os.O_RDONLY | os.O_CLOEXEC | os.O_NONBLOCK)
@@ -63,19 +63,19 @@
             if not stat.S_ISREG(status.st_mode):
                 raise OSError(errno.EINVAL, "not a regular file", str(self.keys_path))
             if status.st_size > MAX_FILE_BYTES:
-                raise OSError(errno.EFBIG, "too long for a hand-over file", str(self.keys_path))
+                raise OSError(errno.EFBIG, "longer than a hand-over file can be", str(self.keys_path))
             return file.read(MAX_FILE_BYTES)
 
     def remove_keys(self) -> None:
-        """Remove the keys file, so that no later start reads it again.
+        """Remove the keys file, so that no later process reads it again.
 
-        A failure is ignored, as the keys in the file still expire.
+        A failure is ignored, as the keys in the file expire anyway.
         """
         with contextlib.suppress(OSError):
             self.keys_path.unlink()
 
     def write_keys(self, data: bytes) -> None:
-        """Write the keys file: to a temporary file that is renamed, so that it is complete or absent."""
+        """Write the keys to a temporary file and rename it, so that the keys file is complete or absent."""
         temporary_path = self.keys_path.with_name(f"{self.keys_path.name}.part{os.getpid()}")
         try:
             temporary_path.write_bytes(data)
@@ -87,6 +87,6 @@
 
 
 def _file_name_part(name: str) -> str:
-    """A server's name as part of a file name: without separators, and hashed if it would be too long."""
+    """Return a server's name as part of a file name: without separators, and hashed if it would be too long."""
     quoted = quote(name, safe="")
     return quoted if len(quoted) <= MAX_NAME_CHARS else blake2b(name.encode(), digest_size=16).hexdigest()
--- a/myrtlespar/handover/keys_file.py
+++ b/myrtlespar/handover/keys_file.py
@@ -1,8 +1,8 @@
 """The format of the hand-over file, in which a process passes its idempotency keys to its replacement.
 
-The file is a header line `myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, one key with its
-outcome each. A file that is truncated, corrupt or of another version is rejected as a whole. Times are Unix
-milliseconds by the wall clock, as two processes compare them. Pure: no I/O and no clock.
+The file is a header line `myrtlespar-keys VERSION CRC32 LENGTH` and LENGTH bytes of JSON lines, each with one key and
+its outcome. A file that is truncated, corrupt or of another version is rejected as a whole. Times are milliseconds of
+the Unix clock, as two processes compare them. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 VERSION = 1
 MAGIC = b"myrtlespar-keys"
 HEADER_WORDS = 4  # magic, version, checksum, length
-ANSWER_KINDS = ("served", "refused", "failed")  # as the file writes them
-MAX_SHOWN_CHARS = 60  # of a rejected entry, in the text of the error
+ANSWER_KINDS = ("served", "refused", "failed")  # as written in the file
+MAX_SHOWN_CHARS = 60  # how much of a rejected entry an error text quotes
 
 
 class HandoverRejectedError(MyrtlesparError):
-    """A hand-over file that can't be accepted; the text gives the reason in one line."""
+    """A hand-over file was rejected; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 
 def key_outcomes(rows: Iterable[tuple[tuple[int, str], Answer, float]]) -> list[KeyOutcome]:
-    """The entries of the file for the rows of a request tracker: class and key, answer, time of expiry."""
+    """Return the entries of the file for rows of a request tracker: class and key, answer, expiry time."""
     return [
         KeyOutcome(class_index, key, answer.kind.value, answer.body, answer.retry_after_ms, expires_at)
         for (class_index, key), answer, expires_at in rows
@@ -64,7 +64,7 @@
 
 
 def encode(outcomes: Iterable[KeyOutcome]) -> bytes:
-    """The bytes of a hand-over file."""
+    """Return the bytes of a hand-over file."""
     rows = b"".join(_encode_row(outcome) for outcome in outcomes)
     return b"%s %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(rows), len(rows)) + rows
 
@@ -74,7 +74,7 @@
 
     Args:
         data: The whole file.
-        now: The time now; keys that have expired by then are left out.
+        now: The current time; keys that have expired by then are left out.
         class_count: The number of request classes; an entry of another class makes the file invalid.
 
     Returns:
@@ -112,32 +112,34 @@
     """Check version, length and checksum of the rows against the header line."""
     words = header.split(b" ")
     if len(words) != HEADER_WORDS or words[0] != MAGIC:
-        raise HandoverRejectedError("no hand-over header")
+        raise HandoverRejectedError("missing hand-over header line")
     _, version, checksum, length = words
     if version != b"%d" % VERSION:
-        raise HandoverRejectedError(f"version {version[:8].decode('ascii', 'replace')}, not {VERSION}")
+        raise HandoverRejectedError(f"unsupported version {version[:8].decode('ascii', 'replace')}, expected {VERSION}")
     if not length.isdigit() or int(length) != len(rows):
-        raise HandoverRejectedError(f"truncated: {len(rows)} bytes of {length[:12].decode('ascii', 'replace')}")
+        raise HandoverRejectedError(
+            f"truncated: {len(rows)} bytes of entries, expected {length[:12].decode('ascii', 'replace')}"
+        )
     if checksum != b"%08x" % zlib.crc32(rows):
-        raise HandoverRejectedError("corrupt: the checksum differs")
+        raise HandoverRejectedError("corrupt: the checksum of the entries does not match the header")
 
 
 def _decode_row(line: bytes, now: float, class_count: int) -> KeyOutcome | None:
-    """One entry; None if it has expired. Malformed JSON raises the errors that `decode` translates."""
+    """Return one entry, or None if it has expired. Malformed JSON raises errors that `decode` translates."""
     class_index, key, kind, body, retry_after, expires_at = json.loads(line)
     if not _is_known(class_index, key, kind, class_count):
-        raise HandoverRejectedError(f"an entry that names no known class or kind: {line[:MAX_SHOWN_CHARS]!r}")
+        raise HandoverRejectedError(f"entry with an unknown class, key or kind of answer: {line[:MAX_SHOWN_CHARS]!r}")
     retry_after_ms = float(retry_after)
     expires_at_ms = float(expires_at)
     if not (0 <= retry_after_ms < math.inf and 0 <= expires_at_ms < math.inf):
-        raise HandoverRejectedError(f"an entry with an invalid time: {line[-MAX_SHOWN_CHARS:]!r}")
+        raise HandoverRejectedError(f"entry with an invalid Retry-After or expiry time: {line[-MAX_SHOWN_CHARS:]!r}")
     if expires_at_ms <= now:
         return None
     return KeyOutcome(class_index, key, kind, base64.b64decode(body, validate=True), retry_after_ms, expires_at_ms)
 
 
 def _is_known(class_index: Any, key: Any, kind: Any, class_count: int) -> bool:
-    """Whether the first fields of an entry have their types and values that this process knows."""
+    """Return whether the first fields of an entry have valid types and values known to this process."""
     return (
         isinstance(class_index, int)
         and 0 <= class_index < class_count
--- a/myrtlespar/handover/receiver.py
+++ b/myrtlespar/handover/receiver.py
@@ -1,4 +1,4 @@
-"""The replacement's side of a hand-over: when it accepts the keys of the old process.
+"""The state machine of the replacement in a hand-over, which accepts the keys of the old process.
 
 Pure: no I/O and no clock. Times are Unix milliseconds.
 """
@@ -14,8 +14,8 @@
 class HandoverState(Enum):
     """Whether the replacement may run requests with an idempotency key."""
 
-    WAITING = "waiting"  # the old process may run: a request with a key is rejected, as it could run in both processes
-    OPEN = "open"
+    WAITING = "waiting"  # the old process may still run: requests with a key are rejected, as they could run in both
+    OPEN = "open"  # requests with a key may run
 
 
 @dataclass(slots=True)
@@ -30,13 +30,13 @@
 class HandoverReceiver:
     """Decides when the replacement accepts requests with a key.
 
-    It does so as soon as it has read a complete hand-over file, or once the old process has ended. A file that is
-    rejected is reported once and not read again; after it only the end of the old process counts.
+    It accepts them once it has read a complete hand-over file, or once the old process has ended. A rejected file is
+    reported once and not read again; then only the end of the old process allows requests with a key.
 
     Attributes:
         state: Whether requests with a key may run.
         rejection: Why the file was rejected; empty if it was not.
-        received_count: How many outcomes the accepted file held.
+        received_count: How many outcomes the accepted file contained.
     """
 
     state: HandoverState = HandoverState.OPEN
@@ -49,7 +49,7 @@
         Args:
             old_process_alive: Whether the old process still holds its lock.
             data: The hand-over file; None if there is none yet.
-            now: The time now; keys that have expired by then are left out.
+            now: The current time; keys that have expired by then are left out.
             class_count: The number of request classes.
         """
         if self.state is HandoverState.OPEN:
--- a/myrtlespar/runtime/clock.py
+++ b/myrtlespar/runtime/clock.py
@@ -1,6 +1,6 @@
 """The two clocks of the process, both in milliseconds since the Unix epoch.
 
-`unix_ms` never steps: it is the monotonic clock, aligned with the Unix clock when the process starts. All deadlines,
+`unix_ms` never jumps: it is the monotonic clock, aligned with the Unix clock when the process starts. All deadlines,
 timers and ages use it. `wall_ms` is the Unix clock itself, for timestamps that other processes write or read.
 `from_wall` and `to_wall` convert between the two.
 """
@@ -13,12 +13,12 @@
 
 
 def unix_ms() -> float:
-    """The time now by the monotonic clock, which setting the system's clock does not change."""
+    """Return the current time of the monotonic clock, which setting the system clock does not change."""
     return (time.monotonic() + _OFFSET_S) * 1000.0
 
 
 def wall_ms() -> float:
-    """The time now by the Unix clock, which may step forward or back."""
+    """Return the current time of the Unix clock, which may jump forward or back."""
     return time.time() * 1000.0
 
 
--- a/myrtlespar/runtime/counters.py
+++ b/myrtlespar/runtime/counters.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-ALWAYS_LOGGED_COUNT = 20  # this many first events of a name are all logged
-SAMPLING_INTERVAL = 100  # of the later events, one in this many is logged
+ALWAYS_LOGGED_COUNT = 20  # the first events of each name, up to this many, are all logged
+SAMPLING_INTERVAL = 100  # one of this many later events is logged
 
 
 class Counters:
@@ -15,7 +15,7 @@
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count this many events."""
+        """Add a number of events to the count of a name."""
         self._counts[name] += count
 
     def count_and_sample(self, name: str) -> bool:
@@ -28,5 +28,5 @@
         return self._counts[name] <= ALWAYS_LOGGED_COUNT or self._counts[name] % SAMPLING_INTERVAL == 0
 
     def report(self) -> dict[str, int]:
-        """All counts since the process started, sorted by name."""
+        """Return all counts since the process started, sorted by name."""
         return dict(sorted(self._counts.items()))
--- a/myrtlespar/runtime/log_output.py
+++ b/myrtlespar/runtime/log_output.py
@@ -1,7 +1,7 @@
 """Log output that never blocks the process and never raises.
 
-Standard output may be a pipe that nobody reads, a pipe whose reader has ended, a file on a full disk, or closed. Log
-lines are then lost and counted, and nothing else is affected.
+Standard output may be a pipe that no process reads, a pipe whose reader has ended, a file on a full disk, or closed.
+Log lines are then dropped and counted, and nothing else is affected.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 import structlog
 
-MAX_BACKLOG_BYTES = 65536  # of lines stored while the descriptor is not writable; newer ones are lost
-MAX_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many without blocking
+MAX_BACKLOG_BYTES = 65536  # limit of the lines stored while the descriptor is not writable; further ones are dropped
+MAX_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many bytes without blocking
 STANDARD_INPUT = 0
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
@@ -23,20 +23,20 @@
 
 
 def open_standard_descriptors() -> None:
-    """Open the standard streams that are closed at the start, on the null device.
+    """Open the null device for each standard stream that is closed when the process starts.
 
-    Otherwise the first sockets would get their numbers, and what libraries write to standard output or standard error
-    would be sent to a client or a server.
+    Otherwise the first sockets would get their descriptor numbers, and what libraries write to standard output or
+    standard error would be sent to a client or a server.
     """
     for descriptor in STANDARD_DESCRIPTORS:
         try:
             os.fstat(descriptor)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # opens the lowest free number, which is this one
+            os.open(os.devnull, os.O_RDWR)  # gets the lowest free descriptor, which is this one
 
 
 class LogOutput:
-    """Writes lines to one descriptor, in order and complete, without blocking.
+    """Writes whole lines to one descriptor, in order, without blocking.
 
     Attributes:
         lost: How many lines could not be written.
@@ -49,7 +49,7 @@
         self._backlog: deque[bytes] = deque()
         self._backlog_bytes = 0
         self.lost = 0
-        self._reported_lost = 0  # how many of them a line of the log has reported
+        self._reported_lost = 0  # how many of the lost lines the log has reported
         self._failing = False  # whether the last write failed
 
     def write(self, line: str) -> None:
@@ -73,7 +73,7 @@
                 written = os.write(self._descriptor, head[:MAX_WRITE_BYTES])
             except BlockingIOError:
                 return
-            except OSError:  # no reader or no space: this line is lost, and the next one is written all the same
+            except OSError:  # no reader or no space: this line is lost, and the next one is tried
                 written = len(head)
                 self.lost += 1
                 self._failing = True
@@ -87,26 +87,26 @@
 
     def _enqueue(self, line: str) -> None:
         data = line.encode("utf-8", "backslashreplace") + b"\n"
-        if self._backlog_bytes + len(data) > MAX_BACKLOG_BYTES:  # bounds the memory used while nobody reads the log
+        if self._backlog_bytes + len(data) > MAX_BACKLOG_BYTES:  # bounds the memory used while no process reads the log
             self.lost += 1
             return
         self._backlog.append(data)
         self._backlog_bytes += len(data)
 
     def _writable(self) -> bool:
-        """Whether a short write returns at once, be it with an error."""
+        """Return whether a short write returns at once, successfully or with an error."""
         return bool(self._poll.poll(0))
 
 
 class LineLogger:
-    """The logger that structlog calls with each rendered line, whatever its level."""
+    """A logger for structlog that writes the rendered lines of every level to one output."""
 
     def __init__(self, output: LogOutput) -> None:
         self.msg = self.debug = self.info = self.warning = self.error = self.critical = output.write
 
 
 def _output_to(stream: TextIO | None, default_descriptor: int) -> LogOutput:
-    """An output to a standard stream, or to the default descriptor if the stream is missing or closed."""
+    """Return an output to a standard stream, or to the default descriptor if the stream is missing or closed."""
     try:
         return LogOutput(default_descriptor if stream is None else stream.fileno())
     except (OSError, ValueError):
--- a/myrtlespar/runtime/startup_signals.py
+++ b/myrtlespar/runtime/startup_signals.py
@@ -1,7 +1,7 @@
 """Collects signals from the start of the process until the server can handle them.
 
-So a signal during the start neither kills the process nor is lost. The module imports only the standard library, so
-that it is loaded before everything that takes time to load.
+A signal during the start thus neither kills the process nor is lost. The module imports only the standard library, so
+that it is loaded before the modules that take time to load.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class StartupSignals:
-    """Replaces the default handlers at construction and stores the signals until `forward_to` names a handler."""
+    """Replaces the default signal handlers at construction and stores signals until `forward_to` sets a handler."""
 
     def __init__(self) -> None:
         self._pending: list[int] = []
@@ -24,7 +24,7 @@
             signal.signal(number, self._receive)
 
     def shutdown_requested(self) -> bool:
-        """Whether a shutdown signal is among those that are stored and not forwarded yet."""
+        """Return whether a shutdown signal is stored and not forwarded yet."""
         return any(number in SHUTDOWN_SIGNALS for number in self._pending)
 
     def forward_to(self, handler: Callable[[int], object]) -> None:
@@ -43,10 +43,10 @@
 
 
 def ignore_signals(remove_handlers: Callable[[], object]) -> None:
-    """Ignore all signals, so that none between the last answer and the end of the process changes the exit code.
+    """Ignore the signals in SIGNALS, so that none after the last answer changes the exit code.
 
     Args:
-        remove_handlers: Removes the present handlers. As this restores the default action, which kills the process,
+        remove_handlers: Removes the present handlers. This restores the default action, which kills the process, so the
             signals are blocked meanwhile.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
--- a/myrtlespar/runtime/tracing.py
+++ b/myrtlespar/runtime/tracing.py
@@ -1,6 +1,6 @@
-"""The optional trace: one log line for each transition of a state machine, and for each admission under a fleet limit.
+"""The optional trace: one log line for each transition of a state machine and each admission under a fleet limit.
 
-It costs nothing while it is off.
+While it is disabled, it has no cost.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 def log_admission(request_id: str, age_ms: float) -> None:
-    """Log that a request was admitted under the fleet's limits, by a decision that is so old."""
+    """Log that a request was admitted under the fleet's limits, by a decision made `age_ms` ago."""
     log.info("admitted", id=request_id, age_ms=age_ms)
 
 
 def _log_transition(
     table: TransitionTable, machine_id: str, state: int, event: int, transition: Transition | None
 ) -> None:
-    """Log one event of one machine; `transition` is None if the table has no entry for it."""
+    """Log one event of a state machine; `transition` is None if the event is invalid in the current state."""
     log.info(
         "step",
         machine=table.name,
--- a/myrtlespar/server/application.py
+++ b/myrtlespar/server/application.py
@@ -1,4 +1,4 @@
-"""The parts of one server process and how they are connected."""
+"""The components of one server process and how they are connected."""
 
 from __future__ import annotations
 
@@ -34,19 +34,18 @@
 
 
 class Application:
-    """The connected parts of one server process.
+    """The connected components of one server process.
 
-    The constructor creates the parts in the order of the start, binds the addresses of the fronts and of the admin
-    server, and then begins to receive the keys of the previous process. No client connection is accepted before
-    `start`.
+    The constructor creates the components, binds the addresses of the fronts and of the admin server, and then begins
+    to receive the idempotency keys of the previous process. No client connection is accepted before `start`.
 
     Args:
         config: The configuration of this process.
         shutdown_requested: Whether a shutdown signal has arrived; ends the wait for an address that is in use.
 
     Raises:
-        AddressInUseError: An address of a front or of the admin server stayed in use.
-        ConfigError: The fleet's configuration file has a fault.
+        AddressInUseError: The address of a front or of the admin server is still in use after the wait.
+        ConfigError: The fleet's configuration file is invalid.
     """
 
     def __init__(self, config: Config, shutdown_requested: Callable[[], bool]) -> None:
@@ -63,7 +62,7 @@
         self.fronts = self._create_fronts(shutdown_requested)
         self.fleet = _open_fleet(config, self.coordinator, self.counters) if config.fleet else None
         self.admin_server = self._start_admin_server(shutdown_requested)
-        # Last of all that can fail: reading the keys removes their file, and an end after that would lose them.
+        # After everything else that can fail: reading the keys removes their file, so a later failure would lose them.
         self.key_handover = self._start_key_handover()
         self.coordinator.close_idle = self._set_idle_timeout
         self._coordinator_greenlet: gevent.Greenlet | None = None
@@ -73,7 +72,7 @@
         for front in self.fronts:
             front.start()
         self._coordinator_greenlet = gevent.spawn(self.coordinator.run)
-        # The names are those of the counters `fault.NAME` and of the log.
+        # Each name appears in the counter `fault.NAME` and in the log.
         gevent.spawn(run_forever, "kernel", self.engine_client.serve, self.counters)
         gevent.spawn(run_forever, "store", self.dependency_client.serve, self.counters)
         gevent.spawn(run_forever, "roster", self.registry_client.serve, self.counters)
@@ -85,12 +84,12 @@
             calls_share=self.config.settings.calls_share,
             shared=self.config.settings.shared_dependency,
         )
-        gc.freeze()  # the objects of the start live as long as the process, so the collector need not visit them
+        gc.freeze()  # objects created at the start live as long as the process: the garbage collector can skip them
 
     def raise_if_coordinator_ended(self) -> None:
         """Raise the exception that ended the coordinator's greenlet, if it has ended.
 
-        This prevents a server that still accepts requests while nothing decides on them.
+        Otherwise the server would still accept requests, but nothing would decide on them.
         """
         if self._coordinator_greenlet is not None and self._coordinator_greenlet.ready():
             self._coordinator_greenlet.get()
@@ -101,7 +100,7 @@
             self.fleet.leave()
 
     def close_fleet(self) -> None:
-        """Close the sockets and files of the fleet's part, if there is one."""
+        """Close the sockets and files of the fleet node, if this server is in a fleet."""
         if self.fleet is not None:
             self.fleet.close()
 
@@ -144,24 +143,24 @@
         return admin_server
 
     def _is_ready(self) -> bool:
-        """Whether this process can serve new clients."""
+        """Return whether this process can serve new clients."""
         return self.engine_client.is_up and not self.coordinator.draining
 
     def _metrics(self) -> MetricsSnapshot:
-        """The metrics of this process, with those of the fleet's part."""
+        """Return the metrics of this process, including those of the fleet node."""
         snapshot = self.coordinator.metrics_snapshot(self.config.class_names)
         return snapshot if self.fleet is None else replace(snapshot, extra_lines=self.fleet.metrics())
 
     def _set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close client connections that are idle for this long; 0 leaves that to the clients."""
+        """Set after how many ms the fronts close an idle client connection; 0 means never."""
         for front in self.fronts:
             front.idle_timeout_ms = timeout_ms
 
 
 def _open_fleet(config: Config, coordinator: RequestCoordinator, counters: Counters) -> FleetNode:
-    """Start this server's part of the fleet.
+    """Start the fleet node of this server.
 
-    The modules of the fleet are imported only here, so that a server outside of a fleet does not load them.
+    The fleet's modules are imported only here, so that a server outside of a fleet does not load them.
     """
     from myrtlespar.fleet import open_fleet
 
--- a/myrtlespar/server/drain.py
+++ b/myrtlespar/server/drain.py
@@ -10,7 +10,7 @@
 
 
 def begin_drain(application: Application) -> None:
-    """Begin the shutdown: notify the policy, ask the clients to send nothing new, and leave the fleet.
+    """Begin the shutdown: notify the policy, ask the clients to send no new requests, and leave the fleet.
 
     A repeated call has no further effect. `ShutdownSequence` carries out the later stages.
     """
--- a/myrtlespar/server/handover.py
+++ b/myrtlespar/server/handover.py
@@ -1,4 +1,4 @@
-"""Hand-over to a replacement process (SIGTERM with an admin server): stop listening, answer what was read, exit."""
+"""Hand-over to a replacement process (SIGTERM with an admin server): stop listening, answer, end."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def begin_handover(application: Application) -> None:
-    """Close the listeners and ask the clients to connect again, which leads them to the replacement.
+    """Close the listeners and ask the clients to reconnect, which connects them to the replacement.
 
     Unlike in a graceful shutdown, every request that was read may start and Thrift pings still report good health; AJP
-    pings are no longer answered.
-    `ShutdownSequence` carries out the later stages, in which the idempotency keys are published.
+    pings are no longer answered. `ShutdownSequence` carries out the later stages, in which the
+    idempotency keys are written for the replacement.
     """
     coordinator = application.coordinator
     actions = coordinator.process.handover(unix_ms(), _time_until_kill_ms(application))
@@ -29,7 +29,10 @@
 
 
 def _time_until_kill_ms(application: Application) -> float:
-    """How long after SIGTERM the platform sends SIGKILL: the longest client timeout, up to a maximum, plus a margin."""
+    """Return how long after SIGTERM the platform sends SIGKILL.
+
+    That is the longest client timeout, up to a maximum, plus a margin.
+    """
     limits = application.config.limits
     longest_timeout_ms = max(request_class.client_timeout_ms for request_class in application.config.settings.classes)
     return min(longest_timeout_ms, limits.handover_max_deadline_ms) + limits.handover_margin_ms
--- a/myrtlespar/server/main.py
+++ b/myrtlespar/server/main.py
@@ -1,4 +1,4 @@
-"""Start and end of the server process, and its exit codes."""
+"""The entry point of the server process and its exit codes."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 log = structlog.get_logger()
 
 EXIT_OK = 0  # the shutdown was complete
-EXIT_FAILED = 1  # a part that the process can't serve without has failed
-EXIT_BAD_CONFIG = 2  # the configuration has a fault, or an address is in use
+EXIT_FAILED = 1  # an essential component failed
+EXIT_BAD_CONFIG = 2  # the configuration is invalid, or an address is in use
 
 
 def serve(config: Config, startup_signals: StartupSignals, output: LogOutput) -> int:
@@ -27,7 +27,7 @@
         The exit code.
 
     Raises:
-        ConfigError: The fleet's configuration file has a fault. No client was accepted.
+        ConfigError: The fleet's configuration file is invalid. No client was accepted.
     """
     try:
         application = Application(config, startup_signals.shutdown_requested)
@@ -38,9 +38,9 @@
         return EXIT_BAD_CONFIG
     coordinator = application.coordinator
     signal_handlers = SignalHandlers(application, startup_signals)
-    gevent.sleep(0)  # lets the handlers of signals that arrived during the start run
+    gevent.sleep(0)  # runs the handlers of signals that arrived during the start
     if coordinator.draining:  # no client could connect yet, so nothing is unanswered
-        log.info("told to leave at the start")
+        log.info("shutdown signal during the start; ending")
         signal_handlers.ignore_further_signals()
         application.close_fleet()
         return EXIT_OK
@@ -57,21 +57,21 @@
     """Run the server process.
 
     Args:
-        startup_signals: Collects signals since the process began; None begins to collect them now.
+        startup_signals: The signals collected since the process began; None begins to collect them now.
 
     Returns:
-        The exit code: 0 after a complete shutdown, 1 after the failure of a part that is needed, 2 for a faulty
-        configuration or an address in use, which one line on standard error names.
+        The exit code: 0 after a complete shutdown, 1 after the failure of an essential component, 2 for an invalid
+        configuration or an address in use, which one line on standard error reports.
     """
     open_standard_descriptors()
     startup_signals = startup_signals or StartupSignals()
     output = log_to_standard_output()
-    gevent.config.resolver = "block"  # addresses are numeric, so resolving them needs no thread
+    gevent.config.resolver = "block"  # addresses are numeric, so no thread is needed to resolve them
     try:
         return serve(load(), startup_signals, output)
     except ConfigError as error:
         print_error(error)
         return EXIT_BAD_CONFIG
-    except Exception:  # the process's outermost boundary: a process that can't serve must end instead of hang
-        log.exception("cannot go on")
+    except Exception:  # the outermost handler: a process that can't serve must exit instead of hang
+        log.exception("fatal error; ending the process")
         return EXIT_FAILED
--- a/myrtlespar/server/reload.py
+++ b/myrtlespar/server/reload.py
@@ -16,10 +16,10 @@
 class ConfigReloader:
     """Reads the configuration again and applies the addresses in it.
 
-    A faulty file changes nothing. As the file may still be incomplete when the signal arrives, it is read repeatedly
-    until it is valid, `limits.reload_timeout_ms` have passed or another reload is requested. Each faulty read counts as
-    `reload.refused`; the log names a fault when it differs from that of the read before. In the last stage of a
-    shutdown, when the last answers are sent, a valid file is not applied either.
+    An invalid file changes nothing. As the file may still be incomplete when the signal arrives, it is read repeatedly
+    until it is valid, `limits.reload_timeout_ms` have passed or another reload is requested. Each read of an invalid
+    file counts as `reload.refused`; its error is logged if it differs from that of the previous read. In the last stage
+    of a shutdown, when the last answers are sent, a valid file is not applied either.
     """
 
     def __init__(self, application: Application) -> None:
@@ -28,7 +28,7 @@
         self._latest_request = 0  # number of the last requested reload
 
     def reload(self) -> None:
-        """Carry out one requested reload; blocks its greenlet while the file is faulty."""
+        """Carry out one requested reload; blocks its greenlet while the file is invalid."""
         new_config = self._read_valid_config()
         if new_config is None:
             return
@@ -37,7 +37,7 @@
         self._apply(new_config)
 
     def _read_valid_config(self) -> Config | None:
-        """Return the new configuration, or None if it stayed faulty or another reload replaces this one."""
+        """Return the new configuration, or None if it stayed invalid or another reload replaces this one."""
         self._latest_request += 1
         request_number = self._latest_request
         limits = self._application.config.limits
@@ -54,7 +54,7 @@
                 return None
 
     def _reject(self, fault: str, reported_fault: str) -> None:
-        """Count a faulty read, and log its fault unless it equals `reported_fault`, the one logged last."""
+        """Count a read of an invalid file, and log its error unless it equals `reported_fault`, the last one logged."""
         self._application.counters.add("reload.refused")
         if fault == reported_fault:
             return
--- a/myrtlespar/server/shutdown.py
+++ b/myrtlespar/server/shutdown.py
@@ -13,7 +13,7 @@
 
 
 class ShutdownSequence:
-    """Polls the process lifecycle from the start of the application on, and carries out the actions that are due.
+    """Polls the process lifecycle while the application runs, and carries out the actions that are due.
 
     The lifecycle decides when a stage ends; see `ProcessLifecycle.poll`.
     """
@@ -28,7 +28,7 @@
         """Block until the last stage is complete.
 
         Raises:
-            Exception: Whatever ended the coordinator's greenlet; without it nothing can be served.
+            Exception: The exception that ended the coordinator's greenlet, without which no request can be served.
         """
         tracker = self._application.coordinator.tracker
         while not self._stopped:
@@ -44,15 +44,15 @@
                 front.stop()
         elif action is ProcessAction.ASK_CLIENTS:
             for front in self._application.fronts:
-                front.drain()  # connections opened since the shutdown signal
+                front.drain()  # also notifies connections opened since the shutdown signal
         else:
             self._send_last_answers()
 
     def _send_last_answers(self) -> None:
-        """Fail what is unanswered, publish the idempotency keys, flush all connections."""
+        """Fail the unanswered requests, publish the idempotency keys, and flush all connections."""
         application = self._application
         application.coordinator.fail_unanswered()
-        # Reading ends before the keys are written: the key of a request read later would be in no process's table.
+        # Reading ends before the keys are written: the key of a request read later would be missing in the replacement.
         for front in application.fronts:
             front.end()
         if application.key_handover is not None:
@@ -62,9 +62,10 @@
         self._stopped = ProcessAction.STOP in self._process.handle(ProcessEvent.FLUSHED)
 
     def _flush_timeout_s(self) -> float:
-        """How long to wait for clients to read their last answers.
+        """Return how long to wait for clients to read their last answers, in seconds.
 
-        At most half of the time left before the kill, so that a client that does not read can't change the exit code.
+        It is at most half of the time left before SIGKILL, so that a client that does not read can't change the exit
+        code.
         """
         left_ms = max(0.0, self._process.kill_at - unix_ms())
         return min(self._application.config.limits.flush_timeout_ms, left_ms / 2) / 1000.0
--- a/myrtlespar/server/signal_handlers.py
+++ b/myrtlespar/server/signal_handlers.py
@@ -1,4 +1,4 @@
-"""What each signal does while the server runs."""
+"""The signal handlers of the running server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SignalHandlers:
-    """Runs the operation of each signal in a greenlet of its own, from construction until `ignore_further_signals`.
+    """Handles each signal in a greenlet of its own, from construction until `ignore_further_signals`.
 
     Signals that arrived during the start are handled too.
     """
@@ -41,9 +41,9 @@
 
 
 def _handlers_of(application: Application) -> dict[signal.Signals, Callable[[], None]]:
-    """The operation for each signal.
+    """Return the handler of each signal.
 
-    SIGTERM means a hand-over where there is an admin server, as a replacement process then runs beside this one.
+    SIGTERM begins a hand-over if there is an admin server, as a replacement process then runs beside this one.
     """
 
     def drain() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -130,7 +130,7 @@
             else:
                 old.process.terminate()
                 assert old.process.wait(10) == 0
-                assert old.event("keys left for the next process") is not None
+                assert old.event("idempotency keys written for the replacement") is not None
             # Each request that was read is answered.
             assert {client.answer(seq)[0] for seq in slow_requests} <= {"success", "refused"}
             load.wait_for_more(20, "requests after the hand-over")
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -34,7 +34,7 @@
     (tmp_path / "started.py").write_text(start)
     with server_process(tmp_path, start=str(tmp_path / "started.py"), wait=False) as running:
         if sent in ("SIGTERM", "SIGINT"):
-            until(lambda: running.event("told to leave at the start") or running.event("draining"))
+            until(lambda: running.event("shutdown signal during the start; ending") or running.event("draining"))
             while running.process.poll() is None:  # again, in its last moments
                 running.process.send_signal(signal.Signals[sent])
             assert running.process.wait(20) == 0
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -81,7 +81,7 @@
         tmp_path, start=program_that_fails(tmp_path, module, owner, name, "len(raised) < 2")
     ) as running:
         silent = ThriftClient(running.ports[0])
-        assert_logged_and_counted(running, "part failed and goes on", f"fault.{part}")
+        assert_logged_and_counted(running, "component failed; restarting it", f"fault.{part}")
         until(lambda: running.registry.reports)
         assert ThriftClient(running.ports[0]).ask("order", b"calls=1")[0] == "success"
         assert silent.ended.wait(20)  # closed, as every connection that sends nothing
@@ -101,5 +101,5 @@
         assert client.ask("fetch", b"ms=1")[0] == "success"
         client.send("fetch", b"ms=1")
         assert running.process.wait(5) == 1
-        row = until(lambda: running.event("cannot go on"))
+        row = until(lambda: running.event("fatal error; ending the process"))
         assert "ZeroDivisionError: raised by the test" in row["exception"]
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -17,10 +17,10 @@
 EFFECTFUL = "order"
 FAULT_EVENTS = (
     "uncaught exception",
-    "part failed and goes on",
+    "component failed; restarting it",
     "effect failed",
     "connection failed",
-    "cannot go on",
+    "fatal error; ending the process",
 )
 
 
