--- a/tests/gates.py
+++ b/tests/gates.py
@@ -53,7 +53,7 @@
         script = START_SCRIPT.format(where=where, when=when, pipe=self._pipe, first=first, then=then)
         Path(self.start).write_text(script)
 
-    def reached(self, server: ServerProcess) -> None:
+    def wait_until_reached(self, server: ServerProcess) -> None:
         """Wait until the program stands at the gate, with all of its greenlets."""
         until(lambda: server.event("at the gate"))
 
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -37,7 +37,7 @@
             new = ThriftClient(running.ports[0])  # the first one, which is the idlest, goes for it
         else:
             running.process.terminate()
-        gate.reached(running)
+        gate.wait_until_reached(running)
         seq = clients[0].send("order", b"crosses")
         gate.open()
         assert clients[0].ended.wait(20)
@@ -67,7 +67,7 @@
         assert client.answer(client.say("ping", full=False))
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"late"))
         client.sock.sendall(frame[:9])
-        gate.reached(running)
+        gate.wait_until_reached(running)
         client.sock.sendall(frame[9:])
         gate.open()
         assert client.answer(7)[0] == "success"
@@ -162,7 +162,7 @@
             running.process.terminate()
         else:
             slow.sendall(b"\x7f\xff\xff\xff no frame is so long" + b"." * 50000)
-        gate.reached(running)
+        gate.wait_until_reached(running)
         slow.sendall(order(31))
         gate.open()
         if why == "exit":
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -226,7 +226,7 @@
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=1500")
-        gate.reached(running)
+        gate.wait_until_reached(running)
         time.sleep(0.7)  # the standstill itself, over the timeout
         with running.engine.lock:  # the answer comes only after the program has looked for it
             gate.open()
@@ -311,7 +311,7 @@
         running.config["kernel"] = running.engine.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
-        gate.reached(running)
+        gate.wait_until_reached(running)
         until(lambda: [row["t"] for row in old.notices].count("REAP"))
         time.sleep(0.5)  # the standstill itself, over the time to read the old link to its end
         gate.open()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -246,7 +246,7 @@
             start=gate.start,
             wait=False,
         ) as new:
-            gate.reached(new)  # in its second poll, with the old process alive in the first
+            gate.wait_until_reached(new)  # in its second poll, with the old process alive in the first
             old.process.terminate()
             assert old.process.wait(20) == 0
             gate.open()
@@ -277,7 +277,7 @@
         listen = f"127.0.0.1:{old.ports[0]}"
         with server_process(handover_folders.new, listen=listen, **shared) as new:
             old.process.terminate()
-            gate.reached(old)
+            gate.wait_until_reached(old)
             until(lambda: new.event("hand-over taken: 0 keys"), "the keys received")
             gate.open()
             assert old.process.wait(10) == 0
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -59,7 +59,7 @@
     with limited_server(tmp_path, "per_s: 1, standing: 1.0", start=gate.start) as server:
         client = ThriftClient(server.ports[0])
         held = client.send("order", b"held")
-        gate.reached(server)
+        gate.wait_until_reached(server)
         time.sleep(1.2 * WINDOW_MS / 1000)  # the standstill itself
         after = client.send("order", b"after")
         gate.open()
@@ -100,7 +100,7 @@
         gateways = [FakeGateway(server.ports[1]) for _ in range(2)]
         with ThreadPoolExecutor() as pool:
             held = pool.submit(gateways[0].ask, "/order", b"held")
-            gate.reached(server)
+            gate.wait_until_reached(server)
             time.sleep(1.2 * WINDOW_MS / 1000)  # the standstill itself
             after = pool.submit(gateways[1].ask, "/order", b"after")
             gate.open()
