--- a/myrtlespar/admin/commands.py
+++ b/myrtlespar/admin/commands.py
@@ -13,7 +13,7 @@
 
 from myrtlespar.admin.metrics import MetricsSnapshot, exposition
 
-MAX_LINE_BYTES = 256  # of a command line with its line end; a longer one is an error and closes the connection
+MAX_LINE_BYTES = 256  # limit for a command line with its line end; a longer one is an error and ends the connection
 MAX_SHOWN_BYTES = 40  # how much of an unknown command the reply quotes
 
 
--- a/myrtlespar/exchange.py
+++ b/myrtlespar/exchange.py
@@ -11,8 +11,8 @@
     """The three kinds of final answers. The values appear in counter names and in the hand-over file."""
 
     SERVED = "served"
-    REFUSED = "refused"  # rejected: it certainly did not run
-    FAILED = "failed"  # it may have run
+    REFUSED = "refused"  # rejected: the request certainly did not run
+    FAILED = "failed"  # the request may have run
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlespar/handover/folder.py
+++ b/myrtlespar/handover/folder.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-MAX_FILE_BYTES = 1 << 25  # of a hand-over file; a longer file was not written by this program
+MAX_FILE_BYTES = 1 << 25  # maximum length of a hand-over file; a longer file was not written by this program
 MAX_NAME_CHARS = 128  # maximum length of a server's name within a file name
 NO_DESCRIPTOR = -1
 
--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -16,7 +16,7 @@
     READ = 0  # the request has been read completely; nothing has been decided yet
     HELD = auto()  # queued by the policy
     FOLLOWING = auto()  # waits for the outcome of another attempt with the same idempotency key
-    RUNNING = auto()  # its run is in progress
+    RUNNING = auto()  # the run is in progress
     AT_CALL = auto()  # the run waits until its dependency call is made
     CALLING = auto()  # the dependency call is in flight
     RUNNING_UNWANTED = auto()  # like RUNNING, but no client waits any longer; a run can't be cancelled
@@ -27,23 +27,23 @@
 class AttemptEvent(IntEnum):
     """What happens to an attempt."""
 
-    ADMIT = 0  # it has no idempotency key, or owns its key
+    ADMIT = 0  # the attempt has no idempotency key, or owns its key
     FOLLOW = auto()  # another attempt owns its key
-    KNOWN = auto()  # the outcome of its key is known, or the key table has no capacity for it
-    START = auto()  # the policy starts it
-    BAR = auto()  # the policy starts it, but it arrived too late in a graceful shutdown
-    REFUSE = auto()  # the policy rejects it
-    FAIL = auto()  # the policy fails it
+    KNOWN = auto()  # the outcome of its idempotency key is known, or the key table has no capacity for the key
+    START = auto()  # the policy starts the attempt
+    BAR = auto()  # the policy starts the attempt, but it arrived too late in a graceful shutdown
+    REFUSE = auto()  # the policy rejects the attempt
+    FAIL = auto()  # the policy fails the attempt
     GONE = auto()  # the caller disconnected or cancelled
     CALL_NEEDED = auto()  # the run waits for a dependency call
     CALL = auto()  # the policy allows the dependency call
     CALL_OK = auto()  # the dependency call succeeded
     CALL_BAD = auto()  # the dependency call failed; the policy may make another one
     ENDED = auto()  # the run ended
-    NEVER_RAN = auto()  # the run ended, and it is certain that it never began
-    OVERDUE = auto()  # its due time passed, or the process is about to end
+    NEVER_RAN = auto()  # the run was reported as ended, and certainly never began
+    OVERDUE = auto()  # the due time passed, or the process is about to end
     SHARE = auto()  # the attempt that it follows was answered, and the answer is shared
-    PROMOTE = auto()  # it becomes the owner of its key, as the attempt that it followed ended before it ran
+    PROMOTE = auto()  # the attempt becomes the owner of its key, as the previous owner ended before it ran
 
 
 class AttemptAction(IntEnum):
@@ -65,10 +65,10 @@
     DELIVER_FAILED = auto()  # fail an attempt that was rejected after its start, as the run may have had its effect
     WITHDRAW = auto()  # no client waits for the answer any longer
     LEAVE = auto()  # remove the attempt from the tracker
-    REMEMBER = auto()  # record the outcome of its key and share it with the followers
+    REMEMBER = auto()  # record the outcome of the idempotency key and share it with the followers
     FREE_KEY = auto()  # free the key, as the attempt never ran, and share the answer with the followers
     PASS_ON = auto()  # make the first follower the owner of the key, as the attempt ended before it ran
-    UNFOLLOW = auto()  # remove it from the followers of its key
+    UNFOLLOW = auto()  # remove the attempt from the followers of its key
 
 
 LAST_COORDINATOR_ACTION = AttemptAction.TELL_CALL_ENDED  # the request tracker carries out the later members
--- a/myrtlespar/state_machines/client_connection.py
+++ b/myrtlespar/state_machines/client_connection.py
@@ -26,7 +26,7 @@
     LAST_ANSWERED = auto()  # the last outstanding answer was sent
     TURNED_AWAY = auto()  # the front itself answers the request being read, without the request coordinator
     SPOILT = auto()  # malformed or truncated input, after which no further request can be read
-    CLOSE = auto()  # the server closes it when no answer is outstanding, in a graceful shutdown or because it is idle
+    CLOSE = auto()  # the server closes the connection when no answer is outstanding: graceful shutdown, or idle
     END = auto()  # the process ends: no more input is accepted, not even the rest of a partly read request
     RESET = auto()  # the client closed the connection
 
--- a/myrtlespar/state_machines/command_log.py
+++ b/myrtlespar/state_machines/command_log.py
@@ -32,7 +32,7 @@
     line: bytes
     is_start: bool  # whether it starts a run (SCHED); otherwise it is a reply to a dependency call (IODONE)
     is_idempotent: bool = False  # whether a second run does no harm
-    sequence_number: int = 0  # its position among all commands sent
+    sequence_number: int = 0  # position among all commands sent, from 1
     state: int = CommandState.KEPT
 
 
@@ -89,10 +89,10 @@
 class NoticeKind(IntEnum):
     """The classification of a notice by its number."""
 
-    OLD = 0  # a duplicate: it was read before
-    NEXT = auto()  # it follows the last one, or a replay did not supply the missing ones before it
+    OLD = 0  # a duplicate: the notice was read before
+    NEXT = auto()  # the notice follows the last one, or a replay did not supply the missing ones before it
     GAP = auto()  # notices before it are missing
-    RENUMBERED = auto()  # it comes from another engine process
+    RENUMBERED = auto()  # the notice comes from another engine process
 
 
 # Bound once at import: looking up an enum member in its class costs as much as a transition.
--- a/myrtlespar/state_machines/dependency_tables.py
+++ b/myrtlespar/state_machines/dependency_tables.py
@@ -22,10 +22,10 @@
     """What happens to a connection to the dependency."""
 
     OPENED = 0
-    REFUSED = auto()  # it could not be opened
+    REFUSED = auto()  # the connection could not be opened
     TAKE = auto()  # a call is sent on it
     REPLY = auto()
-    DROP = auto()  # its call is cancelled or timed out
+    DROP = auto()  # the call on it is cancelled or timed out
     BROKEN = auto()  # the connection was closed, by either side
     RETIRE = auto()  # not to be used again: idle for too long, at an old address, or unsuitable for the next call
 
@@ -71,9 +71,9 @@
 
     PUT = 0  # sent on a connection
     ANSWERED = auto()
-    CUT = auto()  # its connection closed before the reply
+    CUT = auto()  # the connection closed before the reply
     UNREACHED = auto()  # no connection could be opened, or too many calls wait
-    OUT_OF_TIME = auto()  # its time limit passed
+    OUT_OF_TIME = auto()  # the time limit passed
     GIVEN_UP = auto()  # cancelled, as no longer needed
 
 
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -30,8 +30,8 @@
     CROWDED_TRY = auto()  # an attempt arrives, and the key has the maximum number of followers
     OUTCOME = auto()  # the owner ran
     NEVER_RAN = auto()  # the owner ended and certainly did not run
-    OWNER_LEFT = auto()  # the owner left before it ran, followers wait
-    LAST_LEFT = auto()  # the owner left before it ran, no follower waits
+    OWNER_LEFT = auto()  # the owner left before it ran, and followers wait
+    LAST_LEFT = auto()  # the owner left before it ran, and no follower waits
     EXPIRE = auto()  # the outcome has been cached for `key_ms`
 
 
@@ -96,7 +96,7 @@
         self.max_result_bytes = max_result_bytes
         self.entries: dict[KeyId, KeyEntry] = {}
         self.expiry: deque[tuple[float, KeyId]] = deque()  # times in Unix milliseconds, earliest first
-        # Whether the keys of an earlier process are still to come; no new key is accepted meanwhile.
+        # Whether the keys of an earlier process are awaited. While they are, no new key is accepted.
         self.awaiting_handover = False
 
     def register(self, exchange: Exchange) -> tuple[KeyAction, Answer | None]:
