--- a/tests/gates.py
+++ b/tests/gates.py
@@ -1,6 +1,6 @@
 """Stops the real program at a call of one of its functions until the test lets it continue.
 
-Tests use it to force an order of events instead of waiting for it to occur by chance.
+Tests use this to force a particular order of events instead of waiting for it to occur by chance.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class Gate:
-    """A call at which the program stops once, until the test opens the gate.
+    """A call at which the program stops, the first time, until the test opens the gate.
 
     Args:
         tmp: A folder for the start script and the pipe that the program waits at.
-        where: The function, as `MODULE:CLASS.METHOD`.
-        when: An expression over its `args` that is true for the call to stop at.
-        first: Statements that the program runs before its start.
-        then: A statement that it runs when the gate is open, before the call.
+        where: The method, as `MODULE:CLASS.METHOD`.
+        when: An expression over the call's `args` that is true for the call to stop at.
+        first: Statements to run before the program starts.
+        then: A statement to run before the call when the gate has been opened.
 
     Attributes:
         start: The path of the start script.
@@ -54,14 +54,14 @@
         Path(self.start).write_text(script)
 
     def wait_until_reached(self, server: ServerProcess) -> None:
-        """Wait until the program stands at the gate, with all of its greenlets."""
+        """Wait until the program is stopped at the gate, with all of its greenlets."""
         until(lambda: server.event("at the gate"))
 
     def open(self) -> None:
         """Let the program continue."""
 
         def opened() -> bool:
-            with contextlib.suppress(OSError):  # the program does not read the pipe yet
+            with contextlib.suppress(OSError):  # the program has not opened the pipe yet
                 os.close(os.open(self._pipe, os.O_WRONLY | os.O_NONBLOCK))
                 return True
             return False
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the management address: replies, errors, and the pause."""
+"""The operators' commands on the management address: replies, errors, and PAUSE."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, settings
 
 
-def test_each_command_is_done_and_bad_lines_are_errors_that_name_them() -> None:
+def test_commands_are_confirmed_and_invalid_lines_get_an_error() -> None:
     commands = AdminCommands()
     assert commands.handle_line(b"STATUS", 0.0, ready=False) == AdminReply(b"done no\n", close_connection=False)
     assert commands.handle_line(b"STATUS\r", 0.0, ready=True) == AdminReply(b"done yes\n", close_connection=False)
-    assert commands.handle_line(b"RESUME", 1.0, True).data.startswith(b"done")  # one without a PAUSE is no fault
+    assert commands.handle_line(b"RESUME", 1.0, True).data.startswith(
+        b"done"
+    )  # without a PAUSE before, it is not an error
     assert commands.handle_line(b"PAUSE", 2.0, True).data == b"done paused\n"
     assert commands.paused
     assert commands.paused_at == 2.0
@@ -41,7 +43,7 @@
 
 
 def ask_admin_server(port: int, data: bytes) -> tuple[bytes, float]:
-    """The reply to some bytes, and how many seconds it took."""
+    """Return the reply to some bytes, and how many seconds it took."""
     began = time.monotonic()
     with socket.create_connection(("127.0.0.1", port), timeout=5) as sock:
         sock.sendall(data)
@@ -51,12 +53,12 @@
     return reply, time.monotonic() - began
 
 
-def test_commands_are_answered_beside_half_sent_lines_and_client_load(tmp_path: Path) -> None:
+def test_commands_are_answered_despite_partial_lines_and_client_load(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as server:
         assert server.mgmt is not None
         assert server.ask(b"STATUS\n") == "done yes\n"
-        half_sent = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
-        for connection in half_sent:
+        partial_lines = [socket.create_connection(("127.0.0.1", server.mgmt)) for _ in range(50)]
+        for connection in partial_lines:
             connection.sendall(b"STA")
         clients = [ThriftClient(server.ports[0]) for _ in range(4)]
         sent = [(client, client.send("render", b"ms=300")) for client in clients for _ in range(32)]
@@ -64,26 +66,26 @@
         assert all(reply == b"done yes\n" for reply, _ in waits)
         assert max(took for _, took in waits) < 1.0, waits
         assert all(client.answer(seq)[0] for client, seq in sent)
-        for connection in half_sent:
+        for connection in partial_lines:
             connection.close()
         reply, _ = ask_admin_server(server.mgmt, b"Z" * 400 + b"\n")
         assert reply.startswith(b"error line longer")
 
 
-def test_pause_makes_health_bad_at_once_and_resume_good_again(tmp_path: Path) -> None:
+def test_health_checks_fail_at_once_after_pause_and_succeed_after_resume(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as server:
         client = ThriftClient(server.ports[0])
         assert client.answer(client.say("ping", full=True))[1].good
         assert server.ask(b"PAUSE\n") == "done paused\n"
         assert not client.answer(client.say("ping", full=True))[1].good
-        assert client.ask("render", b"ms=5")[0] == "success"  # what still arrives is answered as usual
+        assert client.ask("render", b"ms=5")[0] == "success"  # requests are still served
         assert server.ask(b"PAUSE\n").startswith("done")
         assert server.ask(b"RESUME\n") == "done resumed\n"
         assert client.answer(client.say("ping", full=True))[1].good
 
 
 @pytest.mark.parametrize("value", ["nowhere", "taken"])
-def test_a_bad_management_address_is_one_line_and_exit_2(tmp_path: Path, value: str) -> None:
+def test_an_unusable_management_address_is_one_error_line_and_exit_code_2(tmp_path: Path, value: str) -> None:
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The system clock is set forward or back while the server runs: no deadline moves, and no request is lost."""
+"""Steps of the system clock while the server runs: no deadline moves, and no request is lost."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from myrtlespar.fakes import ServerProcess, ThriftClient, server_process, until
 
 FETCH_TIMEOUT_MS = 2700  # `give_up_ms` of the class "fetch" in the settings of the fakes
-MAX_DELAY_MS = 250  # of an answer behind its deadline
+MAX_DELAY_MS = 250  # how late an answer may come after its deadline
 
 STEPPING_CLOCK = """import os, runpy, signal, sys, time
 sys.path.insert(0, os.getcwd())
--- a/tests/test_command_log.py
+++ b/tests/test_command_log.py
@@ -1,4 +1,4 @@
-"""The log of commands to the execution engine: nothing effectful is sent twice, and lost commands are abandoned."""
+"""The log of commands to the execution engine: no effectful start is sent twice, and lost commands are abandoned."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert command_log.mark_received(doubt.name) == []
 
 
-def test_a_lost_start_that_nobody_waits_for_is_abandoned() -> None:
+def test_a_lost_start_that_no_client_waits_for_is_abandoned() -> None:
     command_log = CommandLog(lambda request_id: False, 8)
     command_log.state = LinkState.READY
     command_log.send(Command("a", b"", True))
@@ -38,7 +38,7 @@
     assert command_log.mark_received(doubt.name) == [EndRun("a")]
 
 
-def test_a_start_that_is_not_confirmed_is_refused_and_one_in_doubt_is_not_sent_again() -> None:
+def test_a_start_that_is_not_allowed_is_rejected_and_one_in_doubt_is_not_sent_again() -> None:
     confirmed = {"a"}
     command_log = CommandLog(lambda request_id: True, 8, lambda request_id: request_id in confirmed)
     command_log.connected()
@@ -56,4 +56,4 @@
     assert isinstance(mark, RequestMark)
     assert command_log.mark_received(mark.name) == []
     assert "a" in command_log.unconfirmed
-    assert command_log.send(Command("c", b"", False)) != []  # a reply to a call is no start
+    assert command_log.send(Command("c", b"", False)) != []  # a reply to a dependency call needs no confirmation
--- a/tests/test_coordinator_turns.py
+++ b/tests/test_coordinator_turns.py
@@ -1,4 +1,4 @@
-"""When the request coordinator runs, and what it does when the policy fails."""
+"""When the next batch of the request coordinator is due, and what happens when the policy raises an exception."""
 
 from __future__ import annotations
 
@@ -18,25 +18,27 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "wake", "turn"),
+    ("gauges_requested", "tick_at", "next_batch_at"),
     [(False, 1040.0, 1000.0), (False, 1003.0, 999.0), (True, 1003.0, 1000.0), (True, 990.0, 990.0)],
 )
-def test_the_coordinator_runs_no_earlier_than_something_is_due(asked: bool, wake: float, turn: float) -> None:
+def test_the_next_batch_is_no_earlier_than_something_is_due(
+    gauges_requested: bool, tick_at: float, next_batch_at: float
+) -> None:
     coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
     coordinator._next_overdue_check_at = 1000.0
-    coordinator._ticks = TickSchedule(wake, coordinator.limits.gauge_lead_ms)
-    coordinator._ticks.gauges_requested = asked
-    assert coordinator._next_batch_at() == turn
+    coordinator._ticks = TickSchedule(tick_at, coordinator.limits.gauge_lead_ms)
+    coordinator._ticks.gauges_requested = gauges_requested
+    assert coordinator._next_batch_at() == next_batch_at
 
 
-def test_a_fault_of_the_policy_leaves_no_request_without_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_are_answered_when_the_policy_raises_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     coordinator = RequestCoordinator(read_settings(settings()), 1, ResourceLimits(), Counters())
     answers = []
 
-    def broken(now: float, events: object) -> None:
-        raise ValueError("odd state")
+    def failing_handle(now: float, events: object) -> None:
+        raise ValueError("raised by the test")
 
-    monkeypatch.setattr(coordinator.policy, "handle", broken)
+    monkeypatch.setattr(coordinator.policy, "handle", failing_handle)
     arrived = time.time() * 1000 - 4500
     late = Exchange("a", "thrift", 2, b"", arrived, lambda _, answer: answers.append(answer.kind))
     assert coordinator.submit(late)
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency: repeated only on proof, cancelled, answered with malformed replies."""
+"""Calls to the dependency: when they are repeated, how they are cancelled, and malformed replies."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         (["cut"], "failed", 1),
     ],
 )
-def test_an_orders_call_is_repeated_only_on_proof(
+def test_a_call_of_an_order_is_repeated_only_if_it_certainly_never_ran(
     server: ServerProcess, script: list[str], kind: str, calls: int
 ) -> None:
     server.dependency.script = script
@@ -40,15 +40,15 @@
     slow = client.send("order", b"calls=1 slow")
     until(lambda: server.dependency.calls)
     server.dependency.script = [malformed, malformed]
-    assert client.ask("order", b"calls=1")[0] == "failed"  # it may have had its effect
-    assert client.ask("render", b"calls=1")[0] == "success"  # a read's call is made again
+    assert client.ask("order", b"calls=1")[0] == "failed"  # the call may have had its effect
+    assert client.ask("render", b"calls=1")[0] == "success"  # a call of a read-only request is repeated
     assert client.answer(slow)[0] == "success"
     assert client.ask("order", b"calls=2")[0] == "success"
 
 
-@pytest.mark.parametrize("more", ["copy", "stray"])
-def test_replies_that_carry_more_than_is_theirs_are_still_good(server: ServerProcess, more: str) -> None:
-    server.dependency.script = [more] * 4
+@pytest.mark.parametrize("extra_reply", ["copy", "stray"])
+def test_duplicate_and_unknown_replies_are_ignored(server: ServerProcess, extra_reply: str) -> None:
+    server.dependency.script = [extra_reply] * 4
     assert ThriftClient(server.ports[0]).ask("order", b"calls=4")[0] == "success"
     assert server.engine.replies == [b"reply\r\nto call %d of calls=4" % n for n in range(4)]
 
@@ -63,7 +63,7 @@
     assert client.answer(seq)[0] == "success"
 
 
-def test_a_call_that_nobody_needs_is_dropped(server: ServerProcess) -> None:
+def test_the_call_of_a_cancelled_request_is_cancelled(server: ServerProcess) -> None:
     server.dependency.script = ["hang"]
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
@@ -72,10 +72,10 @@
     assert until(lambda: server.dependency.drops) == [server.dependency.calls[0][0]]
 
 
-def test_a_reply_for_a_dropped_call_changes_nothing_that_comes_later(tmp_path: Path) -> None:
+def test_the_reply_to_a_cancelled_call_does_not_reach_later_calls(tmp_path: Path) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
-        running.dependency.script = ["slow"]  # its reply comes when nobody waits for it
+        running.dependency.script = ["slow"]  # its reply comes after the request was cancelled
         seq = client.send("render", b"calls=1 dropped")
         until(lambda: running.dependency.calls)
         client.say("abort", seqid=seq)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Draining: every client is notified, every request answered, and the process ends with status 0."""
+"""Graceful shutdown: every client is notified, every request answered, and the process exits with status 0."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from tests.request_classes import class_settings
 
 
-def test_drain_notifies_clients_answers_all_and_exits_clean(server: ServerProcess) -> None:
+def test_a_shutdown_notifies_clients_answers_all_requests_and_exits_with_status_0(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
     seqs = [client.send("render", b"ms=700") for _ in range(10)]
     until(lambda: server.engine.starts)
     server.process.terminate()
     until(lambda: client.one_way_messages == ["shutdown"])
     late = ThriftClient(server.ports[0])
-    early = late.send("fetch", b"in grace")
+    in_grace = late.send("fetch", b"in grace")
     time.sleep(1.1)
-    beyond = late.send("fetch", b"past grace")
-    assert late.answer(early)[0] in ("success", "refused")
-    assert late.answer(beyond)[0] == "refused"
+    past_grace = late.send("fetch", b"past grace")
+    assert late.answer(in_grace)[0] in ("success", "refused")
+    assert late.answer(past_grace)[0] == "refused"
     assert b"past grace" not in server.engine.by_body
     assert all(client.answer(seq)[0] in ("success", "refused", "failed") for seq in seqs)
     assert server.process.wait(20) == 0
@@ -42,13 +42,15 @@
 
 
 @pytest.mark.parametrize("engine", ["down", "silent", "late"])
-def test_a_notice_before_the_engine_is_up_answers_all_and_ends_clean(tmp_path: Path, engine: str) -> None:
+def test_a_shutdown_before_the_engine_is_up_answers_all_requests_and_exits_with_status_0(
+    tmp_path: Path, engine: str
+) -> None:
     with server_process(tmp_path, late_engine=True, given={"stop_ms": 1500}) as running:
         if engine == "down":
             running.engine.down()
         client = ThriftClient(running.ports[0])
         seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
-        assert client.answer(client.say("ping", full=False))  # read behind them
+        assert client.answer(client.say("ping", full=False))  # answered, so the requests before it have been read
         running.process.terminate()
         until(lambda: client.one_way_messages)
         if engine == "late":
@@ -59,8 +61,8 @@
         assert set(client.count.values()) == {1}
 
 
-def test_what_is_taken_last_from_the_queue_is_notified_and_answered(tmp_path: Path) -> None:
-    """Connections made while the process stands still lie in the accept queue as it closes its listener."""
+def test_connections_accepted_as_the_listener_closes_are_notified_and_answered(tmp_path: Path) -> None:
+    """Connections made while the process is stopped are still in the accept queue when it closes its listener."""
     with server_process(tmp_path, mgmt=True) as running:
         running.process.send_signal(signal.SIGSTOP)
         clients = [ThriftClient(running.ports[0]) for _ in range(12)]
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_signals_through_the_whole_drain_leave_status_0_beside_a_client_that_does_not_read(
+def test_repeated_signals_and_a_client_that_does_not_read_leave_exit_status_0(
     tmp_path: Path, again: signal.Signals
 ) -> None:
     with server_process(
@@ -82,15 +84,15 @@
         client = ThriftClient(running.ports[0])
         seq = client.send("slow", b"ms=60000")
         until(lambda: running.engine.starts)
-        deaf = socket.create_connection(("127.0.0.1", running.ports[0]))
+        not_reading = socket.create_connection(("127.0.0.1", running.ports[0]))
         ping = encode("ping", 1, 1, idl.Front.ping_args(full=False))
         with contextlib.suppress(OSError):
-            deaf.settimeout(0.5)
+            not_reading.settimeout(0.5)
             for _ in range(40):
-                deaf.sendall(ping * 500)
+                not_reading.sendall(ping * 500)
         running.process.terminate()
         until(lambda: client.one_way_messages)
-        while running.process.poll() is None:  # at every moment of it, its end included
+        while running.process.poll() is None:  # at every moment of the shutdown, including the last
             running.process.send_signal(again)
         assert running.process.returncode == 0
         assert client.answer(seq)[0] == "failed"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,12 +25,12 @@
 from tests.request_classes import KEYED_SETTINGS
 
 KEYS_ENABLED = '[idempotency]\nthrift_field = "key"\n'
-MAX_REQUESTS_PER_THREAD = 2000  # of a load that is stopped much sooner
-CONNECT_INTERVAL_S = 0.008  # between connections while a process runs that fails to start
-MAX_CONNECTIONS = 400  # in that time
+MAX_REQUESTS_PER_THREAD = 2000  # upper bound; the load is normally stopped much sooner
+CONNECT_INTERVAL_S = 0.008  # between connections, while a process that will fail to start runs
+MAX_CONNECTIONS = 400  # until that process ends
 
 
-def test_a_handover_rejects_nothing_closes_at_once_and_ends_before_the_kill() -> None:
+def test_a_handover_closes_at_once_starts_all_requests_and_ends_before_the_kill() -> None:
     process = ProcessLifecycle(
         stop_ms=10000.0, grace_ms=1000.0, overdue_check_ms=50.0, flush_ms=300.0, crossing_ms=50.0
     )
@@ -45,7 +45,7 @@
 
 
 def ends_within(process: subprocess.Popen[bytes], seconds: float) -> bool:
-    """Wait for the end of a process; whether it came in time."""
+    """Wait for the end of a process. Returns whether it ended in time."""
     try:
         process.wait(seconds)
     except subprocess.TimeoutExpired:
@@ -54,7 +54,7 @@
 
 
 def readable_within(sockets: list[socket.socket], seconds: float) -> bool:
-    """Wait for data, an end or a reset on any of the sockets; whether one came in time."""
+    """Wait for data, an end of stream or a reset on any socket. Returns whether one came in time."""
     poll = select.poll()
     for sock in sockets:
         poll.register(sock, select.POLLIN)
@@ -62,7 +62,11 @@
 
 
 def ask_like_a_client_proxy(port: int) -> str:
-    """One request as a client proxy sends it: retried on a new connection if a shutdown message crossed it."""
+    """Send one request like a client proxy, which retries once if the server announced its shutdown meanwhile.
+
+    Returns:
+        The kind of the answer, or why there is none.
+    """
     for _ in range(2):
         try:
             client = ThriftClient(port)
@@ -79,7 +83,7 @@
 
 
 class RequestLoad:
-    """Requests from several threads, one after another in each, until it is stopped.
+    """Sends requests from several threads, one after another in each, until it is stopped.
 
     Attributes:
         results: What `ask_like_a_client_proxy` returned for each request.
@@ -99,7 +103,7 @@
         until(lambda: len(self.results) > seen + count, what)
 
     def stop(self) -> None:
-        """Send no more, and wait for the threads to end."""
+        """Send no more requests, and wait for the threads to end."""
         self._stop_requested.set()
         for thread in self._threads:
             thread.join(30)
@@ -122,7 +126,7 @@
             handover_folders.new, mgmt=True, shared=handover_folders.shared, listen=f"127.0.0.1:{port}"
         ) as new:
             until(lambda: new.ask(b"STATUS\n") == "done yes\n", "the new process ready")
-            if kill_new:  # the new process dies before the hand-over: the old one goes on alone
+            if kill_new:  # the new process dies before the hand-over: the old one continues alone
                 new.process.kill()
                 new.process.wait(10)
                 load.wait_for_more(60, "requests that the old process answers")
@@ -140,9 +144,9 @@
 
 
 def test_a_second_process_that_fails_to_start_accepts_no_connection(tmp_path: Path) -> None:
-    """A process that finds the admin address in use must not have listened for clients before.
+    """A process that finds the admin address in use must not have accepted client connections before.
 
-    Otherwise connections that it accepted in between would be dropped.
+    It ends at once, which would drop these connections.
     """
     with server_process(tmp_path, mgmt=True) as old:
         path = tmp_path / "new.json"
@@ -162,7 +166,7 @@
             while len(connections) < MAX_CONNECTIONS and not ends_within(new, CONNECT_INTERVAL_S):
                 connection = socket.create_connection(("127.0.0.1", old.ports[0]), 10)
                 connections.append(connection)
-                connection.sendall(check)  # once it is answered, the connection is not closed as a silent one
+                connection.sendall(check)  # once it is answered, the connection is not closed as one that sends nothing
                 assert len(exactly(connection, int.from_bytes(exactly(connection, 4), "big"))) > 8
             assert new.wait(20) == 2
             assert b"mgmt" in new.communicate()[1]
@@ -200,13 +204,16 @@
 
 
 def test_a_request_that_still_runs_when_its_process_ends_is_not_run_again(handover_folders: HandoverFolders) -> None:
-    """Found by the model checker: only outcomes were handed over, and the key of a run in progress was in no file."""
+    """Guards against a hand-over of finished outcomes only, without the keys of runs that are still in progress.
+
+    The model checker found this fault: a retry in the new process started such a run again.
+    """
     with server_process(handover_folders.old, mgmt=True, shared=handover_folders.shared, operator=KEYS_ENABLED) as old:
         port = old.ports[0]
         client = ThriftClient(port)
         client.send("order", b"ms=6000 slow", key="k-1")
         until(lambda: old.engine.by_body[b"ms=6000 slow"], "the run")
-        client.sock.close()  # nobody waits for the answer now
+        client.sock.close()  # no client waits for the answer any longer
         with server_process(
             handover_folders.new,
             mgmt=True,
@@ -223,7 +230,10 @@
 
 
 def test_keys_published_between_two_polls_are_not_missed(tmp_path: Path) -> None:
-    """The new process reads no file, the old one publishes its keys and ends, the new one finds the lock free."""
+    """The new process finds no file, then the old one publishes its keys and ends, then the new one gets the lock.
+
+    It must read the folder once more before it accepts requests with a key.
+    """
     gate = Gate(
         tmp_path,
         "myrtlespar.handover.folder:HandoverFolder.acquire_lock",
@@ -246,7 +256,7 @@
             start=gate.start,
             wait=False,
         ) as new:
-            gate.wait_until_reached(new)  # in its second poll, with the old process alive in the first
+            gate.wait_until_reached(new)  # in its second poll; in the first one the old process was alive
             old.process.terminate()
             assert old.process.wait(20) == 0
             gate.open()
@@ -262,14 +272,14 @@
 
 
 def test_a_third_process_waits_for_the_keys_of_the_second(tmp_path: Path, handover_folders: HandoverFolders) -> None:
-    """A process that took the keys while the one before it still held the lock never takes the lock itself.
+    """Guards against a process that receives the keys while its predecessor still holds the lock, and never locks.
 
-    The third process in a row then finds the lock free and no file, believes that nobody else runs, and starts an order
-    again that the second one has run and not handed over yet.
+    A third process would then find the lock free and no file, conclude that no other process runs, and start an order
+    again that the second process has run and not handed over yet.
     """
     gate = Gate(
         tmp_path, "myrtlespar.server.application:Application.close_fleet"
-    )  # behind the hand-over, before the end
+    )  # after the hand-over, before the process ends
     third_folder = tmp_path / "third"
     third_folder.mkdir()
     shared = {"mgmt": True, "shared": handover_folders.shared, "operator": KEYS_ENABLED}
@@ -294,7 +304,10 @@
 def test_a_start_that_fails_at_the_admin_address_leaves_the_keys_for_the_next_one(
     tmp_path: Path, handover_folders: HandoverFolders
 ) -> None:
-    """Keys were read and their file removed before the admin address was bound: a start that ended there lost them."""
+    """Guards against reading the keys, which removes their file, before the admin address is bound.
+
+    A start that failed at the admin address then lost the keys.
+    """
     shared = {"shared": handover_folders.shared, "operator": KEYS_ENABLED}
     with server_process(handover_folders.old, mgmt=True, **shared) as old:
         assert ThriftClient(old.ports[0]).ask("order", b"ms=5 once", key="k-1")[0] == "success"
--- a/tests/test_handover_file.py
+++ b/tests/test_handover_file.py
@@ -1,4 +1,4 @@
-"""The file and the folder of a hand-over: accepted whole or rejected whole, and no obstacle when they fail."""
+"""The file and the folder of a hand-over: a file is accepted or rejected as a whole, and a fault stops no start."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     ]
     data = encode(outcomes)
     assert decode(data, 1000.0, 3) == sorted(outcomes, key=lambda outcome: outcome.expires_at)
-    assert decode(data, 6000.0, 3) == outcomes[:1]  # what has expired is left out
+    assert decode(data, 6000.0, 3) == outcomes[:1]  # the expired key is left out
     for malformed, reason in [
         (data[:-3], "truncated"),
         (data.replace(b"keys 1", b"keys 2"), "version"),
@@ -45,7 +45,9 @@
     assert waiting.poll(True, None, 0.0, 3) == ReceivedKeys([], "")
     assert waiting.poll(True, b"junk", 0.0, 3).log_message.startswith("hand-over refused")
     assert waiting.state is HandoverState.WAITING
-    assert waiting.poll(True, encode([]), 0.0, 3) == ReceivedKeys([], "")  # rejected once: now only the end counts
+    assert waiting.poll(True, encode([]), 0.0, 3) == ReceivedKeys(
+        [], ""
+    )  # after a rejection only the end of the old process counts
     assert waiting.poll(False, None, 0.0, 3).log_message.startswith("the old process is gone")
     assert waiting.state is HandoverState.OPEN  # type: ignore[comparison-overlap]  # poll changes it
     receiving = HandoverReceiver(HandoverState.WAITING)
@@ -56,7 +58,7 @@
 
 
 def keys_file(*entries: Any) -> bytes:
-    """A hand-over file with a valid checksum over entries of any kind."""
+    """Return a hand-over file with a valid checksum over arbitrary entries."""
     rows = b"".join(json.dumps(entry).encode() + b"\n" for entry in entries)
     return b"myrtlespar-keys 1 %08x %d\n" % (zlib.crc32(rows), len(rows)) + rows
 
@@ -136,7 +138,7 @@
         keys_are_nested,
     ],
 )
-def test_a_folder_that_fails_is_counted_and_does_not_prevent_the_start(
+def test_an_unusable_folder_or_file_is_counted_and_does_not_prevent_the_start(
     tmp_path: Path, break_folder: Callable[[Path], None]
 ) -> None:
     shared = tmp_path / "shared"
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Attempts of one request with an idempotency key: one run, whatever becomes of the first attempt."""
+"""Attempts of one request with an idempotency key: it runs once, however the first attempt ends."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 @pytest.mark.parametrize("when", ["running", "at a call", "ended", "gone", "failed"])
-def test_a_guarded_attempt_that_returns_never_runs_again(
+def test_a_retry_with_the_same_key_never_runs_again(
     scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], when: str
 ) -> None:
     server, engine, client = scripted
     first = client.send("booking", b"seat 1", token="aa")
-    until(engine.read)  # its start
+    until(engine.read)  # reads the start command
     if when == "at a call":
         server.dependency.script = ["hang"]
         engine.ask(b"seat 1")
@@ -30,12 +30,12 @@
         client.answer(first)
     if when == "gone":
         client.say("abort", seqid=first)
-        assert client.answer(client.say("ping", full=False))  # read behind it, so it was taken
+        assert client.answer(client.say("ping", full=False))  # answered, so the abort before it has been read
     other = ThriftClient(server.ports[0])
     repeat = other.send("booking", b"seat 1", token="aa", again="1")
     assert other.answer(other.say("ping", full=False))
     if when not in ("ended", "failed"):
-        assert repeat not in other.answers  # it waits for the one run
+        assert repeat not in other.answers  # it waits for the run of the first attempt
         server.dependency.cut()
         engine.end(b"seat 1", "PASS")
         until(engine.hear)
@@ -46,25 +46,25 @@
     assert not engine.read()
 
 
-def test_a_guarded_attempt_that_never_began_may_run_and_one_without_its_token_may_not(
+def test_a_retry_may_run_if_the_first_attempt_never_began_and_its_token_is_valid(
     scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient],
 ) -> None:
     server, engine, client = scripted
     first = client.send("booking", b"seat 2", token="bb")
     until(engine.read)
     client.say("abort", seqid=first)
-    engine.end(b"seat 2", "NOOP")  # the engine heard of the departure first: nothing was started
+    engine.end(b"seat 2", "NOOP")  # the engine learned first that the client had gone: nothing was started
     until(engine.hear)
     repeat = client.send("booking", b"seat 2", token="bb", again="1")
     until(engine.read)
-    engine.bodies.pop(next(iter(engine.bodies)))  # the first try's
+    engine.bodies.pop(next(iter(engine.bodies)))  # the run of the first attempt
     engine.end(b"seat 2", "PASS")
     until(engine.hear)
     assert client.answer(repeat)[0] == "success"
-    # Somebody else with that token: neither is served the other's result, nor kept from its own run.
-    alien = client.send("booking", b"alien", token="bb")
+    # Another request with the same token: it neither gets the result of the first one nor is kept from running.
+    other = client.send("booking", b"another request", token="bb")
     until(engine.read)
-    assert alien not in client.answers
+    assert other not in client.answers
     assert client.ask("booking", b"seat 3", again="1")[0] == "exception"
     assert client.ask("booking", b"seat 3", token="c" * 201)[0] == "exception"
     assert not runs_of(engine, b"seat 3")
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""Killed outright and started again at once, under load: what an earlier life left behind changes nothing."""
+"""The process is killed under load and restarted at once: what an earlier process left behind has no effect."""
 
 from __future__ import annotations
 
@@ -12,46 +12,50 @@
 from tests.ports import free_port
 from tests.traced_peers import TracedClient, TracedKernel
 
-LIVES, CLIENTS = 5, 30
+PROCESS_COUNT, CLIENT_COUNT = 5, 30
 
 
-def crowd(port: int, kernel: FakeEngine, life: int) -> list[TracedClient]:
-    """Clients that all connect at once and ask for much."""
-    clients = [TracedClient(port) for _ in range(CLIENTS)]
+def send_load(port: int, engine: FakeEngine, process_number: int) -> list[TracedClient]:
+    """Connect many clients at once, each of which sends a request of every class."""
+    clients = [TracedClient(port) for _ in range(CLIENT_COUNT)]
     for n, client in enumerate(clients):
         with contextlib.suppress(OSError):
             for method in ("order", "fetch", "render"):
-                client.request(method, b"life %d, %d, %s ms=%d calls=1" % (life, n, method.encode(), 5 + n))
+                client.request(
+                    method, b"process %d, %d, %s ms=%d calls=1" % (process_number, n, method.encode(), 5 + n)
+                )
     return clients
 
 
-def test_lives_that_end_by_kill_leave_the_next_one_ready_and_nothing_to_run(tmp_path: Path) -> None:
-    port, kernel = free_port(), TracedKernel()
-    with server_process(tmp_path, listen=f"127.0.0.1:{port}", engine=kernel, wait=False) as running:
+def test_after_a_kill_the_next_process_is_soon_ready_and_runs_only_its_own_requests(tmp_path: Path) -> None:
+    port, engine = free_port(), TracedKernel()
+    with server_process(tmp_path, listen=f"127.0.0.1:{port}", engine=engine, wait=False) as running:
         everyone: list[TracedClient] = []
         ready_s: list[float] = []
-        for life in range(LIVES):
+        for process_number in range(PROCESS_COUNT):
             began = time.monotonic()
             until(lambda: running.event("serving") and running.event("kernel up"), "ready again")
             ready_s.append(time.monotonic() - began)
             probe = TracedClient(port)
-            assert probe.answer(probe.request("order", b"probe %d" % life))[0] == "success"
-            until(lambda: len(running.registry.reports) > life, "a report")  # noqa: B023
-            everyone += [probe, *crowd(port, kernel, life)]
-            until(lambda: any(b"life %d," % life in body for body in kernel.by_body), "starts")  # noqa: B023
-            if life < LIVES - 1:
+            assert probe.answer(probe.request("order", b"probe %d" % process_number))[0] == "success"
+            until(lambda: len(running.registry.reports) > process_number, "a report")  # noqa: B023
+            everyone += [probe, *send_load(port, engine, process_number)]
+            until(lambda: any(b"process %d," % process_number in body for body in engine.by_body), "starts")  # noqa: B023
+            if process_number < PROCESS_COUNT - 1:
                 running.kill_and_start()
-        last = everyone[-CLIENTS:]
+        last = everyone[-CLIENT_COUNT:]
         until(lambda: all(seq in client.answers for client in last for seq in client.sent), "all answers")
         assert running.stop() == 0
     assert max(ready_s) < 5.0, ready_s
     requests = {request.rid: request for client in everyone for request in client.sent.values()}
-    starts = Counter(row["rid"] for row in kernel.history if row["t"] == "SCHED")
+    starts = Counter(row["rid"] for row in engine.history if row["t"] == "SCHED")
     assert set(starts) <= set(requests)
     assert set(starts.values()) == {1}
-    life = -1
-    for row in kernel.history:  # no life starts or answers for what another one was asked
-        life += row["t"] == "OPEN" and row["no"] == 0
+    process_number = -1
+    for row in engine.history:  # no process sends a command for a request that another one received
+        process_number += row["t"] == "OPEN" and row["no"] == 0
         if row["t"] in ("SCHED", "IODONE"):
-            assert requests[row["rid"]].body.startswith((b"life %d," % life, b"probe %d" % life)), row
+            assert requests[row["rid"]].body.startswith(
+                (b"process %d," % process_number, b"probe %d" % process_number)
+            ), row
     assert all(count == 1 for client in everyone for count in client.count.values())
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -1,4 +1,4 @@
-"""Runs whose end is lost for good give their places back."""
+"""Runs whose end is never reported release their capacity."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from myrtlespar.state_machines.lost_runs import LostRunDetector
 
 
-def test_a_surplus_counts_once_it_has_held_for_the_whole_window() -> None:
+def test_runs_are_lost_once_the_surplus_lasted_for_the_whole_window() -> None:
     lost = LostRunDetector(1000.0)
     assert [lost.count_lost(now, 5, 2.0) for now in (0.0, 500.0, 999.0)] == [0, 0, 0]
-    assert lost.count_lost(1000.0, 6, 4.5) == 1  # the least of all looks
+    assert lost.count_lost(1000.0, 6, 4.5) == 1  # the smallest surplus of all checks
     assert lost.count_lost(1500.0, 6, 4.0) == 0
     assert lost.count_lost(2000.0, 6, 6.0) == 0
     assert lost.count_lost(2100.0, 6, 4.0) == 0
@@ -26,10 +26,10 @@
 
 
 @pytest.mark.parametrize("gauges", [["cpu_busy", "runnable", "mem_used", "sockets"], ["cpu_busy"]])
-def test_runs_that_a_kernel_lost_hold_no_places_for_good(tmp_path: Path, gauges: list[str]) -> None:
-    """As many of them as may run at a time. Nothing could start again, and all was turned away as in a hang."""
+def test_runs_that_the_engine_lost_release_their_capacity(tmp_path: Path, gauges: list[str]) -> None:
+    """Guards against lost runs that occupy all the capacity, so that every request is rejected as in a hang."""
 
-    class Forgetful(FakeEngine):
+    class EngineWithRunnableGauge(FakeEngine):
         def sysinfo(self, link: Any, command: dict[str, Any]) -> None:
             values = {"runnable": float(len(self.running))}
             self.send_line(
@@ -39,12 +39,12 @@
     given = settings()
     given["classes"] = [{"name": "fetch", "effect": "free", "aim_ms": 400, "give_up_ms": 800}]
     given["family_info"] |= {"gauges": gauges, "cores": 1}
-    with server_process(tmp_path, engine=Forgetful(), given={"settings": given}) as running:
+    with server_process(tmp_path, engine=EngineWithRunnableGauge(), given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         assert [client.ask("fetch", b"ms=1")[0] for _ in range(30)] == ["success"] * 30
         lost = client.send("fetch", b"ms=60000")
         until(lambda: running.engine.running)
-        running.engine.running.clear()  # it runs it no longer, and will never say so
+        running.engine.running.clear()  # the engine lost the run, and will never report its end
         assert client.answer(lost)[0] == "failed"
         began = time.monotonic()
         until(lambda: client.ask("fetch", b"ms=1")[0] == "success", "room for another run")
@@ -52,13 +52,13 @@
         assert running.counters()["run.lost"] == 1
 
 
-def test_runs_that_a_kernel_lost_at_a_call_are_given_up_too(tmp_path: Path) -> None:
-    """It ends a run at a call once its request is over, and says so. Lost with that, each held memory for ever."""
+def test_runs_that_the_engine_lost_at_a_dependency_call_are_abandoned(tmp_path: Path) -> None:
+    """Guards against a leak of memory by runs at a call: the engine ends them, but the report of the end is lost."""
     given = settings()
     given["classes"] = [{"name": "order", "effect": "single_shot", "aim_ms": 400, "give_up_ms": 600}]
     with server_process(tmp_path, given={"settings": given}) as running:
         client = ThriftClient(running.ports[0])
         running.dependency.script = ["hang"]
         assert client.ask("order", b"calls=1")[0] == "failed"
-        until(lambda: running.counters().get("run.lost") == 1, "the run given up")
+        until(lambda: running.counters().get("run.lost") == 1, "the run counted as lost")
         assert client.ask("order", b"calls=1")[0] == "success"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one process: their format, and that they equal the answers that clients got."""
+"""The metrics of one process: their format, and that they match the answers that clients received."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
         clients = [ThriftClient(server.ports[0]) for _ in range(3)]
         bodies = [("render", b"ms=200"), ("fetch", b"end=FAIL"), ("order", b"ms=5"), ("render", b"ms=400")]
         sent = [(client, method, client.send(method, body)) for client in clients for method, body in bodies * 6]
-        seen = Counter((method, METRIC_OF_ANSWER[client.answer(seq)[0]]) for client, method, seq in sent)
+        received = Counter((method, METRIC_OF_ANSWER[client.answer(seq)[0]]) for client, method, seq in sent)
         reply = server.ask(b"METRICS\n")
         assert reply.startswith("done\n")
         assert reply.endswith("end\n")
         metrics = dict(re.findall(r'^(app_\w+\{service="\w+"\}) (\d+)$', reply, re.M))
         for method in ("render", "fetch", "order"):
             for kind in METRIC_OF_ANSWER.values():
-                assert int(metrics[f'app_{kind}{{service="{method}"}}']) == seen[method, kind], (method, kind)
+                assert int(metrics[f'app_{kind}{{service="{method}"}}']) == received[method, kind], (method, kind)
         assert re.search(r"^app_outstanding 0$", reply, re.M)
         forwards = sum(int(metrics[f'app_forwards{{service="{m}"}}']) for m in ("render", "fetch", "order"))
         assert forwards == sum(server.engine.by_body.values())
--- a/tests/test_mixed_load.py
+++ b/tests/test_mixed_load.py
@@ -1,4 +1,4 @@
-"""Both listeners at full load, with retries and a drain."""
+"""Both fronts at full load, with retries and a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, exactly
 
 
-def test_mixed_callers_at_full_load_see_no_duplicate_and_no_late_answer(ajp_server: ServerProcess) -> None:
-    """Both listeners at 100% of two cores: 50 ms a run, 40 requests a second; then the drain.
+def test_thrift_and_ajp_clients_at_full_load_get_no_duplicate_and_no_late_answer(ajp_server: ServerProcess) -> None:
+    """Both fronts at 100% of two cores (50 ms a run, 40 requests a second), then a graceful shutdown.
 
-    Some orders' gateways break in the middle of an answer or before it, and their retries come over Thrift.
+    Some gateways close the connection of an order before or during the answer, and the order is retried over Thrift.
     """
-    # Long, as all that happens at the load belongs to one run of the process.
+    # The test is long because everything that happens under this load belongs to one run of the process.
     due_s = {"order": 4.4, "fetch": 2.7, "render": 6.1}
     late = []
     kinds = []
     lock = threading.Lock()
     clients = [ThriftClient(ajp_server.ports[0]) for _ in range(2)]
 
-    def one(n: int) -> None:
+    def send_request(n: int) -> None:
         name = ("order", "fetch", "render")[n % 3]
         began = time.time()
         body = f"ms=50 n={n}".encode()
@@ -32,9 +32,9 @@
             gateway.forward("/" + name, body, Idempotency_Key=key)
             if name == "order" and (n % 5 == 0 or n % 12 == 0):
                 if n % 5 == 0:
-                    exactly(gateway.sock, 1)  # it breaks mid-answer
+                    exactly(gateway.sock, 1)  # close in the middle of the answer
                 else:
-                    time.sleep(0.01)  # or while the order is held or runs
+                    time.sleep(0.01)  # close while the order is queued or runs
                 gateway.sock.close()
                 began = time.time()
                 kind = clients[0].ask(name, body, idem=key, again="1")[0]
@@ -46,7 +46,7 @@
 
     threads = []
     for n in range(160):
-        threads.append(threading.Thread(target=one, args=(n,)))
+        threads.append(threading.Thread(target=send_request, args=(n,)))
         threads[-1].start()
         time.sleep(0.025)
         if n == 140:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloading the configuration: new addresses, faulty and half written files."""
+"""Reloading the configuration: new addresses, invalid files and partly written files."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     seqs: list[int] = []
     for n in range(5):
         server.dependency.script = ["slow"]
-        seen = len(server.dependency.calls)  # one call is in hand as the links move
+        calls_before = len(server.dependency.calls)  # one call is in flight while the links move
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
-        until(lambda: len(server.dependency.calls) >= seen + 3)  # noqa: B023
+        until(lambda: len(server.dependency.calls) >= calls_before + 3)  # noqa: B023
         old = [*server.dependency.links, *server.registry.links]
         server.move()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
         for seq in seqs:
-            client.answer(seq)  # from then on the old links have nothing in hand
+            client.answer(seq)  # from now on nothing is in flight on the old links
         server.dependency.cut(*old)
     assert [client.answer(seq)[0] for seq in seqs] == ["success"] * len(seqs)
     assert set(server.engine.starts.values()) == {1}
@@ -45,7 +45,9 @@
     ("text", "fault"),
     [("{", "BALANCER_CONFIG: not JSON"), ("{}", "settings.family_info: "), (None, "kernel: expected HOST:PORT")],
 )
-def test_a_faulty_file_at_a_reload_keeps_the_old_one(server: ServerProcess, text: str | None, fault: str) -> None:
+def test_a_reload_of_an_invalid_file_keeps_the_old_configuration(
+    server: ServerProcess, text: str | None, fault: str
+) -> None:
     path = server.path
     path.write_text(json.dumps({**server.config, "kernel": 7}) if text is None else text)
     server.process.send_signal(signal.SIGHUP)
@@ -53,10 +55,10 @@
     assert ThriftClient(server.ports[0]).ask("order", b"calls=1")[0] == "success"
 
 
-def test_a_reload_of_a_half_written_file_is_named_and_taken_once_it_is_whole(tmp_path: Path) -> None:
+def test_a_reload_of_a_partly_written_file_is_logged_and_applied_once_it_is_complete(tmp_path: Path) -> None:
     with server_process(tmp_path) as running:
-        old = running.engine
-        running.engine = type(old)()
+        old_engine = running.engine
+        running.engine = type(old_engine)()
         text = json.dumps({**running.config, "kernel": running.engine.address})
         running.path.write_text(text[:-20])
         running.process.send_signal(signal.SIGHUP)
@@ -65,10 +67,10 @@
         until(lambda: running.event("reloaded"))
         assert ThriftClient(running.ports[0]).ask("order", b"on the new link")[0] == "success"
         assert running.engine.by_body[b"on the new link"] == 1
-        old.down()
+        old_engine.down()
 
 
-def test_a_reload_in_a_hand_over_moves_the_links_that_its_runs_end_over(tmp_path: Path) -> None:
+def test_a_reload_during_a_hand_over_moves_the_links_on_which_runs_end(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as running:
         client = ThriftClient(running.ports[0])
         running.dependency.script = ["hang"]
--- a/tests/test_request_tracker.py
+++ b/tests/test_request_tracker.py
@@ -29,7 +29,7 @@
     return exchange
 
 
-def test_an_attempt_that_the_policy_forgot_is_failed_and_can_not_start_later() -> None:
+def test_an_attempt_that_the_policy_never_decides_on_fails_and_can_not_start_later() -> None:
     tracker = new_tracker()
     tracker.submit(effectful_attempt(key="k"))
     assert [effect.action for effect in tracker.fail_overdue(4060.0)] == [
@@ -42,7 +42,7 @@
     assert tracker.unanswered == 0
 
 
-def test_a_started_attempt_fails_where_the_policy_rejects_it() -> None:
+def test_a_started_attempt_that_the_policy_rejects_fails() -> None:
     tracker = new_tracker()
     tracker.submit(effectful_attempt())
     tracker.start("a", 1.0)
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -1,4 +1,4 @@
-"""Signals at each moment of the start."""
+"""Signals that arrive at different moments of the start."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 
 @pytest.mark.parametrize("sent", ["SIGTERM", "SIGHUP", "SIGINT", "SIGUSR1"])
 @pytest.mark.parametrize("moment", ["early", "import", "config", "listen"])
-def test_a_signal_at_any_moment_of_the_start_neither_kills_nor_is_lost(tmp_path: Path, sent: str, moment: str) -> None:
-    """The signal is raised by the process itself, at a line of its start."""
+def test_a_signal_during_the_start_neither_kills_the_process_nor_is_lost(
+    tmp_path: Path, sent: str, moment: str
+) -> None:
+    """The process itself raises the signal, at a chosen line of its start."""
     hooks = {
         "early": "import myrtlespar.runtime.startup_signals as e; old = e.StartupSignals.__init__\n"
         "def at(s): old(s); raise_()\ne.StartupSignals.__init__ = at",
@@ -35,7 +37,7 @@
     with server_process(tmp_path, start=str(tmp_path / "started.py"), wait=False) as running:
         if sent in ("SIGTERM", "SIGINT"):
             until(lambda: running.event("shutdown signal during the start; ending") or running.event("draining"))
-            while running.process.poll() is None:  # again, in its last moments
+            while running.process.poll() is None:  # repeated until the process has ended
                 running.process.send_signal(signal.Signals[sent])
             assert running.process.wait(20) == 0
         else:
--- a/tests/test_silence_watch.py
+++ b/tests/test_silence_watch.py
@@ -1,4 +1,4 @@
-"""When a peer that owes an answer counts as silent."""
+"""When a peer with an unanswered request is reported as silent."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 PERIOD_MS = 300.0
 
 
-def test_a_peer_that_owes_an_answer_is_reported_after_the_timeout() -> None:
+def test_a_silent_peer_with_an_unanswered_request_is_reported_after_the_timeout() -> None:
     watch = SilenceWatch(TIMEOUT_MS, PERIOD_MS)
     reported = [watch.check(number * PERIOD_MS, "first", 0.0) for number in range(1, 6)]
     assert reported == [False, False, False, True, True]
 
 
-def test_a_peer_that_was_asked_nothing_until_now_is_not_reported() -> None:
+def test_a_peer_without_a_request_until_now_is_not_reported() -> None:
     watch = SilenceWatch(TIMEOUT_MS, PERIOD_MS)
     assert not any(watch.check(number * PERIOD_MS, None, 0.0) for number in range(1, 50))
     assert not watch.check(50 * PERIOD_MS, "first", 0.0)
@@ -29,7 +29,7 @@
     assert not any(watch.check(number * PERIOD_MS, f"request {number}", 0.0) for number in range(1, 50))
 
 
-def test_anything_that_was_heard_begins_the_silence_anew() -> None:
+def test_anything_received_restarts_the_timeout() -> None:
     watch = SilenceWatch(TIMEOUT_MS, PERIOD_MS)
     for number in range(1, 4):
         assert not watch.check(number * PERIOD_MS, "first", 0.0)
@@ -38,17 +38,17 @@
     assert reported == [False, False, True]
 
 
-@pytest.mark.parametrize("standstill_ms", [PERIOD_MS, TIMEOUT_MS, 1e9])
-def test_a_standstill_counts_as_one_period(standstill_ms: float) -> None:
+@pytest.mark.parametrize("suspended_ms", [PERIOD_MS, TIMEOUT_MS, 1e9])
+def test_a_suspension_of_this_process_counts_as_one_period(suspended_ms: float) -> None:
     watch = SilenceWatch(TIMEOUT_MS, PERIOD_MS)
     assert not watch.check(PERIOD_MS, "first", 0.0)
-    assert not watch.check(PERIOD_MS + standstill_ms, "first", 0.0)
-    assert not watch.check(2 * PERIOD_MS + standstill_ms, "first", 0.0)
-    assert watch.check(3 * PERIOD_MS + standstill_ms, "first", 0.0)
+    assert not watch.check(PERIOD_MS + suspended_ms, "first", 0.0)
+    assert not watch.check(2 * PERIOD_MS + suspended_ms, "first", 0.0)
+    assert watch.check(3 * PERIOD_MS + suspended_ms, "first", 0.0)
 
 
 @given(st.lists(st.floats(min_value=0.0, max_value=5000.0), min_size=1, max_size=40))
-def test_however_late_the_checks_are_silence_needs_as_many_of_them_as_fit_the_timeout(gaps_ms: list[float]) -> None:
+def test_late_checks_report_silence_only_after_as_many_checks_as_fit_into_the_timeout(gaps_ms: list[float]) -> None:
     watch = SilenceWatch(TIMEOUT_MS, PERIOD_MS)
     watch.check(0.0, "first", -1.0)
     now = 0.0
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -1,4 +1,4 @@
-"""Two events in one moment, forced by stopping the process meanwhile (see docs/race-conditions.md)."""
+"""Two events at the same moment, forced by stopping the process while both occur (see docs/race-conditions.md)."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @contextlib.contextmanager
-def frozen(server: ServerProcess) -> Iterator[None]:
-    """The program stands still meanwhile: all that comes and ends in it is there at once when it goes on."""
+def stopped(server: ServerProcess) -> Iterator[None]:
+    """Stop the process for the duration of the block; it then finds all events of the block at once."""
     server.process.send_signal(signal.SIGSTOP)
     stat = Path(f"/proc/{server.process.pid}/stat")
     until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
@@ -27,16 +27,16 @@
 
 
 def reset(client: ThriftClient) -> None:
-    """End a connection with a reset, whatever is unread."""
+    """End a connection with a reset, even if input is unread."""
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    client.sock.shutdown(socket.SHUT_RD)  # wakes its reader, which holds the descriptor
+    client.sock.shutdown(socket.SHUT_RD)  # wakes the reader thread, which keeps the descriptor open
     client.ended.wait(20)
     client.sock.close()
 
 
 @dataclass
-class Scene:
-    """One request and all that takes part in it."""
+class Trial:
+    """One request, with the processes and clients that take part in it."""
 
     server: ServerProcess
     engine: ScriptedEngine
@@ -61,7 +61,7 @@
             self.engine.hear()
 
     def cross(self, other: str) -> None:
-        """Cause the event that crosses the first."""
+        """Cause the second event, which coincides with the first."""
         if other == "abort":
             self.first.say("abort", seqid=self.seq)
         elif other == "reset":
@@ -78,35 +78,35 @@
             self.server.process.send_signal(signal.Signals[other])
 
     def allowed_answers(self, what: str, other: str) -> set[str]:
-        """Return the answers that the request may get."""
+        """Return the kinds of answers that the request may get."""
         if (what, other) == ("request", "link cut") and not self.engine.by_body[b"it"]:
-            return {"failed"}  # its start went out on the ended link: lost, and never sent again
+            return {"failed"}  # the start was sent on the link that was cut: it is lost and never sent again
         return {"success", "refused"} if other == "SIGTERM" else {"success"}
 
 
 @pytest.mark.parametrize("other", ["abort", "reset", "half close", "link cut", "SIGTERM", "SIGHUP", "repeat"])
 @pytest.mark.parametrize("what", ["result", "call", "request"])
-def test_two_things_in_one_moment_leave_one_answer_and_one_run(
+def test_two_simultaneous_events_leave_one_answer_and_one_run(
     scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], what: str, other: str
 ) -> None:
     server, engine, client = scripted
     first = ThriftClient(server.ports[0])
-    scene = Scene(server, engine, first, client)
+    trial = Trial(server, engine, first, client)
     if what != "request":
-        scene.send()
+        trial.send()
         until(engine.read)
-    with frozen(server):
-        scene.cause(what)
-        scene.cross(other)
-    engine.let_go()  # from now on all passes, and what runs ends
+    with stopped(server):
+        trial.cause(what)
+        trial.cross(other)
+    engine.let_go()  # from now on the engine handles commands by itself, and runs end
     if other not in ("abort", "reset"):
-        finish(engine, lambda: scene.seq in first.answers)
-        assert first.answer(scene.seq)[0] in scene.allowed_answers(what, other)
+        finish(engine, lambda: trial.seq in first.answers)
+        assert first.answer(trial.seq)[0] in trial.allowed_answers(what, other)
     if other == "repeat":
-        finish(engine, lambda: scene.repeat in client.answers)
-        assert client.answer(scene.repeat)[0] == "success"
+        finish(engine, lambda: trial.repeat in client.answers)
+        assert client.answer(trial.repeat)[0] == "success"
     if other != "SIGTERM":
-        last = ThriftClient(server.ports[0])  # the one that has said nothing yet may have been closed for that
+        last = ThriftClient(server.ports[0])  # an existing connection that sent nothing may have been closed for that
         after = last.send("tide", b"after")
         finish(engine, lambda: after in last.answers)
         assert last.answer(after)[0] == "success"
--- a/tests/test_standard_streams.py
+++ b/tests/test_standard_streams.py
@@ -1,4 +1,4 @@
-"""Standard output that blocks, is closed, full or without a reader: log lines are lost, and nothing else."""
+"""Standard output that blocks, is closed, full or without a reader: only log lines are lost."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def failing_stream(kind: str) -> Iterator[int]:
-    """A descriptor whose writes fail or block, as named."""
+    """Open a descriptor to which writes fail or block, as `kind` says."""
     if kind == "full disk":
         descriptor = os.open("/dev/full", os.O_WRONLY)
         yield descriptor
@@ -29,7 +29,7 @@
     reader, writer = os.pipe()
     if kind == "blocked":
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-        os.write(writer, b"x" * PIPE_BYTES)  # nobody reads, and there is no room left
+        os.write(writer, b"x" * PIPE_BYTES)  # no process reads, and the pipe is full
     else:
         os.close(reader)
     yield writer
@@ -39,7 +39,7 @@
 
 
 def serve_and_stop(running: ServerProcess, port: int) -> None:
-    """Requests, a log line on an operator's signal, an unexpected line of the execution engine, and a drain."""
+    """Serve requests, log on SIGUSR1, handle an unexpected line of the execution engine, and shut down."""
     client = connect_when_listening(port)
     until(lambda: running.engine.link)
     assert client.ask("order", b"calls=1")[0] == "success"
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("kind", ["blocked", "no reader", "full disk"])
-def test_a_log_that_cannot_be_written_stops_nothing(tmp_path: Path, kind: str) -> None:
+def test_a_log_that_cannot_be_written_does_not_affect_requests(tmp_path: Path, kind: str) -> None:
     port = free_port()
     with (
         failing_stream(kind) as output,
@@ -65,7 +65,7 @@
 
 
 def test_descriptors_closed_at_the_start_are_not_used_for_connections(tmp_path: Path) -> None:
-    """The first sockets would get their numbers, and output to them would reach a client or a server."""
+    """Guards against sockets that get the descriptor numbers of standard streams: output would reach a client."""
     port = free_port()
     command = ["/bin/sh", "-c", f"exec {sys.executable} -m myrtlespar <&- >&- 2>&-"]
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", command=command, wait=False) as running:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("kind", ["blocked", "no reader"])
-def test_a_faulty_start_ends_even_if_nobody_reads_the_reason(tmp_path: Path, kind: str) -> None:
+def test_a_failed_start_ends_even_if_no_process_reads_the_error(tmp_path: Path, kind: str) -> None:
     with (
         failing_stream(kind) as output,
         server_process(tmp_path, given={"kernel": "nowhere"}, output=output, wait=False) as running,
@@ -89,7 +89,7 @@
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", output=writer, wait=False) as running:
         client = connect_when_listening(port)
-        for _ in range(900):  # more than the pipe and the backlog hold
+        for _ in range(900):  # more lines than the pipe and the backlog can hold
             running.process.send_signal(signal.SIGUSR1)
             assert client.ask("fetch")[0] == "success"
         os.set_blocking(reader, False)
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -1,4 +1,4 @@
-"""Faults at the start: addresses in use, few descriptors, and unusual configuration files."""
+"""Faults at the start: addresses in use, too few descriptors, and unusual configuration files."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def can_connect(port: int) -> bool:
-    """Whether a connection to this port of the loopback address is established."""
+    """Return whether a connection to this port of the loopback address succeeds."""
     try:
         connect(("127.0.0.1", port), 1000)
     except OSError:
@@ -70,27 +70,27 @@
 
 
 def test_a_tcp_self_connection_is_rejected() -> None:
-    """A connection to a loopback port that nobody listens on may be given that same port as its own, and succeed.
+    """A connection to an unused loopback port may get that same port as its local port, and so connect to itself.
 
-    Such a connection never ends, and keeps the server of that address from listening.
+    Such a connection never ends, and prevents the server of that address from listening.
     """
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
-        port = bound.getsockname()[1] & ~1  # connections get even ports first
+        port = bound.getsockname()[1] & ~1  # the system assigns even local ports first
     end = time.monotonic() + 4
     while time.monotonic() < end:
         assert not can_connect(port)
 
 
 def test_a_low_descriptor_limit_of_the_system_is_respected(tmp_path: Path) -> None:
-    """The system allows fewer than the configuration: the smaller number limits the connections."""
+    """The system allows fewer descriptors than the configuration: the smaller number limits the connections."""
     with server_process(tmp_path) as running:
         assert ThriftClient(running.ports[0]).ask("fetch")[0] == "success"
     command = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m myrtlespar"]
     (tmp_path / "few").mkdir()
     with server_process(tmp_path / "few", command=command) as running:
         clients = []
-        for _ in range(90):  # more than there are descriptors; each is served, the idlest are closed
+        for _ in range(90):  # more than there are descriptors; each is served, and the longest idle ones are closed
             clients.append(ThriftClient(running.ports[0]))
             assert clients[-1].ask("fetch", b"calls=1")[0] == "success"
         soft, _ = resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE)
@@ -142,7 +142,10 @@
     with server_process(tmp_path, given={"settings": given, "store": None}) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("order")[0] == "success"
-        assert client.ask("fetch", b"calls=1")[0] in ("failed", "refused")  # it asks all the same: no call can run
+        assert client.ask("fetch", b"calls=1")[0] in (
+            "failed",
+            "refused",
+        )  # the run requests a call, which can't be made
         assert client.ask("order")[0] == "success"
         assert running.stop() == 0
 
@@ -159,17 +162,19 @@
         ({"seed": [[]]}, "seed:"),
     ],
 )
-def test_an_invalid_number_is_one_line_that_names_the_key(tmp_path: Path, change: dict[str, Any], text: str) -> None:
+def test_an_invalid_number_is_one_error_line_that_names_the_key(
+    tmp_path: Path, change: dict[str, Any], text: str
+) -> None:
     config = minimal_configuration(change)
     assert startup_error(tmp_path, json.dumps(config)).startswith(text)
 
 
-def test_a_deeply_nested_file_is_one_line(tmp_path: Path) -> None:
+def test_a_deeply_nested_file_is_one_error_line(tmp_path: Path) -> None:
     assert startup_error(tmp_path, "[" * 200_000).startswith("BALANCER_CONFIG: not JSON")
 
 
 def startup_error(tmp: Path, text: str) -> str:
-    """The one line on standard error with which the program rejects this file."""
+    """Return the one line on standard error with which the program rejects this configuration file."""
     (tmp / "c.json").write_text(text)
     done = subprocess.run(
         [sys.executable, "-m", "myrtlespar"],
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Unexpected exceptions, raised in one connection, answer or part of the real program at a time."""
+"""Unexpected exceptions in one connection, answer or component of the real program."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 def program_that_fails(tmp: Path, module: str, owner: str, name: str, when: str) -> str:
-    """A start script of the server whose method raises where the expression `when` over its `args` holds."""
+    """Write a start script of the server in which a method raises if the expression `when` over its `args` is true."""
     path = tmp / "failing.py"
     path.write_text(FAILING_METHOD.format(module=module, owner=owner, name=name, when=when))
     return str(path)
 
 
 def assert_logged_and_counted(running: ServerProcess, event: str, counter: str) -> None:
-    """The exception is in the log with its traceback, and counted."""
+    """Check that the exception was logged with its traceback, and counted."""
     row = until(lambda: running.event(event))
     assert "ZeroDivisionError: raised by the test" in row["exception"]
     assert "Traceback" in row["exception"]
     assert running.counters()[counter] >= 1
 
 
-def test_a_fault_in_one_message_ends_its_connection_after_the_pending_answers(tmp_path: Path) -> None:
+def test_an_exception_in_one_message_ends_its_connection_after_the_pending_answers(tmp_path: Path) -> None:
     start = program_that_fails(tmp_path, "net.thrift_front", "ThriftConnection", "_handle_frame", "b'boom' in args[1]")
     with server_process(tmp_path, start=start) as running:
         other = ThriftClient(running.ports[0])
@@ -53,7 +53,7 @@
         assert_logged_and_counted(running, "connection failed", "in.fault.thrift")
 
 
-def test_a_fault_in_one_answer_affects_no_other(tmp_path: Path) -> None:
+def test_an_exception_in_one_answer_affects_no_other(tmp_path: Path) -> None:
     start = program_that_fails(
         tmp_path, "net.thrift_front", "ThriftConnection", "_answer", "not raised and args[2].kind.value == 'served'"
     )
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("module", "owner", "name", "part"),
+    ("module", "owner", "name", "component"),
     [
         ("net.engine_client", "EngineClient", "_connect", "kernel"),
         ("net.dependency_client", "DependencyCalls", "expire", "store"),
@@ -74,21 +74,21 @@
         ("net.listener", "Listener", "_close_silent", "thrift.look"),
     ],
 )
-def test_a_part_that_runs_forever_continues_after_a_fault(
-    tmp_path: Path, module: str, owner: str, name: str, part: str
+def test_a_component_that_runs_forever_continues_after_an_exception(
+    tmp_path: Path, module: str, owner: str, name: str, component: str
 ) -> None:
     with server_process(
         tmp_path, start=program_that_fails(tmp_path, module, owner, name, "len(raised) < 2")
     ) as running:
         silent = ThriftClient(running.ports[0])
-        assert_logged_and_counted(running, "component failed; restarting it", f"fault.{part}")
+        assert_logged_and_counted(running, "component failed; restarting it", f"fault.{component}")
         until(lambda: running.registry.reports)
         assert ThriftClient(running.ports[0]).ask("order", b"calls=1")[0] == "success"
-        assert silent.ended.wait(20)  # closed, as every connection that sends nothing
+        assert silent.ended.wait(20)  # closed, like every connection that sends nothing
         assert running.stop() == 0
 
 
-def test_a_fault_of_the_coordinator_ends_the_process_with_its_traceback(tmp_path: Path) -> None:
+def test_an_exception_of_the_coordinator_ends_the_process_and_is_logged(tmp_path: Path) -> None:
     start = program_that_fails(
         tmp_path,
         "request_coordinator",
--- a/tests/test_transition_tables.py
+++ b/tests/test_transition_tables.py
@@ -23,5 +23,5 @@
     assert ATTEMPT_TABLE.invalid_counts["HELD.ENDED"] == before + 1
 
 
-def test_the_printed_tables_are_those_of_the_code() -> None:
+def test_the_documented_tables_match_the_code() -> None:
     assert (ROOT / "docs" / "state-machines.md").read_text() == document()
