--- a/myrtlespar/coordinator/effect_executor.py
+++ b/myrtlespar/coordinator/effect_executor.py
@@ -68,7 +68,9 @@
                 self._execute(effect)
             except Exception:  # no exception here may end the coordinator, which serves all other requests
                 if self.counters.count_and_sample("core.effect_fault"):
-                    log.exception("effect failed", effect=effect.action.name, id=effect.exchange.id)
+                    log.exception(
+                        "carrying out an effect of a request failed", effect=effect.action.name, id=effect.exchange.id
+                    )
 
     def _execute(self, effect: RequestEffect) -> None:
         action, exchange, answer, outcome, duration_ms, body = effect
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -247,7 +247,7 @@
         )
 
     def _apply(self, action: api.Action, now: float) -> None:
-        """Apply one decision of the policy on a request."""
+        """Apply one decision of the policy about a request."""
         match action:
             case api.Run(request_id):
                 self._execute(self.tracker.start(request_id, now))
@@ -292,7 +292,7 @@
 
 def _create_tracker(settings: api.Settings, limits: ResourceLimits, process: ProcessLifecycle) -> RequestTracker:
     """Return a tracker with the settings of the policy and the limits of this process."""
-    terms = RequestTrackerSettings(
+    tracker_settings = RequestTrackerSettings(
         [request_class.client_timeout_ms for request_class in settings.classes],
         [request_class.effect is not api.Effect.SAFE for request_class in settings.classes],
         limits.overdue_grace_ms,
@@ -304,4 +304,4 @@
         limits.max_waiting_repeats,
         limits.max_result_bytes,
     )
-    return RequestTracker(terms, keys, process)
+    return RequestTracker(tracker_settings, keys, process)
--- a/myrtlespar/server/handover.py
+++ b/myrtlespar/server/handover.py
@@ -1,4 +1,4 @@
-"""Hand-over to a replacement process (SIGTERM with an admin server): stop listening, answer, end."""
+"""Hand-over to a replacement (SIGTERM with an admin server): stop listening, answer what was read, and exit."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """Close the listeners and ask the clients to reconnect, which connects them to the replacement.
 
     Unlike in a graceful shutdown, every request that was read may start and Thrift pings still report good health; AJP
-    pings are no longer answered. `ShutdownSequence` carries out the later stages, in which the
-    idempotency keys are written for the replacement.
+    pings are no longer answered. `ShutdownSequence` carries out the later stages, in which the idempotency keys are
+    written for the replacement.
     """
     coordinator = application.coordinator
     actions = coordinator.process.handover(unix_ms(), _time_until_kill_ms(application))
--- a/myrtlespar/state_machines/idempotency_keys.py
+++ b/myrtlespar/state_machines/idempotency_keys.py
@@ -170,9 +170,9 @@
         return entry is not None and entry.owner is exchange
 
     def known_outcomes(self) -> list[tuple[KeyId, Answer, float]]:
-        """Return the keys that a replacement process must not run again, with outcome and expiry time.
+        """Return the keys whose requests a replacement must not run again, with outcome and expiry time.
 
-        The earliest expiry time comes first.
+        They are sorted by expiry time.
         """
         return [
             (key_id, entry.outcome, expires_at)
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -20,9 +20,8 @@
     commands = AdminCommands()
     assert commands.handle_line(b"STATUS", 0.0, ready=False) == AdminReply(b"done no\n", close_connection=False)
     assert commands.handle_line(b"STATUS\r", 0.0, ready=True) == AdminReply(b"done yes\n", close_connection=False)
-    assert commands.handle_line(b"RESUME", 1.0, True).data.startswith(
-        b"done"
-    )  # without a PAUSE before, it is not an error
+    # A RESUME without a PAUSE before is not an error.
+    assert commands.handle_line(b"RESUME", 1.0, True).data.startswith(b"done")
     assert commands.handle_line(b"PAUSE", 2.0, True).data == b"done paused\n"
     assert commands.paused
     assert commands.paused_at == 2.0
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -74,9 +74,9 @@
         assert running.process.wait(20) == 0
 
 
-@pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
+@pytest.mark.parametrize("repeated_signal", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_repeated_signals_and_a_client_that_does_not_read_leave_exit_status_0(
-    tmp_path: Path, again: signal.Signals
+    tmp_path: Path, repeated_signal: signal.Signals
 ) -> None:
     with server_process(
         tmp_path, given={"stop_ms": 700, "settings": class_settings(("slow", "free", 9000.0))}
@@ -93,7 +93,7 @@
         running.process.terminate()
         until(lambda: client.one_way_messages)
         while running.process.poll() is None:  # at every moment of the shutdown, including the last
-            running.process.send_signal(again)
+            running.process.send_signal(repeated_signal)
         assert running.process.returncode == 0
         assert client.answer(seq)[0] == "failed"
         assert client.count[seq] == 1
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -277,9 +277,8 @@
     A third process would then find the lock free and no file, conclude that no other process runs, and start an order
     again that the second process has run and not handed over yet.
     """
-    gate = Gate(
-        tmp_path, "myrtlespar.server.application:Application.close_fleet"
-    )  # after the hand-over, before the process ends
+    # After the hand-over, before the process ends.
+    gate = Gate(tmp_path, "myrtlespar.server.application:Application.close_fleet")
     third_folder = tmp_path / "third"
     third_folder.mkdir()
     shared = {"mgmt": True, "shared": handover_folders.shared, "operator": KEYS_ENABLED}
--- a/tests/test_handover_file.py
+++ b/tests/test_handover_file.py
@@ -45,9 +45,8 @@
     assert waiting.poll(True, None, 0.0, 3) == ReceivedKeys([], "")
     assert waiting.poll(True, b"junk", 0.0, 3).log_message.startswith("hand-over refused")
     assert waiting.state is HandoverState.WAITING
-    assert waiting.poll(True, encode([]), 0.0, 3) == ReceivedKeys(
-        [], ""
-    )  # after a rejection only the end of the old process counts
+    # After a rejection only the end of the old process counts.
+    assert waiting.poll(True, encode([]), 0.0, 3) == ReceivedKeys([], "")
     assert waiting.poll(False, None, 0.0, 3).log_message.startswith("the old process is gone")
     assert waiting.state is HandoverState.OPEN  # type: ignore[comparison-overlap]  # poll changes it
     receiving = HandoverReceiver(HandoverState.WAITING)
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -30,7 +30,7 @@
 def test_after_a_kill_the_next_process_is_soon_ready_and_runs_only_its_own_requests(tmp_path: Path) -> None:
     port, engine = free_port(), TracedKernel()
     with server_process(tmp_path, listen=f"127.0.0.1:{port}", engine=engine, wait=False) as running:
-        everyone: list[TracedClient] = []
+        all_clients: list[TracedClient] = []
         ready_s: list[float] = []
         for process_number in range(PROCESS_COUNT):
             began = time.monotonic()
@@ -39,15 +39,15 @@
             probe = TracedClient(port)
             assert probe.answer(probe.request("order", b"probe %d" % process_number))[0] == "success"
             until(lambda: len(running.registry.reports) > process_number, "a report")  # noqa: B023
-            everyone += [probe, *send_load(port, engine, process_number)]
+            all_clients += [probe, *send_load(port, engine, process_number)]
             until(lambda: any(b"process %d," % process_number in body for body in engine.by_body), "starts")  # noqa: B023
             if process_number < PROCESS_COUNT - 1:
                 running.kill_and_start()
-        last = everyone[-CLIENT_COUNT:]
+        last = all_clients[-CLIENT_COUNT:]
         until(lambda: all(seq in client.answers for client in last for seq in client.sent), "all answers")
         assert running.stop() == 0
     assert max(ready_s) < 5.0, ready_s
-    requests = {request.rid: request for client in everyone for request in client.sent.values()}
+    requests = {request.rid: request for client in all_clients for request in client.sent.values()}
     starts = Counter(row["rid"] for row in engine.history if row["t"] == "SCHED")
     assert set(starts) <= set(requests)
     assert set(starts.values()) == {1}
@@ -58,4 +58,4 @@
             assert requests[row["rid"]].body.startswith(
                 (b"process %d," % process_number, b"probe %d" % process_number)
             ), row
-    assert all(count == 1 for client in everyone for count in client.count.values())
+    assert all(count == 1 for client in all_clients for count in client.count.values())
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -14,15 +14,15 @@
 
 
 def test_runs_are_lost_once_the_surplus_lasted_for_the_whole_window() -> None:
-    lost = LostRunDetector(1000.0)
-    assert [lost.count_lost(now, 5, 2.0) for now in (0.0, 500.0, 999.0)] == [0, 0, 0]
-    assert lost.count_lost(1000.0, 6, 4.5) == 1  # the smallest surplus of all checks
-    assert lost.count_lost(1500.0, 6, 4.0) == 0
-    assert lost.count_lost(2000.0, 6, 6.0) == 0
-    assert lost.count_lost(2100.0, 6, 4.0) == 0
-    assert lost.count_lost(2200.0, 6, None) == 0
-    assert lost.count_lost(3150.0, 6, 4.0) == 0
-    assert lost.count_lost(4150.0, 6, 4.0) == 2
+    detector = LostRunDetector(1000.0)
+    assert [detector.count_lost(now, 5, 2.0) for now in (0.0, 500.0, 999.0)] == [0, 0, 0]
+    assert detector.count_lost(1000.0, 6, 4.5) == 1  # the smallest surplus of all checks
+    assert detector.count_lost(1500.0, 6, 4.0) == 0
+    assert detector.count_lost(2000.0, 6, 6.0) == 0
+    assert detector.count_lost(2100.0, 6, 4.0) == 0
+    assert detector.count_lost(2200.0, 6, None) == 0
+    assert detector.count_lost(3150.0, 6, 4.0) == 0
+    assert detector.count_lost(4150.0, 6, 4.0) == 2
 
 
 @pytest.mark.parametrize("gauges", [["cpu_busy", "runnable", "mem_used", "sockets"], ["cpu_busy"]])
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class Trial:
+class RequestScenario:
     """One request, with the processes and clients that take part in it."""
 
     server: ServerProcess
@@ -49,63 +49,63 @@
         """Send the request over the first client."""
         self.seq = self.first.send("booking", b"it", token="ee")
 
-    def cause(self, what: str) -> None:
+    def cause_first(self, first_event: str) -> None:
         """Cause the first event."""
-        if what == "request":
+        if first_event == "request":
             self.send()
-        elif what == "call":
+        elif first_event == "call":
             self.engine.ask(b"it")
             self.engine.hear()
         else:
             self.engine.end(b"it", "PASS")
             self.engine.hear()
 
-    def cross(self, other: str) -> None:
+    def cause_second(self, second_event: str) -> None:
         """Cause the second event, which coincides with the first."""
-        if other == "abort":
+        if second_event == "abort":
             self.first.say("abort", seqid=self.seq)
-        elif other == "reset":
+        elif second_event == "reset":
             reset(self.first)
-        elif other == "half close":
+        elif second_event == "half close":
             self.first.sock.shutdown(socket.SHUT_WR)
-        elif other == "link cut":
+        elif second_event == "link cut":
             self.engine.free = True
             assert self.engine.link is not None
             self.engine.cut(self.engine.link)
-        elif other == "repeat":
+        elif second_event == "repeat":
             self.repeat = self.second.send("booking", b"it", token="ee", again="1")
         else:
-            self.server.process.send_signal(signal.Signals[other])
+            self.server.process.send_signal(signal.Signals[second_event])
 
-    def allowed_answers(self, what: str, other: str) -> set[str]:
+    def allowed_answers(self, first_event: str, second_event: str) -> set[str]:
         """Return the kinds of answers that the request may get."""
-        if (what, other) == ("request", "link cut") and not self.engine.by_body[b"it"]:
+        if (first_event, second_event) == ("request", "link cut") and not self.engine.by_body[b"it"]:
             return {"failed"}  # the start was sent on the link that was cut: it is lost and never sent again
-        return {"success", "refused"} if other == "SIGTERM" else {"success"}
+        return {"success", "refused"} if second_event == "SIGTERM" else {"success"}
 
 
-@pytest.mark.parametrize("other", ["abort", "reset", "half close", "link cut", "SIGTERM", "SIGHUP", "repeat"])
-@pytest.mark.parametrize("what", ["result", "call", "request"])
+@pytest.mark.parametrize("second_event", ["abort", "reset", "half close", "link cut", "SIGTERM", "SIGHUP", "repeat"])
+@pytest.mark.parametrize("first_event", ["result", "call", "request"])
 def test_two_simultaneous_events_leave_one_answer_and_one_run(
-    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], what: str, other: str
+    scripted: tuple[ServerProcess, ScriptedEngine, ThriftClient], first_event: str, second_event: str
 ) -> None:
     server, engine, client = scripted
     first = ThriftClient(server.ports[0])
-    trial = Trial(server, engine, first, client)
-    if what != "request":
-        trial.send()
+    scenario = RequestScenario(server, engine, first, client)
+    if first_event != "request":
+        scenario.send()
         until(engine.read)
     with stopped(server):
-        trial.cause(what)
-        trial.cross(other)
+        scenario.cause_first(first_event)
+        scenario.cause_second(second_event)
     engine.let_go()  # from now on the engine handles commands by itself, and runs end
-    if other not in ("abort", "reset"):
-        finish(engine, lambda: trial.seq in first.answers)
-        assert first.answer(trial.seq)[0] in trial.allowed_answers(what, other)
-    if other == "repeat":
-        finish(engine, lambda: trial.repeat in client.answers)
-        assert client.answer(trial.repeat)[0] == "success"
-    if other != "SIGTERM":
+    if second_event not in ("abort", "reset"):
+        finish(engine, lambda: scenario.seq in first.answers)
+        assert first.answer(scenario.seq)[0] in scenario.allowed_answers(first_event, second_event)
+    if second_event == "repeat":
+        finish(engine, lambda: scenario.repeat in client.answers)
+        assert client.answer(scenario.repeat)[0] == "success"
+    if second_event != "SIGTERM":
         last = ThriftClient(server.ports[0])  # an existing connection that sent nothing may have been closed for that
         after = last.send("tide", b"after")
         finish(engine, lambda: after in last.answers)
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -142,10 +142,8 @@
     with server_process(tmp_path, given={"settings": given, "store": None}) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("order")[0] == "success"
-        assert client.ask("fetch", b"calls=1")[0] in (
-            "failed",
-            "refused",
-        )  # the run requests a call, which can't be made
+        # The run requests a call, which can't be made.
+        assert client.ask("fetch", b"calls=1")[0] in ("failed", "refused")
         assert client.ask("order")[0] == "success"
         assert running.stop() == 0
 
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -60,9 +60,9 @@
     with server_process(tmp_path, start=start) as running:
         client = ThriftClient(running.ports[0])
         client.send("fetch", b"ms=1")
-        until(lambda: running.event("effect failed"))
+        until(lambda: running.event("carrying out an effect of a request failed"))
         assert [client.ask("order", b"calls=1")[0] for _ in range(3)] == ["success"] * 3
-        assert_logged_and_counted(running, "effect failed", "core.effect_fault")
+        assert_logged_and_counted(running, "carrying out an effect of a request failed", "core.effect_fault")
 
 
 @pytest.mark.parametrize(
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -18,7 +18,7 @@
 FAULT_EVENTS = (
     "uncaught exception",
     "component failed; restarting it",
-    "effect failed",
+    "carrying out an effect of a request failed",
     "connection failed",
     "fatal error; ending the process",
 )
