--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -39,7 +39,7 @@
             new = ThriftClient(running.ports[0])  # the first one is closed for it, as it is idle the longest
         else:
             running.process.terminate()
-        gate.reached(running)
+        gate.wait_until_reached(running)
         seq = clients[0].send("order", b"crosses")
         gate.open()
         assert clients[0].ended.wait(20)
@@ -69,7 +69,7 @@
         assert client.answer(client.say("ping", full=False))
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"late"))
         client.sock.sendall(frame[:9])
-        gate.reached(running)
+        gate.wait_until_reached(running)
         client.sock.sendall(frame[9:])
         gate.open()
         assert client.answer(7)[0] == "success"
@@ -162,7 +162,7 @@
             running.process.terminate()
         else:
             slow.sendall(b"\x7f\xff\xff\xff no frame is so long" + b"." * 50000)
-        gate.reached(running)
+        gate.wait_until_reached(running)
         slow.sendall(order(31))
         gate.open()
         if why == "exit":
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -226,7 +226,7 @@
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=1500")
-        gate.reached(running)
+        gate.wait_until_reached(running)
         time.sleep(0.7)  # longer than the silence timeout
         with running.engine.lock:  # the answer arrives only after the silence check has run
             gate.open()
@@ -312,7 +312,7 @@
         running.config["kernel"] = running.engine.address
         running.path.write_text(json.dumps(running.config))
         running.process.send_signal(signal.SIGHUP)
-        gate.reached(running)
+        gate.wait_until_reached(running)
         until(lambda: [row["t"] for row in old.notices].count("REAP"))
         time.sleep(0.5)  # longer than the time allowed for reading the old link to its end
         gate.open()
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -17,10 +17,10 @@
 ORDER_METHOD = "order"
 FAULT_EVENTS = (
     "uncaught exception",
-    "part failed and goes on",
-    "effect failed",
+    "component failed; restarting it",
+    "carrying out an effect of a request failed",
     "connection failed",
-    "cannot go on",
+    "fatal error; ending the process",
 )
 
 
