--- a/myrtlespar/cli/fleet/check.py
+++ b/myrtlespar/cli/fleet/check.py
@@ -54,7 +54,7 @@
             area_status = command.planted(area, jobs, seconds)
         else:
             plans = [*(QUICK_PLANS if quick else ()), *(FULL_PLANS[area] if full else ())]
-            area_status = command.explored(area, plans or ["single"], jobs, seconds)
+            area_status = command.explore_plans(area, plans or ["single"], jobs, seconds)
         if status != EXIT_BROKEN:
             status = area_status or status
     return status
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -29,7 +29,7 @@
     return importlib.import_module(f"{AREAS[area]}.explore")
 
 
-def explored(area: str, plans: list[str], jobs: int, seconds: float) -> int:
+def explore_plans(area: str, plans: list[str], jobs: int, seconds: float) -> int:
     """Explore these plans one by one, print the results and return the exit status."""
     module = explorer(area)
     status = STATUS_HOLDS
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -34,10 +34,10 @@
     """The states that a trace has shown so far, by machine and id."""
 
     def __init__(self) -> None:
-        self.at: dict[tuple[str, str], str] = {}
+        self.last_seen: dict[tuple[str, str], str] = {}
         self.steps = 0
 
-    def take(self, row: dict[str, Any]) -> None:
+    def check_step(self, row: dict[str, Any]) -> None:
         """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
         machine = str(row.get("machine"))
         who = str(row.get("who"))
@@ -48,7 +48,7 @@
         expected = self._next(table, state, event)
         if after != expected:
             raise InvalidStepError(f"{machine} {who}: {event} leads from {state} to {expected}, not to {after}")
-        before = self.at.get((machine, who))
+        before = self.last_seen.get((machine, who))
         if machine not in SHARED:
             if before is None and state not in BEGINS[machine]:
                 raise InvalidStepError(f"{machine} {who}: begins in {state}")
@@ -56,9 +56,9 @@
                 raise InvalidStepError(f"{machine} {who}: stood in {before}, not in {state}")
         self.steps += 1
         if after in ENDS and machine != "process" and machine != "connection":
-            self.at.pop((machine, who), None)
+            self.last_seen.pop((machine, who), None)
         else:
-            self.at[machine, who] = after
+            self.last_seen[machine, who] = after
 
     @staticmethod
     def _next(table: TransitionTable, state: str, event: str) -> str:
@@ -85,7 +85,7 @@
                     print(f"myrtlespar: {path}: line {number}: not JSON", file=sys.stderr)
                     return 2
                 try:
-                    trace.take(row)
+                    trace.check_step(row)
                 except InvalidStepError as error:
                     print(f"rejected at line {number}, step {trace.steps + 1}: {error}")
                     return 1
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -206,7 +206,7 @@
     for line in data.splitlines():
         if b'"event": "step"' in line:
             trace.steps.append(json.loads(line))
-            trace.checked.take(trace.steps[-1])
+            trace.checked.check_step(trace.steps[-1])
     return trace
 
 
@@ -214,7 +214,7 @@
     """Steps as machine, who, state, event, state behind it, time; their count; where each machine stands at the end."""
     names = ("machine", "who", "state", "on", "to", "timestamp")
     steps = [[step[name] for name in names] for step in trace.steps]
-    return [steps, trace.checked.steps, sorted([*machine, state] for machine, state in trace.checked.at.items())]
+    return [steps, trace.checked.steps, sorted([*machine, state] for machine, state in trace.checked.last_seen.items())]
 
 
 def encode_trace(trace: Trace) -> bytes:
