--- a/myrtlespar/model_checker/client_events.py
+++ b/myrtlespar/model_checker/client_events.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from myrtlespar.exchange import Exchange
-from myrtlespar.model_checker.world import DONE, IDS, PARTLY_READ, UNSENT, WAITING, World, discard_answer
+from myrtlespar.model_checker.world import ATTEMPT_IDS, DONE, PARTLY_READ, UNSENT, WAITING, World, discard_answer
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionLifecycle
 
 
@@ -12,7 +12,7 @@
     world.callers[index].stage = PARTLY_READ
     world.callers[index].incarnation = world.incarnation
     if not world.connections[world.connection_index(index)].accepts_requests:
-        world.connections[world.connection_index(index)] = ConnectionLifecycle(IDS[index])
+        world.connections[world.connection_index(index)] = ConnectionLifecycle(ATTEMPT_IDS[index])
     if world.scenario.attempts[index].front == "ajp":
         world.handle_connection_event(index, ConnectionEvent.BEGIN)
 
@@ -29,7 +29,7 @@
     caller.stage = WAITING
     caller.late = world.now > world.tracker.process.notice_at + world.tracker.process.grace_ms
     exchange = world.exchanges[index] = Exchange(
-        IDS[index], attempt.front, int(attempt.effectful), b"", world.now, discard_answer
+        ATTEMPT_IDS[index], attempt.front, int(attempt.effectful), b"", world.now, discard_answer
     )
     exchange.key = attempt.key
     exchange.target = attempt.target
@@ -60,19 +60,19 @@
     world.handle_connection_event(index, ConnectionEvent.TURNED_AWAY)
 
 
-def give_up(world: World, index: int) -> None:
+def cancel_request(world: World, index: int) -> None:
     """The client cancels: by a message where its protocol has one, else by a reset."""
     world.count_fault("give up")
-    _leave(world, index, by_message=world.scenario.attempts[index].front == "thrift")
+    _end_wait(world, index, by_message=world.scenario.attempts[index].front == "thrift")
 
 
 def reset_connection(world: World, index: int) -> None:
     """The client resets its connection while it waits."""
     world.count_fault("reset")
-    _leave(world, index, by_message=False)
+    _end_wait(world, index, by_message=False)
 
 
-def _leave(world: World, index: int, by_message: bool) -> None:
+def _end_wait(world: World, index: int, by_message: bool) -> None:
     exchange = world.exchanges[index]
     assert exchange is not None
     if by_message:
--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -15,11 +15,11 @@
 from myrtlespar.model_checker.enabled_events import enabled_events
 from myrtlespar.model_checker.events import EVENTS, begin, show
 from myrtlespar.model_checker.explore import Bounds, ExplorationResult, UsedTransitions, explore, limit_steps, step
-from myrtlespar.model_checker.invariants import RULES, TransitionCoverage, unused
+from myrtlespar.model_checker.invariants import RULES, TransitionCoverage, unused_transitions
 from myrtlespar.model_checker.mutants import MUTATIONS
 from myrtlespar.model_checker.scenarios import ALL, QUICK
 from myrtlespar.model_checker.state_decoding import unpack
-from myrtlespar.model_checker.state_encoding import freeze, thaw
+from myrtlespar.model_checker.state_encoding import deserialize, serialize
 from myrtlespar.model_checker.world import Event
 
 MAX_PATH_EVENTS = 15  # of the counter-example of a mutation
@@ -73,7 +73,7 @@
             print(f"  stopped by {found.stopped_by}: what was covered holds, the rest is not known")
             status = status or NO_VERDICT
     if set(QUICK) <= set(names) and status == ALL_HOLD:
-        status = report_unused_rows(used_transitions)
+        status = report_unused_transitions(used_transitions)
     return status
 
 
@@ -87,13 +87,13 @@
     )
 
 
-def report_unused_rows(used_transitions: UsedTransitions) -> int:
+def report_unused_transitions(used_transitions: UsedTransitions) -> int:
     """Print the rows of the transition tables that no exploration used; returns the exit status."""
-    unused_rows = unused(used_transitions)
-    for row in unused_rows:
+    never_used = unused_transitions(used_transitions)
+    for row in never_used:
         print(f"row never used: {row}")
-    print(f"rows of all tables used: {len(used_transitions):,}, never used: {len(unused_rows)}")
-    return RULE_BROKEN if unused_rows else ALL_HOLD
+    print(f"rows of all tables used: {len(used_transitions):,}, never used: {len(never_used)}")
+    return RULE_BROKEN if never_used else ALL_HOLD
 
 
 def print_counter_example(found: ExplorationResult) -> None:
@@ -109,14 +109,14 @@
     limit_steps()
     bounds = ALL[scenario]
     coverage = TransitionCoverage()
-    plain = thaw(freeze(begin(bounds)))
+    packed = deserialize(serialize(begin(bounds)))
     out: list[str] = []
     for number, event in enumerate(path, 1):
-        if event not in enabled_events(unpack(bounds, plain)):
+        if event not in enabled_events(unpack(bounds, packed)):
             raise FaultyReplayError(f"event {number}: {show(event)!r} can't come here")
-        world, violations = step(bounds, plain, event, coverage)
+        world, violations = step(bounds, packed, event, coverage)
         out.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
-        plain = thaw(freeze(world))
+        packed = deserialize(serialize(world))
     return out
 
 
--- a/myrtlespar/model_checker/enabled_events.py
+++ b/myrtlespar/model_checker/enabled_events.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from myrtlespar.model_checker.world import GRACE_MS, IDS, PARTLY_READ, TICK_MS, UNSENT, WAITING, Event, World
+from myrtlespar.model_checker.world import ATTEMPT_IDS, GRACE_MS, PARTLY_READ, TICK_MS, UNSENT, WAITING, Event, World
 from myrtlespar.state_machines import dependency_calls, dependency_tables, engine_link
 from myrtlespar.state_machines.client_connection import ConnectionState
 from myrtlespar.state_machines.process import ProcessState
@@ -16,11 +16,11 @@
         _policy_events(world, events)
         _link_events(world, events)
         _dependency_events(world, events)
-        if world.scenario.drain and world.may_fail_again("notice", world.scenario.drain_notices):
+        if world.scenario.drain and world.fault_allowed("notice", world.scenario.drain_notices):
             events.append(("hand over",) if world.scenario.handover else ("notice",))
-        if world.may_fail_again("move", world.scenario.reloads):
+        if world.fault_allowed("move", world.scenario.reloads):
             events.append(("move",))
-        if world.may_fail_again("bad reload", world.scenario.bad_reloads):
+        if world.fault_allowed("bad reload", world.scenario.bad_reloads):
             events.append(("bad reload",))
         if _may_poll(world):
             events.append(("look",))
@@ -38,11 +38,11 @@
     for index, caller in enumerate(world.callers):
         connection = world.connections[world.connection_index(index)]
         is_idle = caller.stage < WAITING and connection.state == ConnectionState.IDLE
-        if is_idle and world.may_fail_again("close", world.scenario.closes):
+        if is_idle and world.fault_allowed("close", world.scenario.closes):
             events.append(("close", index))
         if caller.stage == UNSENT:
-            twin = world.scenario.alike(index)
-            is_next = twin < 0 or world.callers[twin].stage != UNSENT
+            predecessor = world.scenario.identical_predecessor(index)
+            is_next = predecessor < 0 or world.callers[predecessor].stage != UNSENT
             if world.listening and connection.state != ConnectionState.ENDING and is_next:
                 events.append(("send", index))
         elif caller.stage == PARTLY_READ:
@@ -54,9 +54,9 @@
 def _events_within_request(world: World, events: list[Event], index: int) -> None:
     connection = world.connections[world.connection_index(index)]
     events.append(("whole", index))
-    if world.may_fail_again("give up", world.scenario.cancellations):
+    if world.fault_allowed("give up", world.scenario.cancellations):
         events.append(("cut short", index))
-    if connection.accepts_requests and world.may_fail_again("spoil", world.scenario.malformed_messages):
+    if connection.accepts_requests and world.fault_allowed("spoil", world.scenario.malformed_messages):
         events.append(("spoil", index))
         if connection.state == ConnectionState.READING:
             events.append(("turn away", index))
@@ -64,12 +64,12 @@
 
 def _events_of_waiting_caller(world: World, events: list[Event], index: int) -> None:
     is_unanswered = not world.callers[index].answers
-    if is_unanswered and world.may_fail_again("give up", world.scenario.cancellations):
+    if is_unanswered and world.fault_allowed("give up", world.scenario.cancellations):
         events.append(("give up", index))
-    if world.may_fail_again("reset", world.scenario.resets):
+    if world.fault_allowed("reset", world.scenario.resets):
         events.append(("reset", index))
-    is_owing = world.connections[world.connection_index(index)].state == ConnectionState.OWING
-    if is_unanswered and is_owing and world.may_fail_again("spoil", world.scenario.malformed_messages):
+    owes_answer = world.connections[world.connection_index(index)].state == ConnectionState.OWING
+    if is_unanswered and owes_answer and world.fault_allowed("spoil", world.scenario.malformed_messages):
         events.append(("spoil", index))
 
 
@@ -81,7 +81,7 @@
             if id in world.policy.at_call:
                 events.append(("call", id))
             events.append(("fail", id))
-    if world.may_fail_again("rude", world.scenario.unexpected_decisions):
+    if world.fault_allowed("rude", world.scenario.unexpected_decisions):
         for id in world.tracker.requests:
             events += [("rude", what, id) for what in ("run", "refuse", "fail", "call")]
 
@@ -91,18 +91,18 @@
     if link.state == engine_link.LinkState.DOWN:
         events.append(("connect",))
     else:
-        if world.engine.down:
+        if world.engine.lines_to_server:
             events.append(("hear",))
-            if world.engine.down[0][0] == "N":
-                if world.may_fail_again("double", world.scenario.duplicate_notices):
+            if world.engine.lines_to_server[0][0] == "N":
+                if world.fault_allowed("double", world.scenario.duplicate_notices):
                     events.append(("double",))
-                if world.may_fail_again("gap", world.scenario.lost_notices):
+                if world.fault_allowed("gap", world.scenario.lost_notices):
                     events.append(("gap",))
-        if world.may_fail_again("gauges", world.scenario.gauge_requests):
+        if world.fault_allowed("gauges", world.scenario.gauge_requests):
             events.append(("gauges",))
-        if world.may_fail_again("deaf", world.scenario.stalled_links):
+        if world.fault_allowed("deaf", world.scenario.stalled_links):
             events.append(("deaf",))
-        if world.stalled or world.may_fail_again("break", world.scenario.link_breaks):
+        if world.stalled or world.fault_allowed("break", world.scenario.link_breaks):
             events.append(("break",))
         doubt = any(command.state == engine_link.CommandState.DOUBTFUL for command in link.unconfirmed.values())
         if (
@@ -115,33 +115,33 @@
 
 def _engine_events(world: World, events: list[Event]) -> None:
     engine = world.engine
-    if engine.up:
+    if engine.lines_to_engine:
         events.append(("read",))
-        if engine.up[0][0] == "SCHED":
-            if world.may_fail_again("einval", world.scenario.einvals):
+        if engine.lines_to_engine[0][0] == "SCHED":
+            if world.fault_allowed("einval", world.scenario.einvals):
                 events.append(("read einval",))
-            if _is_over(world, engine.up[0][1]):
+            if _is_abandoned(world, engine.lines_to_engine[0][1]):
                 events.append(("read over",))
     for rid, (at_call, calls_made) in engine.runs.items():
         if at_call:
-            if _is_over(world, rid):
+            if _is_abandoned(world, rid):
                 events.append(("end", rid, "KILLED"))
         else:
             events += [("end", rid, "PASS"), ("end", rid, "FAIL")]
             if calls_made < world.scenario.calls:
                 events.append(("ask", rid))
-    if world.may_fail_again("kernel", world.scenario.engine_restarts):
+    if world.fault_allowed("kernel", world.scenario.engine_restarts):
         events.append(("kernel restart",))
 
 
 def _dependency_events(world: World, events: list[Event]) -> None:
     for id in world.pending:
         events.append(("reply", id, "OK"))
-        if world.may_fail_again("bad reply", world.scenario.bad_replies):
+        if world.fault_allowed("bad reply", world.scenario.bad_replies):
             events += [("reply", id, "BUSY"), ("reply", id, "ERR")]
     for id in world.workers:
         events += [("worker", id, end) for end in ("PASS", "FAIL", "UNREACHED")]
-    can_fail = world.may_fail_again("store", world.scenario.dependency_faults)
+    can_fail = world.fault_allowed("store", world.scenario.dependency_faults)
     for connection in world.dependency_connections:
         _events_of_dependency_connection(events, connection, can_fail)
     events += [("wire copy", n) for n in range(len(world.duplicate_replies))]
@@ -166,9 +166,9 @@
             events.append(("wire broken", number))
 
 
-def _is_over(world: World, rid: str) -> bool:
+def _is_abandoned(world: World, rid: str) -> bool:
     """Whether nobody waits for this request any longer."""
-    caller = world.callers[IDS.index(rid)]
+    caller = world.callers[ATTEMPT_IDS.index(rid)]
     return caller.gone or bool(caller.answers) or caller.incarnation != world.incarnation or world.stopped
 
 
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from myrtlespar.exchange import Answer, AnswerKind
-from myrtlespar.model_checker.environment import Item
-from myrtlespar.model_checker.world import DUE_MS, IDS, OUTCOMES, World
+from myrtlespar.model_checker.environment import LinkLine
+from myrtlespar.model_checker.world import ATTEMPT_IDS, DUE_MS, OUTCOMES, World
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines.attempts import STARTED
 from myrtlespar.state_machines.command_log import GAP, NEXT, RENUMBERED
@@ -14,7 +14,7 @@
 
 def start_run(world: World, id: str) -> None:
     """The policy starts the run."""
-    world.policy.ran(id)
+    world.policy.run_started(id)
     world.apply_effects(world.tracker.start(id, world.now))
 
 
@@ -71,25 +71,25 @@
 
 def receive_notice(world: World) -> None:
     """The next line of the engine arrives."""
-    _notice(world, world.engine.down.pop(0))
+    _receive_line(world, world.engine.lines_to_server.pop(0))
 
 
 def receive_notice_twice(world: World) -> None:
     """The next notice arrives, and will once more."""
     world.count_fault("double")
-    _notice(world, world.engine.down[0])
+    _receive_line(world, world.engine.lines_to_server[0])
 
 
 def lose_notice(world: World) -> None:
     """The next notice is lost."""
     world.count_fault("gap")
-    world.engine.down.pop(0)
+    world.engine.lines_to_server.pop(0)
 
 
-def _notice(world: World, item: Item) -> None:
+def _receive_line(world: World, item: LinkLine) -> None:
     link = world.commands
     if item[0] == "BOOTED":
-        _engine_greeted(world, item[1])
+        _engine_booted(world, item[1])
     elif item[0] == "INFO":
         world.apply_link_effects(link.mark_received(item[1]) or [])
     elif item[0] == "EINVAL":
@@ -103,10 +103,10 @@
             world.cut_link()
         elif kind == NEXT:
             link.run_reported(item[3])
-            _run_noticed(world, *item[2:])
+            _apply_run_notice(world, *item[2:])
 
 
-def _engine_greeted(world: World, incarnation: int) -> None:
+def _engine_booted(world: World, incarnation: int) -> None:
     link = world.commands
     if incarnation != world.known_engine and world.known_engine >= 0:
         link.restarted()
@@ -117,7 +117,7 @@
     world.apply_link_effects(link.booted())
 
 
-def _run_noticed(world: World, kind: str, rid: str, detail: int | str) -> None:
+def _apply_run_notice(world: World, kind: str, rid: str, detail: int | str) -> None:
     """A run needs a call, `detail` being its number; or it ended, `detail` being its status."""
     if kind == "IOREQ":
         assert isinstance(detail, int)
@@ -131,7 +131,7 @@
 def read_command(world: World, refuse: bool = False, over: bool = False) -> None:
     """The engine reads the next command. `refuse`: it answers EINVAL; `over`: the request has ended."""
     before = sum(world.engine.starts.values())
-    rid = world.engine.up[0][1] if world.engine.up[0][0] == "SCHED" else ""
+    rid = world.engine.lines_to_engine[0][1] if world.engine.lines_to_engine[0][0] == "SCHED" else ""
     world.engine.read(refuse, over)
     if sum(world.engine.starts.values()) > before:
         check_start(world, rid)
@@ -139,7 +139,7 @@
 
 def check_start(world: World, rid: str) -> None:
     """Add the invariants that forbid the run that has just started."""
-    index = IDS.index(rid)
+    index = ATTEMPT_IDS.index(rid)
     attempt = world.scenario.attempts[index]
     caller = world.callers[index]
     if caller.late and caller.incarnation == world.incarnation:
@@ -149,7 +149,7 @@
     if world.engine.starts[rid] > 1:
         world.violations.append("one start a try")
     for other_index, other in enumerate(world.scenario.attempts):
-        other_id = IDS[other_index]
+        other_id = ATTEMPT_IDS[other_index]
         if other_index != index and attempt.key and other.key == attempt.key and world.engine.starts.get(other_id):
             over = world.concluded_at.get(other_id, float("inf")) + world.scenario.key_ms
             if world.callers[other_index].incarnation == caller.incarnation and world.now < over:
@@ -174,7 +174,7 @@
 
 def make_call(world: World, rid: str) -> None:
     """A run makes its next call."""
-    world.engine.ask(rid)
+    world.engine.begin_call(rid)
 
 
 def restart_engine(world: World) -> None:
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -8,10 +8,12 @@
 from myrtlespar.state_machines import command_log
 from myrtlespar.state_machines.attempts import AttemptAction
 
-Item = tuple[Any, ...]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
+LinkLine = tuple[
+    Any, ...
+]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
 # Effects of the request tracker that are for the policy.
-POLICY_NEWS = (
+POLICY_NOTIFICATIONS = (
     AttemptAction.TELL_ARRIVAL,
     AttemptAction.TELL_CALL_NEEDED,
     AttemptAction.TELL_CALL_ENDED,
@@ -20,7 +22,7 @@
 )
 
 
-def line_of(effect: command_log.LinkEffect) -> Item:
+def engine_line(effect: command_log.LinkEffect) -> LinkLine:
     """What goes to the engine for this effect."""
     if isinstance(effect, command_log.RequestMark):
         return ("MARK", effect.name)
@@ -53,47 +55,47 @@
     starts: dict[str, int] = field(default_factory=dict)
     passed: set[str] = field(default_factory=set)
     wrong_reply: str = ""
-    notices: list[Item] = field(default_factory=list)
-    up: list[Item] = field(default_factory=list)
-    down: list[Item] = field(default_factory=list)
+    notices: list[LinkLine] = field(default_factory=list)
+    lines_to_engine: list[LinkLine] = field(default_factory=list)
+    lines_to_server: list[LinkLine] = field(default_factory=list)
 
     def send_notice(self, *notice: Any) -> None:
         """Number a notice, keep it, and send it if there is a link."""
         self.notices.append(notice)
         if self.linked:
-            self.down.append(("N", len(self.notices), *notice))
+            self.lines_to_server.append(("N", len(self.notices), *notice))
 
-    def cut(self) -> None:
+    def break_link(self) -> None:
         """The link breaks; all that was on its way is lost."""
         self.linked = False
-        self.up.clear()
-        self.down.clear()
+        self.lines_to_engine.clear()
+        self.lines_to_server.clear()
 
     def restart(self) -> None:
         """Restart: runs and notices are lost."""
-        self.cut()
+        self.break_link()
         self.incarnation += 1
         self.runs.clear()
         self.notices.clear()
 
-    def new_server(self) -> None:
+    def server_restarted(self) -> None:
         """The server was restarted: notices are numbered from 1 again; runs go on."""
-        self.cut()
+        self.break_link()
         self.notices.clear()
 
     def read(self, refuse: bool, over: bool) -> None:
         """Read the next command. `refuse`: with EINVAL; `over`: its request is over, so nothing is started."""
-        kind, *rest = self.up.pop(0)
+        kind, *rest = self.lines_to_engine.pop(0)
         if kind == "OPEN":
             self.linked = True
-            self.down.append(("BOOTED", self.incarnation))
-            self.down += [("N", n + 1, *notice) for n, notice in enumerate(self.notices) if n >= rest[0]]
+            self.lines_to_server.append(("BOOTED", self.incarnation))
+            self.lines_to_server += [("N", n + 1, *notice) for n, notice in enumerate(self.notices) if n >= rest[0]]
         elif kind == "MARK":
-            self.down.append(("INFO", rest[0]))
+            self.lines_to_server.append(("INFO", rest[0]))
         elif kind == "SCHED":
             rid = rest[0]
             if refuse:
-                self.down.append(("EINVAL", rid))
+                self.lines_to_server.append(("EINVAL", rid))
             elif over:
                 self.send_notice("REAP", rid, "NOOP")
             elif rid not in self.runs:
@@ -107,7 +109,7 @@
                     self.wrong_reply = rid
                 run[0] = 0
 
-    def ask(self, rid: str) -> None:
+    def begin_call(self, rid: str) -> None:
         """A run makes its next call."""
         run = self.runs[rid]
         run[0] = 1
@@ -140,7 +142,7 @@
             if id in row:
                 row.remove(id)
 
-    def ran(self, id: str) -> None:
+    def run_started(self, id: str) -> None:
         """The attempt was started."""
         self.held.remove(id)
         self.running.append(id)
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -6,14 +6,14 @@
 
 from myrtlespar.model_checker import client_events, dependency_events, engine_events, process_events
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.model_checker.world import IDS, Event, World
+from myrtlespar.model_checker.world import ATTEMPT_IDS, Event, World
 
 EVENTS: dict[str, Callable[..., None]] = {
     "send": client_events.send_request,
     "whole": client_events.complete_request,
     "cut short": client_events.abort_request,
     "spoil": client_events.receive_malformed,
-    "give up": client_events.give_up,
+    "give up": client_events.cancel_request,
     "reset": client_events.reset_connection,
     "close": client_events.close_idle,
     "run": engine_events.start_run,
@@ -75,4 +75,4 @@
 
 def show(event: Event) -> str:
     """The event as in a counter-example."""
-    return " ".join(IDS[word] if isinstance(word, int) and event[0] in CALLERS else str(word) for word in event)
+    return " ".join(ATTEMPT_IDS[word] if isinstance(word, int) and event[0] in CALLERS else str(word) for word in event)
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -18,7 +18,7 @@
 from myrtlespar.model_checker.invariants import TransitionCoverage, broken_rules
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.state_decoding import unpack
-from myrtlespar.model_checker.state_encoding import Plain, digest, freeze, thaw
+from myrtlespar.model_checker.state_encoding import PackedState, deserialize, digest, serialize
 from myrtlespar.model_checker.world import Event, World
 
 CHUNK_STATES = 200  # handed to a worker at a time
@@ -64,9 +64,11 @@
     memory_mb: int = 6000  # of the process that holds the visited set
 
 
-def step(scenario: Scenario, plain: Plain, event: Event, coverage: TransitionCoverage) -> tuple[World, list[str]]:
+def step(
+    scenario: Scenario, packed: PackedState, event: Event, coverage: TransitionCoverage
+) -> tuple[World, list[str]]:
     """The world after one event, and the rules that it broke."""
-    world = unpack(scenario, plain)
+    world = unpack(scenario, packed)
     signal.setitimer(signal.ITIMER_VIRTUAL, MAX_STEP_S)
     try:
         apply(world, event)
@@ -95,11 +97,11 @@
         result: list[FoundState] = []
         steps = 0
         for before, data in chunk:
-            plain = thaw(data)
-            for event in enabled_events(unpack(self.scenario, plain)):
+            packed = deserialize(data)
+            for event in enabled_events(unpack(self.scenario, packed)):
                 steps += 1
-                world, violations = step(self.scenario, plain, event, self.coverage)
-                state = freeze(world)
+                world, violations = step(self.scenario, packed, event, self.coverage)
+                state = serialize(world)
                 after = digest(state)
                 if after not in self.sent or violations:
                     self.sent.add(after)
@@ -135,11 +137,13 @@
     """Visit every state, or stop at the first broken rule, or at a bound."""
     if jobs == 1:
         _start_worker(scenario)
-        return _levels(scenario, bounds, lambda frontier: map(_expand, _chunks(frontier, CHUNK_STATES)), progress)
+        return _explore_by_level(
+            scenario, bounds, lambda frontier: map(_expand, _chunks(frontier, CHUNK_STATES)), progress
+        )
     context = multiprocessing.get_context("fork")
     with ProcessPoolExecutor(jobs, context, _start_worker, (scenario,)) as pool:
         try:
-            return _levels(
+            return _explore_by_level(
                 scenario, bounds, lambda frontier: pool.map(_expand, _chunks(frontier, CHUNK_STATES)), progress
             )
         except BrokenProcessPool:  # such as one killed for memory: nothing is known of what it had in hand
@@ -148,20 +152,20 @@
             pool.shutdown(cancel_futures=True)
 
 
-def _levels(
+def _explore_by_level(
     scenario: Scenario,
     bounds: Bounds,
     expand: Callable[[list[tuple[int, bytes]]], Any],
     progress: Callable[[ExplorationResult], None] | None,
 ) -> ExplorationResult:
     began = time.monotonic()
-    first = freeze(begin(scenario))
+    first = serialize(begin(scenario))
     root = digest(first)
     before: dict[int, int] = {root: root}
     frontier = [(root, first)]
     result = ExplorationResult(scenario.name, states=1)
     while frontier:
-        following: list[tuple[int, bytes]] = []
+        next_frontier: list[tuple[int, bytes]] = []
         for found, steps, used_transitions in expand(frontier):
             result.steps += steps
             result.used_transitions |= used_transitions
@@ -173,21 +177,21 @@
                     return result
                 if after not in before:
                     before[after] = parent
-                    following.append((after, data))
+                    next_frontier.append((after, data))
             result.states = len(before)
             result.seconds = time.monotonic() - began
-            result.stopped_by = _stop(result, bounds)
+            result.stopped_by = _exceeded_bound(result, bounds)
             if result.stopped_by:
                 result.complete = False
                 return result
-        result.depth += bool(following)
-        frontier = following
+        result.depth += bool(next_frontier)
+        frontier = next_frontier
         if progress is not None:
             progress(result)
     return result
 
 
-def _stop(result: ExplorationResult, bounds: Bounds) -> str:
+def _exceeded_bound(result: ExplorationResult, bounds: Bounds) -> str:
     if result.seconds > bounds.seconds:
         return "time"
     if result.states > bounds.states:
@@ -200,21 +204,21 @@
     chain = [last]
     while before[chain[-1]] != chain[-1]:
         chain.append(before[chain[-1]])
-    plain = thaw(freeze(begin(scenario)))
+    packed = deserialize(serialize(begin(scenario)))
     path: list[Event] = []
     coverage = TransitionCoverage()
     for wanted in reversed(chain[:-1]):
-        for event in enabled_events(unpack(scenario, plain)):
-            state = freeze(step(scenario, plain, event, coverage)[0])
+        for event in enabled_events(unpack(scenario, packed)):
+            state = serialize(step(scenario, packed, event, coverage)[0])
             if digest(state) == wanted:
                 path.append(event)
-                plain = thaw(state)
+                packed = deserialize(state)
                 break
     path.append(
         next(
             event
-            for event in enabled_events(unpack(scenario, plain))
-            if tuple(step(scenario, plain, event, coverage)[1]) == violations
+            for event in enabled_events(unpack(scenario, packed))
+            if tuple(step(scenario, packed, event, coverage)[1]) == violations
         )
     )
     return path
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from myrtlespar.model_checker.world import IDS, OVERDUE_MS, WAITING, World
+from myrtlespar.model_checker.world import ATTEMPT_IDS, OVERDUE_MS, WAITING, World
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.attempts import AWAITING_ANSWER, STARTED, AttemptState
 from myrtlespar.state_machines.dependency_tables import CallState
@@ -50,7 +50,7 @@
             self.used_transitions.add((table.name, int(state), int(event)))
 
 
-def unused(used_transitions: set[tuple[str, int, int]]) -> list[str]:
+def unused_transitions(used_transitions: set[tuple[str, int, int]]) -> list[str]:
     """Rows that no exploration used; they are to be reached or removed."""
     return [
         f"{table.name} {table.states(state).name} {table.events(event).name}"
@@ -74,12 +74,13 @@
         out.append("true replies")
     if world.stopped:
         return out
-    if ticked and (_has_overdue_request(world) or _has_forgotten_caller(world)):
+    if ticked and (_has_overdue_request(world) or _has_lost_request(world)):
         out.append("answered in time")
-    if not _books_agree(world):
+    if not _is_accounting_consistent(world):
         out.append("books agree")
     if any(
-        exchange.state in STARTED and not _end_will_show(world, id) for id, exchange in world.tracker.requests.items()
+        exchange.state in STARTED and not _end_will_be_reported(world, id)
+        for id, exchange in world.tracker.requests.items()
     ):
         out.append("no place is lost")
     if _has_stranded_call(world):
@@ -103,29 +104,31 @@
     )
 
 
-def _has_forgotten_caller(world: World) -> bool:
+def _has_lost_request(world: World) -> bool:
     """Whether a caller waits past its due time for a request that the tracker no longer has."""
     return any(
         caller.stage == WAITING
         and caller.incarnation == world.incarnation
         and not caller.answers
         and not caller.gone
-        and IDS[n] not in world.tracker.requests
+        and ATTEMPT_IDS[n] not in world.tracker.requests
         for n, caller in enumerate(world.callers)
     )
 
 
-def _books_agree(world: World) -> bool:
+def _is_accounting_consistent(world: World) -> bool:
     """Whether callers, requests, the count of unanswered ones and the key table tell the same."""
     tracker = world.tracker
-    owed = sum(exchange.state in AWAITING_ANSWER for exchange in tracker.requests.values())
-    if owed != tracker.unanswered or any(exchange.state == AttemptState.OVER for exchange in tracker.requests.values()):
+    unanswered_count = sum(exchange.state in AWAITING_ANSWER for exchange in tracker.requests.values())
+    if unanswered_count != tracker.unanswered or any(
+        exchange.state == AttemptState.OVER for exchange in tracker.requests.values()
+    ):
         return False
     waiting = sum(
         caller.stage == WAITING and caller.incarnation == world.incarnation and not caller.gone and not caller.answers
         for caller in world.callers
     )
-    if waiting != owed:
+    if waiting != unanswered_count:
         return False
     for entry in tracker.keys.entries.values():
         if entry.state == KeyState.OWNED and (
@@ -141,7 +144,7 @@
     return all(id in followers for id, exchange in tracker.requests.items() if exchange.state == AttemptState.FOLLOWING)
 
 
-def _end_will_show(world: World, rid: str) -> bool:
+def _end_will_be_reported(world: World, rid: str) -> bool:
     """Whether something will still show how this run ends."""
     exchange = world.tracker.requests[rid]
     if exchange.target:
@@ -153,6 +156,9 @@
     command = commands.unconfirmed.get(rid)
     if command is not None and (command.state != CommandState.SENT or commands.state == LinkState.DOWN):
         return True
-    if any(item[:2] in (("SCHED", rid), ("IODONE", rid), ("EINVAL", rid)) for item in (*engine.up, *engine.down)):
+    if any(
+        item[:2] in (("SCHED", rid), ("IODONE", rid), ("EINVAL", rid))
+        for item in (*engine.lines_to_engine, *engine.lines_to_server)
+    ):
         return True
     return any(n >= commands.last_notice and notice[1] == rid for n, notice in enumerate(engine.notices))
--- a/myrtlespar/model_checker/process_events.py
+++ b/myrtlespar/model_checker/process_events.py
@@ -71,8 +71,8 @@
 def _stop(world: World) -> None:
     world.stopped = True
     for index, caller in enumerate(world.callers):
-        is_owed = not caller.answers and not caller.gone
-        if caller.stage == WAITING and caller.incarnation == world.incarnation and is_owed:
+        is_unanswered = not caller.answers and not caller.gone
+        if caller.stage == WAITING and caller.incarnation == world.incarnation and is_unanswered:
             world.violations.append("the drain answers all")
         is_open = world.connections[world.connection_index(index)].state != ConnectionState.CLOSED
         world.handle_connection_event(index, ConnectionEvent.RESET if is_open else ConnectionEvent.CLOSE)
@@ -116,7 +116,7 @@
         if caller.stage in (PARTLY_READ, WAITING):
             caller.stage = DONE
             caller.gone = True
-    world.engine.new_server()
+    world.engine.server_restarted()
     world.known_engine = -1
     world.listening = True
     world.stopped = False
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -54,10 +54,10 @@
     tracker: RequestTracker
     stopped_reading: bool = False
     gone: bool = False
-    keys_left: bool = False
+    keys_written: bool = False
 
 
-def new_side(name: str) -> ProcessSide:
+def new_process_side(name: str) -> ProcessSide:
     """A process at its start."""
     process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
     return ProcessSide(
@@ -82,8 +82,8 @@
     """
 
     now: float = 1000.0
-    old: ProcessSide = field(default_factory=lambda: new_side("old"))
-    new: ProcessSide = field(default_factory=lambda: new_side("new"))
+    old: ProcessSide = field(default_factory=lambda: new_process_side("old"))
+    new: ProcessSide = field(default_factory=lambda: new_process_side("new"))
     receiver: HandoverReceiver = field(default_factory=lambda: HandoverReceiver(HandoverState.WAITING))
     file: bytes | None = None
     torn: bool = False
@@ -100,7 +100,7 @@
             if not side.gone:
                 events += self._events_of(side)
         if not self.old.gone:
-            if self.old.keys_left:
+            if self.old.keys_written:
                 events.append(("exit",))
             elif not self.old.tracker.process.draining:
                 events.append(("term",))
@@ -137,11 +137,11 @@
         else:
             side = self.old if rest[0] == "old" else self.new
             if kind == "send":
-                self._send(side)
+                self._send_attempt(side)
             else:
                 self._apply_effects(side, self._effects_of(kind, side.tracker, rest[1]))
 
-    def _send(self, side: ProcessSide) -> None:
+    def _send_attempt(self, side: ProcessSide) -> None:
         self.sent += 1
         exchange = Exchange(f"t{self.sent}", "thrift", 0, b"", self.now, discard_answer)
         exchange.key = "k"
@@ -186,7 +186,7 @@
         for action in old.tracker.process.poll(self.now, old.tracker.unanswered):
             if action is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
                 old.stopped_reading = True
-                old.keys_left = True
+                old.keys_written = True
                 self.file = encode(key_outcomes(old.tracker.keys_to_hand_over(self.now)))
 
     def _poll_receiver(self) -> None:
@@ -247,7 +247,7 @@
     visited = {first}
     frontier: list[tuple[bytes, tuple[Event, ...]]] = [(first, ())]
     while frontier:
-        following: list[tuple[bytes, tuple[Event, ...]]] = []
+        next_frontier: list[tuple[bytes, tuple[Event, ...]]] = []
         for data, path in frontier:
             for event in pickle.loads(data).enabled():
                 world: ProcessPair = pickle.loads(data)
@@ -265,9 +265,9 @@
                 after = pickle.dumps(world, 5)
                 if after not in visited:
                     visited.add(after)
-                    following.append((after, (*path, event)))
-        result.depth += bool(following)
-        frontier = following
+                    next_frontier.append((after, (*path, event)))
+        result.depth += bool(next_frontier)
+        frontier = next_frontier
     result.states = len(visited)
     result.seconds = time.monotonic() - began
     return result
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -20,9 +20,9 @@
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.model_checker.events import show
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.model_checker.world import IDS, TICK_MS, Event
+from myrtlespar.model_checker.world import ATTEMPT_IDS, TICK_MS, Event
 
-CLASSES = {True: "order", False: "render"}  # by whether the attempt is effectful
+CLASS_BY_EFFECT = {True: "order", False: "render"}  # by whether the attempt is effectful
 # Nothing shows from outside that the program has acted on an event or on none: it gets this time.
 REACTION_S = 0.1
 REMAINDER_S = 0.5  # for what is left to run at the end
@@ -49,11 +49,11 @@
 
     def body(self, word: str | int) -> bytes:
         """The body that identifies an attempt on all sockets."""
-        return b"try " + (IDS[word] if isinstance(word, int) else word).encode()
+        return b"try " + (ATTEMPT_IDS[word] if isinstance(word, int) else word).encode()
 
     def play(self, ports: list[int], pid: int, event: Event) -> str:
         """Make one event happen, and tell what was done about it."""
-        name, *words = event
+        name, *arguments = event
         if name in ("run", "call", "reply"):
             return "left to the real policy and store"
         if name == "read":
@@ -61,9 +61,9 @@
         if name == "hear":
             return "done" if self.engine.hear() else "nothing was on its way"
         if name in ("send", "whole", "give up", "reset", "cut short"):
-            self._play_client_event(ports, name, words[0])
+            self._play_client_event(ports, name, arguments[0])
         elif name in ("ask", "end", "break", "connect"):
-            self._play_engine_event(name, words)
+            self._play_engine_event(name, arguments)
         elif name == "tick":
             time.sleep(TICK_MS / 1000)
         elif name == "notice":
@@ -86,12 +86,12 @@
                 client.sock.close()
             time.sleep(REACTION_S)
 
-    def _play_engine_event(self, name: str, words: list[Any]) -> None:
+    def _play_engine_event(self, name: str, arguments: list[Any]) -> None:
         engine = self.engine
         if name == "ask":
-            engine.ask(self.body(words[0]))
+            engine.ask(self.body(arguments[0]))
         elif name == "end":
-            engine.end(self.body(words[0]), words[1])
+            engine.end(self.body(arguments[0]), arguments[1])
         elif name == "break":
             engine.break_link()
         else:
@@ -99,13 +99,15 @@
             until(lambda: engine.links_seen > before or engine.outbox, "link")
 
     def _send_request(self, n: int) -> None:
-        spec = self.scenario.attempts[n]
+        attempt = self.scenario.attempts[n]
         client = self.clients[n]
         if isinstance(client, FakeGateway):
-            headers: dict[str, Any] = {"Idempotency_Key": spec.key} if spec.key else {}
-            client.forward(f"/{CLASSES[spec.effectful]}", self.body(n), **headers)
+            headers: dict[str, Any] = {"Idempotency_Key": attempt.key} if attempt.key else {}
+            client.forward(f"/{CLASS_BY_EFFECT[attempt.effectful]}", self.body(n), **headers)
         else:
-            client.send(CLASSES[spec.effectful], self.body(n), **({"idem": spec.key} if spec.key else {}))
+            client.send(
+                CLASS_BY_EFFECT[attempt.effectful], self.body(n), **({"idem": attempt.key} if attempt.key else {})
+            )
         self.sent.add(n)
         time.sleep(REACTION_S)
 
@@ -113,7 +115,7 @@
         """The rules that were broken, as seen from outside."""
         starts = self.engine.by_body
         out: list[str] = []
-        orders = [n for n, spec in enumerate(self.scenario.attempts) if spec.effectful]
+        orders = [n for n, attempt in enumerate(self.scenario.attempts) if attempt.effectful]
         if any(starts[self.body(n)] > 1 for n in orders):
             out.append("one start a try")
         keys: Counter[str] = Counter()
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -66,7 +66,7 @@
     max_followers: int = 8
     key_ms: float = 60000.0  # how long a key is remembered
 
-    def alike(self, n: int) -> int:
+    def identical_predecessor(self, n: int) -> int:
         """The attempt before this one that no observer could tell from it, or -1: they are sent in this order."""
         if not self.ordered:
             return -1
--- a/myrtlespar/model_checker/state_decoding.py
+++ b/myrtlespar/model_checker/state_decoding.py
@@ -7,11 +7,11 @@
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
 from myrtlespar.model_checker.environment import EngineModel, PolicyModel
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.model_checker.state_encoding import Plain
+from myrtlespar.model_checker.state_encoding import PackedState
 from myrtlespar.model_checker.world import (
+    ATTEMPT_IDS,
     FLUSH_MS,
     GRACE_MS,
-    IDS,
     STOP_MS,
     SWEEP_MS,
     TERMS,
@@ -31,7 +31,7 @@
 KINDS = {kind.value: kind for kind in AnswerKind}
 
 
-def unpack(scenario: Scenario, plain: Plain) -> World:
+def unpack(scenario: Scenario, packed: PackedState) -> World:
     """The world of a plain form. It shares nothing that may change."""
     # Longer than other functions: one line for each field of the state, in the order of `state_encoding.pack`.
     (
@@ -58,7 +58,7 @@
         commands,
         calls,
         stalled,
-    ) = plain
+    ) = packed
     world = World.__new__(World)
     world.scenario = scenario
     world.violations = []
@@ -89,13 +89,13 @@
 
 
 def _unpack_connection(n: int, state: int) -> ConnectionLifecycle:
-    connection = ConnectionLifecycle(IDS[n])
+    connection = ConnectionLifecycle(ATTEMPT_IDS[n])
     connection.state = state
     return connection
 
 
-def _unpack_engine(row: Plain) -> EngineModel:
-    incarnation, linked, runs, starts, passed, wrong_reply, notices, up, down = row
+def _unpack_engine(row: PackedState) -> EngineModel:
+    incarnation, linked, runs, starts, passed, wrong_reply, notices, lines_to_engine, lines_to_server = row
     return EngineModel(
         incarnation,
         linked,
@@ -104,12 +104,12 @@
         set(passed),
         wrong_reply,
         list(notices),
-        list(up),
-        list(down),
+        list(lines_to_engine),
+        list(lines_to_server),
     )
 
 
-def _unpack_exchange(row: Plain) -> Exchange:
+def _unpack_exchange(row: PackedState) -> Exchange:
     id, front, class_index, arrived_at, due_at, key, target, call_body, state = row
     exchange = Exchange(id, front, class_index, b"", arrived_at, discard_answer)
     exchange.due_at = due_at
@@ -120,13 +120,15 @@
     return exchange
 
 
-def _unpack_process(row: Plain) -> ProcessLifecycle:
+def _unpack_process(row: PackedState) -> ProcessLifecycle:
     process = ProcessLifecycle(STOP_MS, GRACE_MS, SWEEP_MS, FLUSH_MS, 0.0)
     process.state, process.notice_at, process.kill_at, process.closed_at = row
     return process
 
 
-def _unpack_keys(scenario: Scenario, rows: Plain, expiry: Plain, by_id: dict[str, Exchange]) -> IdempotencyKeyTable:
+def _unpack_keys(
+    scenario: Scenario, rows: PackedState, expiry: PackedState, by_id: dict[str, Exchange]
+) -> IdempotencyKeyTable:
     keys = IdempotencyKeyTable(scenario.max_keys, scenario.key_ms, scenario.max_followers, 64)
     keys.expiry = deque(expiry)
     for slot, state, owner, followers, outcome in rows:
@@ -139,7 +141,7 @@
     return keys
 
 
-def _unpack_commands(log: CommandLog, row: Plain) -> None:
+def _unpack_commands(log: CommandLog, row: PackedState) -> None:
     link, commands, marks = row
     log.state, log.last_notice, log.gap_after, log.awaits_first_notice, log.sent_before_link = link
     log.unconfirmed = {
@@ -151,17 +153,17 @@
     log.sent_count = len(commands)
 
 
-def _unpack_calls(scenario: Scenario, plain: Plain) -> tuple[DependencyCalls, list[DependencyConnection]]:
+def _unpack_calls(scenario: Scenario, packed: PackedState) -> tuple[DependencyCalls, list[DependencyConnection]]:
     out = DependencyCalls(
         call_limits(scenario),
         is_quiet,
-        connection_count=plain[0],
-        last_connection_number=plain[1],
-        address_epoch=plain[2],
+        connection_count=packed[0],
+        last_connection_number=packed[1],
+        address_epoch=packed[2],
     )
-    if len(plain) == 3:
+    if len(packed) == 3:
         return out, []
-    rows, by_id, waiting, connection_rows, idle = plain[3:]
+    rows, by_id, waiting, connection_rows, idle = packed[3:]
     connections = {
         number: DependencyConnection(
             number, epoch, deque(recent, scenario.remembered_requests), state, None, idle_since
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -20,18 +20,18 @@
 from myrtlespar.state_machines.dependency_calls import DependencyCalls, DependencyConnection
 from myrtlespar.state_machines.idempotency_keys import KeyEntry
 
-Plain = tuple[Any, ...]
+PackedState = tuple[Any, ...]
 
 
-def freeze(world: World) -> bytes:
+def serialize(world: World) -> bytes:
     """The state as bytes; equal states give equal bytes."""
     return marshal.dumps(pack(world), 2)
 
 
-def thaw(data: bytes) -> Plain:
+def deserialize(data: bytes) -> PackedState:
     """The plain form of frozen bytes."""
-    plain: Plain = marshal.loads(data)
-    return plain
+    packed: PackedState = marshal.loads(data)
+    return packed
 
 
 def digest(data: bytes) -> int:
@@ -39,11 +39,11 @@
     return int(xxhash.xxh3_64_intdigest(data))
 
 
-def pack(world: World) -> Plain:
+def pack(world: World) -> PackedState:
     """The state as a plain tuple; `state_decoding.unpack` reads it in the same order."""
     tracker = world.tracker
     process = tracker.process
-    names = {name: f"{name.partition('-')[0]}-{n}" for n, name in enumerate(world.commands.pending_marks, 1)}
+    mark_names = {name: f"{name.partition('-')[0]}-{n}" for n, name in enumerate(world.commands.pending_marks, 1)}
     return (
         world.now,
         world.incarnation,
@@ -63,20 +63,20 @@
         tuple(sorted(world.pending.items())),
         tuple(world.duplicate_replies),
         tuple(world.workers),
-        _pack_engine(world.engine, names),
+        _pack_engine(world.engine, mark_names),
         tuple([None if exchange is None else _pack_exchange(exchange) for exchange in world.exchanges]),
         tuple(tracker.requests),
         tracker.unanswered,
         (int(process.state), process.notice_at, process.kill_at, process.closed_at),
         tuple([_pack_key(slot, entry) for slot, entry in tracker.keys.entries.items()]),
         tuple(tracker.keys.expiry),
-        _pack_commands(world.commands, names),
+        _pack_commands(world.commands, mark_names),
         _pack_calls(world.calls, world.dependency_connections),
         world.stalled,
     )
 
 
-def _pack_engine(engine: EngineModel, names: dict[str, str]) -> Plain:
+def _pack_engine(engine: EngineModel, mark_names: dict[str, str]) -> PackedState:
     return (
         engine.incarnation,
         engine.linked,
@@ -85,12 +85,12 @@
         tuple(sorted(engine.passed)),
         engine.wrong_reply,
         tuple(engine.notices),
-        _renamed(engine.up, names),
-        _renamed(engine.down, names),
+        _with_ranked_marks(engine.lines_to_engine, mark_names),
+        _with_ranked_marks(engine.lines_to_server, mark_names),
     )
 
 
-def _pack_exchange(exchange: Exchange) -> Plain:
+def _pack_exchange(exchange: Exchange) -> PackedState:
     return (
         exchange.id,
         exchange.front,
@@ -104,17 +104,17 @@
     )
 
 
-def _pack_key(slot: Any, entry: KeyEntry) -> Plain:
+def _pack_key(slot: Any, entry: KeyEntry) -> PackedState:
     return (
         slot,
         int(entry.state),
         entry.owner.id if entry.owner else "",
         tuple([exchange.id for exchange in entry.followers]),
-        _answer(entry.outcome),
+        _pack_answer(entry.outcome),
     )
 
 
-def _pack_commands(log: CommandLog, names: dict[str, str]) -> Plain:
+def _pack_commands(log: CommandLog, mark_names: dict[str, str]) -> PackedState:
     """Link, commands and marks. Sequence numbers are replaced by their ranks, as only their order matters."""
     ranks = sorted(command.sequence_number for command in log.unconfirmed.values() if command.sequence_number)
     sent_before_link = sum(rank <= log.sent_before_link for rank in ranks)
@@ -133,19 +133,23 @@
                 for rid, command in log.unconfirmed.items()
             ]
         ),
-        tuple([(names[name], sum(rank <= newest for rank in ranks)) for name, newest in log.pending_marks.items()]),
+        tuple(
+            [(mark_names[name], sum(rank <= newest for rank in ranks)) for name, newest in log.pending_marks.items()]
+        ),
     )
 
 
-def _renamed(items: list[Any], names: dict[str, str]) -> Plain:
-    return tuple([(item[0], names.get(item[1], "lost-0")) if item[0] in ("MARK", "INFO") else item for item in items])
+def _with_ranked_marks(items: list[Any], mark_names: dict[str, str]) -> PackedState:
+    return tuple(
+        [(item[0], mark_names.get(item[1], "lost-0")) if item[0] in ("MARK", "INFO") else item for item in items]
+    )
 
 
-def _answer(answer: Answer | None) -> Plain | None:
+def _pack_answer(answer: Answer | None) -> PackedState | None:
     return None if answer is None else (answer.kind.value, answer.body, answer.retry_after_ms, answer.late)
 
 
-def _pack_calls(calls: DependencyCalls, connections: list[DependencyConnection]) -> Plain:
+def _pack_calls(calls: DependencyCalls, connections: list[DependencyConnection]) -> PackedState:
     if not connections and not calls.calls and not calls.waiting:
         return (calls.connection_count, calls.last_connection_number, calls.address_epoch)
     numbers = {call: n for n, call in enumerate(dict.fromkeys((*calls.calls.values(), *calls.waiting)))}
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -11,7 +11,7 @@
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.transition_table import TransitionTable
 
-BEGINS = {
+INITIAL_STATES = {
     "try": ("READ",),
     "key": ("FREE", "OWNED", "KNOWN"),
     "process": ("SERVING",),
@@ -21,9 +21,9 @@
     "wire": ("OPENING",),
     "connection": ("IDLE",),
 }
-SHARED = ("key",)  # identified by a text that several classes may use: steps are checked, not their order
-ENDS = ("OVER", "DONE", "CLOSED", "STOPPED")
-NAMES = {table.name: table for table in TABLES}
+SHARED_ID_MACHINES = ("key",)  # identified by a text that several classes may use: steps are checked, not their order
+FINAL_STATES = ("OVER", "DONE", "CLOSED", "STOPPED")
+TABLES_BY_NAME = {table.name: table for table in TABLES}
 
 
 class InvalidStepError(MyrtlesparError):
@@ -41,27 +41,27 @@
         """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
         machine = str(row.get("machine"))
         who = str(row.get("who"))
-        table = NAMES.get(machine)
+        table = TABLES_BY_NAME.get(machine)
         if table is None:
             raise InvalidStepError(f"no machine named {machine!r}")
         state, event, after = (str(row.get(name)) for name in ("state", "on", "to"))
-        expected = self._next(table, state, event)
+        expected = self._next_state(table, state, event)
         if after != expected:
             raise InvalidStepError(f"{machine} {who}: {event} leads from {state} to {expected}, not to {after}")
         before = self.last_seen.get((machine, who))
-        if machine not in SHARED:
-            if before is None and state not in BEGINS[machine]:
+        if machine not in SHARED_ID_MACHINES:
+            if before is None and state not in INITIAL_STATES[machine]:
                 raise InvalidStepError(f"{machine} {who}: begins in {state}")
             if before is not None and before != state:
                 raise InvalidStepError(f"{machine} {who}: stood in {before}, not in {state}")
         self.steps += 1
-        if after in ENDS and machine != "process" and machine != "connection":
+        if after in FINAL_STATES and machine != "process" and machine != "connection":
             self.last_seen.pop((machine, who), None)
         else:
             self.last_seen[machine, who] = after
 
     @staticmethod
-    def _next(table: TransitionTable, state: str, event: str) -> str:
+    def _next_state(table: TransitionTable, state: str, event: str) -> str:
         try:
             row = table.transitions[table.states[state]][table.events[event]]
         except KeyError as error:
@@ -95,5 +95,5 @@
     if not trace.steps:
         print(f"myrtlespar: {path}: no step of any machine in it", file=sys.stderr)
         return 2
-    print(f"accepted: {trace.steps:,} steps of {len(NAMES)} machines")
+    print(f"accepted: {trace.steps:,} steps of {len(TABLES_BY_NAME)} machines")
     return 0
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from myrtlespar.exchange import Answer, AnswerKind, Exchange
-from myrtlespar.model_checker.environment import POLICY_NEWS, EngineModel, PolicyModel, line_of
+from myrtlespar.model_checker.environment import POLICY_NOTIFICATIONS, EngineModel, PolicyModel, engine_line
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.policy.messages import RunOutcome
 from myrtlespar.state_machines import command_log, dependency_calls, engine_link
@@ -27,7 +27,7 @@
 FLUSH_MS = 600.0
 CALL_MS = 900.0
 OUTCOMES = {"PASS": RunOutcome.OK, "FAIL": RunOutcome.ERROR, "KILLED": RunOutcome.STOPPED, "NOOP": RunOutcome.MOOT}
-IDS = "abcdefgh"  # request ids, by the number of the attempt
+ATTEMPT_IDS = "abcdefgh"  # request ids, by the number of the attempt
 # The stages of a caller: plain numbers, as states are stored with marshal.
 UNSENT = 0
 PARTLY_READ = 1
@@ -113,10 +113,10 @@
         engine = self.engine
         self.apply_link_effects(link.connected())
         engine.read(False, False)
-        self.known_engine = engine.down.pop(0)[1]
+        self.known_engine = engine.lines_to_server.pop(0)[1]
         self.apply_link_effects(link.booted())
         engine.read(False, False)
-        self.apply_link_effects(link.mark_received(engine.down.pop(0)[1]) or [])
+        self.apply_link_effects(link.mark_received(engine.lines_to_server.pop(0)[1]) or [])
 
     def start(self) -> None:
         """Start a new incarnation of the server."""
@@ -129,7 +129,7 @@
         )
         self.commands = command_log.CommandLog(self.tracker.is_wanted, 8)
         self.calls = dependency_calls.DependencyCalls(call_limits(scenario), is_quiet)
-        self.connections = [ConnectionLifecycle(IDS[n]) for n in range(len(scenario.attempts))]
+        self.connections = [ConnectionLifecycle(ATTEMPT_IDS[n]) for n in range(len(scenario.attempts))]
         self.exchanges: list[Exchange | None] = [None for _ in scenario.attempts]
         self.pending: dict[str, int] = {}
         self.dependency_connections: list[dependency_calls.DependencyConnection] = []
@@ -137,7 +137,7 @@
         self.workers: list[str] = []
         self.stalled = False
 
-    def may_fail_again(self, kind: str, limit: int) -> bool:
+    def fault_allowed(self, kind: str, limit: int) -> bool:
         """Whether this kind of fault happened less than `limit` times."""
         return self.fault_counts.get(kind, 0) < limit
 
@@ -153,7 +153,7 @@
             if effect.action is AttemptAction.DELIVER:
                 assert effect.answer is not None
                 self._deliver(effect.exchange, effect.answer)
-            elif effect.action in POLICY_NEWS:
+            elif effect.action in POLICY_NOTIFICATIONS:
                 self._inform_policy(effect)
             elif effect.action is AttemptAction.START_RUN:
                 self._start_run(effect.exchange)
@@ -193,7 +193,7 @@
             self.pending[exchange.id] = int(exchange.call_body)
 
     def _deliver(self, exchange: Exchange, answer: Answer) -> None:
-        n = IDS.index(exchange.id)
+        n = ATTEMPT_IDS.index(exchange.id)
         caller = self.callers[n]
         caller.answers.append(answer.kind.value)
         if caller.gone:
@@ -209,7 +209,7 @@
         """Whether a run of this attempt, or of one with its idempotency key, made this answer."""
         key = self.scenario.attempts[n].key
         linked = [
-            IDS[other]
+            ATTEMPT_IDS[other]
             for other, attempt in enumerate(self.scenario.attempts)
             if other == n or (attempt.key and attempt.key == key)
         ]
@@ -260,11 +260,11 @@
                 if isinstance(effect, command_log.WriteCommand):
                     self.commands.send_failed(effect.command)
             else:
-                self.engine.up.append(line_of(effect))
+                self.engine.lines_to_engine.append(engine_line(effect))
 
     def cut_link(self) -> None:
         """The link to the engine breaks."""
-        self.engine.cut()
+        self.engine.break_link()
         self.stalled = False
         if self.commands.state != engine_link.LinkState.DOWN:
             self.commands.broken()
@@ -288,7 +288,7 @@
         link = engine_link.LinkState(self.commands.state).name
         attempts = " ".join(f"{x.id}={AttemptState(x.state).name}" for x in self.exchanges if x is not None)
         answers = " ".join(
-            f"{IDS[n]}:{','.join(caller.answers)}" for n, caller in enumerate(self.callers) if caller.answers
+            f"{ATTEMPT_IDS[n]}:{','.join(caller.answers)}" for n, caller in enumerate(self.callers) if caller.answers
         )
         starts = " ".join(f"{id}x{count}" for id, count in sorted(self.engine.starts.items()))
         return (
