--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -82,8 +82,8 @@
         print(f"survived {result.runs:,} runs{'' if result.complete else ', not all'}")
         return STATUS_VIOLATED
     outcome = "too long" if len(result.counterexample) > MAX_COUNTEREXAMPLE_FAULTS else "found"
-    promise = result.violations[0].partition(":")[0]
-    print(f"{outcome}: {promise}, after {len(result.counterexample)} faults, {result.runs:,} runs")
+    invariant = result.violations[0].partition(":")[0]
+    print(f"{outcome}: {invariant}, after {len(result.counterexample)} faults, {result.runs:,} runs")
     return STATUS_HOLDS
 
 
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -9,10 +9,10 @@
 from typing import Any, NamedTuple
 
 from myrtlespar.model_checker.fleet.faults import Fault, fault_words
-from myrtlespar.model_checker.fleet.final_promises import run_to_rest
+from myrtlespar.model_checker.fleet.final_invariants import run_to_convergence
 from myrtlespar.model_checker.fleet.plans import PLANS, Plan
 from myrtlespar.model_checker.fleet.possible_faults import possible_faults
-from myrtlespar.model_checker.fleet.world import FAULT_WINDOW_MS, SETTLED_MS, World, settled_world
+from myrtlespar.model_checker.fleet.world import CONVERGED_MS, FAULT_WINDOW_MS, World, converged_world
 
 __all__ = ["PLANS", "ExplorationResult", "explore"]
 
@@ -64,34 +64,34 @@
 
     def explore_share(self, share: int, share_count: int) -> ExplorationResult:
         """Explore the runs whose first fault is in one share."""
-        world = settled_world()
+        world = converged_world()
         step = 0
-        while world.now < SETTLED_MS + FAULT_WINDOW_MS:
+        while world.now < CONVERGED_MS + FAULT_WINDOW_MS:
             if step % self.plan.first_fault_interval == 0:
                 for number, fault in enumerate(possible_faults(world, self.plan.kinds)):
                     if (step * 31 + number) % share_count == share:
-                        self._follow(world.copy(), fault, self.plan.max_faults)
+                        self._explore_after_fault(world.copy(), fault, self.plan.max_faults)
                         if self._stopped():
                             return self.result
             world.step()
             step += 1
         return self.result
 
-    def _follow(self, world: World, fault: Fault, faults_left: int) -> None:
+    def _explore_after_fault(self, world: World, fault: Fault, faults_left: int) -> None:
         """The runs that continue from this fault."""
         world.apply(fault)
         if faults_left > 1:
-            self._branch(world, faults_left - 1, world.now + FAULT_WINDOW_MS)
+            self._explore_further_faults(world, faults_left - 1, world.now + FAULT_WINDOW_MS)
         else:
             self._finish(world)
 
-    def _branch(self, world: World, faults_left: int, until: float) -> None:
+    def _explore_further_faults(self, world: World, faults_left: int, until: float) -> None:
         """All runs from here: each with a further fault at a further step, then the one without."""
         step = 0
         while world.now < until:
             if step % self.plan.later_fault_interval == 0:
                 for fault in possible_faults(world, self.plan.kinds):
-                    self._follow(world.copy(), fault, faults_left)
+                    self._explore_after_fault(world.copy(), fault, faults_left)
                     if self._stopped():
                         return
             world.step()
@@ -104,9 +104,9 @@
         """Complete one run and add it to the result."""
         try:
             if not world.violations:
-                run_to_rest(world)
+                run_to_convergence(world)
         except (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
-            world.violate("no machine fails", f"{type(error).__name__}: {error}")
+            world.record_violation("no machine fails", f"{type(error).__name__}: {error}")
         run = ExplorationResult(1, world.steps, world.steps, violations=world.violations)
         if world.violations:
             run.counterexample = [(at, fault_words(fault)) for at, fault in world.history.faults]
--- a/myrtlespar/model_checker/fleet/final_promises.py
+++ b/myrtlespar/model_checker/fleet/final_invariants.py
@@ -6,18 +6,18 @@
 from myrtlespar.membership.messages import LEFT, PRESENT_STATES
 from myrtlespar.membership.quorum import QuorumStatus, quorum_status
 from myrtlespar.model_checker.fleet.events import MESSAGE_KINDS
-from myrtlespar.model_checker.fleet.world import HOP_MS, NAMES, SETTINGS, World
+from myrtlespar.model_checker.fleet.world import HOP_MS, MEMBER_NAMES, SETTINGS, World
 
 MAX_STEPS = 20_000  # of one run; more means that it does not come to rest
 REST_MARGIN_MS = 300.0
 
 
-def run_to_rest(world: World) -> None:
+def run_to_convergence(world: World) -> None:
     """Continue by default until all that was promised must hold, and check it.
 
     The quorum status is also checked at the end of cuts.
     """
-    fleet_size = len(NAMES)
+    fleet_size = len(MEMBER_NAMES)
     quorum_bound = SETTINGS.standing_ms(fleet_size)
     rest_ms = max(quorum_bound, SETTINGS.heal_ms(fleet_size), SETTINGS.detect_ms(fleet_size)) + REST_MARGIN_MS
     checked_change = -1.0
@@ -33,10 +33,10 @@
         if world.violations:
             return
     else:
-        world.violate("a run comes to rest", f"not within {MAX_STEPS} steps")
+        world.record_violation("a run comes to rest", f"not within {MAX_STEPS} steps")
         return
     check_quorum(world)
-    check_knowledge(world)
+    check_views(world)
 
 
 def are_linked(world: World, a: str, b: str) -> bool | None:
@@ -45,7 +45,7 @@
     None if only round a circle of one-way links, where a member is suspected and refutes again and again, and no
     quorum status is promised.
     """
-    third = next(name for name in NAMES if name not in (a, b))
+    third = next(name for name in MEMBER_NAMES if name not in (a, b))
     third_runs = world.members[third] is not None and third not in world.left
 
     def one_way(sender: str, receiver: str) -> bool:
@@ -62,40 +62,42 @@
 
 def check_quorum(world: World) -> None:
     """Each quorum status is right, and no two members that can't reach one another both claim a majority."""
-    claims = []
+    majority_claims = []
     for name, member in world.members.items():
         if member is None or member.leaving:
             continue
         links = [
             are_linked(world, name, other)
-            for other in NAMES
+            for other in MEMBER_NAMES
             if other != name and (peer := world.members[other]) is not None and not peer.leaving
         ]
         if None in links:
             continue
         others = sum(bool(linked) for linked in links)
-        expected = quorum_status(len(NAMES), others + 1, others)
+        expected = quorum_status(len(MEMBER_NAMES), others + 1, others)
         actual = member.quorum.fleet.status
         if actual != expected:
-            world.violate("a standing is right in time", f"{name} has {actual.name}, should have {expected.name}")
+            world.record_violation(
+                "a standing is right in time", f"{name} has {actual.name}, should have {expected.name}"
+            )
         if actual >= QuorumStatus.MAJORITY:
-            claims.append(name)
-    for a in claims:
-        for b in claims:
+            majority_claims.append(name)
+    for a in majority_claims:
+        for b in majority_claims:
             if a < b and are_linked(world, a, b) is False:
-                world.violate("two parts never both claim a majority", f"{a} and {b}")
+                world.record_violation("two parts never both claim a majority", f"{a} and {b}")
 
 
-def check_knowledge(world: World) -> None:
+def check_views(world: World) -> None:
     """At rest, with all links working: each knows all as they are, views are equal, nothing is left over."""
     running = {name: member for name, member in world.members.items() if member is not None}
     for name, member in running.items():
-        for other in NAMES:
+        for other in MEMBER_NAMES:
             if other != name:
                 _check_belief(world, name, member, other, running.get(other))
-        _check_left_over(world, name, member)
+        _check_no_leftovers(world, name, member)
     if len({member.view.hash for member in running.values()}) > 1:
-        world.violate("views at rest are equal", " ".join(sorted(running)))
+        world.record_violation("views at rest are equal", " ".join(sorted(running)))
 
 
 def _check_belief(world: World, name: str, member: Member, other: str, peer: Member | None) -> None:
@@ -103,27 +105,27 @@
     if peer is not None:
         if entry is None or entry.update.precedence != peer.self_update.precedence:
             text = f"{name} has {entry and entry.update} of {other}"
-            world.violate("all know who is there, in its present life", text)
+            world.record_violation("all know who is there, in its present life", text)
         return
     if entry is None:
         return
     if entry.update.state in PRESENT_STATES:
-        world.violate("all know who is not there", f"{name} believes {other} here")
+        world.record_violation("all know who is not there", f"{name} believes {other} here")
     undisturbed = world.history.lost_packets == 0 and len(world.history.faults) == 1
     if other in world.left and entry.update.state != LEFT and undisturbed:
-        world.violate("a goodbye is heard", f"{name} has {other} as {entry.update.state}")
+        world.record_violation("a goodbye is heard", f"{name} has {other} as {entry.update.state}")
 
 
-def _check_left_over(world: World, name: str, member: Member) -> None:
+def _check_no_leftovers(world: World, name: str, member: Member) -> None:
     others_present = len(member.view.present) > 0
     if member.suspicions.by_name:
-        world.violate("nothing is left behind", f"{name} still suspects {sorted(member.suspicions.by_name)}")
+        world.record_violation("nothing is left behind", f"{name} still suspects {sorted(member.suspicions.by_name)}")
     if len(member.outbox.dissemination) and others_present:
-        world.violate("spreading ends", f"{name} still tells {len(member.outbox.dissemination)}")
+        world.record_violation("spreading ends", f"{name} still tells {len(member.outbox.dissemination)}")
     late = [probe for probe in member.prober.probes.values() if probe.deadline < world.now - HOP_MS]
     if late:
-        world.violate("nothing is left behind", f"{name} holds {len(late)} probes past their time")
+        world.record_violation("nothing is left behind", f"{name} holds {len(late)} probes past their time")
     if member.prober.health and others_present:
-        world.violate("who is well trusts itself again", f"{name} has health {member.prober.health}")
+        world.record_violation("who is well trusts itself again", f"{name} has health {member.prober.health}")
     if any(row.unreachable for row in member.reachability.rows.values()):
-        world.violate("whole links are named whole", f"{name} has {member.reachability.rows}")
+        world.record_violation("whole links are named whole", f"{name} has {member.reachability.rows}")
--- a/myrtlespar/model_checker/fleet/possible_faults.py
+++ b/myrtlespar/model_checker/fleet/possible_faults.py
@@ -14,7 +14,7 @@
     LosePacket,
     Stop,
 )
-from myrtlespar.model_checker.fleet.world import NAMES, World
+from myrtlespar.model_checker.fleet.world import MEMBER_NAMES, World
 
 CRASHES = ((5.0, 10), (500.0, 10), (500.0, -3_600_000), (4000.0, 10), (None, 0))  # restart after, clock shift (ms)
 ISOLATIONS = (("both", 700.0), ("both", 7000.0), ("out", 7000.0), ("in", 7000.0))  # directions, duration (ms)
@@ -25,7 +25,7 @@
 
 def isolating_links(name: str, directions: str) -> tuple[Link, ...]:
     """The links that cut one member off: out, in, or both."""
-    others = [other for other in NAMES if other != name]
+    others = [other for other in MEMBER_NAMES if other != name]
     out = tuple((name, other) for other in others) if directions in ("out", "both") else ()
     return out + (tuple((other, name) for other in others) if directions in ("in", "both") else ())
 
--- a/myrtlespar/model_checker/fleet/step_promises.py
+++ b/myrtlespar/model_checker/fleet/step_invariants.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class StepPromises:
+class StepInvariants:
     """Remembers what each member has believed, and finds broken promises."""
 
     history: FaultHistory
@@ -39,9 +39,9 @@
     quorum_statuses: dict[tuple[str, str], int] = field(default_factory=dict)  # member, scope
     own_updates: dict[str, tuple[int, int]] = field(default_factory=dict)  # the greatest of each about itself
 
-    def violate(self, promise: str, text: str, now: float) -> None:
+    def record_violation(self, invariant: str, text: str, now: float) -> None:
         """Record a broken promise."""
-        self.violations.append(f"{promise}: {text} at {now:.0f} ms")
+        self.violations.append(f"{invariant}: {text} at {now:.0f} ms")
 
     def restarted(self, name: str) -> None:
         """A process started: what its earlier incarnation believed is void."""
@@ -64,7 +64,7 @@
         """Changes of the quorum status come in order."""
         before = self.quorum_statuses.get((name, change.scope), change.old_status)
         if before != change.old_status:
-            self.violate("changes of standing come in order", f"{name} told {change}", now)
+            self.record_violation("changes of standing come in order", f"{name} told {change}", now)
         self.quorum_statuses[name, change.scope] = change.new_status
 
     def check_replay(
@@ -81,9 +81,9 @@
         counted = any(isinstance(effect, CountEvent) and effect.counter == "replayed" for effect in effects)
         changed = any(isinstance(effect, MemberChanged | QuorumChanged) for effect in effects)
         if duplicate and (not same_view or changed or not counted):
-            self.violate("a doubled packet changes nothing", f"{receiver} took one of {sender} twice", now)
+            self.record_violation("a doubled packet changes nothing", f"{receiver} took one of {sender} twice", now)
         if outdated and not counted:
-            self.violate("a packet of an old life changes nothing", f"{receiver} took one of {sender}", now)
+            self.record_violation("a packet of an old life changes nothing", f"{receiver} took one of {sender}", now)
 
     def check_member_change(self, name: str, change: MemberChanged, now: float) -> None:
         """Check all promises about one change of one member's view."""
@@ -95,16 +95,16 @@
         if change.new_state == LEFT:
             self.left[pair] = change.incarnation
         elif change.new_state in PRESENT_STATES and self.left.get(pair, -1) >= change.incarnation:
-            self.violate("nobody is brought back after it left", f"{name} believes {change.name} back", now)
+            self.record_violation("nobody is brought back after it left", f"{name} believes {change.name} back", now)
         own = self.own_updates[change.name]
         if (change.incarnation, change.refutation) > own:
             text = f"{name} has {change.incarnation, change.refutation} of {change.name}, it had {own}"
-            self.violate("only a member raises its own counter", text, now)
+            self.record_violation("only a member raises its own counter", text, now)
         if change.new_state == SUSPECT:
             self._check_suspicion(name, change, now)
-        well = not {name, change.name} & self.history.affected
-        if change.new_state == FAILED and well and self.history.lost_packets <= 2:
-            self.violate("who is well is not failed", f"{name} failed {change.name}", now)
+        is_undisturbed = not {name, change.name} & self.history.affected
+        if change.new_state == FAILED and is_undisturbed and self.history.lost_packets <= 2:
+            self.record_violation("who is well is not failed", f"{name} failed {change.name}", now)
 
     def _check_precedence(self, name: str, change: MemberChanged, state: int, now: float) -> None:
         pair = (name, change.name)
@@ -112,18 +112,18 @@
         known = self.beliefs.get(pair)
         if known is not None and precedence < known:
             text = f"{name} went from {known} to {precedence} of {change.name}"
-            self.violate("an old life never beats a new one", text, now)
+            self.record_violation("an old life never beats a new one", text, now)
         self.beliefs[pair] = max(precedence, known or precedence)
 
     def _check_suspicion(self, name: str, change: MemberChanged, now: float) -> None:
         faults = [fault for _, fault in self.history.faults]
         first = faults[0] if faults else None
         if len(faults) == 1 and isinstance(first, Cut) and len({end for link in first.links for end in link}) == 2:
-            self.violate("who answers another is not suspected", f"{name} suspects {change.name}", now)
+            self.record_violation("who answers another is not suspected", f"{name} suspects {change.name}", now)
         if (
             change.accuser == name
             and change.name not in self.history.affected
             and self.history.lost_packets <= 1
             and all(isinstance(fault, LosePacket | Stop) for fault in faults)
         ):
-            self.violate("one lost packet and a stop blame nobody", f"{name} suspects {change.name}", now)
+            self.record_violation("one lost packet and a stop blame nobody", f"{name} suspects {change.name}", now)
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -30,20 +30,20 @@
     Stop,
 )
 from myrtlespar.model_checker.fleet.seeded_random import SeededRandom
-from myrtlespar.model_checker.fleet.step_promises import FaultHistory, StepPromises
+from myrtlespar.model_checker.fleet.step_invariants import FaultHistory, StepInvariants
 
-NAMES = ("a", "b", "c")
+MEMBER_NAMES = ("a", "b", "c")
 HOP_MS = 1.0
 FIRST_INCARNATION = 1_700_000_000_000
 START_INTERVAL_MS = 40.0
-SETTLED_MS = 1500.0  # from the start of all members until faults may happen
+CONVERGED_MS = 1500.0  # from the start of all members until faults may happen
 FAULT_WINDOW_MS = 1300.0  # faults happen within this after it
 LEAVE_MS = 300.0  # from leaving to the end of the process
 SETTINGS = MembershipSettings()
 
 
-def _new_promises() -> StepPromises:
-    return StepPromises(FaultHistory())
+def _new_invariants() -> StepInvariants:
+    return StepInvariants(FaultHistory())
 
 
 @dataclass(slots=True)
@@ -57,26 +57,26 @@
     members: dict[str, Member | None] = field(default_factory=dict)
     queue: list[Event] = field(default_factory=list)
     stopped: set[str] = field(default_factory=set)
-    waiting: dict[str, list[Message]] = field(default_factory=dict)  # messages to stopped members
+    delayed: dict[str, list[Message]] = field(default_factory=dict)  # messages to stopped members
     cuts: set[Link] = field(default_factory=set)
     left: set[str] = field(default_factory=set)  # members that left and were not started again
     changed_at: float = 0.0  # last change of who runs and which links work
     duplicated: dict[tuple[str, str, int], bool] = field(default_factory=dict)  # receiver, sender, number: arrived
-    promises: StepPromises = field(default_factory=_new_promises)
+    invariants: StepInvariants = field(default_factory=_new_invariants)
 
     @property
     def history(self) -> FaultHistory:
         """The faults so far."""
-        return self.promises.history
+        return self.invariants.history
 
     @property
     def violations(self) -> list[str]:
         """The promises broken so far."""
-        return self.promises.violations
+        return self.invariants.violations
 
-    def violate(self, promise: str, text: str) -> None:
+    def record_violation(self, invariant: str, text: str) -> None:
         """Record a broken promise."""
-        self.promises.violate(promise, text, self.now)
+        self.invariants.record_violation(invariant, text, self.now)
 
     def copy(self) -> World:
         """A deep copy."""
@@ -85,7 +85,7 @@
 
     # Scheduling.
 
-    def put(self, delay_ms: float, kind: EventKind, receiver: str, content: Any = None, sender: str = "") -> None:
+    def schedule(self, delay_ms: float, kind: EventKind, receiver: str, content: Any = None, sender: str = "") -> None:
         """Schedule an event."""
         self.event_count += 1
         self.queue.append(Event(self.now + delay_ms, self.event_count, kind, receiver, content, sender))
@@ -122,7 +122,7 @@
         self.queue.remove(event)
         self.now = max(self.now, event.at)
         if event.kind in MESSAGE_KINDS:
-            self._arrive(event.receiver, event.message)
+            self._deliver(event.receiver, event.message)
         else:
             self._handle(event)
 
@@ -135,31 +135,31 @@
         name = event.receiver
         match event.kind:
             case EventKind.START:
-                self._change(name)
+                self._record_disruption(name)
                 self.left.discard(name)
                 self._start(name, event.content)
             case EventKind.HEAL:
-                self._change()
+                self._record_disruption()
                 self.cuts -= set(event.content)
             case EventKind.RESUME:
                 self._resume(name)
             case EventKind.END:
                 self.members[name] = None
             case EventKind.DELAYED_MESSAGE:
-                self._arrive(name, event.content)
+                self._deliver(name, event.content)
             case EventKind.DUPLICATE_MESSAGE:
-                self._arrive(name, event.content, duplicate=name not in self.history.affected)
+                self._deliver(name, event.content, duplicate=name not in self.history.affected)
 
     # Messages and effects.
 
-    def _arrive(self, receiver: str, message: Message, duplicate: bool = False) -> None:
+    def _deliver(self, receiver: str, message: Message, duplicate: bool = False) -> None:
         """A message reaches a member's process."""
         member = self.members.get(receiver)
         sender = message.sender
         if member is None or (sender, receiver) in self.cuts:
             return
         if receiver in self.stopped:
-            self.waiting.setdefault(receiver, []).append(message)
+            self.delayed.setdefault(receiver, []).append(message)
             return
         if isinstance(message.content, Packet):
             self._receive_packet(receiver, member, message.content, sender, duplicate)
@@ -167,7 +167,7 @@
             reply, effects = member.sync_requested(self.now, message.content)
             self._apply_effects(receiver, effects)
             if reply is not None:
-                self.put(HOP_MS, EventKind.SYNC_REPLY, sender, reply, receiver)
+                self.schedule(HOP_MS, EventKind.SYNC_REPLY, sender, reply, receiver)
         else:
             self._apply_effects(receiver, member.sync_received(self.now, message.content))
 
@@ -181,51 +181,51 @@
         outdated = known is not None and packet.sender.incarnation < known.packet_incarnation
         effects = member.receive(self.now, packet)
         same_view = member.view.hash == hash_before
-        self.promises.check_replay(receiver, sender, duplicate, outdated, same_view, effects, self.now)
+        self.invariants.check_replay(receiver, sender, duplicate, outdated, same_view, effects, self.now)
         self._apply_effects(receiver, effects)
 
     def _apply_effects(self, name: str, effects: list[MembershipEffect]) -> None:
         """Carry out a member's effects and check the promises of single steps."""
         member = self.members[name]
         if member is not None:
-            self.promises.check_own_update(member.self_update)
+            self.invariants.check_own_update(member.self_update)
         for effect in effects:
             if isinstance(effect, SendPacket):
                 self._send(EventKind.PACKET, name, effect.address, effect.packet)
             elif isinstance(effect, RequestSync):
                 self._send(EventKind.SYNC_REQUEST, name, effect.address, effect.sync)
             elif isinstance(effect, MemberChanged):
-                self.promises.check_member_change(name, effect, self.now)
+                self.invariants.check_member_change(name, effect, self.now)
             elif isinstance(effect, QuorumChanged):
-                self.promises.check_quorum_change(name, effect, self.now)
+                self.invariants.check_quorum_change(name, effect, self.now)
 
     def _send(self, kind: EventKind, sender: str, address: str, content: Any) -> None:
-        receiver = next((name for name in NAMES if address_of(name) == address), "")
+        receiver = next((name for name in MEMBER_NAMES if address_of(name) == address), "")
         if receiver:
-            self.put(HOP_MS, kind, receiver, content, sender)
+            self.schedule(HOP_MS, kind, receiver, content, sender)
 
     # Processes and faults.
 
     def _start(self, name: str, incarnation: int) -> None:
         self.starts += 1
-        random = SeededRandom(self.starts * 77 + NAMES.index(name))
-        voter_set = VoterSet(1, {"x": NAMES})
+        random = SeededRandom(self.starts * 77 + MEMBER_NAMES.index(name))
+        voter_set = VoterSet(1, {"x": MEMBER_NAMES})
         seeds = [address_of("a")]
         member = Member(name, "x", address_of(name), incarnation, "small", SETTINGS, voter_set, seeds, random, self.now)
         self.members[name] = member
-        self.promises.restarted(name)
+        self.invariants.restarted(name)
         self._apply_effects(name, member.start(self.now))
 
     def _resume(self, name: str) -> None:
         self.stopped.discard(name)
-        self._change()
-        for message in self.waiting.pop(name, []):
-            self._arrive(name, message)
+        self._record_disruption()
+        for message in self.delayed.pop(name, []):
+            self._deliver(name, message)
         member = self.members[name]
         if member is not None and member.next_at() <= self.now:
             self._tick(name)
 
-    def _change(self, *names: str) -> None:
+    def _record_disruption(self, *names: str) -> None:
         """Something but a lost packet happened to these."""
         self.history.affected.update(names)
         self.changed_at = self.now
@@ -239,52 +239,52 @@
             self._crash(fault)
         elif isinstance(fault, Cut):
             first = {fault.links[0][0]}
-            self._change(*({end for link in fault.links for end in link} if len(fault.links) < 4 else first))
+            self._record_disruption(*({end for link in fault.links for end in link} if len(fault.links) < 4 else first))
             self.cuts |= set(fault.links)
-            self.put(fault.duration_ms, EventKind.HEAL, "", fault.links)
+            self.schedule(fault.duration_ms, EventKind.HEAL, "", fault.links)
         elif isinstance(fault, Stop):
-            self._change(fault.name)
+            self._record_disruption(fault.name)
             self.stopped.add(fault.name)
-            self.put(fault.duration_ms, EventKind.RESUME, fault.name)
+            self.schedule(fault.duration_ms, EventKind.RESUME, fault.name)
         else:
-            self._change(fault.name)
+            self._record_disruption(fault.name)
             member = self.members[fault.name]
             assert member is not None
             self.left.add(fault.name)
             self._apply_effects(fault.name, member.leave(self.now))
-            self.put(LEAVE_MS, EventKind.END, fault.name)
+            self.schedule(LEAVE_MS, EventKind.END, fault.name)
 
     def _apply_to_packet(self, fault: PacketFault) -> None:
         event = min(self.queue, key=lambda event: event[:2])
         if isinstance(fault, DuplicatePacket):
             self.duplicated[event.receiver, event.sender, event.content.sequence_number] = False
             delay_ms = event.at - self.now + fault.delay_ms
-            self.put(delay_ms, EventKind.DUPLICATE_MESSAGE, event.receiver, event.message)
+            self.schedule(delay_ms, EventKind.DUPLICATE_MESSAGE, event.receiver, event.message)
             return
         self.queue.remove(event)
         self.history.lost_packets += 1
         if isinstance(fault, DelayPacket):
-            self.put(fault.delay_ms, EventKind.DELAYED_MESSAGE, event.receiver, event.message)
+            self.schedule(fault.delay_ms, EventKind.DELAYED_MESSAGE, event.receiver, event.message)
 
     def _crash(self, fault: Crash) -> None:
-        self._change(fault.name)
-        incarnation = self.promises.latest_incarnation(fault.name, FIRST_INCARNATION)
+        self._record_disruption(fault.name)
+        incarnation = self.invariants.latest_incarnation(fault.name, FIRST_INCARNATION)
         self.members[fault.name] = None
         if fault.restart_after_ms is not None:
-            self.put(fault.restart_after_ms, EventKind.START, fault.name, incarnation + fault.clock_shift_ms)
+            self.schedule(fault.restart_after_ms, EventKind.START, fault.name, incarnation + fault.clock_shift_ms)
 
 
 def address_of(name: str) -> str:
     """The address of a member."""
-    return f"127.8.0.{NAMES.index(name) + 1}:7000"
+    return f"127.8.0.{MEMBER_NAMES.index(name) + 1}:7000"
 
 
-def settled_world() -> World:
+def converged_world() -> World:
     """All three members started a little apart, and settled."""
-    world = World(members=dict.fromkeys(NAMES))
-    for index, name in enumerate(NAMES):
-        world.put(START_INTERVAL_MS * index, EventKind.START, name, FIRST_INCARNATION)
-    while world.now < SETTLED_MS:
+    world = World(members=dict.fromkeys(MEMBER_NAMES))
+    for index, name in enumerate(MEMBER_NAMES):
+        world.schedule(START_INTERVAL_MS * index, EventKind.START, name, FIRST_INCARNATION)
+    while world.now < CONVERGED_MS:
         world.step()
     world.history.affected.clear()
     world.changed_at = 0.0
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -82,7 +82,7 @@
                 for number, fault in enumerate(possible_faults(world, plan.kinds_at(plan.max_faults))):
                     if (step * 31 + number) % self.job.share_count != self.job.share:
                         continue
-                    result.add(self._follow(world.copy(), fault, plan.max_faults))
+                    result.add(self._explore_after_fault(world.copy(), fault, plan.max_faults))
                     if self._is_over(result):
                         result.complete = bool(result.violations)
                         return result
@@ -93,21 +93,21 @@
     def _is_over(self, result: ExplorationResult) -> bool:
         return bool(result.violations) or time.monotonic() > self.job.deadline
 
-    def _follow(self, world: World, fault: Fault, faults_left: int) -> ExplorationResult:
+    def _explore_after_fault(self, world: World, fault: Fault, faults_left: int) -> ExplorationResult:
         """Explore the runs that continue from this fault."""
         world.apply(fault)
         if faults_left > 1:
-            return self._visit(world, faults_left - 1, world.now + self.plan.span_ms)
+            return self._explore_further_faults(world, faults_left - 1, world.now + self.plan.span_ms)
         return finish(world)
 
-    def _visit(self, world: World, faults_left: int, until: float) -> ExplorationResult:
+    def _explore_further_faults(self, world: World, faults_left: int, until: float) -> ExplorationResult:
         """Explore the run without further faults, and those with each further fault at each further step."""
         result = ExplorationResult()
         step = 0
         while world.now < until and faults_left:
             if step % self.plan.step_interval(faults_left) == 0:
                 for fault in possible_faults(world, self.plan.kinds_at(faults_left)):
-                    result.add(self._follow(world.copy(), fault, faults_left))
+                    result.add(self._explore_after_fault(world.copy(), fault, faults_left))
                     if self._is_over(result):
                         result.complete = result.complete and bool(result.violations)
                         return result
--- a/myrtlespar/model_checker/quota/fault_actions.py
+++ b/myrtlespar/model_checker/quota/fault_actions.py
@@ -8,10 +8,10 @@
 from myrtlespar.model_checker.quota.events import EventKind
 from myrtlespar.model_checker.quota.fault import Fault
 from myrtlespar.model_checker.quota.world import ENGINE, World
-from myrtlespar.model_checker.quota.world_settings import NAMES
+from myrtlespar.model_checker.quota.world_settings import MEMBER_NAMES
 
 Pairs = tuple[tuple[str, str], ...]  # (sender, recipient)
-SHUN_DELAY_MS = 100.0  # until the others believe a stopped member gone
+DETECTION_DELAY_MS = 100.0  # until the others believe a stopped member gone
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
     def apply(self, world: World) -> None:
         """End all processes."""
-        for index, name in enumerate(NAMES):
+        for index, name in enumerate(MEMBER_NAMES):
             world.members[name] = None
             world.schedule(self.restart_after_ms + self.interval_ms * index, EventKind.START, name)
 
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sleep(Fault):
+class DetectedStop(Fault):
     """A member's process is stopped for a while, and the others soon believe that it has failed."""
 
     kind: ClassVar[str] = "sleep"
@@ -110,14 +110,14 @@
         """Stop the process."""
         world.stopped.add(self.member)
         world.schedule(self.duration_ms, EventKind.RESUME, self.member, False)
-        for name in NAMES:
+        for name in MEMBER_NAMES:
             if name != self.member:
-                world.schedule(SHUN_DELAY_MS, EventKind.SHUN, name, self.member)
+                world.schedule(DETECTION_DELAY_MS, EventKind.SHUN, name, self.member)
                 world.schedule(self.duration_ms, EventKind.BELIEVE, name)
 
 
 @dataclass(frozen=True, slots=True)
-class Shun(Fault):
+class DetectedPairCut(Fault):
     """Two members are cut off from one another, and the first believes that the second has failed."""
 
     kind: ClassVar[str] = "shun"
@@ -129,7 +129,7 @@
         """Cut both ways."""
         pairs = ((self.member, self.other), (self.other, self.member))
         world.cuts |= set(pairs)
-        world.set_belief(self.member, frozenset(NAMES) - {self.other})
+        world.set_belief(self.member, frozenset(MEMBER_NAMES) - {self.other})
         world.schedule(self.duration_ms, EventKind.HEAL, "", pairs)
         world.schedule(self.duration_ms, EventKind.BELIEVE, self.member)
 
@@ -178,8 +178,8 @@
     def apply(self, world: World) -> None:
         """Cut the member off and set the beliefs."""
         world.cuts |= set(self.pairs)
-        others = frozenset(NAMES) - {self.member}
-        for name in NAMES:
+        others = frozenset(MEMBER_NAMES) - {self.member}
+        for name in MEMBER_NAMES:
             world.set_belief(name, frozenset({self.member}) if name == self.member else others)
             world.schedule(self.duration_ms, EventKind.BELIEVE, name)
         world.schedule(self.duration_ms, EventKind.HEAL, "", self.pairs)
@@ -215,7 +215,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet(Fault):
+class DemandPause(Fault):
     """A member has no demand for a while."""
 
     kind: ClassVar[str] = "quiet"
@@ -224,5 +224,5 @@
 
     def apply(self, world: World) -> None:
         """End the demand."""
-        world.quiet.add(self.member)
+        world.without_demand.add(self.member)
         world.schedule(self.duration_ms, EventKind.LOUD, self.member)
--- a/myrtlespar/model_checker/quota/faults.py
+++ b/myrtlespar/model_checker/quota/faults.py
@@ -11,6 +11,9 @@
     Crash,
     Cut,
     DelayPacket,
+    DemandPause,
+    DetectedPairCut,
+    DetectedStop,
     DuplicatePacket,
     EngineCut,
     LimitChange,
@@ -18,25 +21,24 @@
     Outage,
     Pairs,
     Partition,
-    Quiet,
-    Shun,
-    Sleep,
     Stop,
     WrongBelief,
 )
 from myrtlespar.model_checker.quota.world import World
-from myrtlespar.model_checker.quota.world_settings import NAMES
+from myrtlespar.model_checker.quota.world_settings import MEMBER_NAMES
 
 
 def cut_pairs() -> list[Pairs]:
     """Return the cuts: each member cut off both ways, outwards only, inwards only; and each pair one way."""
     cuts: list[Pairs] = []
-    for name in NAMES:
-        others = [other for other in NAMES if other != name]
+    for name in MEMBER_NAMES:
+        others = [other for other in MEMBER_NAMES if other != name]
         outwards = tuple((name, other) for other in others)
         inwards = tuple((other, name) for other in others)
         cuts += [outwards + inwards, outwards, inwards]
-    return cuts + [((sender, recipient),) for sender in NAMES for recipient in NAMES if sender != recipient]
+    return cuts + [
+        ((sender, recipient),) for sender in MEMBER_NAMES for recipient in MEMBER_NAMES if sender != recipient
+    ]
 
 
 def _wrong_beliefs(names: list[str]) -> list[Fault]:
@@ -44,7 +46,7 @@
         WrongBelief(name, tuple(sorted(present)), ms)
         for name in names
         for ms in (100.0, 800.0)
-        for present in (set(NAMES) - {other} for other in NAMES if other != name)
+        for present in (set(MEMBER_NAMES) - {other} for other in MEMBER_NAMES if other != name)
     ]
     return beliefs + [WrongBelief(name, (name,), 800.0) for name in names]
 
@@ -57,18 +59,20 @@
         Stop(name, ms, is_reversed) for name in names for ms in (120.0, 330.0, 900.0) for is_reversed in (False, True)
     ],
     "cut": lambda names: [Cut(pairs, ms) for pairs in cut_pairs() for ms in (150.0, 1000.0)],
-    "sleep": lambda names: [Sleep(name, ms) for name in names for ms in (280.0, 330.0, 700.0)],
-    "shun": lambda names: [Shun(name, other, 600.0) for name in names for other in NAMES if other != name],
-    "long quiet": lambda names: [Quiet(name, 600.0) for name in names],
+    "sleep": lambda names: [DetectedStop(name, ms) for name in names for ms in (280.0, 330.0, 700.0)],
+    "shun": lambda names: [
+        DetectedPairCut(name, other, 600.0) for name in names for other in MEMBER_NAMES if other != name
+    ],
+    "long quiet": lambda names: [DemandPause(name, 600.0) for name in names],
     "part": lambda names: [
-        Partition(cut_pairs()[3 * index], name, ms) for index, name in enumerate(NAMES) for ms in (400.0, 1000.0)
+        Partition(cut_pairs()[3 * index], name, ms) for index, name in enumerate(MEMBER_NAMES) for ms in (400.0, 1000.0)
     ],
     "away": lambda names: [
         EngineCut(name, ms, both_ways) for name in names for ms in (150.0, 400.0) for both_ways in (True, False)
     ],
-    "change": lambda names: [LimitChange(order, ms) for order in permutations(NAMES) for ms in (10.0, 330.0)],
+    "change": lambda names: [LimitChange(order, ms) for order in permutations(MEMBER_NAMES) for ms in (10.0, 330.0)],
     "believe": _wrong_beliefs,
-    "demand": lambda names: [Quiet(name, ms) for name in names for ms in (150.0, 600.0)],
+    "demand": lambda names: [DemandPause(name, ms) for name in names for ms in (150.0, 600.0)],
 }
 
 
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -19,7 +19,7 @@
     DISK_MS,
     ENGINE_TIMEOUT_MS,
     HOP_MS,
-    NAMES,
+    MEMBER_NAMES,
     WARM_UP_MS,
     WorldSettings,
     clock,
@@ -48,7 +48,7 @@
     delayed: dict[str, list[Event]] = field(default_factory=dict)  # events that wait for a stopped member
     cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, recipient)
     beliefs: dict[str, frozenset[str]] = field(default_factory=dict)  # whom each member believes present
-    quiet: set[str] = field(default_factory=set)  # members without demand
+    without_demand: set[str] = field(default_factory=set)  # members without demand
     faults: list[tuple[float, Fault]] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
     usage: UsageRecord = field(default_factory=UsageRecord)
@@ -128,7 +128,7 @@
             Incarnation(name, incarnation),
             settings.grant_settings,
             {KEY: limit},
-            frozenset(NAMES),
+            frozenset(MEMBER_NAMES),
             self.clock(name),
             1 + (name in self.adopted),
             settings.engine,
@@ -136,9 +136,9 @@
         )
         self.members[name] = coordinator
         self.engine_requests.pop(name, None)
-        coordinator.present_members = self.beliefs.get(name, frozenset(NAMES))
+        coordinator.present_members = self.beliefs.get(name, frozenset(MEMBER_NAMES))
         self.schedule(0.0, EventKind.TICK, name, incarnation)
-        self.schedule(NAMES.index(name) * 3.0, EventKind.WANT, name, incarnation)
+        self.schedule(MEMBER_NAMES.index(name) * 3.0, EventKind.WANT, name, incarnation)
 
     def _on_tick(self, event: Event) -> None:
         coordinator = self._running(event)
@@ -147,7 +147,7 @@
         name = event.member
         self._carry_out(name, coordinator.tick(self.clock(name)))
         self._send_engine_request(name, event.payload)
-        rate = self.settings.clock_rates[NAMES.index(name)]
+        rate = self.settings.clock_rates[MEMBER_NAMES.index(name)]
         due_in_ms = (coordinator.next_at() - self.clock(name)) / rate
         self.schedule(max(1.0, due_in_ms), EventKind.TICK, name, event.payload)
 
@@ -156,7 +156,7 @@
         if coordinator is None:
             return
         name = event.member
-        if name not in self.quiet and coordinator.check_admission(self.clock(name), KEY).admitted:
+        if name not in self.without_demand and coordinator.check_admission(self.clock(name), KEY).admitted:
             coordinator.consume(self.clock(name), KEY)
             self._start_run(name, event.payload)
         self.schedule(DEMAND_INTERVAL_MS, EventKind.WANT, name, event.payload)
@@ -188,10 +188,10 @@
         self.cuts -= set(event.payload)
 
     def _on_believe(self, event: Event) -> None:
-        self.set_belief(event.member, frozenset(NAMES))
+        self.set_belief(event.member, frozenset(MEMBER_NAMES))
 
     def _on_shun(self, event: Event) -> None:
-        self.set_belief(event.member, frozenset(NAMES) - {event.payload})
+        self.set_belief(event.member, frozenset(MEMBER_NAMES) - {event.payload})
 
     def _on_adopt(self, event: Event) -> None:
         """Let a member's file have the later limit, and its process read it."""
@@ -205,7 +205,7 @@
             self._carry_out(name, coordinator.adopt_limits(self.clock(name), {KEY: later_limit}, 2))
 
     def _on_loud(self, event: Event) -> None:
-        self.quiet.discard(event.member)
+        self.without_demand.discard(event.member)
 
     # Runs.
 
@@ -287,8 +287,8 @@
 
 def begin(settings: WorldSettings) -> World:
     """Return a world in which all members have started, a leader has its lease, and grants are out."""
-    world = World(settings, members=dict.fromkeys(NAMES))
-    for name in NAMES:
+    world = World(settings, members=dict.fromkeys(MEMBER_NAMES))
+    for name in MEMBER_NAMES:
         world.schedule(0.0, EventKind.START, name)
     while world.now < WARM_UP_MS:
         world.step()
--- a/myrtlespar/model_checker/quota/world_settings.py
+++ b/myrtlespar/model_checker/quota/world_settings.py
@@ -6,7 +6,7 @@
 
 from myrtlespar.quota.settings import GrantSettings, Limit, LimitKind
 
-NAMES = ("a", "b", "c")
+MEMBER_NAMES = ("a", "b", "c")
 HOP_MS = 1.0  # a message's way
 DISK_MS = 3.0  # until a journal is on disk
 WARM_UP_MS = 900.0  # until a leader has its lease, and grants are out
@@ -45,5 +45,5 @@
 
 def clock(settings: WorldSettings, name: str, now: float) -> float:
     """Return what a member's clock shows at a true time."""
-    index = NAMES.index(name)
+    index = MEMBER_NAMES.index(name)
     return now * settings.clock_rates[index] + CLOCK_OFFSET_MS * index
