--- a/myrtlespar/model_checker/client_events.py
+++ b/myrtlespar/model_checker/client_events.py
@@ -1,4 +1,4 @@
-"""What clients do: send, complete, give up, reset; and what their connections do."""
+"""Events of clients and their connections: requests are sent, completed, cancelled or malformed; connections end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def send_request(world: World, index: int) -> None:
-    """Begin to send, on a new connection where the old one takes no more requests."""
+    """Begin to send a request, on a new connection if the present one accepts no more requests."""
     world.callers[index].stage = PARTLY_READ
     world.callers[index].incarnation = world.incarnation
     if not world.connections[world.connection_index(index)].accepts_requests:
@@ -18,12 +18,11 @@
 
 
 def complete_request(world: World, index: int) -> None:
-    """The request is read completely, and submitted to the request tracker."""
+    """Read the rest of the request, and submit it to the request tracker."""
     caller = world.callers[index]
     attempt = world.scenario.attempts[index]
-    if not world.connections[
-        world.connection_index(index)
-    ].accepts_requests:  # it crossed a close: sent once more, on a new connection
+    if not world.connections[world.connection_index(index)].accepts_requests:
+        # The server closed the connection meanwhile: the client sends the request again, on a new connection.
         caller.stage = UNSENT
         return
     caller.stage = WAITING
@@ -38,7 +37,7 @@
 
 
 def abort_request(world: World, index: int) -> None:
-    """The client resets its connection within the request."""
+    """Reset the connection by the client before the request is complete."""
     world.count_fault("give up")
     world.callers[index].stage = DONE
     world.callers[index].gone = True
@@ -46,7 +45,7 @@
 
 
 def receive_malformed(world: World, index: int) -> None:
-    """A message arrives that can't be read."""
+    """Receive a malformed message from the client."""
     world.count_fault("spoil")
     if world.callers[index].stage == PARTLY_READ:
         world.callers[index].stage = DONE
@@ -54,20 +53,20 @@
 
 
 def reject_unread(world: World, index: int) -> None:
-    """The front rejects a request that it has not read completely."""
+    """Reject a request in the front before it is read completely."""
     world.count_fault("spoil")
     world.callers[index].stage = DONE
     world.handle_connection_event(index, ConnectionEvent.TURNED_AWAY)
 
 
 def cancel_request(world: World, index: int) -> None:
-    """The client cancels: by a message where its protocol has one, else by a reset."""
+    """Cancel the request by the client: by an abort message in Thrift, by a connection reset in AJP."""
     world.count_fault("give up")
     _end_wait(world, index, by_message=world.scenario.attempts[index].front == "thrift")
 
 
 def reset_connection(world: World, index: int) -> None:
-    """The client resets its connection while it waits."""
+    """Reset the connection by the client while it waits for an answer, or after it got one."""
     world.count_fault("reset")
     _end_wait(world, index, by_message=False)
 
@@ -85,6 +84,6 @@
 
 
 def close_idle(world: World, index: int) -> None:
-    """The server closes an idle connection."""
+    """Close an idle connection by the server."""
     world.count_fault("close")
     world.handle_connection_event(index, ConnectionEvent.CLOSE)
--- a/myrtlespar/model_checker/dependency_events.py
+++ b/myrtlespar/model_checker/dependency_events.py
@@ -10,7 +10,7 @@
 
 
 def end_call(world: World, id: str, end: str) -> None:
-    """A call to the abstract dependency ends."""
+    """End a call to a dependency whose connections are not modelled; `end` is OK, BUSY or ERR."""
     number = world.pending.pop(id)
     if end == "OK":
         world.apply_effects(world.tracker.call_ended(id, RunOutcome.OK, 0.0, b"%d" % number))
@@ -20,7 +20,7 @@
 
 
 def end_worker_run(world: World, id: str, end: str) -> None:
-    """A run at an AJP worker ends; PASS, FAIL, or UNREACHED before it began."""
+    """End a run at an AJP worker; `end` is PASS, FAIL, or UNREACHED if the worker could not be reached."""
     world.workers.remove(id)
     if end == "UNREACHED":
         return world.end_run(id, RunOutcome.ERROR, REFUSED)
@@ -36,12 +36,12 @@
 
 
 def connection_opened(world: World, number: int) -> None:
-    """A connection to the dependency is open."""
+    """Complete the opening of a connection to the dependency."""
     world.apply_call_effects(world.calls.opened(_connection(world, number), world.now))
 
 
 def connection_refused(world: World, number: int) -> None:
-    """A connection to the dependency is refused."""
+    """Refuse a connection to the dependency."""
     world.count_fault("store")
     connection = _connection(world, number)
     world.dependency_connections.remove(connection)
@@ -49,7 +49,7 @@
 
 
 def connection_closed(world: World, number: int) -> None:
-    """A connection that the server gave up is closed."""
+    """Close a connection that the server no longer uses."""
     connection = _connection(world, number)
     world.dependency_connections.remove(connection)
     world.duplicate_replies = [copy for copy in world.duplicate_replies if copy[0] != number]
@@ -57,13 +57,13 @@
 
 
 def connection_broken(world: World, number: int) -> None:
-    """A connection to the dependency breaks."""
+    """Break a connection to the dependency."""
     world.count_fault("store")
     connection_closed(world, number)
 
 
 def connection_reply(world: World, number: int, end: str) -> None:
-    """The reply to a connection's call arrives."""
+    """Receive the reply to the call on a connection; `end` is OK or BUSY."""
     connection = _connection(world, number)
     assert connection.call is not None
     if end != "OK":
@@ -75,7 +75,7 @@
 
 
 def connection_reply_twice(world: World, number: int) -> None:
-    """The reply arrives, and will once more."""
+    """Receive the reply to the call on a connection, and schedule a second copy of it."""
     world.count_fault("store")
     connection = _connection(world, number)
     assert connection.call is not None
@@ -86,7 +86,7 @@
 
 
 def connection_duplicate(world: World, index: int) -> None:
-    """The second copy of a reply arrives."""
+    """Receive the second copy of a reply."""
     number, id, body = world.duplicate_replies.pop(index)
     world.apply_call_effects(
         world.calls.reply_received(_connection(world, number), id, RunOutcome.OK, body, world.now) or []
--- a/myrtlespar/model_checker/enabled_events.py
+++ b/myrtlespar/model_checker/enabled_events.py
@@ -1,4 +1,4 @@
-"""The events that may come next in a world: everything that the protocol and the scenario's bounds allow."""
+"""The events that may happen next in a world: all that the protocol and the bounds of the scenario allow."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def enabled_events(world: World) -> list[Event]:
-    """Every event that may come next, in a fixed order."""
+    """Return every event that may happen next, in a fixed order."""
     events: list[Event] = []
     if not world.stopped:
         _client_events(world, events)
@@ -167,13 +167,13 @@
 
 
 def _is_abandoned(world: World, rid: str) -> bool:
-    """Whether nobody waits for this request any longer."""
+    """Return whether no caller waits for this request any longer."""
     caller = world.callers[ATTEMPT_IDS.index(rid)]
     return caller.gone or bool(caller.answers) or caller.incarnation != world.incarnation or world.stopped
 
 
 def _may_poll(world: World) -> bool:
-    """Whether polling the process could change its state."""
+    """Return whether polling the process lifecycle could change its state."""
     process = world.tracker.process
     return process.state == ProcessState.CROSSING or (
         process.state == ProcessState.DRAINING and world.now > process.notice_at + GRACE_MS
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -1,4 +1,4 @@
-"""Events of the engine, of its link, and the decisions of the policy."""
+"""Events of the engine and of the link to it, and the decisions of the policy."""
 
 from __future__ import annotations
 
@@ -13,31 +13,37 @@
 
 
 def start_run(world: World, id: str) -> None:
-    """The policy starts the run."""
+    """Start the run, by a decision of the policy."""
     world.policy.run_started(id)
     world.apply_effects(world.tracker.start(id, world.now))
 
 
 def refuse_attempt(world: World, id: str) -> None:
-    """The policy rejects the attempt."""
+    """Reject the attempt, by a decision of the policy."""
     world.policy.forget(id)
     world.apply_effects(world.tracker.reject(id, REFUSED, world.now))
 
 
 def fail_attempt(world: World, id: str) -> None:
-    """The policy fails the attempt."""
+    """Fail the attempt, by a decision of the policy."""
     world.policy.forget(id)
     world.apply_effects(world.tracker.fail(id, world.now))
 
 
 def start_call(world: World, id: str) -> None:
-    """The policy starts the call that a run waits for."""
+    """Start the call that a run waits for, by a decision of the policy."""
     world.policy.at_call.remove(id)
     world.apply_effects(world.tracker.start_call(id, DUE_MS))
 
 
 def unexpected_decision(world: World, what: str, id: str) -> None:
-    """The policy makes a decision that it should not make."""
+    """Let the policy take a decision that it should not take.
+
+    Args:
+        world: The world.
+        what: The decision: `run`, `call`, `refuse` or `fail`.
+        id: The id of the attempt.
+    """
     world.count_fault("rude")
     if what == "run":
         world.apply_effects(world.tracker.start(id, world.now))
@@ -48,40 +54,40 @@
 
 
 def connect_link(world: World) -> None:
-    """The link to the engine is connected."""
+    """Connect the link to the engine."""
     world.apply_link_effects(world.commands.connected())
 
 
 def break_link(world: World) -> None:
-    """The link breaks."""
+    """Break the link to the engine."""
     world.count_fault("break")
     world.cut_link()
 
 
 def request_gauges(world: World) -> None:
-    """Gauges are requested."""
+    """Request the engine's gauges."""
     world.count_fault("gauges")
     world.apply_link_effects(world.commands.request_gauges())
 
 
 def request_doubt_mark(world: World) -> None:
-    """A mark is requested, to learn whether commands before it arrived."""
+    """Request a mark, whose answer shows which of the commands sent over a broken link have arrived."""
     world.apply_link_effects(world.commands.request_doubt_mark())
 
 
 def receive_notice(world: World) -> None:
-    """The next line of the engine arrives."""
+    """Receive the next line from the engine."""
     _receive_line(world, world.engine.lines_to_server.pop(0))
 
 
 def receive_notice_twice(world: World) -> None:
-    """The next notice arrives, and will once more."""
+    """Receive the next notice, and keep it in transit so that it arrives a second time."""
     world.count_fault("double")
     _receive_line(world, world.engine.lines_to_server[0])
 
 
 def lose_notice(world: World) -> None:
-    """The next notice is lost."""
+    """Lose the next notice."""
     world.count_fault("gap")
     world.engine.lines_to_server.pop(0)
 
@@ -97,7 +103,7 @@
         world.end_run(item[1], RunOutcome.MOOT, None)
     else:
         kind = link.classify_notice(item[1])
-        if kind == RENUMBERED:  # this engine is known by its incarnation: its numbers must not contradict that
+        if kind == RENUMBERED:  # the greeting has identified the engine, so the numbers of its notices must fit
             world.violations.append("no kernel taken for another")
         elif kind == GAP:
             world.cut_link()
@@ -118,7 +124,14 @@
 
 
 def _apply_run_notice(world: World, kind: str, rid: str, detail: int | str) -> None:
-    """A run needs a call, `detail` being its number; or it ended, `detail` being its status."""
+    """Apply a notice about a run.
+
+    Args:
+        world: The world.
+        kind: `IOREQ` if the run needs a call, `REAP` if it ended.
+        rid: The id of the request.
+        detail: The number of the call, or the status with which the run ended.
+    """
     if kind == "IOREQ":
         assert isinstance(detail, int)
         world.apply_effects(world.tracker.call_needed(rid, b"%d" % detail))
@@ -129,7 +142,13 @@
 
 
 def read_command(world: World, refuse: bool = False, over: bool = False) -> None:
-    """The engine reads the next command. `refuse`: it answers EINVAL; `over`: the request has ended."""
+    """Let the engine read the next command.
+
+    Args:
+        world: The world.
+        refuse: Let the engine answer EINVAL to a start.
+        over: Let the engine report a start as a NOOP run, as the request has ended.
+    """
     before = sum(world.engine.starts.values())
     rid = world.engine.lines_to_engine[0][1] if world.engine.lines_to_engine[0][0] == "SCHED" else ""
     world.engine.read(refuse, over)
@@ -138,7 +157,7 @@
 
 
 def check_start(world: World, rid: str) -> None:
-    """Add the invariants that forbid the run that has just started."""
+    """Record a violation of each rule that the run that has just started breaks."""
     index = ATTEMPT_IDS.index(rid)
     attempt = world.scenario.attempts[index]
     caller = world.callers[index]
@@ -157,34 +176,34 @@
 
 
 def read_and_reject(world: World) -> None:
-    """The engine reads a start and answers EINVAL."""
+    """Let the engine read a start and answer EINVAL."""
     world.count_fault("einval")
     read_command(world, refuse=True)
 
 
 def read_of_ended_request(world: World) -> None:
-    """The engine reads a start whose request has ended."""
+    """Let the engine read a start whose request has ended."""
     read_command(world, over=True)
 
 
 def end_run(world: World, rid: str, status: str) -> None:
-    """A run ends with this status."""
+    """End a run with this status."""
     world.engine.end(rid, status)
 
 
 def make_call(world: World, rid: str) -> None:
-    """A run makes its next call."""
+    """Let a run make its next call."""
     world.engine.begin_call(rid)
 
 
 def restart_engine(world: World) -> None:
-    """The engine is restarted."""
+    """Restart the engine."""
     world.count_fault("kernel")
     world.cut_link()
     world.engine.restart()
 
 
 def stall_link(world: World) -> None:
-    """The link accepts nothing more until it breaks."""
+    """Stall the link: until it breaks, writes to it fail."""
     world.count_fault("deaf")
     world.stalled = True
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -1,4 +1,4 @@
-"""Models of the engine and the policy: they do whatever the protocol allows, in any order."""
+"""Models of the engine and the policy, which may do anything that the protocol allows, in any order."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 LinkLine = tuple[
     Any, ...
-]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
+]  # a line on the engine link: its kind and arguments, of plain types so that states can be stored with marshal
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
-# Effects of the request tracker that are for the policy.
+# Effects of the request tracker that notify the policy.
 POLICY_NOTIFICATIONS = (
     AttemptAction.TELL_ARRIVAL,
     AttemptAction.TELL_CALL_NEEDED,
@@ -23,7 +23,7 @@
 
 
 def engine_line(effect: command_log.LinkEffect) -> LinkLine:
-    """What goes to the engine for this effect."""
+    """Return the line that is sent to the engine for this effect."""
     if isinstance(effect, command_log.RequestMark):
         return ("MARK", effect.name)
     if isinstance(effect, command_log.SendOpen):
@@ -38,15 +38,15 @@
     """An engine that reads commands one by one, runs requests and sends notices.
 
     Attributes:
-        incarnation: One more after each restart.
-        linked: A server is connected.
-        runs: By request id: whether the run waits at a call, and the number of calls made.
-        starts: By request id, the number of starts.
+        incarnation: 0 at first, one more after each restart.
+        linked: Whether a server is connected.
+        runs: For each run, by request id: 1 if it waits for the reply to a call, else 0; and the number of calls made.
+        starts: The number of starts, by request id.
         passed: The ids of requests whose run succeeded.
-        wrong_reply: The id of a request whose run got the reply to another call.
-        notices: All notices of this incarnation.
-        up: Lines on their way to the engine.
-        down: Lines on their way to the server.
+        wrong_reply: The id of a request whose run received the reply to another call; empty if there is none.
+        notices: All notices since the engine or the server was started.
+        lines_to_engine: Lines in transit to the engine.
+        lines_to_server: Lines in transit to the server.
     """
 
     incarnation: int = 0
@@ -60,31 +60,36 @@
     lines_to_server: list[LinkLine] = field(default_factory=list)
 
     def send_notice(self, *notice: Any) -> None:
-        """Number a notice, keep it, and send it if there is a link."""
+        """Number a notice, store it for later links, and send it if a server is connected."""
         self.notices.append(notice)
         if self.linked:
             self.lines_to_server.append(("N", len(self.notices), *notice))
 
     def break_link(self) -> None:
-        """The link breaks; all that was on its way is lost."""
+        """Break the link; all lines in transit are lost."""
         self.linked = False
         self.lines_to_engine.clear()
         self.lines_to_server.clear()
 
     def restart(self) -> None:
-        """Restart: runs and notices are lost."""
+        """Restart the engine; runs and notices are lost."""
         self.break_link()
         self.incarnation += 1
         self.runs.clear()
         self.notices.clear()
 
     def server_restarted(self) -> None:
-        """The server was restarted: notices are numbered from 1 again; runs go on."""
+        """Handle a restart of the server: notices are numbered from 1 again, and runs continue."""
         self.break_link()
         self.notices.clear()
 
     def read(self, refuse: bool, over: bool) -> None:
-        """Read the next command. `refuse`: with EINVAL; `over`: its request is over, so nothing is started."""
+        """Read and execute the next command.
+
+        Args:
+            refuse: Answer a start with EINVAL.
+            over: Report a start as a NOOP run, because nobody waits for the request any longer.
+        """
         kind, *rest = self.lines_to_engine.pop(0)
         if kind == "OPEN":
             self.linked = True
@@ -110,14 +115,14 @@
                 run[0] = 0
 
     def begin_call(self, rid: str) -> None:
-        """A run makes its next call."""
+        """Let a run make its next call, and send the notice of it."""
         run = self.runs[rid]
         run[0] = 1
         run[1] = run[1] + 1
         self.send_notice("IOREQ", rid, run[1])
 
     def end(self, rid: str, status: str) -> None:
-        """A run ends with this status."""
+        """End a run with this status, and send the notice of it."""
         del self.runs[rid]
         if status == "PASS":
             self.passed.add(rid)
@@ -126,28 +131,34 @@
 
 @dataclass(slots=True)
 class PolicyModel:
-    """A policy that may decide anything about attempts that it knows and has not decided."""
+    """A policy that may take any decision about the attempts that it was notified of.
+
+    Attributes:
+        held: Ids of attempts that wait for the decision to start.
+        running: Ids of attempts that were started.
+        at_call: Ids of attempts whose run waits for the decision on its call.
+    """
 
     held: list[str] = field(default_factory=list)
     running: list[str] = field(default_factory=list)
     at_call: list[str] = field(default_factory=list)
 
     def arrival(self, id: str) -> None:
-        """A new attempt arrived."""
+        """Add a new attempt."""
         self.held.append(id)
 
     def forget(self, id: str) -> None:
-        """Nothing more is decided about this attempt."""
-        for row in (self.held, self.running, self.at_call):
-            if id in row:
-                row.remove(id)
+        """Remove an attempt about which nothing more is to be decided."""
+        for ids in (self.held, self.running, self.at_call):
+            if id in ids:
+                ids.remove(id)
 
     def run_started(self, id: str) -> None:
-        """The attempt was started."""
+        """Record that the attempt was started."""
         self.held.remove(id)
         self.running.append(id)
 
     def call_needed(self, id: str) -> None:
-        """A run waits for the decision on its call."""
+        """Record that a run waits for the decision on its call."""
         if id in self.running and id not in self.at_call:
             self.at_call.append(id)
--- a/myrtlespar/model_checker/events.py
+++ b/myrtlespar/model_checker/events.py
@@ -1,4 +1,4 @@
-"""The table of all events by name, and what applies them. Replays store these names, so they stay as they are."""
+"""The table of all events by name. Saved counter-examples contain the names, so they must not change."""
 
 from __future__ import annotations
 
@@ -54,17 +54,17 @@
     "tick": process_events.tick,
     "kill": process_events.kill_server,
 }
-# Events whose numbers are those of attempts.
-CALLERS = frozenset({"send", "whole", "cut short", "spoil", "turn away", "give up", "reset", "close"})
+# Events of clients, whose argument is the index of an attempt.
+CLIENT_EVENTS = frozenset({"send", "whole", "cut short", "spoil", "turn away", "give up", "reset", "close"})
 
 
 def apply(world: World, event: Event) -> None:
-    """Make an event happen."""
+    """Apply an event to the world."""
     EVENTS[event[0]](world, *event[1:])
 
 
 def begin(scenario: Scenario) -> World:
-    """The world in which the exploration of a scenario begins."""
+    """Return the initial world of a scenario."""
     world = World(scenario)
     if scenario.starts_read:
         for index in range(len(scenario.attempts)):
@@ -74,5 +74,7 @@
 
 
 def show(event: Event) -> str:
-    """The event as in a counter-example."""
-    return " ".join(ATTEMPT_IDS[word] if isinstance(word, int) and event[0] in CALLERS else str(word) for word in event)
+    """Return the event as it is printed in counter-examples, with the letters of attempts for their indices."""
+    return " ".join(
+        ATTEMPT_IDS[word] if isinstance(word, int) and event[0] in CLIENT_EVENTS else str(word) for word in event
+    )
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants, each stated once, and their check after every event."""
+"""The invariants (rules) of the state machines, and the check of them after every event."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from myrtlespar.state_machines.idempotency_keys import KeyState
 from myrtlespar.state_machines.transition_table import Transition, TransitionTable
 
-# Name and meaning. The names stand in saved counter-examples, so they stay as they are.
+# The meaning of each rule by its name. Saved counter-examples contain the names, so they must not change.
 RULES = {
     "one answer": "A request that was read completely gets one final answer, never a second.",
     "answer to nobody": "A caller that is known to be gone gets no answer.",
@@ -34,7 +34,12 @@
 
 
 class TransitionCoverage:
-    """Observes all transition tables: the rows that were used, and events that had none."""
+    """Observes all transition tables, and records which transitions were used and which events had none.
+
+    Attributes:
+        used_transitions: (table, state, event) of each transition that was used.
+        undefined: Descriptions of the events since the last check that have no transition in their state.
+    """
 
     def __init__(self) -> None:
         self.used_transitions: set[tuple[str, int, int]] = set()
@@ -43,7 +48,7 @@
             table.observer = self
 
     def __call__(self, table: TransitionTable, who: str, state: int, event: int, row: Transition | None) -> None:
-        """Note one step of a table; `row` is None where the table has none for it."""
+        """Record one step of a table; `row` is None if the table has no transition for it."""
         if row is None:
             self.undefined.append(f"{table.name} {table.states(state).name} {table.events(event).name}")
         else:
@@ -51,7 +56,7 @@
 
 
 def unused_transitions(used_transitions: set[tuple[str, int, int]]) -> list[str]:
-    """Rows that no exploration used; they are to be reached or removed."""
+    """Return the transitions that no exploration used. Each is dead code, or needs a scenario that reaches it."""
     return [
         f"{table.name} {table.states(state).name} {table.events(event).name}"
         for table in TABLES
@@ -61,7 +66,13 @@
 
 
 def broken_rules(world: World, coverage: TransitionCoverage, ticked: bool) -> list[str]:
-    """The rules that do not hold in this world, those that its newest event broke first."""
+    """Return the names of the rules that do not hold, beginning with those that the newest event broke.
+
+    Args:
+        world: The world after the event; its `violations` are cleared.
+        coverage: Observed the event; its `undefined` events are cleared.
+        ticked: Whether the event was a tick of the clock, so that due times have to be checked.
+    """
     out = list(world.violations)
     world.violations.clear()
     if coverage.undefined:
@@ -105,7 +116,7 @@
 
 
 def _has_lost_request(world: World) -> bool:
-    """Whether a caller waits past its due time for a request that the tracker no longer has."""
+    """Return whether a caller waits for a request that the request tracker no longer has."""
     return any(
         caller.stage == WAITING
         and caller.incarnation == world.incarnation
@@ -117,7 +128,7 @@
 
 
 def _is_accounting_consistent(world: World) -> bool:
-    """Whether callers, requests, the count of unanswered ones and the key table tell the same."""
+    """Return whether callers, requests, the count of unanswered requests and the key table are consistent."""
     tracker = world.tracker
     unanswered_count = sum(exchange.state in AWAITING_ANSWER for exchange in tracker.requests.values())
     if unanswered_count != tracker.unanswered or any(
@@ -145,7 +156,11 @@
 
 
 def _end_will_be_reported(world: World, rid: str) -> bool:
-    """Whether something will still show how this run ends."""
+    """Return whether the server can still find out that this run ends.
+
+    It can if the run is still executed, if a line or notice about it will still be read, or if the next greeting shows
+    that the engine has another incarnation.
+    """
     exchange = world.tracker.requests[rid]
     if exchange.target:
         return rid in world.workers
--- a/myrtlespar/model_checker/process_events.py
+++ b/myrtlespar/model_checker/process_events.py
@@ -1,4 +1,4 @@
-"""Drain, hand-over, reload, ticks of the clock, and kills of the server."""
+"""Events of the server's process: drain, hand-over, reload, ticks of the clock, and kills."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from myrtlespar.state_machines.client_connection import ConnectionEvent, ConnectionState
 from myrtlespar.state_machines.process import ProcessAction, ProcessEvent, ProcessState
 
-HANDOVER_MS = 2700.0  # SIGKILL after a hand-over: the deadline of two ticks, and 0.7 s
+HANDOVER_MS = 2700.0  # from the start of a hand-over to SIGKILL: the due time of an attempt (2 ticks) and 0.7 s
 
 
 def drain_notice(world: World) -> None:
-    """The server gets the notice to drain."""
+    """Deliver the drain notice to the server."""
     world.count_fault("notice")
     _apply_actions(world, world.tracker.process.drain_notice(world.now))
 
 
 def hand_over(world: World) -> None:
-    """SIGTERM while a second process serves beside this one; it is killed as the drain would be."""
+    """Send SIGTERM while a second process serves beside this one, and schedule the kill at the end of the hand-over."""
     world.count_fault("notice")
     _apply_actions(world, world.tracker.process.handover(world.now, HANDOVER_MS))
 
 
 def reload(world: World) -> None:
-    """The configuration is reloaded, and links move to new addresses."""
+    """Reload the settings, so that the links move to new addresses."""
     world.count_fault("move")
     _apply_actions(world, world.tracker.process.handle(ProcessEvent.RELOAD))
 
 
 def bad_reload(world: World) -> None:
-    """A reload is rejected."""
+    """Reload invalid settings, which are rejected."""
     world.count_fault("bad reload")
     _apply_actions(world, world.tracker.process.handle(ProcessEvent.BAD_RELOAD))
 
 
 def poll_process(world: World) -> None:
-    """The process lifecycle is polled."""
+    """Poll the process lifecycle."""
     _apply_actions(world, world.tracker.process.poll(world.now, world.tracker.unanswered))
 
 
@@ -88,12 +88,12 @@
 
 
 def flushed(world: World) -> None:
-    """All answers are flushed."""
+    """Report that all answers are flushed."""
     _apply_actions(world, world.tracker.process.handle(ProcessEvent.FLUSHED))
 
 
 def tick(world: World) -> None:
-    """One tick of the clock: due times, call limits, and the kill at the end of a drain."""
+    """Advance the clock by one tick, and apply due times, time limits of calls, and the kill at the end of a drain."""
     world.now += TICK_MS
     if world.stopped:
         return
@@ -110,7 +110,7 @@
 
 
 def kill_server(world: World) -> None:
-    """The server is killed and started again."""
+    """Kill the server and start it again."""
     world.incarnation += 1
     for caller in world.callers:
         if caller.stage in (PARTLY_READ, WAITING):
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that the checker explores. Their names stand in saved counter-examples, so they stay as they are."""
+"""The scenarios of the model checker. Saved counter-examples contain their names, so they must not change."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     """One attempt of a request.
 
     Attributes:
-        front: `thrift` or `ajp`.
-        effectful: It must not run twice.
-        key: Its idempotency key, if any.
-        target: The AJP worker that runs it; empty: the engine.
-        link: The number of the attempt whose connection it shares; -1: it has its own.
+        front: The client protocol, `thrift` or `ajp`.
+        effectful: Whether the request must not run twice.
+        key: The idempotency key; empty if there is none.
+        target: The name of the AJP worker that runs the request; empty for the engine.
+        link: The index of the attempt whose connection it shares; -1 if it has a connection of its own.
     """
 
     front: str = "thrift"
@@ -26,48 +26,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """The bounds of one exploration: who calls, and how often each fault may happen.
+    """The bounds of one exploration: the attempts of clients, and how often each fault may happen.
 
-    One tick is a second; an attempt is due after two, the grace period after the drain notice is one.
+    A tick advances the clock by 1 s. An attempt is due 2 s after its arrival, and the grace period after the drain
+    notice is 1 s long.
     """
 
     name: str
     attempts: tuple[ScenarioAttempt, ...]
     ticks: int = 4
-    link_breaks: int = 0  # of the link to the engine
+    link_breaks: int = 0  # breaks of the link to the engine
     duplicate_notices: int = 0
     lost_notices: int = 0
     engine_restarts: int = 0
-    incarnations: int = 1  # of the server
+    incarnations: int = 1  # how often the server is started
     drain: bool = False
-    drain_notices: int = 1  # where there is a drain
-    handover: bool = False  # the notice is SIGTERM beside a second process: a hand-over, not a drain
-    stalled_links: int = 0  # links that accept nothing more before they break
-    cancellations: int = 0  # by clients
-    resets: int = 0  # of clients' connections
-    closes: int = 0  # of idle connections, by the server
+    drain_notices: int = 1  # used only if `drain` is set
+    handover: bool = False  # the drain notice is a SIGTERM while a second process serves: a hand-over, not a drain
+    stalled_links: int = 0  # engine links that accept no more writes before they break
+    cancellations: int = 0  # requests cancelled by clients
+    resets: int = 0  # resets of client connections while an answer is awaited
+    closes: int = 0  # idle client connections closed by the server
     malformed_messages: int = 0
-    calls: int = 0  # that each run makes
+    calls: int = 0  # maximum number of calls that each run makes
     bad_replies: int = 0
     einvals: int = 0  # starts that the engine rejects
     gauge_requests: int = 0
-    reloads: int = 0  # that move the links
+    reloads: int = 0  # reloads that move the links to new addresses
     bad_reloads: int = 0
-    models_dependency: bool = False  # with its connections, else only the ends of calls
+    models_dependency: bool = False  # model the dependency's connections, not only the outcomes of calls
     dependency_faults: int = 0
     dependency_connections: int = 2
-    remembered_requests: int = 2  # newest requests remembered of a connection to the dependency
+    remembered_requests: int = 2  # newest request ids that are remembered for each connection to the dependency
     dependency_queue: int = 8  # calls that may wait for a connection
-    unexpected_decisions: int = 0  # of the policy
-    ordered: bool = True  # attempts that no observer could tell apart are sent in one order
-    starts_read: bool = False  # all attempts are read at the beginning
-    policy_silent: bool = False  # the policy decides nothing at all
+    unexpected_decisions: int = 0  # decisions that the policy takes although it should not
+    ordered: bool = True  # identical attempts are sent in one fixed order, which reduces the number of states
+    starts_read: bool = False  # all attempts have been read when the exploration begins
+    policy_silent: bool = False  # the policy takes no decisions
     max_keys: int = 8
     max_followers: int = 8
     key_ms: float = 60000.0  # how long a key is remembered
 
     def identical_predecessor(self, n: int) -> int:
-        """The attempt before this one that no observer could tell from it, or -1: they are sent in this order."""
+        """Return the index of the nearest earlier attempt that equals attempt `n`, or -1 if there is none.
+
+        Attempt `n` may be sent only after it. Returns -1 always if `ordered` is not set.
+        """
         if not self.ordered:
             return -1
         return next((m for m in range(n - 1, -1, -1) if self.attempts[m] == self.attempts[n]), -1)
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -1,4 +1,4 @@
-"""The state that the checker explores: the server's state machines, wired as in the server, and their environment."""
+"""The explored state: the server's state machines, wired as in the server, and models of their environment."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from myrtlespar.state_machines.request_effects import RequestEffect, RequestTerms
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
-Event = tuple[Any, ...]  # a name and its arguments, as replays store it
-TICK_MS = 1000.0
-DUE_MS = 2000.0
-OVERDUE_MS = 60.0
-GRACE_MS = 1000.0
+Event = tuple[Any, ...]  # the event's name and its arguments, in the form that saved counter-examples store
+TICK_MS = 1000.0  # time that passes with each tick event
+DUE_MS = 2000.0  # from the arrival of an attempt to its due time
+OVERDUE_MS = 60.0  # slack after the due time, within which an answer still counts as in time
+GRACE_MS = 1000.0  # after the drain notice, within which arriving attempts may still start
 STOP_MS = 3000.0
 SWEEP_MS = 50.0
 FLUSH_MS = 600.0
-CALL_MS = 900.0
+CALL_MS = 900.0  # time limit of a call to the dependency
 OUTCOMES = {"PASS": RunOutcome.OK, "FAIL": RunOutcome.ERROR, "KILLED": RunOutcome.STOPPED, "NOOP": RunOutcome.MOOT}
-ATTEMPT_IDS = "abcdefgh"  # request ids, by the number of the attempt
-# The stages of a caller: plain numbers, as states are stored with marshal.
+ATTEMPT_IDS = "abcdefgh"  # request ids, indexed by attempt
+# Stages of a caller. They are plain numbers because states are stored with marshal.
 UNSENT = 0
 PARTLY_READ = 1
 WAITING = 2
@@ -36,11 +36,11 @@
 
 
 def discard_answer(exchange: Exchange, answer: Answer) -> None:
-    """The `deliver` of an exchange; the world delivers answers itself."""
+    """Do nothing: the `deliver` callback of each exchange, as the world records answers itself."""
 
 
 def is_quiet(connection: dependency_calls.DependencyConnection) -> bool:
-    """Whether nothing unexpected arrived: here only the world delivers something on a connection."""
+    """Return True: data arrives on a modelled connection only by an event, so nothing unexpected is ever waiting."""
     return True
 
 
@@ -48,7 +48,7 @@
 
 
 def call_limits(scenario: Scenario) -> dependency_calls.CallLimits:
-    """The limits of calls in this scenario."""
+    """Return the limits of dependency calls in this scenario."""
     return dependency_calls.CallLimits(
         scenario.dependency_connections, scenario.dependency_queue, 5000.0, scenario.remembered_requests, 60.0
     )
@@ -59,11 +59,11 @@
     """The client of one attempt.
 
     Attributes:
-        stage: UNSENT to DONE.
-        answers: The kinds of the answers that it got.
-        gone: It no longer waits.
-        incarnation: Of the server that the attempt is or was sent to.
-        late: The attempt was read after the grace period of the drain notice.
+        stage: `UNSENT`, `PARTLY_READ`, `WAITING` or `DONE`.
+        answers: The kinds of the answers that the caller received.
+        gone: Whether the caller cancelled or lost its connection.
+        incarnation: The incarnation of the server that the attempt was sent to.
+        late: Whether the attempt was read after the grace period of the drain notice.
     """
 
     stage: int = UNSENT
@@ -76,20 +76,20 @@
 class World:
     """The server's state machines and the models of engine, policy, dependency and clients.
 
-    `events.apply` makes one event happen.
+    `events.apply` applies one event to it.
 
     Attributes:
-        now: Milliseconds since the beginning.
-        incarnation: Of the server: 1 at first, one more after each kill.
-        known_engine: The incarnation of the engine that the server knows; -1: none.
-        fault_counts: How often each kind of fault happened.
-        violations: Invariants that the newest event broke.
-        concluded_at: By request id, when the server took its run for ended.
-        pending: Calls made of an abstract dependency: by request id, the number of the call.
-        dependency_connections: Those that are open or being opened.
-        duplicate_replies: Second copies of replies still to arrive: connection, request id, body.
-        workers: Request ids of runs at AJP workers.
-        stalled: The engine link accepts nothing more.
+        now: Milliseconds since the exploration began.
+        incarnation: The incarnation of the server: 1 at first, one more after each kill.
+        known_engine: The incarnation of the engine that the server is connected to; -1 if it knows none.
+        fault_counts: How often each kind of fault has happened.
+        violations: The names of the rules that the newest event broke.
+        concluded_at: The time at which the server first considered a run ended, by request id.
+        pending: The number of the outstanding call, by request id, where the dependency's connections are not modelled.
+        dependency_connections: The connections to the dependency that are open or being opened.
+        duplicate_replies: Second copies of replies that are still to arrive, as (connection, request id, body).
+        workers: The request ids of runs at AJP workers.
+        stalled: Whether writes to the engine link fail until it breaks.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -108,7 +108,10 @@
         self._establish_link()
 
     def _establish_link(self) -> None:
-        """Set up the first link before the exploration; what can go wrong on it can on later ones too."""
+        """Connect the first engine link before the exploration starts.
+
+        Faults while connecting need not be explored here, as they can happen on every later link.
+        """
         link = self.commands
         engine = self.engine
         self.apply_link_effects(link.connected())
@@ -138,17 +141,18 @@
         self.stalled = False
 
     def fault_allowed(self, kind: str, limit: int) -> bool:
-        """Whether this kind of fault happened less than `limit` times."""
+        """Return whether this kind of fault has happened fewer than `limit` times."""
         return self.fault_counts.get(kind, 0) < limit
 
     def count_fault(self, kind: str) -> None:
         """Count one fault of this kind."""
         self.fault_counts[kind] = self.fault_counts.get(kind, 0) + 1
 
-    # Carrying out effects, as the request coordinator, the engine client, the dependency client and the fronts do.
+    # The following methods carry out effects as the request coordinator, the clients of engine and dependency, and the
+    # fronts do in the server.
 
     def apply_effects(self, effects: list[RequestEffect]) -> None:
-        """Carry out what the request tracker ordered, as the request coordinator does."""
+        """Carry out effects of the request tracker, as the request coordinator does."""
         for effect in effects:
             if effect.action is AttemptAction.DELIVER:
                 assert effect.answer is not None
@@ -206,7 +210,7 @@
         self.handle_connection_event(n, self.event_of_answer(n))
 
     def _was_made(self, answer: Answer, n: int) -> bool:
-        """Whether a run of this attempt, or of one with its idempotency key, made this answer."""
+        """Return whether the answer comes from a run of this attempt, or of one with the same idempotency key."""
         key = self.scenario.attempts[n].key
         linked = [
             ATTEMPT_IDS[other]
@@ -216,12 +220,12 @@
         return any(id in self.engine.passed or answer.body == b"w" + id.encode() for id in linked)
 
     def connection_index(self, n: int) -> int:
-        """The number of the connection that a caller uses."""
+        """Return the index of the connection that caller `n` uses."""
         link = self.scenario.attempts[n].link
         return n if link < 0 else link
 
     def waiting_on_same_connection(self, n: int) -> list[int]:
-        """The numbers of all callers on its connection that wait."""
+        """Return the indices of all callers on the connection of caller `n` that wait for an answer."""
         return [
             other
             for other, caller in enumerate(self.callers)
@@ -232,7 +236,7 @@
         ]
 
     def event_of_answer(self, n: int) -> ConnectionEvent:
-        """What the end of this caller's wait means for its connection."""
+        """Return the connection event for the end of this caller's wait, by whether others wait on its connection."""
         return (
             ConnectionEvent.ANSWERED
             if any(other != n for other in self.waiting_on_same_connection(n))
@@ -240,7 +244,7 @@
         )
 
     def handle_connection_event(self, n: int, event: ConnectionEvent) -> None:
-        """Something happens to the connection of a caller; carried out as a front does."""
+        """Apply an event to the connection of caller `n`, and carry out the resulting actions as a front does."""
         for action in self.connections[self.connection_index(n)].handle(event):
             if action is ConnectionAction.GONE:
                 for other in self.waiting_on_same_connection(n):
@@ -250,7 +254,7 @@
                         self.apply_effects(self.tracker.caller_gone(exchange))
 
     def apply_link_effects(self, effects: list[command_log.LinkEffect]) -> None:
-        """Carry out what the engine link ordered, as the engine client does."""
+        """Carry out effects of the engine link, as the engine client does."""
         for effect in effects:
             if isinstance(effect, command_log.EndRun):
                 self.end_run(effect.request_id, RunOutcome.MOOT, None)
@@ -263,14 +267,14 @@
                 self.engine.lines_to_engine.append(engine_line(effect))
 
     def cut_link(self) -> None:
-        """The link to the engine breaks."""
+        """Break the link to the engine."""
         self.engine.break_link()
         self.stalled = False
         if self.commands.state != engine_link.LinkState.DOWN:
             self.commands.broken()
 
     def apply_call_effects(self, effects: list[dependency_calls.CallEffect]) -> None:
-        """Carry out what the calls to the dependency ordered, as the dependency client does."""
+        """Carry out effects of the dependency calls, as the dependency client does."""
         for effect in effects:
             if isinstance(effect, dependency_calls.OpenConnection):
                 self.dependency_connections.append(effect.connection)
@@ -278,12 +282,12 @@
                 self.apply_effects(self.tracker.call_ended(effect.call.id, effect.outcome, 0.0, effect.reply))
 
     def end_run(self, rid: str, outcome: RunOutcome, answer: Answer | None) -> None:
-        """The server learns, or concludes, that a run ended."""
+        """Report to the request tracker that a run ended, by a notice or because the server concludes it."""
         self.concluded_at.setdefault(rid, self.now)
         self.apply_effects(self.tracker.run_ended(rid, outcome, 0.0, answer, self.now))
 
     def describe(self) -> str:
-        """The state in one line, for counter-examples."""
+        """Return a one-line summary of the state, for printing counter-examples."""
         process = ProcessState(self.tracker.process.state).name
         link = engine_link.LinkState(self.commands.state).name
         attempts = " ".join(f"{x.id}={AttemptState(x.state).name}" for x in self.exchanges if x is not None)
