--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -1,4 +1,4 @@
-"""What `myrtlespar check` does: run explorations, print what they found, save and replay counter-examples."""
+"""Implements `myrtlespar check`: runs explorations, prints their results, and saves and replays counter-examples."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from myrtlespar.model_checker.state_encoding import deserialize, serialize
 from myrtlespar.model_checker.world import Event
 
-MAX_PATH_EVENTS = 15  # of the counter-example of a mutation
+MAX_PATH_EVENTS = 15  # longest acceptable counter-example of a mutation
 
-# Exit statuses.
+# Exit statuses of the command.
 ALL_HOLD = 0
 RULE_BROKEN = 1
 FAULTY_INPUT = 2
@@ -32,20 +32,20 @@
 
 
 class FaultyReplayError(MyrtlesparError):
-    """A replay file that can't be read or played; the message names the place in one line."""
+    """A saved counter-example can't be read or replayed; the message names the place in one line."""
 
 
 def explore_all(names: list[str], bounds: Bounds, jobs: int, folder: Path | None, live: bool) -> int:
-    """Explore scenarios one by one, and print a line for each.
+    """Explore scenarios one after the other, and print a line for each.
 
-    Where all small scenarios are among them, every row of every transition table must have been used.
+    If all small scenarios are among them, every row of every transition table must have been used.
 
     Args:
-        names: Of scenarios; `twins` is the exploration of two processes.
-        bounds: Of each exploration.
+        names: The names of the scenarios; `twins` is the exploration of two processes.
+        bounds: The bounds of each exploration.
         jobs: The number of worker processes.
-        folder: Where to save counter-examples, if anywhere.
-        live: Print progress to standard error.
+        folder: The folder in which counter-examples are saved; None if they are not saved.
+        live: Whether to print progress to standard error.
 
     Returns:
         The exit status.
@@ -61,34 +61,34 @@
         names.remove("twins")
         status = process_pair.print_result(process_pair.explore())
     for name in names:
-        found = explore(ALL[name], bounds, jobs, progress if live else None)
-        used_transitions |= found.used_transitions
-        print_summary(found)
-        if found.violations:
-            print_counter_example(found)
+        result = explore(ALL[name], bounds, jobs, progress if live else None)
+        used_transitions |= result.used_transitions
+        print_summary(result)
+        if result.violations:
+            print_counter_example(result)
             if folder is not None:
-                save(found, folder / f"{name}.yaml")
+                save(result, folder / f"{name}.yaml")
             status = RULE_BROKEN
-        elif not found.complete:
-            print(f"  stopped by {found.stopped_by}: what was covered holds, the rest is not known")
+        elif not result.complete:
+            print(f"  stopped by {result.stopped_by}: all explored states hold, the others are unknown")
             status = status or NO_VERDICT
     if set(QUICK) <= set(names) and status == ALL_HOLD:
         status = report_unused_transitions(used_transitions)
     return status
 
 
-def print_summary(found: ExplorationResult) -> None:
-    """Print the line of one exploration."""
-    verdict = "holds" if found.complete and not found.violations else "fell" if found.violations else "no verdict"
+def print_summary(result: ExplorationResult) -> None:
+    """Print the result of one exploration in one line."""
+    verdict = "holds" if result.complete and not result.violations else "fell" if result.violations else "no verdict"
     print(
-        f"{found.scenario:10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
-        f"{found.seconds:7.1f} s  {verdict}",
+        f"{result.scenario:10} {result.states:>10,} states {result.steps:>11,} steps  depth {result.depth:>3} "
+        f"{result.seconds:7.1f} s  {verdict}",
         flush=True,
     )
 
 
 def report_unused_transitions(used_transitions: UsedTransitions) -> int:
-    """Print the rows of the transition tables that no exploration used; returns the exit status."""
+    """Print the rows of the transition tables that no exploration used, and return the exit status."""
     never_used = unused_transitions(used_transitions)
     for row in never_used:
         print(f"row never used: {row}")
@@ -96,55 +96,66 @@
     return RULE_BROKEN if never_used else ALL_HOLD
 
 
-def print_counter_example(found: ExplorationResult) -> None:
-    """Print the rules that were broken, and the events with the state after each."""
-    for rule in found.violations:
+def print_counter_example(result: ExplorationResult) -> None:
+    """Print the broken rules, and the events of the counter-example with the state after each."""
+    for rule in result.violations:
         print(f"  fell: {rule}: {RULES[rule]}")
-    for line in describe_path(found.scenario, found.path):
+    for line in describe_path(result.scenario, result.path):
         print(f"  {line}")
 
 
 def describe_path(scenario: str, path: list[Event]) -> list[str]:
-    """The events, numbered, with the state after each. Raises FaultyReplayError for one that can't come there."""
+    """Return one line for each event, with its number and the state after it.
+
+    Raises:
+        FaultyReplayError: An event is not possible in the state before it.
+    """
     limit_steps()
     bounds = ALL[scenario]
     coverage = TransitionCoverage()
     packed = deserialize(serialize(begin(bounds)))
-    out: list[str] = []
+    lines: list[str] = []
     for number, event in enumerate(path, 1):
         if event not in enabled_events(unpack(bounds, packed)):
             raise FaultyReplayError(f"event {number}: {show(event)!r} can't come here")
         world, violations = step(bounds, packed, event, coverage)
-        out.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
+        lines.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
         packed = deserialize(serialize(world))
-    return out
+    return lines
 
 
-def save(found: ExplorationResult, path: Path, mutation: str = "") -> None:
-    """Save a counter-example as YAML; the keys are those of stored replays."""
+def save(result: ExplorationResult, path: Path, mutation: str = "") -> None:
+    """Save a counter-example as YAML. The keys of the file are a stored format and must not change."""
     path.parent.mkdir(parents=True, exist_ok=True)
     rows: dict[str, Any] = {
-        "scenario": found.scenario,
-        "fell": found.violations,
-        "events": [list(e) for e in found.path],
+        "scenario": result.scenario,
+        "fell": result.violations,
+        "events": [list(e) for e in result.path],
     }
     path.write_text(yaml.safe_dump({**rows, "plant": mutation} if mutation else rows, sort_keys=False))
 
 
 def read(path: Path) -> tuple[str, list[Event], str]:
-    """Read a saved counter-example: scenario, events, name of the mutation. Raises FaultyReplayError."""
+    """Read a saved counter-example.
+
+    Returns:
+        The name of the scenario, the events, and the name of the mutation, which is empty if there is none.
+
+    Raises:
+        FaultyReplayError: The file can't be read, or a key has an invalid value.
+    """
     try:
         rows = yaml.safe_load(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
         raise FaultyReplayError(f"{path}: can't be read: {error}") from None
     except yaml.YAMLError as error:
-        where = getattr(error, "problem_mark", None)
-        raise FaultyReplayError(f"{path}: line {where.line + 1 if where else '?'}: not YAML") from None
+        mark = getattr(error, "problem_mark", None)
+        raise FaultyReplayError(f"{path}: line {mark.line + 1 if mark else '?'}: not YAML") from None
     if not isinstance(rows, dict) or rows.get("scenario") not in ALL:
-        raise FaultyReplayError(f"{path}: scenario: unknown or missing")
+        raise FaultyReplayError(f"{path}: scenario: unknown or missing name; expected one of {', '.join(ALL)}")
     events = rows.get("events")
     if not isinstance(events, list) or not events:
-        raise FaultyReplayError(f"{path}: events: expected a list")
+        raise FaultyReplayError(f"{path}: events: expected a list of at least one event")
     for number, event in enumerate(events, 1):
         if not isinstance(event, list) or not event or event[0] not in EVENTS:
             raise FaultyReplayError(f"{path}: event {number}: no such event: {event!r}"[:200])
@@ -155,7 +166,13 @@
 
 
 def replay(path: Path, real: bool, mutation: str) -> int:
-    """Play a counter-example in the explorer, or against the real program; returns the exit status."""
+    """Replay a counter-example in the explorer, or on the real program, and return the exit status.
+
+    Args:
+        path: The saved counter-example.
+        real: Whether to replay it on the real program.
+        mutation: The name of the mutation to replay it with; empty for none.
+    """
     try:
         scenario, events, _ = read(path)
         if mutation and mutation not in MUTATIONS:
@@ -169,7 +186,7 @@
             for rule in replayed.violations:
                 print(f"fell: {rule}: {RULES[rule]}")
             return RULE_BROKEN if replayed.violations else ALL_HOLD
-        if mutation:  # the state machines are loaded in this process already
+        if mutation:  # needs a new process, as the unchanged state machines are already loaded in this one
             module = "myrtlespar.model_checker.mutation_testing"
             return subprocess.run(
                 [sys.executable, "-m", module, mutation, "--replay", str(path)], check=False
@@ -183,7 +200,10 @@
 
 
 def find_all_mutations(jobs: int, seconds: float, folder: Path | None) -> int:
-    """Look for every mutation, each in its own process; returns the exit status. A survivor is a gap in the checker."""
+    """Search for every mutation, each in its own process, and return the exit status.
+
+    A mutation that is not found shows a gap in the rules or scenarios of the model checker.
+    """
 
     def find_mutation(name: str) -> tuple[str, str]:
         words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--seconds", str(seconds)]
--- a/myrtlespar/model_checker/diagrams.py
+++ b/myrtlespar/model_checker/diagrams.py
@@ -1,4 +1,4 @@
-"""Tables and diagrams of all machines as Markdown, made from the code so that they can't go stale."""
+"""Generates the tables and diagrams of all state machines as Markdown, from the code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def document() -> str:
-    """The whole page."""
+    """Return the complete page."""
     rules = "".join(f"| {name} | {text} |\n" for name, text in RULES.items())
     return (
         HEAD
@@ -24,7 +24,7 @@
 
 
 def section(table: TransitionTable) -> str:
-    """One machine: a diagram, and its rows with their effects."""
+    """Return the section of one state machine: a diagram, and the table of its transitions with their effects."""
     arrows: dict[tuple[str, str], list[str]] = {}
     rows = []
     for state, event in table.defined_transitions():
--- a/myrtlespar/model_checker/explore.py
+++ b/myrtlespar/model_checker/explore.py
@@ -1,4 +1,4 @@
-"""Breadth-first exploration of every state of a scenario, so that the first counter-example is a shortest one."""
+"""Breadth-first exploration of all states of a scenario, so that the first counter-example is a shortest one."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from myrtlespar.model_checker.state_encoding import PackedState, deserialize, digest, serialize
 from myrtlespar.model_checker.world import Event, World
 
-CHUNK_STATES = 200  # handed to a worker at a time
-MAX_STEP_S = 1.0  # of processor time for one event, a thousand times what one takes
+CHUNK_STATES = 200  # number of states that a worker expands at a time
+MAX_STEP_S = 1.0  # limit of processor time for one event, about a thousand times what an event needs
 UsedTransitions = set[tuple[str, int, int]]
 
 
 class NonTerminatingError(MyrtlesparError):
-    """A state machine that does not end its work on one event."""
+    """A state machine did not finish an event within `MAX_STEP_S`."""
 
 
 def limit_steps() -> None:
-    """Interrupt events that do not end, in this process; `step` reports them as broken rules."""
+    """Interrupt events of this process that exceed `MAX_STEP_S`; `step` reports them as a broken rule."""
     signal.signal(signal.SIGVTALRM, _raise_non_terminating)
 
 
@@ -41,7 +41,20 @@
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """What an exploration found. It is no verdict unless `complete`: a bound stopped it."""
+    """The result of an exploration.
+
+    Attributes:
+        scenario: The name of the scenario.
+        states: The number of distinct states.
+        steps: The number of events applied.
+        depth: The number of events on the longest path.
+        seconds: The duration.
+        complete: Whether no bound stopped the exploration. Otherwise it gives no verdict unless a rule is broken.
+        stopped_by: The bound that stopped it; empty if there is none.
+        violations: The names of the broken rules.
+        path: The events of the counter-example, from the initial state.
+        used_transitions: (table, state, event) of each transition that was used.
+    """
 
     scenario: str
     states: int = 0
@@ -57,17 +70,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """When to stop without a verdict."""
+    """The bounds at which an exploration stops without a verdict."""
 
     seconds: float = 3600.0
     states: int = 20_000_000
-    memory_mb: int = 6000  # of the process that holds the visited set
+    memory_mb: int = 6000  # resident memory of the main process, which holds the set of visited states
 
 
 def step(
     scenario: Scenario, packed: PackedState, event: Event, coverage: TransitionCoverage
 ) -> tuple[World, list[str]]:
-    """The world after one event, and the rules that it broke."""
+    """Return the world after one event, and the names of the rules that the event broke."""
     world = unpack(scenario, packed)
     signal.setitimer(signal.ITIMER_VIRTUAL, MAX_STEP_S)
     try:
@@ -81,22 +94,22 @@
     return world, broken_rules(world, coverage, event[0] == "tick")
 
 
-FoundState = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the state before, broken rules
+FoundState = tuple[int, bytes, int, tuple[str, ...]]  # digest, state, digest of the predecessor, broken rules
 
 
 class Expander:
-    """Expands chunks of states, in this process or in a worker."""
+    """Computes the successors of chunks of states, in this process or in a worker."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.coverage = TransitionCoverage()
-        self.sent: set[int] = set()  # what this worker has handed back already
+        self.sent: set[int] = set()  # digests of the states that this worker has returned already
 
     def __call__(self, chunk: list[tuple[int, bytes]]) -> tuple[list[FoundState], int]:
-        """Expand states, given with their digests, into the new states after them and the number of steps."""
+        """Return the new successors of these states (given with their digests), and the number of steps."""
         result: list[FoundState] = []
         steps = 0
-        for before, data in chunk:
+        for parent, data in chunk:
             packed = deserialize(data)
             for event in enabled_events(unpack(self.scenario, packed)):
                 steps += 1
@@ -105,7 +118,7 @@
                 after = digest(state)
                 if after not in self.sent or violations:
                     self.sent.add(after)
-                    result.append((after, state, before, tuple(violations)))
+                    result.append((after, state, parent, tuple(violations)))
         return result, steps
 
 
@@ -134,7 +147,7 @@
 def explore(
     scenario: Scenario, bounds: Bounds, jobs: int = 1, progress: Callable[[ExplorationResult], None] | None = None
 ) -> ExplorationResult:
-    """Visit every state, or stop at the first broken rule, or at a bound."""
+    """Visit every state, or stop at the first broken rule or at a bound."""
     if jobs == 1:
         _start_worker(scenario)
         return _explore_by_level(
@@ -146,8 +159,8 @@
             return _explore_by_level(
                 scenario, bounds, lambda frontier: pool.map(_expand, _chunks(frontier, CHUNK_STATES)), progress
             )
-        except BrokenProcessPool:  # such as one killed for memory: nothing is known of what it had in hand
-            return ExplorationResult(scenario.name, complete=False, stopped_by="a worker that died")
+        except BrokenProcessPool:  # such as a worker that was killed for its memory: its chunk was not explored
+            return ExplorationResult(scenario.name, complete=False, stopped_by="a worker process that died")
         finally:
             pool.shutdown(cancel_futures=True)
 
@@ -161,7 +174,7 @@
     began = time.monotonic()
     first = serialize(begin(scenario))
     root = digest(first)
-    before: dict[int, int] = {root: root}
+    predecessors: dict[int, int] = {root: root}
     frontier = [(root, first)]
     result = ExplorationResult(scenario.name, states=1)
     while frontier:
@@ -172,13 +185,13 @@
             for after, data, parent, violations in found:
                 if violations:
                     result.violations = list(violations)
-                    result.path = retrace(scenario, before, parent, violations)
+                    result.path = retrace(scenario, predecessors, parent, violations)
                     result.seconds = time.monotonic() - began
                     return result
-                if after not in before:
-                    before[after] = parent
+                if after not in predecessors:
+                    predecessors[after] = parent
                     next_frontier.append((after, data))
-            result.states = len(before)
+            result.states = len(predecessors)
             result.seconds = time.monotonic() - began
             result.stopped_by = _exceeded_bound(result, bounds)
             if result.stopped_by:
@@ -199,11 +212,18 @@
     return "memory" if resource.getrusage(resource.RUSAGE_SELF).ru_maxrss > bounds.memory_mb * 1024 else ""
 
 
-def retrace(scenario: Scenario, before: dict[int, int], last: int, violations: tuple[str, ...]) -> list[Event]:
-    """The events from the beginning to the state `last`, and the one after it that broke the rules."""
+def retrace(scenario: Scenario, predecessors: dict[int, int], last: int, violations: tuple[str, ...]) -> list[Event]:
+    """Return the events from the initial state to the state `last`, and the next one, which broke the rules.
+
+    Args:
+        scenario: The scenario.
+        predecessors: For each visited state, by digest, the digest of its predecessor; the initial state is its own.
+        last: The digest of the state before the rules were broken.
+        violations: The names of the broken rules.
+    """
     chain = [last]
-    while before[chain[-1]] != chain[-1]:
-        chain.append(before[chain[-1]])
+    while predecessors[chain[-1]] != chain[-1]:
+        chain.append(predecessors[chain[-1]])
     packed = deserialize(serialize(begin(scenario)))
     path: list[Event] = []
     coverage = TransitionCoverage()
--- a/myrtlespar/model_checker/mutants/__init__.py
+++ b/myrtlespar/model_checker/mutants/__init__.py
@@ -1,6 +1,7 @@
-"""Mutations of the state machines: small changes that the checker must find, and the program with one of them in it.
+"""Mutations of the state machines: small changes of the source that the model checker must find.
 
-`python -m myrtlespar.model_checker.mutants NAME` is the real server with that mutation; nothing else can load one.
+`python -m myrtlespar.model_checker.mutants NAME` runs the real server with a mutation. The usual command of the server
+can't load one.
 """
 
 from __future__ import annotations
@@ -29,5 +30,5 @@
 
 
 def install_mutation(name: str, among: Mapping[str, Mutation] = MUTATIONS) -> None:
-    """Put the mutation of this name in, before its module is loaded."""
+    """Install the mutation of this name, before its module is loaded."""
     install(among[name])
--- a/myrtlespar/model_checker/mutants/__main__.py
+++ b/myrtlespar/model_checker/mutants/__main__.py
@@ -1,4 +1,4 @@
-"""The real server with one mutation: `python -m myrtlespar.model_checker.mutants NAME`."""
+"""Runs the real server with one mutation: `python -m myrtlespar.model_checker.mutants NAME`."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/mutants/attempt_mutations.py
+++ b/myrtlespar/model_checker/mutants/attempt_mutations.py
@@ -1,7 +1,4 @@
-"""Mutations of attempts of requests.
-
-Fragments are in the layout of `ast.unparse`.
-"""
+"""Mutations of the state machine of attempts. Fragments have the layout of `ast.unparse`."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/mutants/connection_mutations.py
+++ b/myrtlespar/model_checker/mutants/connection_mutations.py
@@ -1,6 +1,6 @@
 """Mutations of the engine link, calls to the dependency and client connections.
 
-Fragments are in the layout of `ast.unparse`.
+Fragments have the layout of `ast.unparse`.
 """
 
 from __future__ import annotations
--- a/myrtlespar/model_checker/mutants/loader.py
+++ b/myrtlespar/model_checker/mutants/loader.py
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A small change of one module that the checker must find.
+    """A small change of one module that the model checker must find.
 
     Attributes:
-        name: Also in saved counter-examples, so it stays as it is.
+        name: The name, which saved counter-examples contain, so that it must not change.
         module: The full name of the module.
-        old: A fragment that stands exactly once in the module's normalized source.
-        new: What replaces it.
-        scenario: The scenario that must show it.
+        old: A fragment that occurs exactly once in the module's normalized source.
+        new: The fragment that replaces it.
+        scenario: The name of the scenario, or of the plan, whose exploration must find it.
     """
 
     name: str
@@ -35,20 +35,20 @@
 
 
 def mutation(name: str, module: str, old: str, new: str, scenario: str) -> Mutation:
-    """A mutation of a module of `myrtlespar.state_machines`."""
+    """Return a mutation of a module of `myrtlespar.state_machines`."""
     return Mutation(name, f"myrtlespar.state_machines.{module}", old, new, scenario)
 
 
 def normalized_source(path: Path) -> str:
-    """A module's source without comments, in the layout of `ast.unparse`.
+    """Return a module's source without comments, in the layout of `ast.unparse`.
 
-    Mutations are written against this form, so that neither the formatter nor a comment can hide a line from them.
+    The fragments of mutations have this form, so that they still match after changes of formatting or comments.
     """
     return ast.unparse(ast.parse(path.read_text()))
 
 
 class MutatingLoader(importlib.abc.MetaPathFinder, importlib.abc.SourceLoader):
-    """Loads one module with a mutation in it."""
+    """Import hook that loads one module with a mutation."""
 
     def __init__(self, mutation: Mutation) -> None:
         self.mutation = mutation
@@ -57,28 +57,37 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Only for the module that is changed."""
+        """Return a spec for the mutated module, None for all others."""
         if fullname != self.mutation.module:
             return None
         return importlib.util.spec_from_loader(fullname, self, origin=str(self.path))
 
     def get_filename(self, fullname: str) -> str:
-        """A name of its own, so that no compiled file is used or kept for it."""
+        """Return a unique file name, so that cached bytecode of the unchanged module is neither used nor replaced."""
         return f"{self.path}.{self.mutation.name.replace(' ', '-')}"
 
     def get_data(self, path: str | bytes) -> bytes:
-        """The changed source. Raises ImportError unless the fragment stands exactly once."""
+        """Return the mutated source.
+
+        Raises:
+            ImportError: The fragment to replace does not occur exactly once.
+        """
         text = normalized_source(self.path)
         count = text.count(self.mutation.old)
         if count != 1:
             raise ImportError(
-                f"mutation {self.mutation.name!r}: the line to change stands {count} times in {self.mutation.module}"
+                f"mutation {self.mutation.name!r}: the fragment to replace occurs {count} times in "
+                f"{self.mutation.module}, expected once"
             )
         return text.replace(self.mutation.old, self.mutation.new).encode()
 
 
 def install(mutation: Mutation) -> None:
-    """Put a mutation in, before its module is loaded. Raises RuntimeError where it is loaded already."""
+    """Install a mutation, before its module is loaded.
+
+    Raises:
+        RuntimeError: The module is already loaded.
+    """
     if mutation.module in sys.modules:
-        raise RuntimeError("the machines are loaded already")
+        raise RuntimeError(f"mutation {mutation.name!r}: {mutation.module} is already loaded")
     sys.meta_path.insert(0, MutatingLoader(mutation))
--- a/myrtlespar/model_checker/mutants/process_mutations.py
+++ b/myrtlespar/model_checker/mutants/process_mutations.py
@@ -1,7 +1,4 @@
-"""Mutations of the process lifecycle.
-
-Fragments are in the layout of `ast.unparse`.
-"""
+"""Mutations of the process lifecycle. Fragments have the layout of `ast.unparse`."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/mutants/request_mutations.py
+++ b/myrtlespar/model_checker/mutants/request_mutations.py
@@ -1,7 +1,4 @@
-"""Mutations of the request tracker and the idempotency keys.
-
-Fragments are in the layout of `ast.unparse`.
-"""
+"""Mutations of the request tracker and of idempotency keys. Fragments have the layout of `ast.unparse`."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/mutation_testing.py
+++ b/myrtlespar/model_checker/mutation_testing.py
@@ -1,4 +1,4 @@
-"""Looks for one mutation, in a process that runs with it. A child of `myrtlespar check --planted`."""
+"""Searches for one mutation, in a process in which it is installed. Started by `myrtlespar check --planted`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @click.option("--save", type=click.Path())
 @click.option("--replay", type=click.Path())
 def main(name: str, seconds: float, save: str | None, replay: str | None) -> None:
-    """Print one line: found, with the rule and the number of events, or survived."""
+    """Print one line: found, with the broken rules and the number of events, or survived."""
     install_mutation(name)
     from myrtlespar.model_checker import command
     from myrtlespar.model_checker.explore import Bounds, explore
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -1,7 +1,8 @@
-"""An old and a new process of one server, and one idempotency key: every order of a hand-over, breadth first.
+"""Explores the hand-over between an old and a new process of one server, breadth first, with one idempotency key.
 
-Request tracker, key table, process lifecycle and hand-over file are those that the server runs on. The engine goes on
-with the runs of an old process. The file may be torn once; then the new process waits for the old one's exit.
+Request tracker, key table, process lifecycle and the format of the hand-over file are those of the server. The engine
+continues the runs of an old process. The file may be torn once; then the new process waits until the old one has
+exited.
 """
 
 from __future__ import annotations
@@ -22,22 +23,23 @@
 from myrtlespar.state_machines.request_tracker import RequestTracker
 
 Event = tuple[str, ...]
-MAX_ATTEMPTS = 3  # with the key
-MAX_WAITS = 2
-KILL_AFTER_MS = 3700.0
-KEY_MS = 60_000.0
-RUN_MS = 5.0
+MAX_ATTEMPTS = 3  # attempts with the idempotency key, in one path
+MAX_WAITS = 2  # wait events in one path
+KILL_AFTER_MS = 3700.0  # from SIGTERM to SIGKILL
+KEY_MS = 60_000.0  # how long a key is remembered
+RUN_MS = 5.0  # duration of each run
 WAITS_MS = {"a while": 200.0, "long": 9000.0}
+# The meaning of each rule by its name.
 RULES = {
-    "one start a key": "An order with a key never runs twice, also across a replacement.",
-    "all read are answered": "What a process has read is answered before it goes.",
-    "keys open": "The new process takes keys once the old one is gone.",
-    "known stays known": "A repeat of what was served is answered with it, not rejected, once keys are open.",
+    "one start a key": "An order with an idempotency key never runs twice, not even across a hand-over.",
+    "all read are answered": "A process answers every request that it has read before it exits.",
+    "keys open": "The new process accepts idempotency keys once the old one has exited.",
+    "known stays known": "Once keys are accepted, a retry of a served order gets its answer and is not rejected.",
 }
 
 
 def discard_answer(_: Exchange, __: Answer) -> None:
-    """The `deliver` of an exchange; answers are checked as they are ordered."""
+    """Do nothing: the `deliver` callback of each exchange, as answers are checked in `ProcessPair`."""
 
 
 @dataclass(slots=True)
@@ -45,9 +47,11 @@
     """One of the two processes.
 
     Attributes:
-        stopped_reading: It reads no more requests.
-        gone: It has exited.
-        keys_left: It has written the hand-over file.
+        name: `old` or `new`.
+        tracker: The request tracker of the process.
+        stopped_reading: Whether the process reads no more requests.
+        gone: Whether the process has exited.
+        keys_written: Whether the process has written the hand-over file.
     """
 
     name: str
@@ -58,7 +62,7 @@
 
 
 def new_process_side(name: str) -> ProcessSide:
-    """A process at its start."""
+    """Return a process that has just started."""
     process = ProcessLifecycle(10_000.0, 1000.0, 50.0, 300.0, 50.0)
     return ProcessSide(
         name,
@@ -68,17 +72,20 @@
 
 @dataclass(slots=True)
 class ProcessPair:
-    """The two processes, the hand-over file between them, and what happened.
+    """The two processes, the hand-over file between them, and counts of what has happened.
 
     Attributes:
-        now: Milliseconds.
-        file: The content of the hand-over file, once it is written.
-        torn: The file was torn.
+        now: The time in milliseconds.
+        old: The process that is replaced.
+        new: The process that replaces it.
+        receiver: Reads the hand-over file in the new process.
+        file: The content of the hand-over file; None until it is written.
+        torn: Whether the file was torn (truncated).
         sent: The number of attempts sent.
-        waits: The number of waits.
+        waits: The number of wait events.
         runs: The number of runs started.
-        served: Some caller has the outcome.
-        violations: Rules that the newest event broke.
+        served: Whether a caller has received a served answer.
+        violations: The names of the rules that the newest event broke.
     """
 
     now: float = 1000.0
@@ -94,7 +101,7 @@
     violations: list[str] = field(default_factory=list)
 
     def enabled(self) -> list[Event]:
-        """Every event that may come next."""
+        """Return every event that may happen next."""
         events: list[Event] = []
         for side in (self.old, self.new):
             if not side.gone:
@@ -128,7 +135,7 @@
         return events
 
     def apply(self, event: Event) -> None:
-        """Make an event happen."""
+        """Apply an event to the two processes."""
         kind, *rest = event
         if kind in PROCESS_EVENTS:
             PROCESS_EVENTS[kind](self)
@@ -148,7 +155,7 @@
         self._apply_effects(side, side.tracker.submit(exchange) or [])
 
     def _effects_of(self, kind: str, tracker: RequestTracker, id: str) -> list[RequestEffect]:
-        """What the tracker orders for an event of one request."""
+        """Apply an event of one request to the tracker, and return the resulting effects."""
         if kind == "start":
             return tracker.start(id, self.now)
         if kind == "refuse":
@@ -170,7 +177,7 @@
         self.old.tracker.process.handover(self.now, KILL_AFTER_MS)
 
     def _exit_old_process(self) -> None:
-        # The request coordinator goes on while answers are flushed.
+        # While answers are flushed, the request coordinator still fails overdue requests.
         self._apply_effects(self.old, self.old.tracker.fail_overdue(self.now))
         self.old.gone = True
         if self.old.tracker.unanswered:
@@ -184,7 +191,7 @@
     def _poll_old_process(self) -> None:
         old = self.old
         for action in old.tracker.process.poll(self.now, old.tracker.unanswered):
-            if action is ProcessAction.FLUSH:  # as the server: read no more, then leave the keys
+            if action is ProcessAction.FLUSH:  # as in the server: stop reading first, then write the hand-over file
                 old.stopped_reading = True
                 old.keys_written = True
                 self.file = encode(key_outcomes(old.tracker.keys_to_hand_over(self.now)))
@@ -222,7 +229,7 @@
 
 @dataclass(slots=True)
 class PairResult:
-    """What an exploration found."""
+    """The result of an exploration; `path` holds the events up to the first broken rule."""
 
     states: int = 0
     steps: int = 0
@@ -233,14 +240,14 @@
 
 
 def begin() -> ProcessPair:
-    """The pair where the old process serves and the new one has just started beside it."""
+    """Return the initial state: the old process serves, and the new one has just started beside it."""
     world = ProcessPair()
     world.new.tracker.keys.awaiting_handover = True
     return world
 
 
 def explore() -> PairResult:
-    """Visit every state, or stop at the first broken rule, with a shortest path to it."""
+    """Visit every state, or stop at the first broken rule with a shortest path to it."""
     began = time.monotonic()
     result = PairResult()
     first = pickle.dumps(begin(), 5)
@@ -273,28 +280,33 @@
     return result
 
 
-def print_result(found: PairResult) -> int:
-    """Print what was found, and return the exit status."""
+def print_result(result: PairResult) -> int:
+    """Print the result of an exploration, and return the exit status."""
     print(
-        f"{'twins':10} {found.states:>10,} states {found.steps:>11,} steps  depth {found.depth:>3} "
-        f"{found.seconds:7.1f} s  {'fell' if found.violations else 'holds'}",
+        f"{'twins':10} {result.states:>10,} states {result.steps:>11,} steps  depth {result.depth:>3} "
+        f"{result.seconds:7.1f} s  {'fell' if result.violations else 'holds'}",
         flush=True,
     )
-    for rule in found.violations:
+    for rule in result.violations:
         print(f"  fell: {rule}: {RULES.get(rule, '')}")
-    for number, event in enumerate(found.path, 1):
+    for number, event in enumerate(result.path, 1):
         print(f"  {number:3} {' '.join(event)}")
-    return int(bool(found.violations))
+    return int(bool(result.violations))
 
 
-def print_mutation_result(found: PairResult, longest: int) -> int:
-    """Print one line on a mutation, and return the exit status."""
-    if not found.violations:
-        print(f"survived {found.states:,} states of twins")
+def print_mutation_result(result: PairResult, longest: int) -> int:
+    """Print in one line whether a mutation was found, and return the exit status.
+
+    Args:
+        result: The result of the exploration with the mutation.
+        longest: The number of events up to which a counter-example is acceptable.
+    """
+    if not result.violations:
+        print(f"survived {result.states:,} states of twins")
         return 1
-    long = len(found.path) > longest
+    long = len(result.path) > longest
     print(
-        f"{'too long' if long else 'found'}: {', '.join(found.violations)} after {len(found.path)} events, "
-        f"{found.states:,} states of twins"
+        f"{'too long' if long else 'found'}: {', '.join(result.violations)} after {len(result.path)} events, "
+        f"{result.states:,} states of twins"
     )
     return int(long)
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -1,4 +1,4 @@
-"""Plays a counter-example against the real program on loopback, with scripted fakes."""
+"""Replays a counter-example on the real program over loopback, with scripted fakes around it."""
 
 from __future__ import annotations
 
@@ -22,22 +22,27 @@
 from myrtlespar.model_checker.scenarios import Scenario
 from myrtlespar.model_checker.world import ATTEMPT_IDS, TICK_MS, Event
 
-CLASS_BY_EFFECT = {True: "order", False: "render"}  # by whether the attempt is effectful
-# Nothing shows from outside that the program has acted on an event or on none: it gets this time.
+CLASS_BY_EFFECT = {True: "order", False: "render"}  # request class, by whether the attempt is effectful
+# How long to wait for the program to react to an event, as the reaction can't be observed from outside.
 REACTION_S = 0.1
-REMAINDER_S = 0.5  # for what is left to run at the end
+REMAINDER_S = 0.5  # how long the remaining runs may continue after the last event
 
 
 @dataclass(slots=True)
 class ReplayResult:
-    """A line for each event, and the rules that were broken as seen on sockets."""
+    """The result of a replay.
+
+    Attributes:
+        lines: One line for each event, with what was done for it.
+        violations: The names of the rules whose violation was observed on sockets.
+    """
 
     lines: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
 
 class ProcessReplay:
-    """The program and its fakes, driven by the events of a counter-example."""
+    """The program and the fakes around it, driven by the events of a counter-example."""
 
     def __init__(self, scenario: Scenario, mutation: str, tmp: Path) -> None:
         self.scenario = scenario
@@ -48,18 +53,18 @@
         self.sent: set[int] = set()
 
     def body(self, word: str | int) -> bytes:
-        """The body that identifies an attempt on all sockets."""
+        """Return the request body that identifies an attempt, given by index or id, on all sockets."""
         return b"try " + (ATTEMPT_IDS[word] if isinstance(word, int) else word).encode()
 
     def play(self, ports: list[int], pid: int, event: Event) -> str:
-        """Make one event happen, and tell what was done about it."""
+        """Cause one event, and return a text on what was done for it."""
         name, *arguments = event
         if name in ("run", "call", "reply"):
-            return "left to the real policy and store"
+            return "skipped: the program's own policy and the fake dependency do this"
         if name == "read":
-            return "done" if self.engine.read() else "nothing came to be read"
+            return "done" if self.engine.read() else "nothing done: the engine received no command"
         if name == "hear":
-            return "done" if self.engine.hear() else "nothing was on its way"
+            return "done" if self.engine.hear() else "nothing done: the engine had no line to send"
         if name in ("send", "whole", "give up", "reset", "cut short"):
             self._play_client_event(ports, name, arguments[0])
         elif name in ("ask", "end", "break", "connect"):
@@ -69,7 +74,7 @@
         elif name == "notice":
             os.kill(pid, signal.SIGTERM)
         else:
-            return "passed over: nothing outside the program can cause it"
+            return "skipped: the event can't be caused from outside the program"
         return "done"
 
     def _play_client_event(self, ports: list[int], name: str, n: int) -> None:
@@ -112,7 +117,7 @@
         time.sleep(REACTION_S)
 
     def broken_rules(self) -> list[str]:
-        """The rules that were broken, as seen from outside."""
+        """Return the names of the rules whose violation was observed from outside."""
         starts = self.engine.by_body
         out: list[str] = []
         orders = [n for n, attempt in enumerate(self.scenario.attempts) if attempt.effectful]
@@ -133,12 +138,12 @@
 
 
 def play(scenario: Scenario, events: list[Event], mutation: str = "") -> ReplayResult:
-    """Start the program, play all events, let the rest run to its end, and check the rules."""
+    """Start the program, replay all events, let the remaining runs end, and check the rules."""
     result = ReplayResult()
     with tempfile.TemporaryDirectory() as tmp:
         replay = ProcessReplay(scenario, mutation, Path(tmp))
         with replay.server as running:
-            # The first link stands when a world begins.
+            # The initial world of a scenario has an established engine link.
             until(lambda: replay.engine.hear() or running.event("kernel up"), "greeting")
             until(lambda: running.event("kernel up"), "kernel link")
             time.sleep(REACTION_S)
--- a/myrtlespar/model_checker/state_decoding.py
+++ b/myrtlespar/model_checker/state_decoding.py
@@ -1,4 +1,4 @@
-"""The world of a plain form, the inverse of `state_encoding.pack`."""
+"""Converts packed states back to worlds, the inverse of `state_encoding`."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 def unpack(scenario: Scenario, packed: PackedState) -> World:
-    """The world of a plain form. It shares nothing that may change."""
-    # Longer than other functions: one line for each field of the state, in the order of `state_encoding.pack`.
+    """Return a new world for a packed state; it shares no mutable value with other worlds."""
+    # This function is long because it has one line for each field, in the order of `state_encoding.pack`.
     (
         now,
         incarnation,
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -1,7 +1,7 @@
-"""Worlds as plain tuples and back: one form for storing, comparing and copying a state.
+"""Packs worlds into nested tuples of plain values, in which states are stored, compared and copied.
 
-Numbers that only grow (of marks, of commands sent) are replaced by their ranks, so that states with equal futures have
-equal forms.
+Numbers that only grow (those of marks and of sent commands) are replaced by their ranks, so that states that differ
+only in these numbers have the same packed form.
 """
 
 from __future__ import annotations
@@ -13,9 +13,7 @@
 
 from myrtlespar.exchange import Answer, Exchange
 from myrtlespar.model_checker.environment import EngineModel
-from myrtlespar.model_checker.world import (
-    World,
-)
+from myrtlespar.model_checker.world import World
 from myrtlespar.state_machines.command_log import CommandLog
 from myrtlespar.state_machines.dependency_calls import DependencyCalls, DependencyConnection
 from myrtlespar.state_machines.idempotency_keys import KeyEntry
@@ -24,23 +22,26 @@
 
 
 def serialize(world: World) -> bytes:
-    """The state as bytes; equal states give equal bytes."""
+    """Return the state as bytes; equal states give equal bytes."""
     return marshal.dumps(pack(world), 2)
 
 
 def deserialize(data: bytes) -> PackedState:
-    """The plain form of frozen bytes."""
+    """Return the packed state of serialized bytes."""
     packed: PackedState = marshal.loads(data)
     return packed
 
 
 def digest(data: bytes) -> int:
-    """64 bits for a state: among 10 million, two share theirs by chance with a probability of 3 in a million."""
+    """Return a 64-bit hash of a serialized state.
+
+    With 10 million states, the probability that any two of them have the same hash is 3 in a million.
+    """
     return int(xxhash.xxh3_64_intdigest(data))
 
 
 def pack(world: World) -> PackedState:
-    """The state as a plain tuple; `state_decoding.unpack` reads it in the same order."""
+    """Return the state as a tuple; `state_decoding.unpack` reads the fields in the same order."""
     tracker = world.tracker
     process = tracker.process
     mark_names = {name: f"{name.partition('-')[0]}-{n}" for n, name in enumerate(world.commands.pending_marks, 1)}
@@ -115,7 +116,7 @@
 
 
 def _pack_commands(log: CommandLog, mark_names: dict[str, str]) -> PackedState:
-    """Link, commands and marks. Sequence numbers are replaced by their ranks, as only their order matters."""
+    """Pack link, commands and marks. Sequence numbers are replaced by their ranks, as only their order matters."""
     ranks = sorted(command.sequence_number for command in log.unconfirmed.values() if command.sequence_number)
     sent_before_link = sum(rank <= log.sent_before_link for rank in ranks)
     return (
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -1,4 +1,4 @@
-"""Accepts or rejects a recorded trace: each step must be one that the transition tables allow in that state."""
+"""Checks a recorded trace: each step must be one that the transition tables allow in the present state."""
 
 from __future__ import annotations
 
@@ -21,29 +21,40 @@
     "wire": ("OPENING",),
     "connection": ("IDLE",),
 }
-SHARED_ID_MACHINES = ("key",)  # identified by a text that several classes may use: steps are checked, not their order
+# Machines whose id is not unique, as several request classes may use the same key. The order of their steps can't be
+# checked, only each step alone.
+SHARED_ID_MACHINES = ("key",)
 FINAL_STATES = ("OVER", "DONE", "CLOSED", "STOPPED")
 TABLES_BY_NAME = {table.name: table for table in TABLES}
 
 
 class InvalidStepError(MyrtlesparError):
-    """The first step that the tables do not allow."""
+    """A step of the trace that the transition tables do not allow."""
 
 
 class TraceState:
-    """The states that a trace has shown so far, by machine and id."""
+    """The machines of a trace so far.
+
+    Attributes:
+        last_seen: The state of each machine after its latest step, by (table name, id).
+        steps: The number of steps checked.
+    """
 
     def __init__(self) -> None:
         self.last_seen: dict[tuple[str, str], str] = {}
         self.steps = 0
 
     def check_step(self, row: dict[str, Any]) -> None:
-        """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
+        """Check one step; after a machine has ended, its id may be used by a new one.
+
+        Raises:
+            InvalidStepError: The tables do not allow the step, or it does not follow the machine's previous step.
+        """
         machine = str(row.get("machine"))
         who = str(row.get("who"))
         table = TABLES_BY_NAME.get(machine)
         if table is None:
-            raise InvalidStepError(f"no machine named {machine!r}")
+            raise InvalidStepError(f"no machine named {machine!r}; expected one of {', '.join(TABLES_BY_NAME)}")
         state, event, after = (str(row.get(name)) for name in ("state", "on", "to"))
         expected = self._next_state(table, state, event)
         if after != expected:
@@ -51,9 +62,13 @@
         before = self.last_seen.get((machine, who))
         if machine not in SHARED_ID_MACHINES:
             if before is None and state not in INITIAL_STATES[machine]:
-                raise InvalidStepError(f"{machine} {who}: begins in {state}")
+                raise InvalidStepError(
+                    f"{machine} {who}: first step starts in {state}, expected {' or '.join(INITIAL_STATES[machine])}"
+                )
             if before is not None and before != state:
-                raise InvalidStepError(f"{machine} {who}: stood in {before}, not in {state}")
+                raise InvalidStepError(
+                    f"{machine} {who}: step starts in {state}, but the previous one ended in {before}"
+                )
         self.steps += 1
         if after in FINAL_STATES and machine != "process" and machine != "connection":
             self.last_seen.pop((machine, who), None)
@@ -72,7 +87,12 @@
 
 
 def check_trace(path: Path) -> int:
-    """0: every step is allowed. 1: the first that is not is named. 2: the file can't be read or holds no step."""
+    """Check the trace in a log file, print the result, and return the exit status.
+
+    Returns:
+        0 if every step is allowed, 1 if a step is not (the first such is printed), 2 if the file can't be read or
+        contains no step.
+    """
     trace = TraceState()
     try:
         with path.open() as lines:
@@ -93,7 +113,7 @@
         print(f"myrtlespar: {path}: can't be read: {error}", file=sys.stderr)
         return 2
     if not trace.steps:
-        print(f"myrtlespar: {path}: no step of any machine in it", file=sys.stderr)
+        print(f"myrtlespar: {path}: contains no step of a state machine", file=sys.stderr)
         return 2
     print(f"accepted: {trace.steps:,} steps of {len(TABLES_BY_NAME)} machines")
     return 0
--- a/tests/test_trace_checker.py
+++ b/tests/test_trace_checker.py
@@ -16,8 +16,12 @@
     [
         ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "HELD", "START", "RUNNING")], 0, "accepted: 2 steps"),
         ([("try", "a", "READ", "ADMIT", "RUNNING")], 1, "line 1, step 1: try a: ADMIT leads from READ to HELD"),
-        ([("try", "a", "HELD", "START", "RUNNING")], 1, "begins in HELD"),
-        ([("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "RUNNING", "ENDED", "OVER")], 1, "stood in HELD"),
+        ([("try", "a", "HELD", "START", "RUNNING")], 1, "first step starts in HELD, expected READ"),
+        (
+            [("try", "a", "READ", "ADMIT", "HELD"), ("try", "a", "RUNNING", "ENDED", "OVER")],
+            1,
+            "step starts in RUNNING, but the previous one ended in HELD",
+        ),
         ([("try", "a", "HELD", "ENDED", "impossible")], 1, "impossible in HELD"),
         ([("moon", "a", "X", "Y", "Z")], 1, "no machine named 'moon'"),
         ([], 2, "no step"),
