--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -1,4 +1,7 @@
-"""What `myrtlespar fleet check` does. Run as a module it searches for one mutation in a process of its own."""
+"""Implements `myrtlespar fleet check`. Run as a module, it searches for one mutation, which it installs first.
+
+The module's arguments are the area, the name of the mutation, and the time limit in seconds.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +14,26 @@
 
 from myrtlespar.model_checker.mutants import Mutation, install_mutation
 
-MAX_COUNTEREXAMPLE_FAULTS = 3
+MAX_COUNTEREXAMPLE_FAULTS = 3  # longest acceptable counter-example of a mutation
 AREAS = {"members": "myrtlespar.model_checker.fleet", "limits": "myrtlespar.model_checker.quota"}
 STATUS_HOLDS = 0
 STATUS_VIOLATED = 1
-STATUS_NO_VERDICT = 3  # stopped by time
+STATUS_NO_VERDICT = 3  # the time limit stopped the exploration
 
 
 def mutations(area: str) -> Mapping[str, Mutation]:
-    """The mutations of an area."""
+    """Return the mutations of an area, by name."""
     found: Mapping[str, Mutation] = importlib.import_module(f"{AREAS[area]}.mutants").MUTATIONS
     return found
 
 
 def explorer(area: str) -> Any:
-    """The explorer of an area: a module with PLANS and `explore`, which loads the code under test."""
+    """Import and return the explorer of an area: a module with `PLANS` and `explore`, which loads the tested code."""
     return importlib.import_module(f"{AREAS[area]}.explore")
 
 
 def explore_plans(area: str, plans: list[str], jobs: int, seconds: float) -> int:
-    """Explore these plans one by one, print the results and return the exit status."""
+    """Explore these plans one after the other, print the results and return the exit status."""
     module = explorer(area)
     status = STATUS_HOLDS
     for name in plans:
@@ -53,7 +56,10 @@
 
 
 def planted(area: str, jobs: int, seconds: float) -> int:
-    """Search for every mutation; one that is not found is a gap of the explorer."""
+    """Search for every mutation, each in its own process, and return the exit status.
+
+    A mutation that is not found shows a gap in the invariants or plans.
+    """
 
     def search(name: str) -> tuple[str, str]:
         words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
@@ -71,7 +77,7 @@
 
 
 def main() -> int:
-    """Search for one mutation: print one line, found or survived."""
+    """Search for one mutation, and print in one line whether it was found or survived."""
     area = sys.argv[1]
     name = sys.argv[2]
     seconds = float(sys.argv[3])
--- a/myrtlespar/model_checker/fleet/events.py
+++ b/myrtlespar/model_checker/fleet/events.py
@@ -1,4 +1,4 @@
-"""What is scheduled in a world of the model checker."""
+"""The events that are scheduled in a world of the model checker."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class EventKind(IntEnum):
-    """What an event is."""
+    """The kind of an event."""
 
     PACKET = 0
     SYNC_REQUEST = 1
     SYNC_REPLY = 2
-    START = 3  # of a process; the content is its incarnation
-    HEAL = 4  # of links; the content are the links
-    RESUME = 5  # of a stopped process
-    END = 6  # of a process that left
-    DELAYED_MESSAGE = 7  # the content is the message
-    DUPLICATE_MESSAGE = 8  # the content is the message
+    START = 3  # a process starts; the content is its incarnation
+    HEAL = 4  # a cut ends; the content is a tuple of the links
+    RESUME = 5  # a stopped process continues
+    END = 6  # the process of a member that left ends
+    DELAYED_MESSAGE = 7  # a delayed message arrives, which is the content
+    DUPLICATE_MESSAGE = 8  # the second copy of a message arrives, which is the content
 
 
 MESSAGE_KINDS = (EventKind.PACKET, EventKind.SYNC_REQUEST, EventKind.SYNC_REPLY)
 
 
 class Message(NamedTuple):
-    """One message on its way."""
+    """A message in transit."""
 
     kind: EventKind
     content: Packet | ViewSync
@@ -34,7 +34,7 @@
 
 
 class Event(NamedTuple):
-    """One scheduled event; they happen in the order of their first two fields."""
+    """A scheduled event. Events happen in the order of time, then of their numbers."""
 
     at: float
     number: int
@@ -45,5 +45,5 @@
 
     @property
     def message(self) -> Message:
-        """The message that arrives by this event."""
+        """The message that arrives with this event."""
         return Message(self.kind, self.content, self.sender)
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -1,4 +1,4 @@
-"""Explores all runs with at most so many faults and checks the promises of each."""
+"""Explores all runs of a plan and checks the invariants of each."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 __all__ = ["PLANS", "ExplorationResult", "explore"]
 
-TASKS_PER_JOB = 8
+TASKS_PER_JOB = 8  # so that no worker process is left with most of the work
 
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """What was explored, and the first run with a broken promise.
+    """The extent of an exploration, and the first run with a broken invariant.
 
-    The explorer of limits has a result with the same fields and `max_in_use`: `command` reads both.
+    `command` also reads the result of the explorer of limits, which has the same fields and `max_in_use`.
     """
 
     runs: int = 0
@@ -31,8 +31,8 @@
     longest_run: int = 0  # steps of the longest run
     seconds: float = 0.0
     complete: bool = True  # all runs were explored, or the search ended early with a violation
-    violations: list[str] = field(default_factory=list)  # broken promises
-    counterexample: list[tuple[float, tuple[Any, ...]]] = field(default_factory=list)  # time, words of the fault
+    violations: list[str] = field(default_factory=list)  # broken invariants of that run
+    counterexample: list[tuple[float, tuple[Any, ...]]] = field(default_factory=list)  # (time in ms, words of a fault)
 
     def add(self, other: ExplorationResult) -> None:
         """Add another result to this one."""
@@ -46,16 +46,16 @@
 
 
 class Task(NamedTuple):
-    """The runs of a plan whose first fault has a number of this share."""
+    """One share of a plan's runs. The number of the first fault decides to which share a run belongs."""
 
     plan: str
     share: int
     share_count: int
-    deadline: float  # monotonic seconds
+    deadline: float  # of the monotonic clock, in seconds
 
 
 class Explorer:
-    """Explores runs of one plan until a promise is broken or a deadline passes."""
+    """Explores runs of one plan until an invariant is broken or a deadline passes."""
 
     def __init__(self, plan: Plan, deadline: float) -> None:
         self.plan = plan
@@ -63,7 +63,7 @@
         self.result = ExplorationResult()
 
     def explore_share(self, share: int, share_count: int) -> ExplorationResult:
-        """Explore the runs whose first fault is in one share."""
+        """Explore the runs whose first fault belongs to one share."""
         world = converged_world()
         step = 0
         while world.now < CONVERGED_MS + FAULT_WINDOW_MS:
@@ -78,7 +78,7 @@
         return self.result
 
     def _explore_after_fault(self, world: World, fault: Fault, faults_left: int) -> None:
-        """The runs that continue from this fault."""
+        """Explore the runs that continue with this fault."""
         world.apply(fault)
         if faults_left > 1:
             self._explore_further_faults(world, faults_left - 1, world.now + FAULT_WINDOW_MS)
@@ -86,7 +86,7 @@
             self._finish(world)
 
     def _explore_further_faults(self, world: World, faults_left: int, until: float) -> None:
-        """All runs from here: each with a further fault at a further step, then the one without."""
+        """Explore the runs with each further fault at each further step, then the run without one."""
         step = 0
         while world.now < until:
             if step % self.plan.later_fault_interval == 0:
@@ -120,7 +120,13 @@
 
 
 def explore(name: str, jobs: int, seconds: float) -> ExplorationResult:
-    """Explore all runs of a plan, or stop at the first broken promise or after so many seconds."""
+    """Explore all runs of a plan, or stop at the first broken invariant or at the time limit.
+
+    Args:
+        name: The name of the plan.
+        jobs: The number of worker processes.
+        seconds: The time limit.
+    """
     started = time.monotonic()
     total = ExplorationResult()
     share_count = jobs * TASKS_PER_JOB
--- a/myrtlespar/model_checker/fleet/faults.py
+++ b/myrtlespar/model_checker/fleet/faults.py
@@ -1,10 +1,10 @@
-"""The faults that a run may contain, as typed values."""
+"""The types of faults that a run may contain."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-Link = tuple[str, str]  # sender, receiver: one direction
+Link = tuple[str, str]  # one direction between two members: (sender, receiver)
 
 
 class LosePacket(NamedTuple):
@@ -12,19 +12,23 @@
 
 
 class DuplicatePacket(NamedTuple):
-    """The next packet arrives, and once more after `delay_ms`."""
+    """The next packet arrives, and a second copy arrives `delay_ms` after it."""
 
     delay_ms: float
 
 
 class DelayPacket(NamedTuple):
-    """The next packet arrives after `delay_ms`."""
+    """The next packet arrives `delay_ms` from now."""
 
     delay_ms: float
 
 
 class Crash(NamedTuple):
-    """A process ends; None: it is not restarted. Its clock is `clock_shift_ms` ahead of its earlier incarnation."""
+    """A member's process ends, and starts again after `restart_after_ms` (None: never).
+
+    The incarnation of the new process is `clock_shift_ms` greater than the latest known one; a negative shift stands
+    for a clock that was set back.
+    """
 
     name: str
     restart_after_ms: float | None
@@ -32,21 +36,21 @@
 
 
 class Cut(NamedTuple):
-    """Links carry nothing for `duration_ms`."""
+    """Messages on these links are lost for `duration_ms`."""
 
     links: tuple[Link, ...]
     duration_ms: float
 
 
 class Stop(NamedTuple):
-    """A process does not run for `duration_ms`, as by SIGSTOP."""
+    """A member's process does not run for `duration_ms`, as after SIGSTOP."""
 
     name: str
     duration_ms: float
 
 
 class Leave(NamedTuple):
-    """A member leaves."""
+    """A member leaves the fleet in an orderly way, and its process ends."""
 
     name: str
 
@@ -66,5 +70,5 @@
 
 
 def fault_words(fault: Fault) -> tuple[Any, ...]:
-    """A fault as it is printed: its name, then its values."""
+    """Return the words with which a fault is printed: its name, then its values."""
     return (FAULT_NAMES[type(fault)], *fault)
--- a/myrtlespar/model_checker/fleet/final_invariants.py
+++ b/myrtlespar/model_checker/fleet/final_invariants.py
@@ -1,4 +1,4 @@
-"""Promises that hold once the network has been quiet for long enough, checked at the end of each run."""
+"""Invariants that hold once no fault has happened for long enough, checked at the end of each run."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from myrtlespar.model_checker.fleet.events import MESSAGE_KINDS
 from myrtlespar.model_checker.fleet.world import HOP_MS, MEMBER_NAMES, SETTINGS, World
 
-MAX_STEPS = 20_000  # of one run; more means that it does not come to rest
-REST_MARGIN_MS = 300.0
+MAX_STEPS = 20_000  # steps after which a run counts as one that does not converge
+REST_MARGIN_MS = 300.0  # added to the time within which the members must have converged
 
 
 def run_to_convergence(world: World) -> None:
-    """Continue by default until all that was promised must hold, and check it.
+    """Continue without further faults until all invariants must hold, and check them.
 
-    The quorum status is also checked at the end of cuts.
+    The quorum status is also checked in between, once after each change to the running members and working links.
     """
     fleet_size = len(MEMBER_NAMES)
     quorum_bound = SETTINGS.standing_ms(fleet_size)
@@ -40,10 +40,10 @@
 
 
 def are_linked(world: World, a: str, b: str) -> bool | None:
-    """Whether both receive from one another, directly or through the third.
+    """Return whether both members receive messages from one another, directly or through the third member.
 
-    None if only round a circle of one-way links, where a member is suspected and refutes again and again, and no
-    quorum status is promised.
+    Returns None if this is so only over a circle of one-way links. There, a member is repeatedly suspected and refutes
+    the suspicion, so that no particular quorum status can be expected.
     """
     third = next(name for name in MEMBER_NAMES if name not in (a, b))
     third_runs = world.members[third] is not None and third not in world.left
@@ -61,7 +61,7 @@
 
 
 def check_quorum(world: World) -> None:
-    """Each quorum status is right, and no two members that can't reach one another both claim a majority."""
+    """Check each member's quorum status, and that no two members that can't reach one another both claim a majority."""
     majority_claims = []
     for name, member in world.members.items():
         if member is None or member.leaving:
@@ -77,9 +77,7 @@
         expected = quorum_status(len(MEMBER_NAMES), others + 1, others)
         actual = member.quorum.fleet.status
         if actual != expected:
-            world.record_violation(
-                "a standing is right in time", f"{name} has {actual.name}, should have {expected.name}"
-            )
+            world.record_violation("a standing is right in time", f"{name} has {actual.name}, expected {expected.name}")
         if actual >= QuorumStatus.MAJORITY:
             majority_claims.append(name)
     for a in majority_claims:
@@ -89,7 +87,11 @@
 
 
 def check_views(world: World) -> None:
-    """At rest, with all links working: each knows all as they are, views are equal, nothing is left over."""
+    """Check the views of all members once they have converged and all links work.
+
+    Each member must know the present state of every other, all views must be equal, and no suspicion, probe or update
+    may be left.
+    """
     running = {name: member for name, member in world.members.items() if member is not None}
     for name, member in running.items():
         for other in MEMBER_NAMES:
@@ -104,16 +106,16 @@
     entry = member.view.entries.get(other)
     if peer is not None:
         if entry is None or entry.update.precedence != peer.self_update.precedence:
-            text = f"{name} has {entry and entry.update} of {other}"
+            text = f"{name} has {entry and entry.update} of {other}, expected {peer.self_update}"
             world.record_violation("all know who is there, in its present life", text)
         return
     if entry is None:
         return
     if entry.update.state in PRESENT_STATES:
-        world.record_violation("all know who is not there", f"{name} believes {other} here")
+        world.record_violation("all know who is not there", f"{name} believes {other} present")
     undisturbed = world.history.lost_packets == 0 and len(world.history.faults) == 1
     if other in world.left and entry.update.state != LEFT and undisturbed:
-        world.record_violation("a goodbye is heard", f"{name} has {other} as {entry.update.state}")
+        world.record_violation("a goodbye is heard", f"{name} has {other} in state {entry.update.state}")
 
 
 def _check_no_leftovers(world: World, name: str, member: Member) -> None:
@@ -121,11 +123,13 @@
     if member.suspicions.by_name:
         world.record_violation("nothing is left behind", f"{name} still suspects {sorted(member.suspicions.by_name)}")
     if len(member.outbox.dissemination) and others_present:
-        world.record_violation("spreading ends", f"{name} still tells {len(member.outbox.dissemination)}")
+        world.record_violation("spreading ends", f"{name} still spreads {len(member.outbox.dissemination)} updates")
     late = [probe for probe in member.prober.probes.values() if probe.deadline < world.now - HOP_MS]
     if late:
-        world.record_violation("nothing is left behind", f"{name} holds {len(late)} probes past their time")
+        world.record_violation("nothing is left behind", f"{name} holds {len(late)} probes past their deadlines")
     if member.prober.health and others_present:
-        world.record_violation("who is well trusts itself again", f"{name} has health {member.prober.health}")
+        world.record_violation("who is well trusts itself again", f"{name} has local health {member.prober.health}")
     if any(row.unreachable for row in member.reachability.rows.values()):
-        world.record_violation("whole links are named whole", f"{name} has {member.reachability.rows}")
+        world.record_violation(
+            "whole links are named whole", f"{name} has reachability rows {member.reachability.rows}"
+        )
--- a/myrtlespar/model_checker/fleet/mutants.py
+++ b/myrtlespar/model_checker/fleet/mutants.py
@@ -1,4 +1,4 @@
-"""Mutations of membership: one-line changes that the explorer must find, each with the plan that shows it."""
+"""Mutations of membership: small changes that the explorer must find, each with the plan that reveals it."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/fleet/plans.py
+++ b/myrtlespar/model_checker/fleet/plans.py
@@ -1,4 +1,4 @@
-"""The plans that the explorer can run."""
+"""The plans of the explorer: which runs are explored."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How many faults a run has, of which kinds, and at which steps they may happen."""
+    """The number and kinds of faults in a run, and the steps at which they may happen."""
 
     name: str
-    max_faults: int  # in one run
+    max_faults: int  # greatest number of faults in one run
     kinds: frozenset[str] = ALL_KINDS
     later_fault_interval: int = 1  # steps between those at which a second or later fault may happen
     first_fault_interval: int = 1  # the same for the first fault
--- a/myrtlespar/model_checker/fleet/possible_faults.py
+++ b/myrtlespar/model_checker/fleet/possible_faults.py
@@ -1,4 +1,4 @@
-"""Which faults can happen at a step of a run."""
+"""The faults that may happen at a step of a run."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 )
 from myrtlespar.model_checker.fleet.world import MEMBER_NAMES, World
 
-CRASHES = ((5.0, 10), (500.0, 10), (500.0, -3_600_000), (4000.0, 10), (None, 0))  # restart after, clock shift (ms)
-ISOLATIONS = (("both", 700.0), ("both", 7000.0), ("out", 7000.0), ("in", 7000.0))  # directions, duration (ms)
+CRASHES = ((5.0, 10), (500.0, 10), (500.0, -3_600_000), (4000.0, 10), (None, 0))  # (restart after, clock shift), ms
+ISOLATIONS = (("both", 700.0), ("both", 7000.0), ("out", 7000.0), ("in", 7000.0))  # (directions, duration in ms)
 PAIR_CUTS: tuple[tuple[Link, ...], ...] = ((("a", "b"), ("b", "a")), (("a", "b"),), (("b", "c"),))
 PAIR_CUT_MS = 7000.0
 STOPS_MS = (900.0, 3000.0, 6000.0)
 
 
 def isolating_links(name: str, directions: str) -> tuple[Link, ...]:
-    """The links that cut one member off: out, in, or both."""
+    """Return the links of one member to all others (`out`), from them (`in`), or in both directions (`both`)."""
     others = [other for other in MEMBER_NAMES if other != name]
     out = tuple((name, other) for other in others) if directions in ("out", "both") else ()
     return out + (tuple((other, name) for other in others) if directions in ("in", "both") else ())
 
 
 def possible_faults(world: World, kinds: frozenset[str]) -> list[Fault]:
-    """The faults of these kinds that can happen now.
+    """Return the faults of these kinds that may happen now.
 
-    Faults of members happen before timers only, those of packets before each packet.
+    Faults of members happen only just before a timer, faults of packets just before the packet's arrival.
     """
     event = world.next_event()
     if event is None:
--- a/myrtlespar/model_checker/fleet/seeded_random.py
+++ b/myrtlespar/model_checker/fleet/seeded_random.py
@@ -1,4 +1,4 @@
-"""A random source that is fast to copy."""
+"""A random number generator that is fast to copy."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class SeededRandom(Random):
-    """A linear congruential generator whose state is one number, so that worlds copy fast."""
+    """A linear congruential generator, whose state is one integer so that worlds can be copied fast."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(0)
         self.state = seed
 
     def random(self) -> float:
-        """Uniform in [0, 1)."""
+        """Return a number uniformly distributed in [0, 1)."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % 2**64
         return (self.state >> 11) / 2**53
 
     def getrandbits(self, k: int) -> int:
-        """A number of k random bits."""
+        """Return an integer of `k` random bits."""
         return int(self.random() * 2**k)
 
     def __reduce__(self) -> tuple[Any, ...]:
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -1,4 +1,4 @@
-"""Three members, the messages between them and the faults that happen; copied as a whole where runs branch."""
+"""The explored state: three members, the messages between them and the faults so far; copied where runs branch."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 from myrtlespar.model_checker.fleet.step_invariants import FaultHistory, StepInvariants
 
 MEMBER_NAMES = ("a", "b", "c")
-HOP_MS = 1.0
-FIRST_INCARNATION = 1_700_000_000_000
-START_INTERVAL_MS = 40.0
-CONVERGED_MS = 1500.0  # from the start of all members until faults may happen
-FAULT_WINDOW_MS = 1300.0  # faults happen within this after it
-LEAVE_MS = 300.0  # from leaving to the end of the process
+HOP_MS = 1.0  # transit time of a message
+FIRST_INCARNATION = 1_700_000_000_000  # incarnations are start times, in milliseconds since 1970
+START_INTERVAL_MS = 40.0  # between the starts of two members
+CONVERGED_MS = 1500.0  # time from which on faults may happen; all members know one another by then
+FAULT_WINDOW_MS = 1300.0  # time within which the first fault happens, and each further one after the one before
+LEAVE_MS = 300.0  # from a member's leaving to the end of its process
 SETTINGS = MembershipSettings()
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class World:
-    """The complete state of a run."""
+    """The complete state of a run, in milliseconds of simulated time."""
 
     now: float = 0.0
     steps: int = 0
@@ -57,41 +57,40 @@
     members: dict[str, Member | None] = field(default_factory=dict)
     queue: list[Event] = field(default_factory=list)
     stopped: set[str] = field(default_factory=set)
-    delayed: dict[str, list[Message]] = field(default_factory=dict)  # messages to stopped members
+    delayed: dict[str, list[Message]] = field(default_factory=dict)  # undelivered messages to stopped members
     cuts: set[Link] = field(default_factory=set)
     left: set[str] = field(default_factory=set)  # members that left and were not started again
-    changed_at: float = 0.0  # last change of who runs and which links work
-    duplicated: dict[tuple[str, str, int], bool] = field(default_factory=dict)  # receiver, sender, number: arrived
+    changed_at: float = 0.0  # time of the last change to the running members and working links
+    # Duplicated packets, by (receiver, sender, sequence number): whether the first copy has arrived.
+    duplicated: dict[tuple[str, str, int], bool] = field(default_factory=dict)
     invariants: StepInvariants = field(default_factory=_new_invariants)
 
     @property
     def history(self) -> FaultHistory:
-        """The faults so far."""
+        """The faults of this run so far."""
         return self.invariants.history
 
     @property
     def violations(self) -> list[str]:
-        """The promises broken so far."""
+        """The invariants broken so far."""
         return self.invariants.violations
 
     def record_violation(self, invariant: str, text: str) -> None:
-        """Record a broken promise."""
+        """Record a broken invariant."""
         self.invariants.record_violation(invariant, text, self.now)
 
     def copy(self) -> World:
-        """A deep copy."""
+        """Return a deep copy."""
         world: World = pickle.loads(pickle.dumps(self, 5))
         return world
 
-    # Scheduling.
-
     def schedule(self, delay_ms: float, kind: EventKind, receiver: str, content: Any = None, sender: str = "") -> None:
-        """Schedule an event."""
+        """Schedule an event after `delay_ms`."""
         self.event_count += 1
         self.queue.append(Event(self.now + delay_ms, self.event_count, kind, receiver, content, sender))
 
     def next_event(self) -> Event | None:
-        """The earliest event, None if a member's timer is due before it."""
+        """Return the earliest event, or None if a member's timer is due before it."""
         event = min(self.queue, default=None, key=lambda event: event[:2])
         timer = self._next_timer()
         if event is None or (timer is not None and timer[0] < event.at):
@@ -109,7 +108,7 @@
         )
 
     def step(self) -> None:
-        """Do what comes next in the default order."""
+        """Run the next event or due timer of the default order."""
         self.steps += 1
         event = self.next_event()
         if event is None:
@@ -150,10 +149,8 @@
             case EventKind.DUPLICATE_MESSAGE:
                 self._deliver(name, event.content, duplicate=name not in self.history.affected)
 
-    # Messages and effects.
-
     def _deliver(self, receiver: str, message: Message, duplicate: bool = False) -> None:
-        """A message reaches a member's process."""
+        """Deliver a message to a member: drop it on a cut link, delay it for a stopped member."""
         member = self.members.get(receiver)
         sender = message.sender
         if member is None or (sender, receiver) in self.cuts:
@@ -185,7 +182,7 @@
         self._apply_effects(receiver, effects)
 
     def _apply_effects(self, name: str, effects: list[MembershipEffect]) -> None:
-        """Carry out a member's effects and check the promises of single steps."""
+        """Carry out a member's effects and check the invariants of single steps."""
         member = self.members[name]
         if member is not None:
             self.invariants.check_own_update(member.self_update)
@@ -204,8 +201,6 @@
         if receiver:
             self.schedule(HOP_MS, kind, receiver, content, sender)
 
-    # Processes and faults.
-
     def _start(self, name: str, incarnation: int) -> None:
         self.starts += 1
         random = SeededRandom(self.starts * 77 + MEMBER_NAMES.index(name))
@@ -226,12 +221,12 @@
             self._tick(name)
 
     def _record_disruption(self, *names: str) -> None:
-        """Something but a lost packet happened to these."""
+        """Record that something other than a lost or delayed packet happens to these members."""
         self.history.affected.update(names)
         self.changed_at = self.now
 
     def apply(self, fault: Fault) -> None:
-        """Let a fault happen now."""
+        """Apply a fault now."""
         self.history.faults.append((self.now, fault))
         if isinstance(fault, LosePacket | DuplicatePacket | DelayPacket):
             self._apply_to_packet(fault)
@@ -275,12 +270,12 @@
 
 
 def address_of(name: str) -> str:
-    """The address of a member."""
+    """Return the address of a member."""
     return f"127.8.0.{MEMBER_NAMES.index(name) + 1}:7000"
 
 
 def converged_world() -> World:
-    """All three members started a little apart, and settled."""
+    """Return a world whose three members were started `START_INTERVAL_MS` apart and know one another."""
     world = World(members=dict.fromkeys(MEMBER_NAMES))
     for index, name in enumerate(MEMBER_NAMES):
         world.schedule(START_INTERVAL_MS * index, EventKind.START, name, FIRST_INCARNATION)
--- a/myrtlespar/model_checker/quota/events.py
+++ b/myrtlespar/model_checker/quota/events.py
@@ -7,30 +7,30 @@
 
 
 class EventKind(StrEnum):
-    """What an event is."""
+    """The kind of an event."""
 
-    TICK = "tick"  # a member's clock is due
-    WANT = "want"  # a request of a member's callers
-    END = "end"  # of a run, where it is executed
+    TICK = "tick"  # a timer of a member is due
+    WANT = "want"  # a caller of a member makes a request
+    END = "end"  # a run ends
     PACKET = "packet"  # a message reaches a member
-    DISK = "disk"  # a journal is on disk
-    REQUEST = "request"  # reaches the engine
-    REPLY = "reply"  # of the engine reaches a member
-    START = "start"  # a member's new incarnation
-    RESUME = "resume"  # a stopped member goes on
+    DISK = "disk"  # a journal has been written to disk
+    REQUEST = "request"  # a member's request reaches the engine
+    REPLY = "reply"  # a reply of the engine reaches a member, or its timeout has passed
+    START = "start"  # a new incarnation of a member starts
+    RESUME = "resume"  # a stopped member continues
     HEAL = "heal"  # a cut ends
-    BELIEVE = "believe"  # a member believes all present again
+    BELIEVE = "believe"  # a member believes all members present again
     SHUN = "shun"  # a member believes that another one has failed
     ADOPT = "adopt"  # a member adopts the later limit
-    LOUD = "loud"  # a member's demand returns
+    LOUD = "loud"  # a member has demand again
 
 
 class Event(NamedTuple):
-    """A scheduled event; events are ordered by time, then by number."""
+    """A scheduled event. Events are ordered by time, then by number."""
 
     at: float
     number: int
     kind: EventKind
     member: str
-    payload: Any = None  # of its kind: an incarnation's number, a message, pairs of a cut
-    detail: Any = None  # of its kind: the sender of a packet, a request, a reply, a journal
+    payload: Any = None  # by kind: the number of an incarnation, a message, or the pairs of a cut
+    detail: Any = None  # by kind: the sender of a packet, a request, a reply, or a journal
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -1,4 +1,4 @@
-"""Explores all runs of a plan, each until the limit must be in full use again after its last fault, and checks them."""
+"""Explores and checks all runs of a plan, each until the limit must be in full use again after the last fault."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 from myrtlespar.model_checker.quota.world import World, begin
 from myrtlespar.model_checker.quota.world_settings import WARM_UP_MS
 
-RECOVERY_MS = 3200.0  # a run goes on for so long after the end of its last fault
-RECOVERED_MS = 1600.0  # the last part of that time, in which the limit must be in use again
-MIN_RECOVERED_USE = 0.75  # part of the limit
-MAX_LATER_USE = 1.001  # part of the later limit, once all members have adopted it
-SHARES_PER_JOB = 4  # so that no job is left with most of the work
+RECOVERY_MS = 3200.0  # how long a run continues after the end of its last fault
+RECOVERED_MS = 1600.0  # the last part of `RECOVERY_MS`, in which the limit must be in use again
+MIN_RECOVERED_USE = 0.75  # least use after the recovery, as a fraction of the limit
+MAX_LATER_USE = 1.001  # greatest use once all members have adopted the later limit, as a fraction of it
+SHARES_PER_JOB = 4  # so that no worker process is left with most of the work
+# A fault has not ended while one of these events is scheduled.
 FAULT_END_EVENTS = frozenset(
     (EventKind.START, EventKind.RESUME, EventKind.HEAL, EventKind.BELIEVE, EventKind.LOUD, EventKind.ADOPT)
-)  # while one of these is scheduled, a fault is not over
+)
 MACHINE_ERRORS = (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError)
 
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """What was explored, how near it came to the limit, and the first run with a broken promise.
+    """The extent of an exploration, the greatest use of the limit, and the first run with a broken invariant.
 
-    The explorer of membership has a result with the same fields, but for `max_in_use`: `fleet.command` reads both.
+    `fleet.command` also reads the result of the explorer of membership, which has the same fields but `max_in_use`.
     """
 
     runs: int = 0
@@ -39,8 +40,8 @@
     max_in_use: int = 0  # greatest use of the limit at a time, over all runs
     seconds: float = 0.0
     complete: bool = True  # all runs were explored, or the search ended early with a violation
-    violations: list[str] = field(default_factory=list)  # broken promises
-    counterexample: list[tuple[float, Fault]] = field(default_factory=list)  # the faults of that run
+    violations: list[str] = field(default_factory=list)  # broken invariants of that run
+    counterexample: list[tuple[float, Fault]] = field(default_factory=list)  # its faults, with their times in ms
 
     def add(self, other: ExplorationResult) -> None:
         """Add another result to this one."""
@@ -55,17 +56,17 @@
 
 
 class ExplorerJob(NamedTuple):
-    """The runs of a plan in one of its `SETTINGS` whose first fault has a number of this share."""
+    """One share of a plan's runs in one of its `SETTINGS`. The first fault decides to which share a run belongs."""
 
     plan: str
     settings: str
     share: int
     share_count: int
-    deadline: float  # monotonic seconds
+    deadline: float  # of the monotonic clock, in seconds
 
 
 class Explorer:
-    """Explores the runs of one job until a promise is broken or its deadline passes."""
+    """Explores the runs of one job until an invariant is broken or the deadline passes."""
 
     def __init__(self, job: ExplorerJob) -> None:
         self.job = job
@@ -94,14 +95,14 @@
         return bool(result.violations) or time.monotonic() > self.job.deadline
 
     def _explore_after_fault(self, world: World, fault: Fault, faults_left: int) -> ExplorationResult:
-        """Explore the runs that continue from this fault."""
+        """Explore the runs that continue with this fault."""
         world.apply(fault)
         if faults_left > 1:
             return self._explore_further_faults(world, faults_left - 1, world.now + self.plan.span_ms)
         return finish(world)
 
     def _explore_further_faults(self, world: World, faults_left: int, until: float) -> ExplorationResult:
-        """Explore the run without further faults, and those with each further fault at each further step."""
+        """Explore the runs with each further fault at each further step, and the run without one."""
         result = ExplorationResult()
         step = 0
         while world.now < until and faults_left:
@@ -121,7 +122,7 @@
 
 
 def finish(world: World) -> ExplorationResult:
-    """Complete one run and return its result."""
+    """Complete one run without further faults, and return its result."""
     try:
         if not world.violations:
             run_to_recovery(world)
@@ -138,7 +139,7 @@
 
 
 def run_to_recovery(world: World) -> None:
-    """Continue until all faults and their effects have ended, and check that the whole limit is in use again."""
+    """Continue until all faults have ended and the members have recovered, and check that the limit is in use again."""
     while any(event.kind in FAULT_END_EVENTS for event in world.queue):
         world.step()
         if world.violations:
@@ -161,7 +162,13 @@
 
 
 def explore(name: str, jobs: int, seconds: float) -> ExplorationResult:
-    """Explore all runs of a plan, or stop at the first broken promise or after so many seconds."""
+    """Explore all runs of a plan, or stop at the first broken invariant or at the time limit.
+
+    Args:
+        name: The name of the plan.
+        jobs: The number of worker processes.
+        seconds: The time limit.
+    """
     started = time.monotonic()
     result = ExplorationResult()
     share_count = jobs * SHARES_PER_JOB
--- a/myrtlespar/model_checker/quota/fault.py
+++ b/myrtlespar/model_checker/quota/fault.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault that may be applied to a world. Iterating over it yields the words of a report."""
+    """A fault that can be applied to a world. Iterating over it yields the words with which it is printed."""
 
     kind: ClassVar[str] = ""
 
@@ -22,5 +22,5 @@
         yield from astuple(self)
 
     def apply(self, world: World) -> None:
-        """Let the fault happen."""
+        """Apply the fault to the world now."""
         raise NotImplementedError
--- a/myrtlespar/model_checker/quota/fault_actions.py
+++ b/myrtlespar/model_checker/quota/fault_actions.py
@@ -1,4 +1,4 @@
-"""The faults of the explorer's world, and what each does to it. Times are true milliseconds."""
+"""The faults of the explorer's world. Durations are in milliseconds of true time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from myrtlespar.model_checker.quota.world_settings import MEMBER_NAMES
 
 Pairs = tuple[tuple[str, str], ...]  # (sender, recipient)
-DETECTION_DELAY_MS = 100.0  # until the others believe a stopped member gone
+DETECTION_DELAY_MS = 100.0  # until the other members believe that a stopped one has failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     delay_ms: float
 
     def apply(self, world: World) -> None:
-        """Schedule the packet anew."""
+        """Schedule the packet again, `delay_ms` later."""
         packet = world.next_event()
         world.queue.remove(packet)
         delay_ms = packet.at - world.now + self.delay_ms
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage(Fault):
-    """All processes end, and new ones start later, one after the other."""
+    """The processes of all members end, and new ones start later, one after the other."""
 
     kind: ClassVar[str] = "outage"
     restart_after_ms: float
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectedPairCut(Fault):
-    """Two members are cut off from one another, and the first believes that the second has failed."""
+    """Two members are cut off from one another, and only the first believes that the other has failed."""
 
     kind: ClassVar[str] = "shun"
     member: str
@@ -126,7 +126,7 @@
     duration_ms: float
 
     def apply(self, world: World) -> None:
-        """Cut both ways."""
+        """Cut both directions, and set the belief."""
         pairs = ((self.member, self.other), (self.other, self.member))
         world.cuts |= set(pairs)
         world.set_belief(self.member, frozenset(MEMBER_NAMES) - {self.other})
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCut(Fault):
-    """A member is cut off from the engine: both ways, or only the replies are lost."""
+    """A member is cut off from the engine, in both directions or only for replies."""
 
     kind: ClassVar[str] = "away"
     member: str
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut(Fault):
-    """Messages between these members are lost, and membership does not detect it."""
+    """Messages of these (sender, recipient) pairs are lost, and membership does not detect it."""
 
     kind: ClassVar[str] = "cut"
     pairs: Pairs
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WrongBelief(Fault):
-    """A member believes that only these are present."""
+    """A member believes that only the members `present` are present."""
 
     kind: ClassVar[str] = "believe"
     member: str
--- a/myrtlespar/model_checker/quota/faults.py
+++ b/myrtlespar/model_checker/quota/faults.py
@@ -1,4 +1,4 @@
-"""Which faults are possible in the explorer's world at each of its steps."""
+"""The faults that are possible at each step of the explorer's world."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def cut_pairs() -> list[Pairs]:
-    """Return the cuts: each member cut off both ways, outwards only, inwards only; and each pair one way."""
+    """Return all cuts: each member cut off in both directions, outwards or inwards; and each pair in one direction."""
     cuts: list[Pairs] = []
     for name in MEMBER_NAMES:
         others = [other for other in MEMBER_NAMES if other != name]
@@ -51,7 +51,8 @@
     return beliefs + [WrongBelief(name, (name,), 800.0) for name in names]
 
 
-# By kind, in the order in which they are visited: the faults at a tick, given the members that are running.
+# For each kind of fault, a function that returns the faults at a tick, given the names of the running members.
+# Faults are explored in this order.
 FAULTS_AT_TICK: dict[str, Callable[[list[str]], list[Fault]]] = {
     "crash": lambda names: [Crash(name, after_ms) for name in names for after_ms in (2.0, 150.0, 1200.0)],
     "outage": lambda names: [Outage(after_ms, apart_ms) for after_ms in (2.0, 300.0) for apart_ms in (0.0, 120.0)],
@@ -79,7 +80,7 @@
 def possible_faults(world: World, kinds: frozenset[str]) -> list[Fault]:
     """Return the faults of these kinds that are possible now.
 
-    Those of packets come just before a packet's arrival, all others at the tick of a member's clock.
+    Faults of packets happen just before a packet's arrival, all others just before a tick event of a member.
     """
     kind = world.next_event().kind
     if kind is EventKind.PACKET:
--- a/myrtlespar/model_checker/quota/mutants.py
+++ b/myrtlespar/model_checker/quota/mutants.py
@@ -1,4 +1,4 @@
-"""Mutations of fleet limits: one-line changes that the explorer must find, each with the plan that reveals it."""
+"""Mutations of fleet limits: small changes that the explorer must find, each with the plan that reveals it."""
 
 from __future__ import annotations
 
--- a/myrtlespar/model_checker/quota/plans.py
+++ b/myrtlespar/model_checker/quota/plans.py
@@ -1,4 +1,4 @@
-"""The plans of the explorer: which runs it explores, in which worlds."""
+"""The plans of the explorer: which runs are explored, in which worlds."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     WorldSettings,
 )
 
-FAULT_SPAN_MS = 500.0  # the first fault comes within this time, each later one within as long after the one before
+FAULT_SPAN_MS = 500.0  # time within which the first fault happens, and each further one after the one before
 ALL_KINDS = frozenset(("packets", "crash", "stop", "cut", "part", "believe", "demand"))
-FAST = 1.02  # rates of clocks
-SLOW = 0.98
+FAST = 1.02  # rate of the fastest permitted clock
+SLOW = 0.98  # rate of the slowest permitted clock
 SETTINGS = {
     "true": WorldSettings(),
     "drift": WorldSettings(clock_rates=(SLOW, FAST, 1.0)),
@@ -37,23 +37,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Which runs are explored: those with up to `max_faults` faults of these kinds, in worlds of these `SETTINGS`."""
+    """The explored runs: those with up to `max_faults` faults of these kinds, in worlds with these `SETTINGS`."""
 
     name: str
     max_faults: int
-    first_fault_interval: int = 1  # steps between those at which the first fault may happen
-    later_fault_interval: int = 1  # the same for later faults
+    first_fault_interval: int = 1  # the first fault may happen only at every such step
+    later_fault_interval: int = 1  # a later fault may happen only at every such step after the one before
     settings: tuple[str, ...] = ("true", "drift", "drift back", "loose", "hand", "hand drift")
     span_ms: float = FAULT_SPAN_MS
-    first_kinds: frozenset[str] = frozenset()  # kinds of the first fault; empty: `kinds`
+    first_kinds: frozenset[str] = frozenset()  # kinds of the first fault, if they differ from `kinds`
     kinds: frozenset[str] = ALL_KINDS
 
     def kinds_at(self, faults_left: int) -> frozenset[str]:
-        """Return the kinds of faults that may happen while so many faults are left."""
+        """Return the kinds of the next fault, given how many faults may still happen."""
         return self.first_kinds if self.first_kinds and faults_left == self.max_faults else self.kinds
 
     def step_interval(self, faults_left: int) -> int:
-        """Return the steps between those at which a fault may happen while so many faults are left."""
+        """Return the interval in steps for the next fault, given how many faults may still happen."""
         return self.first_fault_interval if faults_left == self.max_faults else self.later_fault_interval
 
 
--- a/myrtlespar/model_checker/quota/simulated_engine.py
+++ b/myrtlespar/model_checker/quota/simulated_engine.py
@@ -1,4 +1,4 @@
-"""The engine of the explorer's world: leases, keys under them, and revisions."""
+"""The engine of the explorer's world: leases, the keys attached to them, and revisions."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
-TTL_MS = 240.0  # of its leases
-CLOCK_RATE = 1.02  # as fast as any clock may be
+TTL_MS = 240.0  # of leases
+CLOCK_RATE = 1.02  # the fastest permitted clock
 
 
 class ShardKey(NamedTuple):
-    """A shard's key: the lease that it is under, and the revision at which it was created."""
+    """The key of a shard: the lease to which it is attached, and the revision at which it was created."""
 
     lease_id: int
     epoch: int
@@ -20,10 +20,10 @@
 
 @dataclass(slots=True)
 class SimulatedEngine:
-    """An engine in true time, whose clock is as fast as any may be."""
+    """An engine whose clock runs as fast as is permitted, so that its leases end as early as possible."""
 
-    lease_ends: dict[int, float] = field(default_factory=dict)  # by lease
-    keys: dict[int, ShardKey] = field(default_factory=dict)  # by shard
+    lease_ends: dict[int, float] = field(default_factory=dict)  # true time of the end, by lease id
+    keys: dict[int, ShardKey] = field(default_factory=dict)  # by shard id
     revision: int = 1
 
     def execute(self, now: float, request: EngineRequest) -> EngineReply:
--- a/myrtlespar/model_checker/quota/usage_record.py
+++ b/myrtlespar/model_checker/quota/usage_record.py
@@ -1,4 +1,4 @@
-"""The actual use of the world's limit by all members, in true time."""
+"""Records how much of the limit all members together have in use, in true time."""
 
 from __future__ import annotations
 
@@ -11,16 +11,23 @@
 
 @dataclass(slots=True)
 class UsageRecord:
-    """Starts and runs in flight of all members together."""
+    """The recent starts, runs in flight and spent budgets of all members together."""
 
-    recent_starts: deque[float] = field(default_factory=deque)  # within the last window
+    recent_starts: deque[float] = field(default_factory=deque)  # times of the starts within the last window
     in_flight: int = 0
-    spent: Counter[int] = field(default_factory=Counter)  # of a budget, by period
+    spent: Counter[int] = field(default_factory=Counter)  # starts that were charged to a budget, by period
     starts_by_member: Counter[str] = field(default_factory=Counter)
     max_in_use: int = 0
 
     def record_start(self, limit: Limit, name: str, now: float, wall_ms: float) -> int:
-        """Record a start of a member, whose clock shows `wall_ms`, and return what is in use with it."""
+        """Record a start, and return how much of the limit is in use with it.
+
+        Args:
+            limit: The limit, whose unit decides what counts as in use.
+            name: The member that starts a run.
+            now: The true time in milliseconds.
+            wall_ms: The time that the member's clock shows, which decides the period of a budget.
+        """
         self.starts_by_member[name] += 1
         if limit.counted_unit is CountedUnit.BUDGET:
             number = period_number(limit, wall_ms)
@@ -38,5 +45,5 @@
         return in_use
 
     def total_starts(self) -> int:
-        """Return the starts of all members."""
+        """Return the number of starts of all members."""
         return self.starts_by_member.total()
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -1,7 +1,7 @@
-"""Three members whose demand exceeds the limit, their clocks, and the messages between them.
+"""The explored state: three members whose demand exceeds the limit, their clocks, and the messages between them.
 
-Times of the world are true milliseconds; each member reads a clock of its own that runs fast or slow. What a member
-believes about who is present is no promise of membership: it may be wrong in any way for a while.
+Times of the world are true milliseconds; each member reads a clock of its own, which may run fast or slow. A member's
+belief about which members are present may be wrong in any way for a while, as membership does not exclude that.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from myrtlespar.quota.messages import LimitEffect, PersistThenSend, SendMessage
 from myrtlespar.quota.settings import CountedUnit
 
-ENGINE = "engine"  # its name in cuts
-KEY = "x"  # the only key
+ENGINE = "engine"  # name of the engine in `World.cuts`
+KEY = "x"  # the only key whose use is limited
 
 
 @dataclass(slots=True)
@@ -41,21 +41,21 @@
     settings: WorldSettings
     now: float = 0.0
     event_count: int = 0
-    members: dict[str, LimitCoordinator | None] = field(default_factory=dict)  # None: not running
+    members: dict[str, LimitCoordinator | None] = field(default_factory=dict)  # None while a member's process is down
     incarnations: dict[str, int] = field(default_factory=dict)
     queue: list[Event] = field(default_factory=list)
     stopped: set[str] = field(default_factory=set)
     delayed: dict[str, list[Event]] = field(default_factory=dict)  # events that wait for a stopped member
     cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, recipient)
-    beliefs: dict[str, frozenset[str]] = field(default_factory=dict)  # whom each member believes present
-    without_demand: set[str] = field(default_factory=set)  # members without demand
+    beliefs: dict[str, frozenset[str]] = field(default_factory=dict)  # the members that each member believes present
+    without_demand: set[str] = field(default_factory=set)  # members that make no requests
     faults: list[tuple[float, Fault]] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
     usage: UsageRecord = field(default_factory=UsageRecord)
     engine: SimulatedEngine = field(default_factory=SimulatedEngine)
     disks: dict[str, dict[BudgetPeriod, int]] = field(default_factory=dict)
-    engine_requests: dict[str, int] = field(default_factory=dict)  # by member with a pending one: its incarnation
-    adopted: set[str] = field(default_factory=set)  # members whose file has the later version
+    engine_requests: dict[str, int] = field(default_factory=dict)  # incarnation of each member with a pending request
+    adopted: set[str] = field(default_factory=set)  # members whose settings file has the later limit
     steps: int = 0
 
     def copy(self) -> World:
@@ -64,11 +64,11 @@
         return world
 
     def clock(self, name: str) -> float:
-        """Return what a member's clock shows."""
+        """Return the time that a member's clock shows, in milliseconds."""
         return clock(self.settings, name, self.now)
 
     def schedule(self, after_ms: float, kind: EventKind, member: str, payload: Any = None, detail: Any = None) -> None:
-        """Let an event happen later."""
+        """Schedule an event after `after_ms`."""
         self.event_count += 1
         self.queue.append(Event(self.now + after_ms, self.event_count, kind, member, payload, detail))
 
@@ -77,7 +77,7 @@
         return min(self.queue)
 
     def step(self) -> None:
-        """Let the next event happen."""
+        """Advance the time to the next event and apply it."""
         self.steps += 1
         event = self.next_event()
         self.queue.remove(event)
@@ -85,25 +85,25 @@
         self.handle(event)
 
     def handle(self, event: Event) -> None:
-        """Let an event happen now."""
+        """Apply an event now."""
         getattr(self, f"_on_{event.kind}")(event)
 
     def apply(self, fault: Fault) -> None:
-        """Let a fault happen."""
+        """Apply a fault now."""
         self.faults.append((self.now, fault))
         fault.apply(self)
 
     def set_belief(self, name: str, present: frozenset[str]) -> None:
-        """Set whom a member believes present."""
+        """Set which members a member believes present."""
         self.beliefs[name] = present
         coordinator = self.members[name]
         if coordinator is not None:
             coordinator.present_members = present
 
     def _running(self, event: Event) -> LimitCoordinator | None:
-        """Return the coordinator that an event is for, if it is of that incarnation and not stopped.
+        """Return the coordinator that an event is for, or None if its incarnation has ended or is stopped.
 
-        Events of a stopped member are delayed until it goes on.
+        Events for a stopped member are delayed until it continues.
         """
         coordinator = self.members[event.member]
         if coordinator is None or self.incarnations[event.member] != event.payload:
@@ -116,8 +116,6 @@
         self.delayed.setdefault(event.member, []).append(event)
         return True
 
-    # Events of a member's process.
-
     def _on_start(self, event: Event) -> None:
         name = event.member
         incarnation = self.incarnations.get(name, 0) + 1
@@ -178,7 +176,7 @@
         self._carry_out(event.member, coordinator.persisted(self.clock(event.member), effect))
 
     def _on_resume(self, event: Event) -> None:
-        """Let a stopped member go on; the payload says whether its delayed events come in reverse order."""
+        """Continue a stopped member; the payload tells whether its delayed events happen in reverse order."""
         self.stopped.discard(event.member)
         delayed = self.delayed.pop(event.member, [])
         for waiting in reversed(delayed) if event.payload else delayed:
@@ -194,7 +192,7 @@
         self.set_belief(event.member, frozenset(MEMBER_NAMES) - {event.payload})
 
     def _on_adopt(self, event: Event) -> None:
-        """Let a member's file have the later limit, and its process read it."""
+        """Change a member's settings file to the later limit, and let its process adopt it."""
         name = event.member
         coordinator = self.members[name]
         later_limit = self.settings.later_limit
@@ -207,10 +205,8 @@
     def _on_loud(self, event: Event) -> None:
         self.without_demand.discard(event.member)
 
-    # Runs.
-
     def _start_run(self, name: str, incarnation: int) -> None:
-        """Start a run that was admitted, and check that no more are in use than promised."""
+        """Start a run that was admitted, and check that no more than `max_in_use` is in use."""
         limit = self.settings.limit
         in_use = self.usage.record_start(limit, name, self.now, self.clock(name))
         if limit.counted_unit is CountedUnit.AT_ONCE:
@@ -218,18 +214,16 @@
             self.schedule(run_ms, EventKind.END, name, incarnation)
         if in_use > self.settings.max_in_use:
             self.violations.append(
-                f"never over: {in_use} of {self.settings.max_in_use} in use as {name} let one in at {self.now:.0f} ms"
+                f"never over: {in_use} of {self.settings.max_in_use} in use as {name} admitted one at {self.now:.0f} ms"
             )
 
     def _on_end(self, event: Event) -> None:
-        """End a run where it is executed; its member is notified if it is still there."""
+        """End a run, and notify the member that admitted it if that incarnation still runs."""
         self.usage.in_flight -= 1
         coordinator = self.members[event.member]
         if coordinator is not None and self.incarnations[event.member] == event.payload:
             coordinator.run_ended(KEY)
 
-    # Effects and the engine.
-
     def _carry_out(self, name: str, effects: list[LimitEffect]) -> None:
         incarnation = self.incarnations[name]
         for effect in effects:
@@ -255,7 +249,7 @@
             self.violations.append(f"one keeper: {' '.join(leaders)} at {self.now:.0f} ms")
 
     def _send_engine_request(self, name: str, incarnation: int) -> None:
-        """Send what is due to the engine, one request at a time, as a member's driver does."""
+        """Send the next due request to the engine unless one is pending, as a member's driver does."""
         coordinator = self.members[name]
         if coordinator is None or coordinator.lease_session is None or name in self.engine_requests:
             return
@@ -286,7 +280,7 @@
 
 
 def begin(settings: WorldSettings) -> World:
-    """Return a world in which all members have started, a leader has its lease, and grants are out."""
+    """Return a world in which all members have started, a leader holds its lease, and members hold grants."""
     world = World(settings, members=dict.fromkeys(MEMBER_NAMES))
     for name in MEMBER_NAMES:
         world.schedule(0.0, EventKind.START, name)
