--- a/tests/test_counterexample_replay.py
+++ b/tests/test_counterexample_replay.py
@@ -1,4 +1,4 @@
-"""Counterexamples of the model checker: stored ones are validated, and replayed on the real program over sockets."""
+"""Saved counter-examples of the model checker: they are validated when read, and replayed on the real program."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from myrtlespar.model_checker.scenarios import ALL
 from myrtlespar.model_checker.world import Event
 
+# The start of an order is sent and read, and the link breaks before the notices of the run arrive.
 LOST_START = [
     ("send", 0),
     ("whole", 0),
@@ -24,6 +25,7 @@
     ("read",),
     ("hear",),
 ]
+# A first order has ended when a second one with the same idempotency key arrives.
 RETRIED_KEY = [
     ("send", 0),
     ("whole", 0),
@@ -39,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "message"),
     [
         (": [", "line 1: not YAML"),
         ("scenario: moon", "scenario: unknown"),
@@ -50,18 +52,18 @@
     ],
 )
 def test_an_invalid_counterexample_is_reported_in_one_line(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, complaint: str
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, message: str
 ) -> None:
     path = tmp_path / "found.yaml"
     path.write_text(text)
     assert command.replay(path, False, "") == command.FAULTY_INPUT
     errors = capsys.readouterr().err
-    assert complaint in errors
+    assert message in errors
     assert errors.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    ("plant", "scenario", "events", "rule"),
+    ("mutation", "scenario", "events", "rule"),
     [
         ("orders repeated after a break", "once", LOST_START, "one start a try"),
         ("key forgotten at its outcome", "quick", RETRIED_KEY, "one start a key"),
@@ -69,7 +71,7 @@
     ],
 )
 def test_a_counterexample_shows_on_sockets_with_the_bug_and_only_then(
-    plant: str, scenario: str, events: list[Event], rule: str
+    mutation: str, scenario: str, events: list[Event], rule: str
 ) -> None:
-    assert play(ALL[scenario], events, plant).violations == [rule]
+    assert play(ALL[scenario], events, mutation).violations == [rule]
     assert play(ALL[scenario], events).violations == []
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker: small models are explored completely, and a bound gives no verdict."""
+"""The model checker: small scenarios are explored completely, and an exploration stopped by a bound has no verdict."""
 
 from __future__ import annotations
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""Planted bugs: each changes one place of the source, and the model checker finds it."""
+"""Mutations (planted bugs) of the state machines: each changes one place of the source, and the checker finds it."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
     assert command.replay(counterexample, False, "") in (
         command.ALL_HOLD,
         command.FAULTY_INPUT,
-    )  # without the bug no rule falls
+    )  # without the mutation, all rules hold, or an event of the counter-example is not possible
 
 
 @pytest.mark.parametrize(
     "name", ["key hand-over dropped", "starts behind the hand-over", "given-up connection used again"]
-)  # the machine with the last one does not terminate
+)  # the last of these mutations makes an event run endlessly
 def test_a_planted_bug_of_two_processes_or_without_an_end_is_found(name: str) -> None:
     command_line = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name]
     finished = subprocess.run(command_line, cwd=ROOT, capture_output=True, text=True, check=False)
--- a/tests/test_quota_model_checker.py
+++ b/tests/test_quota_model_checker.py
@@ -1,4 +1,4 @@
-"""The explorer of fleet limits: its world, its plans and its mutations."""
+"""The model checker of fleet limits: its world, its plans and its mutations."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from myrtlespar.model_checker.quota.world_settings import CONCURRENCY_LIMIT, RATE_LIMIT, WorldSettings
 from myrtlespar.quota.settings import Limit
 
-MAX_SECONDS = 600
-OBSERVED_MS = 4000
+MAX_SECONDS = 600  # time limit of one exploration
+OBSERVED_MS = 4000  # simulated time over which the use of a limit is measured
 
 
 @pytest.mark.parametrize("limit", [RATE_LIMIT, CONCURRENCY_LIMIT], ids=["rate", "concurrency"])
--- a/tests/test_trace_checker.py
+++ b/tests/test_trace_checker.py
@@ -1,4 +1,4 @@
-"""Recorded traces: valid ones are accepted, and the first invalid step is named."""
+"""Recorded traces: valid ones are accepted, and of an invalid one the first invalid step is reported."""
 
 from __future__ import annotations
 
