--- a/myrtlespar/model_checker/client_events.py
+++ b/myrtlespar/model_checker/client_events.py
@@ -37,7 +37,7 @@
 
 
 def abort_request(world: World, index: int) -> None:
-    """Reset the connection by the client before the request is complete."""
+    """Let the client reset its connection before the request is complete."""
     world.count_fault("give up")
     world.callers[index].stage = DONE
     world.callers[index].gone = True
@@ -53,20 +53,20 @@
 
 
 def reject_unread(world: World, index: int) -> None:
-    """Reject a request in the front before it is read completely."""
+    """Let the front reject a request before it is read completely."""
     world.count_fault("spoil")
     world.callers[index].stage = DONE
     world.handle_connection_event(index, ConnectionEvent.TURNED_AWAY)
 
 
 def cancel_request(world: World, index: int) -> None:
-    """Cancel the request by the client: by an abort message in Thrift, by a connection reset in AJP."""
+    """Let the client cancel its request: with an abort message in Thrift, with a connection reset in AJP."""
     world.count_fault("give up")
     _end_wait(world, index, by_message=world.scenario.attempts[index].front == "thrift")
 
 
 def reset_connection(world: World, index: int) -> None:
-    """Reset the connection by the client while it waits for an answer, or after it got one."""
+    """Let the client reset its connection while it waits for an answer, or after it has received one."""
     world.count_fault("reset")
     _end_wait(world, index, by_message=False)
 
@@ -84,6 +84,6 @@
 
 
 def close_idle(world: World, index: int) -> None:
-    """Close an idle connection by the server."""
+    """Let the server close an idle connection."""
     world.count_fault("close")
     world.handle_connection_event(index, ConnectionEvent.CLOSE)
--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -35,8 +35,8 @@
     """A saved counter-example can't be read or replayed; the message names the place in one line."""
 
 
-def explore_all(names: list[str], bounds: Bounds, jobs: int, folder: Path | None, live: bool) -> int:
-    """Explore scenarios one after the other, and print a line for each.
+def explore_all(names: list[str], bounds: Bounds, jobs: int, folder: Path | None, show_progress: bool) -> int:
+    """Explore scenarios one after the other, print a line for each, and return the exit status.
 
     If all small scenarios are among them, every row of every transition table must have been used.
 
@@ -45,7 +45,7 @@
         bounds: The bounds of each exploration.
         jobs: The number of worker processes.
         folder: The folder in which counter-examples are saved; None if they are not saved.
-        live: Whether to print progress to standard error.
+        show_progress: Whether to print progress to standard error.
 
     Returns:
         The exit status.
@@ -61,7 +61,7 @@
         names.remove("twins")
         status = process_pair.print_result(process_pair.explore())
     for name in names:
-        result = explore(ALL[name], bounds, jobs, progress if live else None)
+        result = explore(ALL[name], bounds, jobs, progress if show_progress else None)
         used_transitions |= result.used_transitions
         print_summary(result)
         if result.violations:
@@ -117,7 +117,7 @@
     lines: list[str] = []
     for number, event in enumerate(path, 1):
         if event not in enabled_events(unpack(bounds, packed)):
-            raise FaultyReplayError(f"event {number}: {show(event)!r} can't come here")
+            raise FaultyReplayError(f"event {number}: {show(event)!r} is not possible in the state before it")
         world, violations = step(bounds, packed, event, coverage)
         lines.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
         packed = deserialize(serialize(world))
@@ -206,10 +206,17 @@
     """
 
     def find_mutation(name: str) -> tuple[str, str]:
-        words = [sys.executable, "-m", "myrtlespar.model_checker.mutation_testing", name, "--seconds", str(seconds)]
+        command_line = [
+            sys.executable,
+            "-m",
+            "myrtlespar.model_checker.mutation_testing",
+            name,
+            "--seconds",
+            str(seconds),
+        ]
         if folder is not None:
-            words += ["--save", str(folder)]
-        done = subprocess.run(words, capture_output=True, text=True, check=False)
+            command_line += ["--save", str(folder)]
+        done = subprocess.run(command_line, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
 
     found = 0
--- a/myrtlespar/model_checker/enabled_events.py
+++ b/myrtlespar/model_checker/enabled_events.py
@@ -104,9 +104,11 @@
             events.append(("deaf",))
         if world.stalled or world.fault_allowed("break", world.scenario.link_breaks):
             events.append(("break",))
-        doubt = any(command.state == engine_link.CommandState.DOUBTFUL for command in link.unconfirmed.values())
+        has_doubtful_command = any(
+            command.state == engine_link.CommandState.DOUBTFUL for command in link.unconfirmed.values()
+        )
         if (
-            doubt
+            has_doubtful_command
             and link.state == engine_link.LinkState.READY
             and not any(mark.startswith("doubt") for mark in link.pending_marks)
         ):
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -147,7 +147,7 @@
     Args:
         world: The world.
         refuse: Let the engine answer EINVAL to a start.
-        over: Let the engine report a start as a NOOP run, as the request has ended.
+        over: Let the engine report the run as ended with NOOP instead of starting it, as the request has ended.
     """
     before = sum(world.engine.starts.values())
     rid = world.engine.lines_to_engine[0][1] if world.engine.lines_to_engine[0][0] == "SCHED" else ""
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -8,9 +8,8 @@
 from myrtlespar.state_machines import command_log
 from myrtlespar.state_machines.attempts import AttemptAction
 
-LinkLine = tuple[
-    Any, ...
-]  # a line on the engine link: its kind and arguments, of plain types so that states can be stored with marshal
+# A line on the engine link: its kind and arguments, of plain types so that states can be stored with marshal.
+LinkLine = tuple[Any, ...]
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
 # Effects of the request tracker that notify the policy.
 POLICY_NOTIFICATIONS = (
@@ -88,7 +87,7 @@
 
         Args:
             refuse: Answer a start with EINVAL.
-            over: Report a start as a NOOP run, because nobody waits for the request any longer.
+            over: Report the run as ended with NOOP instead of starting it, because no caller waits any longer.
         """
         kind, *rest = self.lines_to_engine.pop(0)
         if kind == "OPEN":
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -62,8 +62,8 @@
     """
 
     def search(name: str) -> tuple[str, str]:
-        words = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
-        done = subprocess.run(words, capture_output=True, text=True, check=False)
+        command_line = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
+        done = subprocess.run(command_line, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
 
     found = 0
@@ -77,7 +77,7 @@
 
 
 def main() -> int:
-    """Search for one mutation, and print in one line whether it was found or survived."""
+    """Search for one mutation, print in one line whether it was found or survived, and return the exit status."""
     area = sys.argv[1]
     name = sys.argv[2]
     seconds = float(sys.argv[3])
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -23,7 +23,7 @@
 class ExplorationResult:
     """The extent of an exploration, and the first run with a broken invariant.
 
-    `command` also reads the result of the explorer of limits, which has the same fields and `max_in_use`.
+    `command` also reads the result of the explorer of limits, which also has `max_in_use`.
     """
 
     runs: int = 0
@@ -71,7 +71,7 @@
                 for number, fault in enumerate(possible_faults(world, self.plan.kinds)):
                     if (step * 31 + number) % share_count == share:
                         self._explore_after_fault(world.copy(), fault, self.plan.max_faults)
-                        if self._stopped():
+                        if self._should_stop():
                             return self.result
             world.step()
             step += 1
@@ -92,7 +92,7 @@
             if step % self.plan.later_fault_interval == 0:
                 for fault in possible_faults(world, self.plan.kinds):
                     self._explore_after_fault(world.copy(), fault, faults_left)
-                    if self._stopped():
+                    if self._should_stop():
                         return
             world.step()
             step += 1
@@ -112,7 +112,7 @@
             run.counterexample = [(at, fault_words(fault)) for at, fault in world.history.faults]
         self.result.add(run)
 
-    def _stopped(self) -> bool:
+    def _should_stop(self) -> bool:
         if not self.result.violations and time.monotonic() <= self.deadline:
             return False
         self.result.complete = bool(self.result.violations)
--- a/myrtlespar/model_checker/fleet/final_invariants.py
+++ b/myrtlespar/model_checker/fleet/final_invariants.py
@@ -39,24 +39,27 @@
     check_views(world)
 
 
-def are_linked(world: World, a: str, b: str) -> bool | None:
-    """Return whether both members receive messages from one another, directly or through the third member.
+def are_linked(world: World, first: str, second: str) -> bool | None:
+    """Return whether two members receive messages from one another, directly or through the third member.
 
     Returns None if this is so only over a circle of one-way links. There, a member is repeatedly suspected and refutes
     the suspicion, so that no particular quorum status can be expected.
     """
-    third = next(name for name in MEMBER_NAMES if name not in (a, b))
+    third = next(name for name in MEMBER_NAMES if name not in (first, second))
     third_runs = world.members[third] is not None and third not in world.left
 
     def one_way(sender: str, receiver: str) -> bool:
         return (sender, receiver) not in world.cuts
 
-    def both_ways(x: str, y: str) -> bool:
-        return one_way(x, y) and one_way(y, x)
+    def both_ways(origin: str, target: str) -> bool:
+        return one_way(origin, target) and one_way(target, origin)
 
-    if both_ways(a, b) or (third_runs and both_ways(a, third) and both_ways(third, b)):
+    if both_ways(first, second) or (third_runs and both_ways(first, third) and both_ways(third, second)):
         return True
-    paths = [one_way(x, y) or (third_runs and one_way(x, third) and one_way(third, y)) for x, y in ((a, b), (b, a))]
+    paths = [
+        one_way(origin, target) or (third_runs and one_way(origin, third) and one_way(third, target))
+        for origin, target in ((first, second), (second, first))
+    ]
     return None if all(paths) else False
 
 
@@ -80,10 +83,10 @@
             world.record_violation("a standing is right in time", f"{name} has {actual.name}, expected {expected.name}")
         if actual >= QuorumStatus.MAJORITY:
             majority_claims.append(name)
-    for a in majority_claims:
-        for b in majority_claims:
-            if a < b and are_linked(world, a, b) is False:
-                world.record_violation("two parts never both claim a majority", f"{a} and {b}")
+    for first in majority_claims:
+        for second in majority_claims:
+            if first < second and are_linked(world, first, second) is False:
+                world.record_violation("two parts never both claim a majority", f"{first} and {second}")
 
 
 def check_views(world: World) -> None:
@@ -129,6 +132,7 @@
         world.record_violation("nothing is left behind", f"{name} holds {len(late)} probes past their deadlines")
     if member.prober.health and others_present:
         world.record_violation("who is well trusts itself again", f"{name} has local health {member.prober.health}")
+    # All links work, so no reachability row may contain an unreachable member.
     if any(row.unreachable for row in member.reachability.rows.values()):
         world.record_violation(
             "whole links are named whole", f"{name} has reachability rows {member.reachability.rows}"
--- a/myrtlespar/model_checker/fleet/plans.py
+++ b/myrtlespar/model_checker/fleet/plans.py
@@ -14,8 +14,8 @@
     name: str
     max_faults: int  # greatest number of faults in one run
     kinds: frozenset[str] = ALL_KINDS
-    later_fault_interval: int = 1  # steps between those at which a second or later fault may happen
-    first_fault_interval: int = 1  # the same for the first fault
+    later_fault_interval: int = 1  # a later fault may happen at each multiple of so many steps after the one before
+    first_fault_interval: int = 1  # the first fault may happen at each multiple of so many steps
 
 
 PLANS = {
--- a/myrtlespar/model_checker/fleet/step_invariants.py
+++ b/myrtlespar/model_checker/fleet/step_invariants.py
@@ -137,8 +137,10 @@
     def _check_suspicion(self, name: str, change: MemberChanged, now: float) -> None:
         faults = [fault for _, fault in self.history.faults]
         first = faults[0] if faults else None
+        # If only the link between two members is cut, indirect probes through the third must prevent a suspicion.
         if len(faults) == 1 and isinstance(first, Cut) and len({end for link in first.links for end in link}) == 2:
             self.record_violation("who answers another is not suspected", f"{name} suspects {change.name}", now)
+        # Neither one lost packet nor the stop of the accuser itself may lead to a suspicion of an undisturbed member.
         if (
             change.accuser == name
             and change.name not in self.history.affected
--- a/myrtlespar/model_checker/invariants.py
+++ b/myrtlespar/model_checker/invariants.py
@@ -70,33 +70,33 @@
 
     Args:
         world: The world after the event; its `violations` are cleared.
-        coverage: Observed the event; its `undefined` events are cleared.
+        coverage: The observer of the transition tables during the event; its `undefined` events are cleared.
         ticked: Whether the event was a tick of the clock, so that due times have to be checked.
     """
-    out = list(world.violations)
+    broken = list(world.violations)
     world.violations.clear()
     if coverage.undefined:
         if not world.scenario.unexpected_decisions:
-            out.append("nothing impossible")
+            broken.append("nothing impossible")
         coverage.undefined.clear()
     if any(len(caller.answers) > 1 for caller in world.callers):
-        out.append("one answer")
+        broken.append("one answer")
     if world.engine.wrong_reply:
-        out.append("true replies")
+        broken.append("true replies")
     if world.stopped:
-        return out
+        return broken
     if ticked and (_has_overdue_request(world) or _has_lost_request(world)):
-        out.append("answered in time")
+        broken.append("answered in time")
     if not _is_accounting_consistent(world):
-        out.append("books agree")
+        broken.append("books agree")
     if any(
         exchange.state in STARTED and not _end_will_be_reported(world, id)
         for id, exchange in world.tracker.requests.items()
     ):
-        out.append("no place is lost")
+        broken.append("no place is lost")
     if _has_stranded_call(world):
-        out.append("no call is stranded")
-    return out
+        broken.append("no call is stranded")
+    return broken
 
 
 def _has_overdue_request(world: World) -> bool:
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -1,8 +1,7 @@
 """Explores the hand-over between an old and a new process of one server, breadth first, with one idempotency key.
 
-Request tracker, key table, process lifecycle and the format of the hand-over file are those of the server. The engine
-continues the runs of an old process. The file may be torn once; then the new process waits until the old one has
-exited.
+Request tracker, key table, process lifecycle and hand-over file are those of the server. The engine continues the runs
+of the old process. The file may be torn once; then the new process waits until the old one has exited.
 """
 
 from __future__ import annotations
@@ -29,8 +28,7 @@
 KEY_MS = 60_000.0  # how long a key is remembered
 RUN_MS = 5.0  # duration of each run
 WAITS_MS = {"a while": 200.0, "long": 9000.0}
-# The meaning of each rule by its name.
-RULES = {
+RULES = {  # meanings by name
     "one start a key": "An order with an idempotency key never runs twice, not even across a hand-over.",
     "all read are answered": "A process answers every request that it has read before it exits.",
     "keys open": "The new process accepts idempotency keys once the old one has exited.",
@@ -47,8 +45,6 @@
     """One of the two processes.
 
     Attributes:
-        name: `old` or `new`.
-        tracker: The request tracker of the process.
         stopped_reading: Whether the process reads no more requests.
         gone: Whether the process has exited.
         keys_written: Whether the process has written the hand-over file.
@@ -72,12 +68,9 @@
 
 @dataclass(slots=True)
 class ProcessPair:
-    """The two processes, the hand-over file between them, and counts of what has happened.
+    """The two processes, the hand-over file between them, and what has happened until `now`, in milliseconds.
 
     Attributes:
-        now: The time in milliseconds.
-        old: The process that is replaced.
-        new: The process that replaces it.
         receiver: Reads the hand-over file in the new process.
         file: The content of the hand-over file; None until it is written.
         torn: Whether the file was torn (truncated).
@@ -295,12 +288,7 @@
 
 
 def print_mutation_result(result: PairResult, longest: int) -> int:
-    """Print in one line whether a mutation was found, and return the exit status.
-
-    Args:
-        result: The result of the exploration with the mutation.
-        longest: The number of events up to which a counter-example is acceptable.
-    """
+    """Print whether a mutation was found with at most `longest` events, and return the exit status."""
     if not result.violations:
         print(f"survived {result.states:,} states of twins")
         return 1
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -31,7 +31,7 @@
 class ExplorationResult:
     """The extent of an exploration, the greatest use of the limit, and the first run with a broken invariant.
 
-    `fleet.command` also reads the result of the explorer of membership, which has the same fields but `max_in_use`.
+    `fleet.command` also reads the result of the explorer of membership, which has the same fields except `max_in_use`.
     """
 
     runs: int = 0
@@ -84,14 +84,14 @@
                     if (step * 31 + number) % self.job.share_count != self.job.share:
                         continue
                     result.add(self._explore_after_fault(world.copy(), fault, plan.max_faults))
-                    if self._is_over(result):
+                    if self._should_stop(result):
                         result.complete = bool(result.violations)
                         return result
             world.step()
             step += 1
         return result
 
-    def _is_over(self, result: ExplorationResult) -> bool:
+    def _should_stop(self, result: ExplorationResult) -> bool:
         return bool(result.violations) or time.monotonic() > self.job.deadline
 
     def _explore_after_fault(self, world: World, fault: Fault, faults_left: int) -> ExplorationResult:
@@ -109,7 +109,7 @@
             if step % self.plan.step_interval(faults_left) == 0:
                 for fault in possible_faults(world, self.plan.kinds_at(faults_left)):
                     result.add(self._explore_after_fault(world.copy(), fault, faults_left))
-                    if self._is_over(result):
+                    if self._should_stop(result):
                         result.complete = result.complete and bool(result.violations)
                         return result
             world.step()
--- a/myrtlespar/model_checker/quota/fault_actions.py
+++ b/myrtlespar/model_checker/quota/fault_actions.py
@@ -10,7 +10,7 @@
 from myrtlespar.model_checker.quota.world import ENGINE, World
 from myrtlespar.model_checker.quota.world_settings import MEMBER_NAMES
 
-Pairs = tuple[tuple[str, str], ...]  # (sender, recipient)
+Pairs = tuple[tuple[str, str], ...]  # pairs of (sender, recipient), each one direction
 DETECTION_DELAY_MS = 100.0  # until the other members believe that a stopped one has failed
 
 
--- a/myrtlespar/model_checker/quota/plans.py
+++ b/myrtlespar/model_checker/quota/plans.py
@@ -41,8 +41,8 @@
 
     name: str
     max_faults: int
-    first_fault_interval: int = 1  # the first fault may happen only at every such step
-    later_fault_interval: int = 1  # a later fault may happen only at every such step after the one before
+    first_fault_interval: int = 1  # the first fault may happen at each multiple of so many steps
+    later_fault_interval: int = 1  # the same for each later fault, counted from the fault before
     settings: tuple[str, ...] = ("true", "drift", "drift back", "loose", "hand", "hand drift")
     span_ms: float = FAULT_SPAN_MS
     first_kinds: frozenset[str] = frozenset()  # kinds of the first fault, if they differ from `kinds`
--- a/myrtlespar/model_checker/quota/simulated_engine.py
+++ b/myrtlespar/model_checker/quota/simulated_engine.py
@@ -7,7 +7,7 @@
 
 from myrtlespar.quota.lease_session import EngineOperation, EngineReply, EngineRequest
 
-TTL_MS = 240.0  # of leases
+TTL_MS = 240.0  # lifetime of a lease
 CLOCK_RATE = 1.02  # the fastest permitted clock
 
 
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -46,14 +46,14 @@
     queue: list[Event] = field(default_factory=list)
     stopped: set[str] = field(default_factory=set)
     delayed: dict[str, list[Event]] = field(default_factory=dict)  # events that wait for a stopped member
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, recipient)
+    cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, recipient) pairs whose messages are lost
     beliefs: dict[str, frozenset[str]] = field(default_factory=dict)  # the members that each member believes present
     without_demand: set[str] = field(default_factory=set)  # members that make no requests
     faults: list[tuple[float, Fault]] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
     usage: UsageRecord = field(default_factory=UsageRecord)
     engine: SimulatedEngine = field(default_factory=SimulatedEngine)
-    disks: dict[str, dict[BudgetPeriod, int]] = field(default_factory=dict)
+    disks: dict[str, dict[BudgetPeriod, int]] = field(default_factory=dict)  # budget totals on each member's disk
     engine_requests: dict[str, int] = field(default_factory=dict)  # incarnation of each member with a pending request
     adopted: set[str] = field(default_factory=set)  # members whose settings file has the later limit
     steps: int = 0
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -101,7 +101,7 @@
             engine.break_link()
         else:
             before = engine.links_seen
-            until(lambda: engine.links_seen > before or engine.outbox, "link")
+            until(lambda: engine.links_seen > before or engine.outbox, "new engine link")
 
     def _send_request(self, n: int) -> None:
         attempt = self.scenario.attempts[n]
@@ -119,22 +119,25 @@
     def broken_rules(self) -> list[str]:
         """Return the names of the rules whose violation was observed from outside."""
         starts = self.engine.by_body
-        out: list[str] = []
+        broken: list[str] = []
         orders = [n for n, attempt in enumerate(self.scenario.attempts) if attempt.effectful]
         if any(starts[self.body(n)] > 1 for n in orders):
-            out.append("one start a try")
+            broken.append("one start a try")
         keys: Counter[str] = Counter()
         for n in orders:
             keys[self.scenario.attempts[n].key] += min(1, starts[self.body(n)])
         if any(count > 1 for key, count in keys.items() if key):
-            out.append("one start a key")
+            broken.append("one start a key")
         if self.engine.wrong:
-            out.append("true replies")
+            broken.append("true replies")
         if any(
-            count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()
+            count > 1
+            for client in self.clients.values()
+            if isinstance(client, ThriftClient)
+            for count in client.count.values()
         ):
-            out.append("one answer")
-        return out
+            broken.append("one answer")
+        return broken
 
 
 def play(scenario: Scenario, events: list[Event], mutation: str = "") -> ReplayResult:
@@ -144,8 +147,8 @@
         replay = ProcessReplay(scenario, mutation, Path(tmp))
         with replay.server as running:
             # The initial world of a scenario has an established engine link.
-            until(lambda: replay.engine.hear() or running.event("kernel up"), "greeting")
-            until(lambda: running.event("kernel up"), "kernel link")
+            until(lambda: replay.engine.hear() or running.event("kernel up"), "engine greeting")
+            until(lambda: running.event("kernel up"), "log event 'kernel up'")
             time.sleep(REACTION_S)
             for number, event in enumerate(events, 1):
                 done = replay.play(running.ports, running.process.pid, event)
--- a/myrtlespar/model_checker/world.py
+++ b/myrtlespar/model_checker/world.py
@@ -148,9 +148,6 @@
         """Count one fault of this kind."""
         self.fault_counts[kind] = self.fault_counts.get(kind, 0) + 1
 
-    # The following methods carry out effects as the request coordinator, the clients of engine and dependency, and the
-    # fronts do in the server.
-
     def apply_effects(self, effects: list[RequestEffect]) -> None:
         """Carry out effects of the request tracker, as the request coordinator does."""
         for effect in effects:
@@ -158,7 +155,7 @@
                 assert effect.answer is not None
                 self._deliver(effect.exchange, effect.answer)
             elif effect.action in POLICY_NOTIFICATIONS:
-                self._inform_policy(effect)
+                self._notify_policy(effect)
             elif effect.action is AttemptAction.START_RUN:
                 self._start_run(effect.exchange)
             elif effect.action is AttemptAction.MAKE_CALL:
@@ -171,7 +168,7 @@
                 command = command_log.Command(effect.exchange.id, effect.body, False)
                 self.apply_link_effects(self.commands.send(command))
 
-    def _inform_policy(self, effect: RequestEffect) -> None:
+    def _notify_policy(self, effect: RequestEffect) -> None:
         id = effect.exchange.id
         if effect.action is AttemptAction.TELL_ARRIVAL:
             self.policy.arrival(id)
@@ -202,14 +199,14 @@
         caller.answers.append(answer.kind.value)
         if caller.gone:
             self.violations.append("answer to nobody")
-        if answer.kind is AnswerKind.SERVED and not self._was_made(answer, n):
+        if answer.kind is AnswerKind.SERVED and not self._comes_from_run(answer, n):
             self.violations.append("true answers")
         started_effect = self.scenario.attempts[n].effectful and self.engine.starts.get(exchange.id)
         if answer.kind is AnswerKind.REFUSED and started_effect:
             self.violations.append("no refusal after a start")
         self.handle_connection_event(n, self.event_of_answer(n))
 
-    def _was_made(self, answer: Answer, n: int) -> bool:
+    def _comes_from_run(self, answer: Answer, n: int) -> bool:
         """Return whether the answer comes from a run of this attempt, or of one with the same idempotency key."""
         key = self.scenario.attempts[n].key
         linked = [
--- a/tests/test_counterexample_replay.py
+++ b/tests/test_counterexample_replay.py
@@ -47,7 +47,7 @@
         ("scenario: moon", "scenario: unknown"),
         ("scenario: once", "events: expected a list"),
         ("scenario: once\nevents: [[fly, a]]", "event 1: no such event"),
-        ("scenario: once\nevents: [[run, a]]", "event 1: 'run a' can't come here"),
+        ("scenario: once\nevents: [[run, a]]", "event 1: 'run a' is not possible in the state before it"),
         ("scenario: once\nevents: [[tick]]\nplant: moon", "plant: no planted bug"),
     ],
 )
