--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -158,7 +158,7 @@
         raise FaultyReplayError(f"{path}: events: expected a list of at least one event")
     for number, event in enumerate(events, 1):
         if not isinstance(event, list) or not event or event[0] not in EVENTS:
-            raise FaultyReplayError(f"{path}: event {number}: no such event: {event!r}"[:200])
+            raise FaultyReplayError(f"{path}: event {number}: no such event: expected [name, ...], got {event!r}"[:200])
     mutation = rows.get("plant", "")
     if mutation and mutation not in MUTATIONS:
         raise FaultyReplayError(f"{path}: plant: no planted bug named {mutation!r}")
--- a/myrtlespar/model_checker/process_pair.py
+++ b/myrtlespar/model_checker/process_pair.py
@@ -28,7 +28,7 @@
 KEY_MS = 60_000.0  # how long a key is remembered
 RUN_MS = 5.0  # duration of each run
 WAITS_MS = {"a while": 200.0, "long": 9000.0}
-RULES = {  # meanings by name
+RULES = {  # the meaning of each rule by its name
     "one start a key": "An order with an idempotency key never runs twice, not even across a hand-over.",
     "all read are answered": "A process answers every request that it has read before it exits.",
     "keys open": "The new process accepts idempotency keys once the old one has exited.",
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -24,6 +24,7 @@
 FAULT_END_EVENTS = frozenset(
     (EventKind.START, EventKind.RESUME, EventKind.HEAL, EventKind.BELIEVE, EventKind.LOUD, EventKind.ADOPT)
 )
+# Exceptions that count as a failure of the tested code.
 MACHINE_ERRORS = (AssertionError, AttributeError, IndexError, KeyError, TypeError, ValueError)
 
 
--- a/myrtlespar/model_checker/scenarios.py
+++ b/myrtlespar/model_checker/scenarios.py
@@ -45,7 +45,7 @@
     handover: bool = False  # the drain notice is a SIGTERM while a second process serves: a hand-over, not a drain
     stalled_links: int = 0  # engine links that accept no more writes before they break
     cancellations: int = 0  # requests cancelled by clients
-    resets: int = 0  # resets of client connections while an answer is awaited
+    resets: int = 0  # resets of client connections after the request is complete
     closes: int = 0  # idle client connections closed by the server
     malformed_messages: int = 0
     calls: int = 0  # maximum number of calls that each run makes
