--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -1,4 +1,4 @@
-"""Models of the engine and the policy: they do whatever the protocol allows, in any order."""
+"""Models of the engine and the policy, which may do anything that the protocol allows, in any order."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 from myrtlespar.state_machines import command_log
 from myrtlespar.state_machines.attempts import AttemptAction
 
-Item = tuple[Any, ...]  # a line on the link: its kind and arguments, plain so that states can be stored with marshal
+# A line on the engine link: its kind and arguments, of plain types so that states can be stored with marshal.
+LinkLine = tuple[Any, ...]
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
-# Effects of the request tracker that are for the policy.
-POLICY_NEWS = (
+# Effects of the request tracker that notify the policy.
+POLICY_NOTIFICATIONS = (
     AttemptAction.TELL_ARRIVAL,
     AttemptAction.TELL_CALL_NEEDED,
     AttemptAction.TELL_CALL_ENDED,
@@ -20,8 +21,8 @@
 )
 
 
-def line_of(effect: command_log.LinkEffect) -> Item:
-    """What goes to the engine for this effect."""
+def engine_line(effect: command_log.LinkEffect) -> LinkLine:
+    """Return the line that is sent to the engine for this effect."""
     if isinstance(effect, command_log.RequestMark):
         return ("MARK", effect.name)
     if isinstance(effect, command_log.SendOpen):
@@ -36,15 +37,15 @@
     """An engine that reads commands one by one, runs requests and sends notices.
 
     Attributes:
-        incarnation: One more after each restart.
-        linked: A server is connected.
-        runs: By request id: whether the run waits at a call, and the number of calls made.
-        starts: By request id, the number of starts.
+        incarnation: 0 at first, one more after each restart.
+        linked: Whether a server is connected.
+        runs: For each run, by request id: 1 if it waits for the reply to a call, else 0; and the number of calls made.
+        starts: The number of starts, by request id.
         passed: The ids of requests whose run succeeded.
-        wrong_reply: The id of a request whose run got the reply to another call.
-        notices: All notices of this incarnation.
-        up: Lines on their way to the engine.
-        down: Lines on their way to the server.
+        wrong_reply: The id of a request whose run received the reply to another call; empty if there is none.
+        notices: All notices since the engine or the server was started.
+        lines_to_engine: Lines in transit to the engine.
+        lines_to_server: Lines in transit to the server.
     """
 
     incarnation: int = 0
@@ -53,47 +54,52 @@
     starts: dict[str, int] = field(default_factory=dict)
     passed: set[str] = field(default_factory=set)
     wrong_reply: str = ""
-    notices: list[Item] = field(default_factory=list)
-    up: list[Item] = field(default_factory=list)
-    down: list[Item] = field(default_factory=list)
+    notices: list[LinkLine] = field(default_factory=list)
+    lines_to_engine: list[LinkLine] = field(default_factory=list)
+    lines_to_server: list[LinkLine] = field(default_factory=list)
 
     def send_notice(self, *notice: Any) -> None:
-        """Number a notice, keep it, and send it if there is a link."""
+        """Number a notice, store it for later links, and send it if a server is connected."""
         self.notices.append(notice)
         if self.linked:
-            self.down.append(("N", len(self.notices), *notice))
+            self.lines_to_server.append(("N", len(self.notices), *notice))
 
-    def cut(self) -> None:
-        """The link breaks; all that was on its way is lost."""
+    def break_link(self) -> None:
+        """Break the link; all lines in transit are lost."""
         self.linked = False
-        self.up.clear()
-        self.down.clear()
+        self.lines_to_engine.clear()
+        self.lines_to_server.clear()
 
     def restart(self) -> None:
-        """Restart: runs and notices are lost."""
-        self.cut()
+        """Restart the engine; runs and notices are lost."""
+        self.break_link()
         self.incarnation += 1
         self.runs.clear()
         self.notices.clear()
 
-    def new_server(self) -> None:
-        """The server was restarted: notices are numbered from 1 again; runs go on."""
-        self.cut()
+    def server_restarted(self) -> None:
+        """Handle a restart of the server: notices are numbered from 1 again, and runs continue."""
+        self.break_link()
         self.notices.clear()
 
     def read(self, refuse: bool, over: bool) -> None:
-        """Read the next command. `refuse`: with EINVAL; `over`: its request is over, so nothing is started."""
-        kind, *rest = self.up.pop(0)
+        """Read and execute the next command.
+
+        Args:
+            refuse: Answer a start with EINVAL.
+            over: Report the run as ended with NOOP instead of starting it, because no caller waits any longer.
+        """
+        kind, *rest = self.lines_to_engine.pop(0)
         if kind == "OPEN":
             self.linked = True
-            self.down.append(("BOOTED", self.incarnation))
-            self.down += [("N", n + 1, *notice) for n, notice in enumerate(self.notices) if n >= rest[0]]
+            self.lines_to_server.append(("BOOTED", self.incarnation))
+            self.lines_to_server += [("N", n + 1, *notice) for n, notice in enumerate(self.notices) if n >= rest[0]]
         elif kind == "MARK":
-            self.down.append(("INFO", rest[0]))
+            self.lines_to_server.append(("INFO", rest[0]))
         elif kind == "SCHED":
             rid = rest[0]
             if refuse:
-                self.down.append(("EINVAL", rid))
+                self.lines_to_server.append(("EINVAL", rid))
             elif over:
                 self.send_notice("REAP", rid, "NOOP")
             elif rid not in self.runs:
@@ -107,15 +113,15 @@
                     self.wrong_reply = rid
                 run[0] = 0
 
-    def ask(self, rid: str) -> None:
-        """A run makes its next call."""
+    def begin_call(self, rid: str) -> None:
+        """Let a run make its next call, and send the notice of it."""
         run = self.runs[rid]
         run[0] = 1
         run[1] = run[1] + 1
         self.send_notice("IOREQ", rid, run[1])
 
     def end(self, rid: str, status: str) -> None:
-        """A run ends with this status."""
+        """End a run with this status, and send the notice of it."""
         del self.runs[rid]
         if status == "PASS":
             self.passed.add(rid)
@@ -124,28 +130,34 @@
 
 @dataclass(slots=True)
 class PolicyModel:
-    """A policy that may decide anything about attempts that it knows and has not decided."""
+    """A policy that may take any decision about the attempts that it was notified of.
+
+    Attributes:
+        held: Ids of attempts that wait for the decision to start.
+        running: Ids of attempts that were started.
+        at_call: Ids of attempts whose run waits for the decision on its call.
+    """
 
     held: list[str] = field(default_factory=list)
     running: list[str] = field(default_factory=list)
     at_call: list[str] = field(default_factory=list)
 
     def arrival(self, id: str) -> None:
-        """A new attempt arrived."""
+        """Add a new attempt."""
         self.held.append(id)
 
     def forget(self, id: str) -> None:
-        """Nothing more is decided about this attempt."""
-        for row in (self.held, self.running, self.at_call):
-            if id in row:
-                row.remove(id)
+        """Remove an attempt about which nothing more is to be decided."""
+        for ids in (self.held, self.running, self.at_call):
+            if id in ids:
+                ids.remove(id)
 
-    def ran(self, id: str) -> None:
-        """The attempt was started."""
+    def run_started(self, id: str) -> None:
+        """Record that the attempt was started."""
         self.held.remove(id)
         self.running.append(id)
 
     def call_needed(self, id: str) -> None:
-        """A run waits for the decision on its call."""
+        """Record that a run waits for the decision on its call."""
         if id in self.running and id not in self.at_call:
             self.at_call.append(id)
--- a/myrtlespar/model_checker/quota/fault_actions.py
+++ b/myrtlespar/model_checker/quota/fault_actions.py
@@ -1,4 +1,4 @@
-"""The faults of the explorer's world, and what each does to it. Times are true milliseconds."""
+"""The faults of the explorer's world. Durations are in milliseconds of true time."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from myrtlespar.model_checker.quota.events import EventKind
 from myrtlespar.model_checker.quota.fault import Fault
 from myrtlespar.model_checker.quota.world import ENGINE, World
-from myrtlespar.model_checker.quota.world_settings import NAMES
+from myrtlespar.model_checker.quota.world_settings import MEMBER_NAMES
 
-Pairs = tuple[tuple[str, str], ...]  # (sender, recipient)
-SHUN_DELAY_MS = 100.0  # until the others believe a stopped member gone
+Pairs = tuple[tuple[str, str], ...]  # pairs of (sender, recipient), each one direction
+DETECTION_DELAY_MS = 100.0  # until the other members believe that a stopped one has failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     delay_ms: float
 
     def apply(self, world: World) -> None:
-        """Schedule the packet anew."""
+        """Schedule the packet again, `delay_ms` later."""
         packet = world.next_event()
         world.queue.remove(packet)
         delay_ms = packet.at - world.now + self.delay_ms
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage(Fault):
-    """All processes end, and new ones start later, one after the other."""
+    """The processes of all members end, and new ones start later, one after the other."""
 
     kind: ClassVar[str] = "outage"
     restart_after_ms: float
@@ -78,7 +78,7 @@
 
     def apply(self, world: World) -> None:
         """End all processes."""
-        for index, name in enumerate(NAMES):
+        for index, name in enumerate(MEMBER_NAMES):
             world.members[name] = None
             world.schedule(self.restart_after_ms + self.interval_ms * index, EventKind.START, name)
 
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sleep(Fault):
+class DetectedStop(Fault):
     """A member's process is stopped for a while, and the others soon believe that it has failed."""
 
     kind: ClassVar[str] = "sleep"
@@ -110,15 +110,15 @@
         """Stop the process."""
         world.stopped.add(self.member)
         world.schedule(self.duration_ms, EventKind.RESUME, self.member, False)
-        for name in NAMES:
+        for name in MEMBER_NAMES:
             if name != self.member:
-                world.schedule(SHUN_DELAY_MS, EventKind.SHUN, name, self.member)
+                world.schedule(DETECTION_DELAY_MS, EventKind.SHUN, name, self.member)
                 world.schedule(self.duration_ms, EventKind.BELIEVE, name)
 
 
 @dataclass(frozen=True, slots=True)
-class Shun(Fault):
-    """Two members are cut off from one another, and the first believes that the second has failed."""
+class DetectedPairCut(Fault):
+    """Two members are cut off from one another, and only the first believes that the other has failed."""
 
     kind: ClassVar[str] = "shun"
     member: str
@@ -126,17 +126,17 @@
     duration_ms: float
 
     def apply(self, world: World) -> None:
-        """Cut both ways."""
+        """Cut both directions, and set the belief."""
         pairs = ((self.member, self.other), (self.other, self.member))
         world.cuts |= set(pairs)
-        world.set_belief(self.member, frozenset(NAMES) - {self.other})
+        world.set_belief(self.member, frozenset(MEMBER_NAMES) - {self.other})
         world.schedule(self.duration_ms, EventKind.HEAL, "", pairs)
         world.schedule(self.duration_ms, EventKind.BELIEVE, self.member)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCut(Fault):
-    """A member is cut off from the engine: both ways, or only the replies are lost."""
+    """A member is cut off from the engine, in both directions or only for replies."""
 
     kind: ClassVar[str] = "away"
     member: str
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut(Fault):
-    """Messages between these members are lost, and membership does not detect it."""
+    """Messages of these (sender, recipient) pairs are lost, and membership does not detect it."""
 
     kind: ClassVar[str] = "cut"
     pairs: Pairs
@@ -178,8 +178,8 @@
     def apply(self, world: World) -> None:
         """Cut the member off and set the beliefs."""
         world.cuts |= set(self.pairs)
-        others = frozenset(NAMES) - {self.member}
-        for name in NAMES:
+        others = frozenset(MEMBER_NAMES) - {self.member}
+        for name in MEMBER_NAMES:
             world.set_belief(name, frozenset({self.member}) if name == self.member else others)
             world.schedule(self.duration_ms, EventKind.BELIEVE, name)
         world.schedule(self.duration_ms, EventKind.HEAL, "", self.pairs)
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WrongBelief(Fault):
-    """A member believes that only these are present."""
+    """A member believes that only the members `present` are present."""
 
     kind: ClassVar[str] = "believe"
     member: str
@@ -215,7 +215,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet(Fault):
+class DemandPause(Fault):
     """A member has no demand for a while."""
 
     kind: ClassVar[str] = "quiet"
@@ -224,5 +224,5 @@
 
     def apply(self, world: World) -> None:
         """End the demand."""
-        world.quiet.add(self.member)
+        world.without_demand.add(self.member)
         world.schedule(self.duration_ms, EventKind.LOUD, self.member)
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -1,4 +1,4 @@
-"""Plays a counter-example against the real program on loopback, with scripted fakes."""
+"""Replays a counter-example on the real program over loopback, with scripted fakes around it."""
 
 from __future__ import annotations
 
@@ -20,24 +20,29 @@
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.model_checker.events import show
 from myrtlespar.model_checker.scenarios import Scenario
-from myrtlespar.model_checker.world import IDS, TICK_MS, Event
+from myrtlespar.model_checker.world import ATTEMPT_IDS, TICK_MS, Event
 
-CLASSES = {True: "order", False: "render"}  # by whether the attempt is effectful
-# Nothing shows from outside that the program has acted on an event or on none: it gets this time.
+CLASS_BY_EFFECT = {True: "order", False: "render"}  # request class, by whether the attempt is effectful
+# How long to wait for the program to react to an event, as the reaction can't be observed from outside.
 REACTION_S = 0.1
-REMAINDER_S = 0.5  # for what is left to run at the end
+REMAINDER_S = 0.5  # how long the remaining runs may continue after the last event
 
 
 @dataclass(slots=True)
 class ReplayResult:
-    """A line for each event, and the rules that were broken as seen on sockets."""
+    """The result of a replay.
+
+    Attributes:
+        lines: One line for each event, with what was done for it.
+        violations: The names of the rules whose violation was observed on sockets.
+    """
 
     lines: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
 
 class ProcessReplay:
-    """The program and its fakes, driven by the events of a counter-example."""
+    """The program and the fakes around it, driven by the events of a counter-example."""
 
     def __init__(self, scenario: Scenario, mutation: str, tmp: Path) -> None:
         self.scenario = scenario
@@ -48,28 +53,28 @@
         self.sent: set[int] = set()
 
     def body(self, word: str | int) -> bytes:
-        """The body that identifies an attempt on all sockets."""
-        return b"try " + (IDS[word] if isinstance(word, int) else word).encode()
+        """Return the request body that identifies an attempt, given by index or id, on all sockets."""
+        return b"try " + (ATTEMPT_IDS[word] if isinstance(word, int) else word).encode()
 
     def play(self, ports: list[int], pid: int, event: Event) -> str:
-        """Make one event happen, and tell what was done about it."""
-        name, *words = event
+        """Cause one event, and return a text on what was done for it."""
+        name, *arguments = event
         if name in ("run", "call", "reply"):
-            return "left to the real policy and store"
+            return "skipped: the program's own policy and the fake dependency do this"
         if name == "read":
-            return "done" if self.engine.read() else "nothing came to be read"
+            return "done" if self.engine.read() else "nothing done: the engine received no command"
         if name == "hear":
-            return "done" if self.engine.hear() else "nothing was on its way"
+            return "done" if self.engine.hear() else "nothing done: the engine had no line to send"
         if name in ("send", "whole", "give up", "reset", "cut short"):
-            self._play_client_event(ports, name, words[0])
+            self._play_client_event(ports, name, arguments[0])
         elif name in ("ask", "end", "break", "connect"):
-            self._play_engine_event(name, words)
+            self._play_engine_event(name, arguments)
         elif name == "tick":
             time.sleep(TICK_MS / 1000)
         elif name == "notice":
             os.kill(pid, signal.SIGTERM)
         else:
-            return "passed over: nothing outside the program can cause it"
+            return "skipped: the event can't be caused from outside the program"
         return "done"
 
     def _play_client_event(self, ports: list[int], name: str, n: int) -> None:
@@ -86,59 +91,64 @@
                 client.sock.close()
             time.sleep(REACTION_S)
 
-    def _play_engine_event(self, name: str, words: list[Any]) -> None:
+    def _play_engine_event(self, name: str, arguments: list[Any]) -> None:
         engine = self.engine
         if name == "ask":
-            engine.ask(self.body(words[0]))
+            engine.ask(self.body(arguments[0]))
         elif name == "end":
-            engine.end(self.body(words[0]), words[1])
+            engine.end(self.body(arguments[0]), arguments[1])
         elif name == "break":
             engine.break_link()
         else:
             before = engine.links_seen
-            until(lambda: engine.links_seen > before or engine.outbox, "link")
+            until(lambda: engine.links_seen > before or engine.outbox, "new engine link")
 
     def _send_request(self, n: int) -> None:
-        spec = self.scenario.attempts[n]
+        attempt = self.scenario.attempts[n]
         client = self.clients[n]
         if isinstance(client, FakeGateway):
-            headers: dict[str, Any] = {"Idempotency_Key": spec.key} if spec.key else {}
-            client.forward(f"/{CLASSES[spec.effectful]}", self.body(n), **headers)
+            headers: dict[str, Any] = {"Idempotency_Key": attempt.key} if attempt.key else {}
+            client.forward(f"/{CLASS_BY_EFFECT[attempt.effectful]}", self.body(n), **headers)
         else:
-            client.send(CLASSES[spec.effectful], self.body(n), **({"idem": spec.key} if spec.key else {}))
+            client.send(
+                CLASS_BY_EFFECT[attempt.effectful], self.body(n), **({"idem": attempt.key} if attempt.key else {})
+            )
         self.sent.add(n)
         time.sleep(REACTION_S)
 
     def broken_rules(self) -> list[str]:
-        """The rules that were broken, as seen from outside."""
+        """Return the names of the rules whose violation was observed from outside."""
         starts = self.engine.by_body
-        out: list[str] = []
-        orders = [n for n, spec in enumerate(self.scenario.attempts) if spec.effectful]
+        broken: list[str] = []
+        orders = [n for n, attempt in enumerate(self.scenario.attempts) if attempt.effectful]
         if any(starts[self.body(n)] > 1 for n in orders):
-            out.append("one start a try")
+            broken.append("one start a try")
         keys: Counter[str] = Counter()
         for n in orders:
             keys[self.scenario.attempts[n].key] += min(1, starts[self.body(n)])
         if any(count > 1 for key, count in keys.items() if key):
-            out.append("one start a key")
+            broken.append("one start a key")
         if self.engine.wrong:
-            out.append("true replies")
+            broken.append("true replies")
         if any(
-            count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()
+            count > 1
+            for client in self.clients.values()
+            if isinstance(client, ThriftClient)
+            for count in client.count.values()
         ):
-            out.append("one answer")
-        return out
+            broken.append("one answer")
+        return broken
 
 
 def play(scenario: Scenario, events: list[Event], mutation: str = "") -> ReplayResult:
-    """Start the program, play all events, let the rest run to its end, and check the rules."""
+    """Start the program, replay all events, let the remaining runs end, and check the rules."""
     result = ReplayResult()
     with tempfile.TemporaryDirectory() as tmp:
         replay = ProcessReplay(scenario, mutation, Path(tmp))
         with replay.server as running:
-            # The first link stands when a world begins.
-            until(lambda: replay.engine.hear() or running.event("kernel up"), "greeting")
-            until(lambda: running.event("kernel up"), "kernel link")
+            # The initial world of a scenario has an established engine link.
+            until(lambda: replay.engine.hear() or running.event("kernel up"), "engine greeting")
+            until(lambda: running.event("kernel up"), "log event 'kernel up'")
             time.sleep(REACTION_S)
             for number, event in enumerate(events, 1):
                 done = replay.play(running.ports, running.process.pid, event)
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -1,4 +1,4 @@
-"""Accepts or rejects a recorded trace: each step must be one that the transition tables allow in that state."""
+"""Checks a recorded trace: each step must be one that the transition tables allow in the present state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from myrtlespar.state_machines import TABLES
 from myrtlespar.state_machines.transition_table import TransitionTable
 
-BEGINS = {
+INITIAL_STATES = {
     "try": ("READ",),
     "key": ("FREE", "OWNED", "KNOWN"),
     "process": ("SERVING",),
@@ -21,47 +21,62 @@
     "wire": ("OPENING",),
     "connection": ("IDLE",),
 }
-SHARED = ("key",)  # identified by a text that several classes may use: steps are checked, not their order
-ENDS = ("OVER", "DONE", "CLOSED", "STOPPED")
-NAMES = {table.name: table for table in TABLES}
+# Machines whose id is not unique, as several request classes may use the same key. The order of their steps can't be
+# checked, only each step alone.
+SHARED_ID_MACHINES = ("key",)
+FINAL_STATES = ("OVER", "DONE", "CLOSED", "STOPPED")
+TABLES_BY_NAME = {table.name: table for table in TABLES}
 
 
 class InvalidStepError(MyrtlesparError):
-    """The first step that the tables do not allow."""
+    """A step of the trace that the transition tables do not allow."""
 
 
 class TraceState:
-    """The states that a trace has shown so far, by machine and id."""
+    """The machines of a trace so far.
+
+    Attributes:
+        last_seen: The state of each machine after its latest step, by (table name, id).
+        steps: The number of steps checked.
+    """
 
     def __init__(self) -> None:
-        self.at: dict[tuple[str, str], str] = {}
+        self.last_seen: dict[tuple[str, str], str] = {}
         self.steps = 0
 
-    def take(self, row: dict[str, Any]) -> None:
-        """Check one step. A machine whose id had ended begins anew. Raises InvalidStepError."""
+    def check_step(self, row: dict[str, Any]) -> None:
+        """Check one step; after a machine has ended, its id may be used by a new one.
+
+        Raises:
+            InvalidStepError: The tables do not allow the step, or it does not follow the machine's previous step.
+        """
         machine = str(row.get("machine"))
         who = str(row.get("who"))
-        table = NAMES.get(machine)
+        table = TABLES_BY_NAME.get(machine)
         if table is None:
-            raise InvalidStepError(f"no machine named {machine!r}")
+            raise InvalidStepError(f"no machine named {machine!r}; expected one of {', '.join(TABLES_BY_NAME)}")
         state, event, after = (str(row.get(name)) for name in ("state", "on", "to"))
-        expected = self._next(table, state, event)
+        expected = self._next_state(table, state, event)
         if after != expected:
             raise InvalidStepError(f"{machine} {who}: {event} leads from {state} to {expected}, not to {after}")
-        before = self.at.get((machine, who))
-        if machine not in SHARED:
-            if before is None and state not in BEGINS[machine]:
-                raise InvalidStepError(f"{machine} {who}: begins in {state}")
+        before = self.last_seen.get((machine, who))
+        if machine not in SHARED_ID_MACHINES:
+            if before is None and state not in INITIAL_STATES[machine]:
+                raise InvalidStepError(
+                    f"{machine} {who}: first step starts in {state}, expected {' or '.join(INITIAL_STATES[machine])}"
+                )
             if before is not None and before != state:
-                raise InvalidStepError(f"{machine} {who}: stood in {before}, not in {state}")
+                raise InvalidStepError(
+                    f"{machine} {who}: step starts in {state}, but the previous one ended in {before}"
+                )
         self.steps += 1
-        if after in ENDS and machine != "process" and machine != "connection":
-            self.at.pop((machine, who), None)
+        if after in FINAL_STATES and machine != "process" and machine != "connection":
+            self.last_seen.pop((machine, who), None)
         else:
-            self.at[machine, who] = after
+            self.last_seen[machine, who] = after
 
     @staticmethod
-    def _next(table: TransitionTable, state: str, event: str) -> str:
+    def _next_state(table: TransitionTable, state: str, event: str) -> str:
         try:
             row = table.transitions[table.states[state]][table.events[event]]
         except KeyError as error:
@@ -72,7 +87,12 @@
 
 
 def check_trace(path: Path) -> int:
-    """0: every step is allowed. 1: the first that is not is named. 2: the file can't be read or holds no step."""
+    """Check the trace in a log file, print the result, and return the exit status.
+
+    Returns:
+        0 if every step is allowed, 1 if a step is not (the first such is printed), 2 if the file can't be read or
+        contains no step.
+    """
     trace = TraceState()
     try:
         with path.open() as lines:
@@ -85,7 +105,7 @@
                     print(f"myrtlespar: {path}: line {number}: not JSON", file=sys.stderr)
                     return 2
                 try:
-                    trace.take(row)
+                    trace.check_step(row)
                 except InvalidStepError as error:
                     print(f"rejected at line {number}, step {trace.steps + 1}: {error}")
                     return 1
@@ -93,7 +113,7 @@
         print(f"myrtlespar: {path}: can't be read: {error}", file=sys.stderr)
         return 2
     if not trace.steps:
-        print(f"myrtlespar: {path}: no step of any machine in it", file=sys.stderr)
+        print(f"myrtlespar: {path}: contains no step of a state machine", file=sys.stderr)
         return 2
-    print(f"accepted: {trace.steps:,} steps of {len(NAMES)} machines")
+    print(f"accepted: {trace.steps:,} steps of {len(TABLES_BY_NAME)} machines")
     return 0
