--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -39,9 +39,9 @@
         self.links_seen = 0
         self.at_call: dict[str, int] = {}
         self.made: dict[str, int] = {}
-        self.wrong: list[str] = []
+        self.wrong_replies: list[str] = []
         self.bodies: dict[str, bytes] = {}
-        self.free = False
+        self.passes_everything = False
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
@@ -54,9 +54,9 @@
     def pump(self) -> None:
         """Let pass what the script need not name."""
         with self.lock:
-            while self.inbox and (self.free or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
+            while self.inbox and (self.passes_everything or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
                 self.take()
-            while self.outbox and (self.free or self.outbox[0]["t"] == "INFO"):
+            while self.outbox and (self.passes_everything or self.outbox[0]["t"] == "INFO"):
                 self.send_line(self.link, self.outbox.pop(0))
 
     def take(self) -> None:
@@ -70,7 +70,7 @@
             self.outbox = [{"t": "BOOTED", "status": "LOADED", "time_ms": age_ms}]
             self.outbox += self.notices[command["no"] :]
         elif command["t"] == "SYSINFO":
-            if not command["mark"].startswith("gauges") or self.free:
+            if not command["mark"].startswith("gauges") or self.passes_everything:
                 self.outbox.append({"t": "INFO", "mark": command["mark"], "v": [0.1, len(self.running), 0.1, 3]})
         elif command["t"] == "SCHED":
             rid = command["rid"]
@@ -83,7 +83,7 @@
         elif command["rid"] in self.at_call:
             number = self.at_call.pop(command["rid"])
             if f"call {number} of " not in base64.b64decode(command["b64"]).decode("latin-1"):
-                self.wrong.append(command["rid"])
+                self.wrong_replies.append(command["rid"])
 
     def note(self, **row: Any) -> None:
         """Put a notice into the outbox."""
@@ -111,7 +111,7 @@
             time.sleep(POLL_S)
         return False
 
-    def hear(self) -> bool:
+    def send_next_notice(self) -> bool:
         """Send the next notice, if there is one."""
         with self.lock:
             if not self.outbox:
@@ -144,10 +144,10 @@
         if link is not None:
             self.cut(link)
 
-    def let_go(self) -> None:
+    def release_all(self) -> None:
         """End all runs, and let everything pass from now on."""
         with self.lock:
-            self.free = True
+            self.passes_everything = True
             self.pump()
         for rid in list(self.running):
             self.end(self.bodies[rid], "PASS")
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -59,7 +59,7 @@
         if name == "read":
             return "done" if self.engine.read() else "nothing came to be read"
         if name == "hear":
-            return "done" if self.engine.hear() else "nothing was on its way"
+            return "done" if self.engine.send_next_notice() else "nothing was on its way"
         if name in ("send", "whole", "give up", "reset", "cut short"):
             self._play_client_event(ports, name, words[0])
         elif name in ("ask", "end", "break", "connect"):
@@ -121,7 +121,7 @@
             keys[self.scenario.attempts[n].key] += min(1, starts[self.body(n)])
         if any(count > 1 for key, count in keys.items() if key):
             out.append("one start a key")
-        if self.engine.wrong:
+        if self.engine.wrong_replies:
             out.append("true replies")
         if any(
             count > 1 for one in self.clients.values() if isinstance(one, ThriftClient) for count in one.count.values()
@@ -137,13 +137,13 @@
         replay = ProcessReplay(scenario, mutation, Path(tmp))
         with replay.server as running:
             # The first link stands when a world begins.
-            until(lambda: replay.engine.hear() or running.event("kernel up"), "greeting")
+            until(lambda: replay.engine.send_next_notice() or running.event("kernel up"), "greeting")
             until(lambda: running.event("kernel up"), "kernel link")
             time.sleep(REACTION_S)
             for number, event in enumerate(events, 1):
                 done = replay.play(running.ports, running.process.pid, event)
                 result.lines.append(f"{number:3} {show(event):28} {done}")
-            replay.engine.let_go()
+            replay.engine.release_all()
             time.sleep(REMAINDER_S)
             with suppress(ProcessLookupError):
                 running.process.send_signal(signal.SIGTERM)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,7 +44,7 @@
     """A server process whose engine does only what the test says, that engine, and one client."""
     engine = ScriptedEngine()
     with server_process(tmp_path, engine=engine, given=KEYED_SETTINGS) as running:
-        until(engine.hear)  # that it is up
+        until(engine.send_next_notice)  # that it is up
         until(lambda: running.event("kernel up"))
         yield running, engine, ThriftClient(running.ports[0])
 
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -22,11 +22,11 @@
     if when == "at a call":
         server.dependency.script = ["hang"]
         engine.ask(b"seat 1")
-        until(engine.hear)
+        until(engine.send_next_notice)
         until(lambda: server.dependency.calls)
     if when in ("ended", "failed"):
         engine.end(b"seat 1", "PASS" if when == "ended" else "FAIL")
-        until(engine.hear)
+        until(engine.send_next_notice)
         client.answer(first)
     if when == "gone":
         client.say("abort", seqid=first)
@@ -38,7 +38,7 @@
         assert repeat not in other.answers  # it waits for the one run
         server.dependency.cut()
         engine.end(b"seat 1", "PASS")
-        until(engine.hear)
+        until(engine.send_next_notice)
     kind, answer = other.answer(repeat)
     assert kind == ("failed" if when == "failed" else "success")
     assert when == "failed" or answer.body == b"result of seat 1"
@@ -54,12 +54,12 @@
     until(engine.read)
     client.say("abort", seqid=first)
     engine.end(b"seat 2", "NOOP")  # the engine heard of the departure first: nothing was started
-    until(engine.hear)
+    until(engine.send_next_notice)
     repeat = client.send("booking", b"seat 2", token="bb", again="1")
     until(engine.read)
     engine.bodies.pop(next(iter(engine.bodies)))  # the first try's
     engine.end(b"seat 2", "PASS")
-    until(engine.hear)
+    until(engine.send_next_notice)
     assert client.answer(repeat)[0] == "success"
     # Somebody else with that token: neither is served the other's result, nor kept from its own run.
     alien = client.send("booking", b"alien", token="bb")
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -55,10 +55,10 @@
             self.send()
         elif what == "call":
             self.engine.ask(b"it")
-            self.engine.hear()
+            self.engine.send_next_notice()
         else:
             self.engine.end(b"it", "PASS")
-            self.engine.hear()
+            self.engine.send_next_notice()
 
     def cross(self, other: str) -> None:
         """Cause the event that crosses the first."""
@@ -69,7 +69,7 @@
         elif other == "half close":
             self.first.sock.shutdown(socket.SHUT_WR)
         elif other == "link cut":
-            self.engine.free = True
+            self.engine.passes_everything = True
             assert self.engine.link is not None
             self.engine.cut(self.engine.link)
         elif other == "repeat":
@@ -98,7 +98,7 @@
     with frozen(server):
         scene.cause(what)
         scene.cross(other)
-    engine.let_go()  # from now on all passes, and what runs ends
+    engine.release_all()  # from now on all passes, and what runs ends
     if other not in ("abort", "reset"):
         finish(engine, lambda: scene.seq in first.answers)
         assert first.answer(scene.seq)[0] in scene.allowed_answers(what, other)
--- a/tests/test_thrift_requests.py
+++ b/tests/test_thrift_requests.py
@@ -114,7 +114,7 @@
     until(lambda: server.counters().get("in.half_closed.thrift"))
     for body in (b"one", b"two"):
         engine.end(body, "PASS")
-        until(engine.hear)
+        until(engine.send_next_notice)
     assert [client.answer(seq)[0] for seq in seqs] == ["success"] * 2
     assert client.ended.wait(20)
     assert set(client.count.values()) == {1}
