--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -83,11 +83,11 @@
             kind, repeated = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
             expect(kind == "success", f"the repeated order got {kind}")
             expect(repeated.body == answer.body, f"the repeated order got {repeated.body!r}, not {answer.body!r}")
-            runs = first.engine.by_body[b"ms=5 once"], second.engine.by_body[b"ms=5 once"]
+            runs = first.engine.starts_by_body[b"ms=5 once"], second.engine.starts_by_body[b"ms=5 once"]
             expect(runs == (1, 0), f"runs at the first and second engine: {runs}")
             kind, _ = ThriftClient(port).ask("order", b"ms=5 other", key="k-2")
             expect(kind == "success", f"another order at the second process got {kind}")
-            expect(second.engine.by_body[b"ms=5 other"] == 1, "another order did not run at the second engine")
+            expect(second.engine.starts_by_body[b"ms=5 other"] == 1, "another order did not run at the second engine")
     return "known outcome returned, one run in all"
 
 
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -66,7 +66,7 @@
         if command["t"] == "OPEN":
             self.links_seen += 1
             self.link = link
-            age_ms = int((time.time() - self.born) * 1000)
+            age_ms = int((time.time() - self.started_at) * 1000)
             self.outbox = [{"t": "BOOTED", "status": "LOADED", "time_ms": age_ms}]
             self.outbox += self.notices[command["no"] :]
         elif command["t"] == "SYSINFO":
@@ -78,7 +78,7 @@
             self.bodies[rid] = body
             if rid not in self.running:
                 self.starts[rid] += 1
-                self.by_body[body] += 1
+                self.starts_by_body[body] += 1
                 self.running.add(rid)
         elif command["rid"] in self.at_call:
             number = self.at_call.pop(command["rid"])
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -146,7 +146,7 @@
 def _broken_rules(rows: list[RequestRecord], server: ServerProcess, status: int) -> dict[str, int]:
     """How often each invariant was broken."""
     due = {name: give_up for name, _, _, give_up, _ in CLASSES}
-    starts = server.engine.by_body
+    starts = server.engine.starts_by_body
     return {
         "one final answer each": sum(row.answers != 1 for row in rows),
         "by the due time": sum(row.answered > row.sent + due[row.cls] + SLACK_MS for row in rows),
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.lock = threading.RLock()
         self.starts: Counter[str] = Counter()
-        self.by_body: Counter[bytes] = Counter()
+        self.starts_by_body: Counter[bytes] = Counter()
         self.runs: list[list[Any]] = []
         self.commands: list[dict[str, Any]] = []
         self.notices: list[dict[str, Any]] = []
@@ -55,10 +55,10 @@
         self.running: set[str] = set()
         self.longest_wait_ms = 0.0
         self.link: socket.socket | None = None
-        self.born = time.time()
-        self.deaf = False
-        self.mute = False
-        self.leaves = 0
+        self.started_at = time.time()
+        self.ignores_commands = False
+        self.sends_nothing = False
+        self.connections_to_close = 0
         self.up = threading.Event()
         self.up.set()
         super().__init__()
@@ -70,7 +70,7 @@
             command = json.loads(line)
             with self.lock:
                 self.longest_wait_ms = max(self.longest_wait_ms, time.time() * 1000 - read_at)
-                if self.deaf:
+                if self.ignores_commands:
                     continue
                 self.commands.append(command)
                 getattr(self, command["t"].lower())(link, command)
@@ -78,7 +78,7 @@
     def send_line(self, link: socket.socket | None, row: dict[str, Any]) -> None:
         """Write one line, unless there is no connection or the engine is mute."""
         with self.lock, contextlib.suppress(OSError):
-            if link is not None and not self.mute:
+            if link is not None and not self.sends_nothing:
                 link.sendall(json.dumps(row).encode() + b"\n")
 
     def is_in_step(self) -> bool:
@@ -91,14 +91,14 @@
         if not self.up.is_set():  # the connection is accepted, the engine starts later
             threading.Thread(target=self._open_later, args=(link, command), daemon=True).start()
             return None
-        if self.leaves:
-            self.leaves -= 1
+        if self.connections_to_close:
+            self.connections_to_close -= 1
             return self.cut(link)
         old = self.link
         self.link = link
         if old is not None:
             self.cut(old)
-        age = int((time.time() - self.born) * 1000)
+        age = int((time.time() - self.started_at) * 1000)
         self.send_line(link, {"t": "BOOTED", "status": "LOADED", "time_ms": age})
         for row in self.notices[command["no"] :]:
             self.send_line(link, row)
@@ -120,7 +120,7 @@
             self.send_line(link, {"t": "EINVAL", "status": "SCHED", "rid": command["rid"]})
         elif command["rid"] not in self.running:
             self.starts[command["rid"]] += 1
-            self.by_body[body] += 1
+            self.starts_by_body[body] += 1
             self.running.add(command["rid"])
             row = [body, time.time() * 1000, None]
             self.runs.append(row)
--- a/myrtlespar/fleet_tests/order_invariants.py
+++ b/myrtlespar/fleet_tests/order_invariants.py
@@ -35,7 +35,7 @@
     starts: Counter[bytes] = Counter()
     for member in run.members.values():
         for engine in member.engines:
-            starts.update(engine.by_body)
+            starts.update(engine.starts_by_body)
     return [
         f"orders: {body.decode()} was started {count} times"
         for body, count in starts.items()
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -111,7 +111,7 @@
 
     def broken_rules(self) -> list[str]:
         """The rules that were broken, as seen from outside."""
-        starts = self.engine.by_body
+        starts = self.engine.starts_by_body
         out: list[str] = []
         orders = [n for n, spec in enumerate(self.scenario.attempts) if spec.effectful]
         if any(starts[self.body(n)] > 1 for n in orders):
--- a/tests/test_ajp_front.py
+++ b/tests/test_ajp_front.py
@@ -26,7 +26,7 @@
             b"result of " + body,
             True,
         )
-    assert ajp_server.engine.by_body[body] == 2
+    assert ajp_server.engine.starts_by_body[body] == 2
     assert {row["route"] for row in ajp_server.engine.commands if row["t"] == "SCHED"} == {"order"}
 
 
@@ -138,7 +138,7 @@
     leaver.sock.close()
     assert [gateway.answer()[0] for gateway in busy] == [200] * 3
     assert ajp_server.counters()["answer.gone.ajp"] == 1
-    assert b"never" not in ajp_server.engine.by_body
+    assert b"never" not in ajp_server.engine.starts_by_body
 
 
 def test_drain_answers_and_closes_gateways(ajp_server: ServerProcess) -> None:
--- a/tests/test_ajp_retries.py
+++ b/tests/test_ajp_retries.py
@@ -19,9 +19,9 @@
     assert during[0] == after[0] == "success"
     assert during[1].body == after[1].body == b"result of ms=300"
     assert FakeGateway(ajp_server.ports[1]).ask("/order", b"ms=300", Idempotency_Key="k1")[2] == b"result of ms=300"
-    assert ajp_server.engine.by_body[b"ms=300"] == 1
+    assert ajp_server.engine.starts_by_body[b"ms=300"] == 1
     assert client.ask("order", b"ms=300", idem="k2")[0] == "success"
-    assert ajp_server.engine.by_body[b"ms=300"] == 2
+    assert ajp_server.engine.starts_by_body[b"ms=300"] == 2
 
 
 def test_a_repeat_of_a_held_attempt_whose_caller_left_runs_in_its_place_once(ajp_server: ServerProcess) -> None:
@@ -36,14 +36,14 @@
     until(lambda: ajp_server.counters().get("in.repeat.thrift"))
     gateway.sock.close()
     assert client.answer(repeat)[0] == "success"
-    assert ajp_server.engine.by_body[b"held"] == 1
+    assert ajp_server.engine.starts_by_body[b"held"] == 1
 
 
 def test_a_repeat_of_a_failed_order_is_failed_and_never_starts(ajp_server: ServerProcess) -> None:
     client = ThriftClient(ajp_server.ports[0])
     assert client.ask("order", b"end=FAIL", idem="f")[0] == "failed"
     assert FakeGateway(ajp_server.ports[1]).ask("/order", b"end=FAIL", Idempotency_Key="f")[0] == 500
-    assert ajp_server.engine.by_body[b"end=FAIL"] == 1
+    assert ajp_server.engine.starts_by_body[b"end=FAIL"] == 1
 
 
 def test_a_full_table_of_keys_rejects_new_keys_and_forgets_none(tmp_path: Path) -> None:
@@ -56,7 +56,7 @@
         assert kind == "refused"
         assert float(refusal.fields["backoff"]) > 0
         assert client.ask("order", b"one", idem="1")[1].body == b"result of one"
-        assert server.engine.by_body == {b"one": 1}
+        assert server.engine.starts_by_body == {b"one": 1}
 
 
 def test_a_repeat_of_a_refused_order_may_run(ajp_server: ServerProcess) -> None:
@@ -67,4 +67,4 @@
     assert [client.answer(seq)[0] for seq in held] in (["refused"] * 2, ["success"] * 2)
     assert client.answer(busy[0])[0] == "success"
     assert client.ask("order", b"tried", idem="r")[0] == "success"
-    assert ajp_server.engine.by_body[b"tried"] == 1
+    assert ajp_server.engine.starts_by_body[b"tried"] == 1
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -44,11 +44,11 @@
         assert seq not in clients[0].answers
         if why == "room":
             assert new.ask("order", b"crosses")[0] == "success"
-            assert running.engine.by_body[b"crosses"] == 1
+            assert running.engine.starts_by_body[b"crosses"] == 1
             assert running.counters()["in.behind_close.thrift"] == 1
         else:
             assert running.process.wait(20) == 0
-            assert not running.engine.by_body
+            assert not running.engine.starts_by_body
         counts = until(lambda: running.event("counters"))
         assert not [name for name in counts if name.startswith("impossible")], counts
 
@@ -71,7 +71,7 @@
         client.sock.sendall(frame[9:])
         gate.open()
         assert client.answer(7)[0] == "success"
-        assert running.engine.by_body[b"late"] == 1
+        assert running.engine.starts_by_body[b"late"] == 1
 
 
 @pytest.mark.parametrize("how", ["close", "finish"])
@@ -157,7 +157,7 @@
 
         for seq in range(1, 31):
             slow.sendall(order(seq))
-        until(lambda: len(running.engine.by_body) == 30)
+        until(lambda: len(running.engine.starts_by_body) == 30)
         if why == "exit":
             running.process.terminate()
         else:
@@ -175,4 +175,4 @@
             data += chunk
         assert all(data.count(b"result of %04d" % seq) == 1 for seq in range(1, 31))
         assert b"result of 0031" not in data
-        assert len(running.engine.by_body) == 30
+        assert len(running.engine.starts_by_body) == 30
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -32,7 +32,7 @@
     beyond = late.send("fetch", b"past grace")
     assert late.answer(early)[0] in ("success", "refused")
     assert late.answer(beyond)[0] == "refused"
-    assert b"past grace" not in server.engine.by_body
+    assert b"past grace" not in server.engine.starts_by_body
     assert all(client.answer(seq)[0] in ("success", "refused", "failed") for seq in seqs)
     assert server.process.wait(20) == 0
     assert client.ended.wait(20)
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -29,7 +29,7 @@
     assert server.engine.link is not None
     server.engine.cut(server.engine.link)
     assert client.answer(order)[0] == client.answer(read)[0] == "success"
-    assert server.engine.by_body[b"ms=300 calls=1"] == 2
+    assert server.engine.starts_by_body[b"ms=300 calls=1"] == 2
     assert server.engine.commands[0]["no"] == 0
     opens = [row["no"] for row in server.engine.commands if row["t"] == "OPEN"]
     assert len(opens) >= 2
@@ -47,7 +47,7 @@
         for line in link.makefile("rb"):
             command = json.loads(line)
             with self.lock:
-                if self.deaf:
+                if self.ignores_commands:
                     self.lost.append(command["t"])
                     continue
                 self.commands.append(command)
@@ -63,37 +63,37 @@
         client = ThriftClient(server.ports[0])
         assert client.ask("fetch")[0] == "success"  # the link is in step: its first mark is not among what is lost
         with engine.lock:  # no command is being handled
-            engine.deaf = True
+            engine.ignores_commands = True
         seq = client.send(method, b"lost")
         until(lambda: "SCHED" in engine.lost)
         with engine.lock:
-            engine.deaf = False
+            engine.ignores_commands = False
             assert engine.link is not None
             engine.cut(engine.link)
         assert client.answer(seq)[0] == kind
-        assert engine.by_body[b"lost"] == runs
+        assert engine.starts_by_body[b"lost"] == runs
 
 
 @pytest.mark.parametrize("body", [b"ms=1", b"ms=500"])
 def test_an_order_whose_link_broke_after_its_start_runs_once(server: ServerProcess, body: bytes) -> None:
     client = ThriftClient(server.ports[0])
-    server.engine.mute = True  # reads and runs, but nothing it writes arrives
+    server.engine.sends_nothing = True  # reads and runs, but nothing it writes arrives
     seq = client.send("order", body)
-    until(lambda: server.engine.by_body[body])
-    server.engine.mute = False
+    until(lambda: server.engine.starts_by_body[body])
+    server.engine.sends_nothing = False
     assert server.engine.link is not None
     server.engine.cut(server.engine.link)
     assert client.answer(seq)[0] == "success"
     time.sleep(0.3)  # well past the time after which it would be sent again: that nothing happens takes time
-    assert server.engine.by_body[body] == 1
+    assert server.engine.starts_by_body[body] == 1
 
 
 def test_a_notice_lost_on_the_way_is_asked_for_again(server: ServerProcess) -> None:
     client = ThriftClient(server.ports[0])
-    server.engine.mute = True
+    server.engine.sends_nothing = True
     lost = client.send("order", b"ms=1")
     until(lambda: server.engine.notices)
-    server.engine.mute = False
+    server.engine.sends_nothing = False
     assert client.ask("fetch")[0] == client.answer(lost)[0] == "success"
 
 
@@ -102,7 +102,7 @@
     seq = client.send("order", b"calls=1")
     server.dependency.script = ["hang"]
     until(lambda: server.engine.starts)
-    server.engine.born = time.time() + 5
+    server.engine.started_at = time.time() + 5
     server.engine.notices = []
     assert server.engine.link is not None
     server.engine.cut(server.engine.link)
@@ -122,12 +122,12 @@
 
 def test_an_engine_that_is_gone_again_before_its_first_word_is_reached_again(tmp_path: Path) -> None:
     engine = FakeEngine()
-    engine.leaves = 3
+    engine.connections_to_close = 3
     with server_process(tmp_path, engine=engine) as running:
         client = ThriftClient(running.ports[0])
         assert client.ask("order", b"held meanwhile")[0] == "success"
-        assert not engine.leaves
-        assert engine.by_body[b"held meanwhile"] == 1
+        assert not engine.connections_to_close
+        assert engine.starts_by_body[b"held meanwhile"] == 1
         assert running.stop() == 0
 
 
@@ -235,7 +235,7 @@
         assert counters.get("kernel.silent", 0) == 0
         assert client.answer(order)[0] == "success"
         assert [row["t"] for row in running.engine.commands].count("OPEN") == 1
-        assert running.engine.by_body[b"ms=1500"] == 1
+        assert running.engine.starts_by_body[b"ms=1500"] == 1
 
 
 class GaugelessEngine(FakeEngine):
@@ -262,16 +262,16 @@
     with server_process(tmp_path, start=gate.start, engine=engine) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=500")
-        until(lambda: engine.by_body[b"ms=500"])
+        until(lambda: engine.starts_by_body[b"ms=500"])
         engine.ignores_gauges = True
         until(lambda: engine.ignored)
         running.process.send_signal(signal.SIGSTOP)
-        engine.mute = True  # as if it stood still as well
+        engine.sends_nothing = True  # as if it stood still as well
         time.sleep(4.0)  # the standstill itself, over the timeout
         running.process.send_signal(signal.SIGCONT)
         running.counters()
         counters = running.counters()  # each takes a turn of the program's loop: the watch has run
-        engine.mute = engine.ignores_gauges = False
+        engine.sends_nothing = engine.ignores_gauges = False
         assert counters.get("kernel.silent", 0) == 0
         assert client.answer(order)[0] in ("success", "failed")
         assert [row["t"] for row in engine.commands].count("OPEN") == 1
@@ -283,7 +283,7 @@
     with server_process(tmp_path, start=gate.start, engine=engine) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=2000")
-        until(lambda: engine.by_body[b"ms=2000"])
+        until(lambda: engine.starts_by_body[b"ms=2000"])
         began = time.monotonic()
         engine.ignores_gauges = True
         until(lambda: [row["t"] for row in engine.commands].count("OPEN") == 2)
@@ -291,7 +291,7 @@
         engine.ignores_gauges = False
         engine.cut(*engine.links)  # its first mark was ignored as well
         assert client.answer(order)[0] == "success"
-        assert engine.by_body[b"ms=2000"] == 1
+        assert engine.starts_by_body[b"ms=2000"] == 1
         assert running.counters()["kernel.silent"] >= 1
 
 
@@ -305,7 +305,7 @@
     with server_process(tmp_path, start=gate.start, engine=old) as running:
         client = ThriftClient(running.ports[0])
         order = client.send("order", b"ms=300")
-        until(lambda: old.by_body[b"ms=300"])
+        until(lambda: old.starts_by_body[b"ms=300"])
         old.ignores_gauges = True  # nor does it answer the last mark, which would end the link earlier
         running.engine = FakeEngine()
         running.config["kernel"] = running.engine.address
@@ -317,5 +317,5 @@
         gate.open()
         assert client.answer(order)[0] == "success"
         assert client.ask("order", b"at the new address")[0] == "success"
-        assert running.engine.by_body[b"at the new address"] == 1
+        assert running.engine.starts_by_body[b"at the new address"] == 1
         old.down()
--- a/tests/test_engine_restarts.py
+++ b/tests/test_engine_restarts.py
@@ -13,12 +13,12 @@
 from myrtlespar.state_machines.command_log import NEXT, OLD, RENUMBERED, Command, CommandLog
 
 
-def restart(engine: FakeEngine, born: float) -> None:
+def restart(engine: FakeEngine, started_at: float) -> None:
     """The engine is gone with its runs, and another one is there: its notices begin with 1."""
     with engine.lock:
         engine.notices = []
         engine.waits = {}
-        engine.born = born
+        engine.started_at = started_at
         engine.running.clear()
         engine.commands.clear()
         assert engine.link is not None
@@ -33,7 +33,7 @@
         lost = client.send("order", b"ms=60000")
         until(lambda: len(running.engine.starts) == 4)
         restarted_ms = time.time() * 1000
-        restart(running.engine, running.engine.born + born_s)
+        restart(running.engine, running.engine.started_at + born_s)
         until(lambda: any(row["t"] == "OPEN" for row in running.engine.commands))
         for _ in range(3):
             assert client.ask("fetch", b"calls=1")[0] == "success"
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -167,7 +167,7 @@
             kind, value = client.answers[seq]
             if kind == "success":
                 assert value.body.startswith(b"result of %d " % (seq - 1 if seq <= 15 else seq - 2))
-        ran = [body for body, count in running.engine.by_body.items() if count > 1]
+        ran = [body for body, count in running.engine.starts_by_body.items() if count > 1]
         assert not ran
         assert set(client.count) == {*sent, check}
         shown = given_settings["family_info"].get("signal") in ("floor", "allowance", "weight")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -193,10 +193,10 @@
             kind, answer = ThriftClient(port).ask("order", b"ms=5 once", key="k-1")
             assert kind == "success"
             assert answer.body == b"result of ms=5 once"
-            assert new.engine.by_body[b"ms=5 once"] == 0
-            assert old.engine.by_body[b"ms=5 once"] == 1
+            assert new.engine.starts_by_body[b"ms=5 once"] == 0
+            assert old.engine.starts_by_body[b"ms=5 once"] == 1
             assert ThriftClient(port).ask("order", b"ms=5 twice", key="k-2")[0] == "success"
-            assert new.engine.by_body[b"ms=5 twice"] == 1
+            assert new.engine.starts_by_body[b"ms=5 twice"] == 1
 
 
 def test_a_request_that_still_runs_when_its_process_ends_is_not_run_again(handover_folders: HandoverFolders) -> None:
@@ -205,7 +205,7 @@
         port = old.ports[0]
         client = ThriftClient(port)
         client.send("order", b"ms=6000 slow", key="k-1")
-        until(lambda: old.engine.by_body[b"ms=6000 slow"], "the run")
+        until(lambda: old.engine.starts_by_body[b"ms=6000 slow"], "the run")
         client.sock.close()  # nobody waits for the answer now
         with server_process(
             handover_folders.new,
@@ -218,8 +218,8 @@
             assert old.process.wait(10) == 0
             until(lambda: new.event("hand-over taken: 1 keys"), "the keys received")
             assert ThriftClient(port).ask("order", b"ms=6000 slow", key="k-1")[0] == "failed"
-            assert new.engine.by_body[b"ms=6000 slow"] == 0
-            assert old.engine.by_body[b"ms=6000 slow"] == 1
+            assert new.engine.starts_by_body[b"ms=6000 slow"] == 0
+            assert old.engine.starts_by_body[b"ms=6000 slow"] == 1
 
 
 def test_keys_published_between_two_polls_are_not_missed(tmp_path: Path) -> None:
@@ -258,7 +258,7 @@
             assert new.event("hand-over taken: 1 keys") is not None
             client = connect_when_listening(port)
             assert client.ask("booking", b"seat 1", token="t", again="1")[0] == "success"
-        assert old.engine.by_body[b"seat 1"] == 1
+        assert old.engine.starts_by_body[b"seat 1"] == 1
 
 
 def test_a_third_process_waits_for_the_keys_of_the_second(tmp_path: Path, handover_folders: HandoverFolders) -> None:
@@ -288,7 +288,7 @@
                 assert new.process.wait(10) == 0
                 until(lambda: third.event("hand-over taken: 1 keys"), "the keys received")
                 assert ThriftClient(third.ports[0]).ask("order", b"ms=5 once", key="k-1")[0] == "success"
-                assert third.engine.by_body[b"ms=5 once"] == 0
+                assert third.engine.starts_by_body[b"ms=5 once"] == 0
 
 
 def test_a_start_that_fails_at_the_admin_address_leaves_the_keys_for_the_next_one(
@@ -309,4 +309,4 @@
     with server_process(handover_folders.new, mgmt=True, **shared) as new:
         assert new.event("hand-over taken: 1 keys") is not None
         assert ThriftClient(new.ports[0]).ask("order", b"ms=5 once", key="k-1")[0] == "success"
-        assert new.engine.by_body[b"ms=5 once"] == 0
+        assert new.engine.starts_by_body[b"ms=5 once"] == 0
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -9,7 +9,7 @@
 
 
 def runs_of(engine: ScriptedEngine, body: bytes) -> int:
-    return engine.by_body[body]
+    return engine.starts_by_body[body]
 
 
 @pytest.mark.parametrize("when", ["running", "at a call", "ended", "gone", "failed"])
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -38,7 +38,7 @@
             assert probe.answer(probe.request("order", b"probe %d" % life))[0] == "success"
             until(lambda: len(running.registry.reports) > life, "a report")  # noqa: B023
             everyone += [probe, *crowd(port, kernel, life)]
-            until(lambda: any(b"life %d," % life in body for body in kernel.by_body), "starts")  # noqa: B023
+            until(lambda: any(b"life %d," % life in body for body in kernel.starts_by_body), "starts")  # noqa: B023
             if life < LIVES - 1:
                 running.kill_and_start()
         last = everyone[-CLIENTS:]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -40,4 +40,4 @@
                 assert int(metrics[f'app_{kind}{{service="{method}"}}']) == seen[method, kind], (method, kind)
         assert re.search(r"^app_outstanding 0$", reply, re.M)
         forwards = sum(int(metrics[f'app_forwards{{service="{m}"}}']) for m in ("render", "fetch", "order"))
-        assert forwards == sum(server.engine.by_body.values())
+        assert forwards == sum(server.engine.starts_by_body.values())
--- a/tests/test_mixed_load.py
+++ b/tests/test_mixed_load.py
@@ -53,7 +53,9 @@
             ajp_server.process.terminate()
     for thread in threads:
         thread.join(30)
-    orders = {body: count for body, count in ajp_server.engine.by_body.items() if int(body.split(b"n=")[1]) % 3 == 0}
+    orders = {
+        body: count for body, count in ajp_server.engine.starts_by_body.items() if int(body.split(b"n=")[1]) % 3 == 0
+    }
     assert all(count == 1 for client in clients for count in client.count.values())
     assert len(kinds) == 160
     assert late == []
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -64,7 +64,7 @@
         running.path.write_text(text)
         until(lambda: running.event("reloaded"))
         assert ThriftClient(running.ports[0]).ask("order", b"on the new link")[0] == "success"
-        assert running.engine.by_body[b"on the new link"] == 1
+        assert running.engine.starts_by_body[b"on the new link"] == 1
         old.down()
 
 
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -79,7 +79,7 @@
 
     def allowed_answers(self, what: str, other: str) -> set[str]:
         """Return the answers that the request may get."""
-        if (what, other) == ("request", "link cut") and not self.engine.by_body[b"it"]:
+        if (what, other) == ("request", "link cut") and not self.engine.starts_by_body[b"it"]:
             return {"failed"}  # its start went out on the ended link: lost, and never sent again
         return {"success", "refused"} if other == "SIGTERM" else {"success"}
 
@@ -114,7 +114,7 @@
     counts = until(lambda: server.event("counters"))
     assert not [name for name in counts if name.startswith("impossible")], counts
     assert set(first.count.values()) <= {1}
-    assert engine.by_body[b"it"] <= 1
+    assert engine.starts_by_body[b"it"] <= 1
 
 
 def finish(engine: ScriptedEngine, ready: Callable[[], bool]) -> None:
--- a/tests/test_thrift_requests.py
+++ b/tests/test_thrift_requests.py
@@ -86,7 +86,7 @@
     assert [client.answer(seq)[0] for seq in running] == ["success"] * 3
     assert client.ask("fetch")[0] == "success"
     assert held not in client.answers
-    assert b"never" not in server.engine.by_body
+    assert b"never" not in server.engine.starts_by_body
     assert client.count[running[0]] == 1
 
 
@@ -137,6 +137,6 @@
             assert other.ask("fetch", b"meanwhile")[0] == "success"
         client.sock.sendall(frame[at:])
         assert client.answer(7)[0] == "success"
-        assert running.engine.by_body[b"in two"] == 1
+        assert running.engine.starts_by_body[b"in two"] == 1
         assert running.stop() == 0
         assert client.count[7] == 1
--- a/tests/traced_peers.py
+++ b/tests/traced_peers.py
@@ -60,18 +60,18 @@
         with self.lock:
             self.notices = []
             self.waits = {}
-            self.born = time.time()
+            self.started_at = time.time()
             self.running.clear()
             if self.link is not None:
                 self.cut(self.link)
 
     def _run(self, command: dict[str, Any], row: list[Any]) -> None:
-        incarnation = self.born
+        incarnation = self.started_at
         note = self.note
 
         def note_unless_restarted(**notice: Any) -> None:
             with self.lock:
-                if self.born == incarnation:
+                if self.started_at == incarnation:
                     note(**notice)
 
         Run(self, note_unless_restarted, command, row).execute()
@@ -93,7 +93,7 @@
         body = base64.b64decode(self.command["b64"])
         words = dict(word.split("=", 1) for word in body.decode("latin-1").split() if "=" in word)
         began = time.time()
-        incarnation = kernel.born
+        incarnation = kernel.started_at
         for n in range(int(words.get("calls", 0))):
             done = kernel.waits[rid] = threading.Event()
             self.note(t="IOREQ", rid=rid, b64=base64.b64encode(b"call %d of " % n + body).decode())
@@ -102,7 +102,7 @@
         # The time that the run takes, as its body says.
         time.sleep(float(words.get("ms", 5)) / 1000)
         with kernel.lock:
-            if kernel.born == incarnation:
+            if kernel.started_at == incarnation:
                 kernel.running.discard(rid)
             end = words.get("end", "PASS")
             result = {"b64": base64.b64encode(b"result of " + body).decode()} if end == "PASS" else {}
