--- a/benchmarks/fleet_cases.py
+++ b/benchmarks/fleet_cases.py
@@ -53,7 +53,7 @@
     """Run one script in this process, and print one JSON line."""
     script = with_demand(read(Path(path), int(members)), float(times))
     own = {name: {"clock_rate": 1 + CLOCK_DRIFT * (n % 3 - 1)} for n, name in enumerate(script.members)}
-    done = play(script, int(seed), say=lambda line: None, slack_ms=float(slack_ms), own=own)
+    done = play(script, int(seed), report_progress=lambda line: None, slack_ms=float(slack_ms), own=own)
     print(json.dumps({"broken": done["broken"], "limits": done.get("limits", {}), "outcomes": done.get("outcomes")}))
 
 
--- a/benchmarks/fleet_detect.py
+++ b/benchmarks/fleet_detect.py
@@ -62,7 +62,7 @@
     rows: dict[str, list[dict[str, Any]]] = {"real": [], "emulated": [], "baseline": []}
     for seed in range(1, seeds + 1):
         if real:
-            rows["real"].append(play(script, seed, say=lambda line: None, pin=pin))
+            rows["real"].append(play(script, seed, report_progress=lambda line: None, pin=pin))
         rows["emulated"].append(emulated(script, seed))
         rows["baseline"].append(emulated(script, seed, plain=True))
         for kind, done in rows.items():
--- a/myrtlespar/fakes/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -6,7 +6,7 @@
 
 from myrtlespar.fakes.ajp_peers import FakeAjpServer, FakeGateway
 from myrtlespar.fakes.server_process import ROOT, ServerProcess, server_process, settings
-from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly, until
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, read_exactly, until
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
 
@@ -21,7 +21,7 @@
     "FakeServer",
     "ServerProcess",
     "ThriftClient",
-    "exactly",
+    "read_exactly",
     "server_process",
     "settings",
     "until",
--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, read_exactly
 
 MAX_PACKET_BYTES = 8188
 MAX_BODY_PART_BYTES = 700
@@ -74,10 +74,10 @@
 
     def next(self) -> bytes:
         """Read the payload of the next packet."""
-        magic, size = struct.unpack(">2sH", exactly(self.sock, 4))
+        magic, size = struct.unpack(">2sH", read_exactly(self.sock, 4))
         assert magic == b"AB"
         assert size <= MAX_PACKET_BYTES
-        return exactly(self.sock, size)
+        return read_exactly(self.sock, size)
 
     def answer(self) -> tuple[int, dict[str, str], bytes, bool]:
         """Read a whole answer: status, headers, body, and whether the connection may be used again."""
@@ -145,8 +145,8 @@
     def serve(self, link: socket.socket) -> None:
         """Answer requests until the connection ends."""
         while True:
-            magic, size = struct.unpack(">2sH", exactly(link, 4))
-            payload = exactly(link, size)
+            magic, size = struct.unpack(">2sH", read_exactly(link, 4))
+            payload = read_exactly(link, size)
             assert magic == b"\x12\x34"
             if payload[:1] == b"\x0a":
                 link.sendall(b"AB\0\x01\x09")
@@ -158,7 +158,7 @@
             while len(body) < want:
                 if body:
                     link.sendall(b"AB\0\x03\x06\x1f\xfa")
-                body += exactly(link, struct.unpack(">2sHH", exactly(link, 6))[2])
+                body += read_exactly(link, struct.unpack(">2sHH", read_exactly(link, 6))[2])
             step = self.script.pop(0) if self.script else "200"
             if step == "cut":
                 return None
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -178,7 +178,7 @@
         """The newest log line of this event, if there is one."""
         return next((row for row in reversed(self.log) if row["event"] == name), None)
 
-    def move(self) -> None:
+    def move_fakes(self) -> None:
         """Give each neighbour a new address and reload (SIGHUP). Open connections go on for a while."""
         for name, fake in (("kernel", self.engine), ("store", self.dependency), ("roster", self.registry)):
             fake.relisten()
--- a/myrtlespar/fakes/tcp_server.py
+++ b/myrtlespar/fakes/tcp_server.py
@@ -31,7 +31,7 @@
     raise AssertionError(f"never came: {what or ready}")
 
 
-def exactly(sock: socket.socket, size: int) -> bytes:
+def read_exactly(sock: socket.socket, size: int) -> bytes:
     """Read `size` bytes. Raises EOFError where the connection ends before."""
     out = b""
     while len(out) < size:
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -15,7 +15,7 @@
 from thriftpy2.thrift import TMessageType
 from thriftpy2.transport import TMemoryBuffer
 
-from myrtlespar.fakes.tcp_server import WAIT_S, exactly, until
+from myrtlespar.fakes.tcp_server import WAIT_S, read_exactly, until
 from myrtlespar.net.codec.thrift import encode, idl
 
 
@@ -45,7 +45,7 @@
     def _read(self) -> None:
         with contextlib.suppress(OSError, EOFError):
             while True:
-                frame = exactly(self.sock, struct.unpack(">I", exactly(self.sock, 4))[0])
+                frame = read_exactly(self.sock, struct.unpack(">I", read_exactly(self.sock, 4))[0])
                 protocol = TBinaryProtocol(TMemoryBuffer(frame), strict_read=True)
                 name, kind, seq = protocol.read_message_begin()
                 if kind == TMessageType.ONEWAY:
@@ -82,7 +82,7 @@
         self.sock.sendall(encode("invoke", TMessageType.CALL, self.seq, args))
         return self.seq
 
-    def say(self, name: str, **args: Any) -> int:
+    def send_message(self, name: str, **args: Any) -> int:
         """Send any other message of the protocol and return its sequence number."""
         self.seq += 1
         kind = TMessageType.ONEWAY if name == "abort" else TMessageType.CALL
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -227,7 +227,7 @@
         self.reports: list[tuple[str, Any]] = []
         self.latest: dict[str, float] = {}
         self.times: list[float] = []
-        self.taken: list[float] = []
+        self.answered_times: list[float] = []
         self.hang = 0
         self.mode = ""
         super().__init__()
@@ -259,5 +259,5 @@
             if self.hang:
                 self.hang -= 1
             elif self.mode != "silent":
-                self.taken.append(self.times[-1])
+                self.answered_times.append(self.times[-1])
                 link.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -51,14 +51,14 @@
     script: Script,
     seed: int,
     keep: Path | None = None,
-    say: Callable[[str], Any] = print,
+    report_progress: Callable[[str], Any] = print,
     slack_ms: float = SLACK_MS,
     **options: Any,
 ) -> dict[str, Any]:
     """Play a script and check it, each bound longer by `slack_ms`.
 
     Returns the figures, with `broken` the lines of broken promises. Logs and files stay in the folder `keep`, if given.
-    `say` is called with lines on the progress; `options` are those of FleetRun.
+    `report_progress` is called with lines on the progress; `options` are those of FleetRun.
     """
     settings = MembershipSettings(**options.get("membership") or {})
     with ExitStack() as stack:
@@ -74,7 +74,7 @@
                 "broken": [f"start: {error}"],
                 "judged": [],
             }
-        return _check(_play_steps(run, say), settings, slack_ms)
+        return _check(_play_steps(run, report_progress), settings, slack_ms)
 
 
 def apply_step(run: FleetRun, step: ScriptStep) -> None:
@@ -169,19 +169,19 @@
     return int(bool(result["broken"]))
 
 
-def _play_steps(run: FleetRun, say: Callable[[str], Any]) -> PlayedScript:
+def _play_steps(run: FleetRun, report_progress: Callable[[str], Any]) -> PlayedScript:
     script = run.script
     load = LoadGenerator(run)
     if script.load.rate:
         load.start()
     began = time.monotonic()
     begin = time.time() * 1000
-    say(f"{len(run.members)} members serve, all views whole; the script begins")
+    report_progress(f"{len(run.members)} members serve, all views whole; the script begins")
     for step in script.steps:
         if step.at_ms <= script.length_ms:
             _sleep_until(began + step.at_ms / 1000)
             apply_step(run, step)
-            say(f"{step.at_ms / 1000:7.2f} s  {describe_step(step)}")
+            report_progress(f"{step.at_ms / 1000:7.2f} s  {describe_step(step)}")
     _sleep_until(began + script.length_ms / 1000)
     length_ms = time.time() * 1000 - begin
     asked = [name for name, member in run.members.items() if member.is_running and not member.is_paused]
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -81,7 +81,7 @@
         else:
             client = self.clients[n]
             if name == "give up" and isinstance(client, ThriftClient):
-                client.say("abort", seqid=1)
+                client.send_message("abort", seqid=1)
             else:
                 client.sock.close()
             time.sleep(REACTION_S)
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -73,13 +73,13 @@
 def test_pause_makes_health_bad_at_once_and_resume_good_again(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as server:
         client = ThriftClient(server.ports[0])
-        assert client.answer(client.say("ping", full=True))[1].good
+        assert client.answer(client.send_message("ping", full=True))[1].good
         assert server.ask(b"PAUSE\n") == "done paused\n"
-        assert not client.answer(client.say("ping", full=True))[1].good
+        assert not client.answer(client.send_message("ping", full=True))[1].good
         assert client.ask("render", b"ms=5")[0] == "success"  # what still arrives is answered as usual
         assert server.ask(b"PAUSE\n").startswith("done")
         assert server.ask(b"RESUME\n") == "done resumed\n"
-        assert client.answer(client.say("ping", full=True))[1].good
+        assert client.answer(client.send_message("ping", full=True))[1].good
 
 
 @pytest.mark.parametrize("value", ["nowhere", "taken"])
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -116,7 +116,7 @@
     with server_process(tmp_path, sockets=64) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         for busy in clients[:10:2]:  # each in turn is the idlest, and the one behind it goes
             running.process.send_signal(signal.SIGSTOP)
             new = ThriftClient(running.ports[0])
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -32,7 +32,7 @@
     with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # all places
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         if why == "room":
             new = ThriftClient(running.ports[0])  # the first one, which is the idlest, goes for it
         else:
@@ -64,7 +64,7 @@
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
-        assert client.answer(client.say("ping", full=False))
+        assert client.answer(client.send_message("ping", full=False))
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"late"))
         client.sock.sendall(frame[:9])
         gate.reached(running)
@@ -131,7 +131,7 @@
         assert all(clients[0].ask("slow", b"ms=1")[0] == "success" for _ in range(30))
         seqs = [(client, client.send("slow", b"ms=60000")) for client in clients for _ in range(30)]
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         kill = threading.Timer(2.0, running.process.kill)
         running.process.terminate()
         kill.start()
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -68,7 +68,7 @@
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
     until(lambda: server.dependency.calls)
-    client.say("abort", seqid=seq)
+    client.send_message("abort", seqid=seq)
     assert until(lambda: server.dependency.drops) == [server.dependency.calls[0][0]]
 
 
@@ -78,7 +78,7 @@
         running.dependency.script = ["slow"]  # its reply comes when nobody waits for it
         seq = client.send("render", b"calls=1 dropped")
         until(lambda: running.dependency.calls)
-        client.say("abort", seqid=seq)
+        client.send_message("abort", seqid=seq)
         until(lambda: running.dependency.drops)
         assert [client.ask("render", b"calls=2 later")[0] for _ in range(3)] == ["success"] * 3
         replies = [reply for reply in running.engine.replies if b"dropped" in reply]
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -48,7 +48,7 @@
             running.engine.down()
         client = ThriftClient(running.ports[0])
         seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
-        assert client.answer(client.say("ping", full=False))  # read behind them
+        assert client.answer(client.send_message("ping", full=False))  # read behind them
         running.process.terminate()
         until(lambda: client.one_way_messages)
         if engine == "late":
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -113,7 +113,7 @@
 def test_an_engine_that_comes_late_is_waited_for(tmp_path: Path) -> None:
     with server_process(tmp_path, late_engine=True) as running:
         client = ThriftClient(running.ports[0])
-        assert client.answer(client.say("ping", full=False))[1].good
+        assert client.answer(client.send_message("ping", full=False))[1].good
         assert not running.registry.reports
         running.engine.up.set()
         until(lambda: running.registry.reports)
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -101,7 +101,7 @@
         assert running.engine.link is not None
         running.engine.cut(running.engine.link)
         assert client.ask("order", b"calls=1")[0] == "success"
-        running.move()
+        running.move_fakes()
         until(lambda: running.event("reloaded"))
         assert client.ask("order", b"calls=1")[0] == "success"
 
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("path", scenarios("membership"), ids=lambda path: path.stem)
 def test_membership_scenario_keeps_every_promise(path: Path) -> None:
     """Each fault script of membership, with the figures that are special to two of them."""
-    done = play(read(path), 1, say=lambda line: None, slack_ms=SLACK_MS)
+    done = play(read(path), 1, report_progress=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
     assert done["checked"]["lives grow"] > 0
     assert done["checked"]["standing right"] > 0
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("path", scenarios("limits"), ids=lambda path: path.stem)
 def test_limit_scenario_keeps_every_limit(path: Path) -> None:
     """Each fault script of limits; every limit is used to more than half of its number."""
-    done = play(read(path), 1, say=lambda line: None, slack_ms=SLACK_MS)
+    done = play(read(path), 1, report_progress=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
     for figures in done["limits"].values():
         assert figures["started"] > 0
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -150,7 +150,7 @@
             ask(n)
         running.process.send_signal(signal.SIGHUP)
         until(lambda: running.event("reloaded"))
-        check = client.say("ping", full=True)
+        check = client.send_message("ping", full=True)
         assert client.answer(check)[0] == "success"
         for n in range(15, 25):
             ask(n)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 import pytest
 
 from myrtlespar.fakes import ROOT, ThriftClient, server_process, until
-from myrtlespar.fakes.tcp_server import exactly
+from myrtlespar.fakes.tcp_server import read_exactly
 from myrtlespar.net.codec.thrift import encode as encode_message
 from myrtlespar.net.codec.thrift import idl
 from myrtlespar.state_machines.process import ProcessAction, ProcessLifecycle, ProcessState
@@ -163,7 +163,7 @@
                 connection = socket.create_connection(("127.0.0.1", old.ports[0]), 10)
                 connections.append(connection)
                 connection.sendall(check)  # once it is answered, the connection is not closed as a silent one
-                assert len(exactly(connection, int.from_bytes(exactly(connection, 4), "big"))) > 8
+                assert len(read_exactly(connection, int.from_bytes(read_exactly(connection, 4), "big"))) > 8
             assert new.wait(20) == 2
             assert b"mgmt" in new.communicate()[1]
             assert connections
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -29,11 +29,11 @@
         until(engine.send_next_notice)
         client.answer(first)
     if when == "gone":
-        client.say("abort", seqid=first)
-        assert client.answer(client.say("ping", full=False))  # read behind it, so it was taken
+        client.send_message("abort", seqid=first)
+        assert client.answer(client.send_message("ping", full=False))  # read behind it, so it was taken
     other = ThriftClient(server.ports[0])
     repeat = other.send("booking", b"seat 1", token="aa", again="1")
-    assert other.answer(other.say("ping", full=False))
+    assert other.answer(other.send_message("ping", full=False))
     if when not in ("ended", "failed"):
         assert repeat not in other.answers  # it waits for the one run
         server.dependency.cut()
@@ -52,7 +52,7 @@
     server, engine, client = scripted
     first = client.send("booking", b"seat 2", token="bb")
     until(engine.read)
-    client.say("abort", seqid=first)
+    client.send_message("abort", seqid=first)
     engine.end(b"seat 2", "NOOP")  # the engine heard of the departure first: nothing was started
     until(engine.send_next_notice)
     repeat = client.send("booking", b"seat 2", token="bb", again="1")
--- a/tests/test_mixed_load.py
+++ b/tests/test_mixed_load.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, exactly
+from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, read_exactly
 
 
 def test_mixed_callers_at_full_load_see_no_duplicate_and_no_late_answer(ajp_server: ServerProcess) -> None:
@@ -32,7 +32,7 @@
             gateway.forward("/" + name, body, Idempotency_Key=key)
             if name == "order" and (n % 5 == 0 or n % 12 == 0):
                 if n % 5 == 0:
-                    exactly(gateway.sock, 1)  # it breaks mid-answer
+                    read_exactly(gateway.sock, 1)  # it breaks mid-answer
                 else:
                     time.sleep(0.01)  # or while the order is held or runs
                 gateway.sock.close()
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.fleet
 def test_a_budget_survives_the_restart_of_all_members() -> None:
-    done = play(read(SCENARIOS / "budget-restarted.yaml"), 5, say=lambda line: None)
+    done = play(read(SCENARIOS / "budget-restarted.yaml"), 5, report_progress=lambda line: None)
     assert done["broken"] == []
     assert done["limits"]["order-day"]["most"] > 100
 
@@ -41,7 +41,7 @@
 
 @pytest.mark.fleet
 def test_a_strict_limit_holds_while_the_engine_is_cut_off_and_leaders_die() -> None:
-    done = play(read(SCENARIOS / "engine.yaml"), 3, say=lambda line: None)
+    done = play(read(SCENARIOS / "engine.yaml"), 3, report_progress=lambda line: None)
     assert done["broken"] == []
     assert done["limits"]["order-farms"]["most"] > 16
 
--- a/tests/test_registry_reports.py
+++ b/tests/test_registry_reports.py
@@ -30,9 +30,9 @@
         until(lambda: running.registry.reports)
         if fault == "hangs twice":  # on the connection that was kept, and on the new one after it
             running.registry.hang = 2
-            seen = len(running.registry.taken)
-            until(lambda: len(running.registry.taken) > seen + 1)
-            assert max(b - a for a, b in itertools.pairwise(running.registry.taken)) < 3.0
+            seen = len(running.registry.answered_times)
+            until(lambda: len(running.registry.answered_times) > seen + 1)
+            assert max(b - a for a, b in itertools.pairwise(running.registry.answered_times)) < 3.0
             return
         running.registry.mode = fault
         running.registry.cut()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,7 +25,7 @@
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len(server.dependency.calls) >= seen + 3)  # noqa: B023
         old = [*server.dependency.links, *server.registry.links]
-        server.move()
+        server.move_fakes()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
         for seq in seqs:
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -63,7 +63,7 @@
     def cross(self, other: str) -> None:
         """Cause the event that crosses the first."""
         if other == "abort":
-            self.first.say("abort", seqid=self.seq)
+            self.first.send_message("abort", seqid=self.seq)
         elif other == "reset":
             reset(self.first)
         elif other == "half close":
--- a/tests/test_thrift_requests.py
+++ b/tests/test_thrift_requests.py
@@ -12,7 +12,7 @@
 from myrtlespar.fakes import (
     ServerProcess,
     ThriftClient,
-    exactly,
+    read_exactly,
     server_process,
     until,
 )
@@ -42,7 +42,7 @@
     fast = client.send("fetch", b"ms=1")
     assert client.answer(fast)[0] == "success"
     assert slow not in client.answers
-    assert client.answer(client.say("ping", full=True))[1].good
+    assert client.answer(client.send_message("ping", full=True))[1].good
     assert client.answer(slow)[0] == "success"
 
 
@@ -69,7 +69,7 @@
     sock = socket.create_connection(("127.0.0.1", server.ports[0]))
     body = b"\x80\x01\x00\x01" + struct.pack(">I", 4) + b"moon" + struct.pack(">I", 7) + b"\0"
     sock.sendall(struct.pack(">I", len(body)) + body)
-    reply = exactly(sock, struct.unpack(">I", exactly(sock, 4))[0])
+    reply = read_exactly(sock, struct.unpack(">I", read_exactly(sock, 4))[0])
     assert reply[3] == 3
     assert b"unknown method" in reply
     client = ThriftClient(server.ports[0])
@@ -82,7 +82,7 @@
     running = [client.send("render", b"ms=1000") for _ in range(3)]
     until(lambda: server.engine.starts)
     held = client.send("order", b"never")
-    client.say("abort", seqid=held)
+    client.send_message("abort", seqid=held)
     assert [client.answer(seq)[0] for seq in running] == ["success"] * 3
     assert client.ask("fetch")[0] == "success"
     assert held not in client.answers
@@ -125,7 +125,7 @@
 def test_a_request_cut_at_any_byte_is_whole_once_its_last_byte_came(tmp_path: Path, at: int, notice: bool) -> None:
     with server_process(tmp_path) as running:
         client = ThriftClient(running.ports[0])
-        assert client.answer(client.say("ping", full=False))
+        assert client.answer(client.send_message("ping", full=False))
         fields = {"method": "order", "rid": "ab" * 8, "t0": str(int(time.time() * 1000)), "mem": "20.0"}
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields=fields, body=b"in two"))
         client.sock.sendall(frame[:at])
