--- a/myrtlespar/fleet_tests/__init__.py
+++ b/myrtlespar/fleet_tests/__init__.py
@@ -1,13 +1,18 @@
-"""Tests of a complete fleet of real processes on loopback. For tests only: the server never imports it.
+"""Runs fault scripts on a complete fleet of real processes on loopback and checks invariants.
 
-- `script`, with `script_events` and `script_table`, reads fault scripts; `script_model` is the result.
-- `process_launcher` starts the fleet and carries out single steps; `member_process` and `member_files` are one member's
-  processes and files, `helper_processes` the fault proxy and the fake etcd, `admin_client` the operators' commands.
+For tests only: the server never imports this package.
+
+- `script`, with `script_events` and `script_table`, parses fault scripts; `script_model` holds the result.
+- `process_launcher` starts the fleet and carries out actions on it. It uses `member_process` and `member_files` (the
+  processes and files of one member), `helper_processes` (the fault proxy and the fake etcd) and `admin_client`
+  (commands to the management address).
 - `load_generator` sends requests as client proxies do.
-- `ground_truth` knows which members ran and which links held; `observations` what members logged about each other.
-- `invariants` checks the promises of membership: a member wrongly declared failed, or known too late.
+- `ground_truth` holds which members ran and which links worked; `observations` what members logged about each other.
+- `invariants` checks membership: no running member is declared failed, and each change is noticed in time.
 - `limit_invariants` checks that fleet limits were not exceeded, `order_invariants` that no order was lost or ran twice.
-- `runner` plays a script and runs the checks; `demo` is a fixed script for people.
+- `start_times`, `standstills` and `network_counters` show, for a broken limit, where starts were delayed.
+- `runner` plays a script and runs the checks; `demo` plays a fixed script and prints what members observed.
 
-The checks compare what was done with what was logged or run. They say that a promise was broken, not why.
+The checks compare the actions of a script with what was logged or run. They report that an invariant was violated, not
+the cause.
 """
--- a/myrtlespar/fleet_tests/demo.py
+++ b/myrtlespar/fleet_tests/demo.py
@@ -1,4 +1,8 @@
-"""`myrtlespar fleet try`: three sites of three through a cut and its healing, and what each member observed when."""
+"""The demonstration of `myrtlespar fleet try`.
+
+Three sites of three members each: one site is cut off from the others and reconnected. The result shows what each
+member observed, and when.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,15 @@
 
 
 def run_demo(seed: int, keep: Path | None) -> int:
-    """Play the script and print what was observed. Logs are kept in the folder `keep`. 0 if every promise held."""
+    """Play the script and print what members observed.
+
+    Args:
+        seed: The seed of all random choices.
+        keep: The folder to keep logs in; None: they are deleted.
+
+    Returns:
+        The exit status: 0 if every promise held, else 1.
+    """
     script = parse(SCRIPT)
     result = play(script, seed, keep)
     if not result["judged"]:
@@ -37,16 +49,16 @@
     )
     for name, bound in (("standing", "standing"), ("known", "heal")):
         console.print(
-            f"{name} right after at worst {result[f'{name}_ms']['worst']} ms, promised "
+            f"{name}: right after {result[f'{name}_ms']['worst']} ms at worst, promised "
             f"{result['bounds_ms'][bound]} ms"
         )
     return print_result(result, seed, None)
 
 
 def observation_table(observations: list[Observation], members: tuple[str, ...]) -> Table:
-    """One row a member: when it came to each quorum status, and which members it considered failed when."""
-    table = Table(title="What each believed when (seconds from the script's begin)")
-    for title in ("member", "standing of the fleet", "failed to it"):
+    """Return a table of each member's quorum statuses and the members it believed failed, with times."""
+    table = Table(title="Beliefs of each member (seconds from the start of the script)")
+    for title in ("member", "standing of the fleet", "members it believed failed"):
         table.add_column(title)
     for name in members:
         own = [observation for observation in observations if observation.observer == name]
@@ -55,7 +67,7 @@
 
 
 def _quorum_text(observations: list[Observation]) -> str:
-    """The quorum statuses of one observer, the last one before the begin included."""
+    """Return the quorum statuses of one observer from the one in force at the start of the script."""
     statuses = [row for row in observations if row.kind == "standing" and row.subject == FLEET]
     before = [row for row in statuses if row.at <= 0]
     shown = before[-1:] + [row for row in statuses if row.at > 0]
@@ -63,7 +75,7 @@
 
 
 def _failures_text(observations: list[Observation]) -> str:
-    """The members that one observer considered failed, with the times from and until."""
+    """Return the members that one observer believed failed, each with the start and end of that time."""
     times: dict[str, list[str]] = {}
     for row in observations:
         if row.kind != "member" or row.at <= 0:
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -1,7 +1,7 @@
-"""What was true when: which members ran, and which links held.
+"""The ground truth of a run: which members ran and which links worked, at each time.
 
-Built from what the launcher (or the simulation) did, not from what members log. Times are milliseconds from the start
-of a run.
+It is derived from the actions of the launcher or the simulation, not from what members log. Times are milliseconds
+from the start of a run.
 """
 
 from __future__ import annotations
@@ -12,12 +12,20 @@
 
 from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule, LinkFaults
 
-Matrix = list[list[bool]]  # between kinds of members
+Matrix = list[list[bool]]  # by the kinds of two members (see TruthInterval), from the first to the second
 
 
 @dataclass(frozen=True, slots=True)
 class FaultAction:
-    """Something done: up, down, pause, resume, left, rule_on or rule_off."""
+    """One action of the launcher or the simulation.
+
+    Attributes:
+        at: When it was done, in ms.
+        kind: `up`, `down`, `pause`, `resume`, `left`, `rule_on` or `rule_off`.
+        name: The member; empty for a rule.
+        number: Identifies a rule from `rule_on` to `rule_off`.
+        rule: The fault on links of `rule_on`.
+    """
 
     at: float
     kind: str
@@ -28,23 +36,23 @@
 
 @dataclass(slots=True)
 class TruthInterval:
-    """What was true from `at` until the next interval.
+    """The state of members and links from `at` until the next interval.
 
-    Members that the same rules name are of one kind. Links are stored between kinds, not members, so that an interval
-    of thousands of members is small.
+    Members that the same fault rules name on the same side are of one kind, as their links behave alike. Links are
+    stored by kinds, not by members, to keep an interval of thousands of members small.
     """
 
     at: float
-    running: frozenset[str]  # members that ran and were not paused
-    left: frozenset[str]
-    kinds: Mapping[str, int]  # of each running member
-    counts: list[int]  # of members of each kind
-    reliable: Matrix  # both directions are within what is promised about
-    all_links_good: bool  # no link that is not cut loses or delays so much that refutations are common
-    reachable: Matrix  # some chain of links that are not cut leads from one to the other
+    running: frozenset[str]  # members whose process ran and was not paused
+    left: frozenset[str]  # members that ended gracefully
+    kinds: Mapping[str, int]  # the kind of each running member
+    counts: list[int]  # the number of running members of each kind
+    reliable: Matrix  # loss and delay are, both ways, within the bounds for which membership makes promises
+    all_links_good: bool  # each link is cut, or loses and delays too little for refutations to be common
+    reachable: Matrix  # there is a path over links that are not cut
 
     def linked(self, first: str, second: str) -> bool:
-        """Whether both run and reach each other directly or through one other member, over reliable links."""
+        """Return whether both run and reach each other over reliable links, directly or through one other member."""
         if first not in self.running or second not in self.running:
             return False
         first_kind = self.kinds[first]
@@ -52,14 +60,15 @@
         return self.reliable[first_kind][second_kind] or any(
             self.reliable[first_kind][middle]
             and self.reliable[middle][second_kind]
-            and count > (middle == first_kind) + (middle == second_kind)  # there is a third member of that kind
+            and count > (middle == first_kind) + (middle == second_kind)  # a member other than these two has that kind
             for middle, count in enumerate(self.counts)
         )
 
     def apart(self, observer: str, member: str) -> bool:
-        """Whether the observer runs, and the member does not or a chain of links leads at most one way.
+        """Return whether a running observer should believe the member gone: it is down, or unreachable in a direction.
 
-        Neither `linked` nor `apart` is true where a lossy link leaves open what the observer should believe.
+        If the only links between the two are lossy, the observer may believe either, and both `linked` and `apart`
+        are false.
         """
         if observer not in self.running:
             return False
@@ -76,7 +85,7 @@
     def __init__(self, members: Sequence[str], actions: Iterable[FaultAction], end: float, short_ms: float) -> None:
         """Derive the intervals from the actions; all times are ms from the start of the run.
 
-        Pauses (SIGSTOP) of at most `short_ms` are left out: no member may be declared failed for them.
+        Pauses (SIGSTOP) of at most `short_ms` are ignored: members must not be declared failed for them.
         """
         self.members = tuple(members)
         self.end = end
@@ -85,7 +94,7 @@
         self._starts = [interval.at for interval in self.intervals]
 
     def spans(self, holds: Callable[[TruthInterval], bool]) -> list[tuple[float, float]]:
-        """The longest spans of time in which `holds(interval)` is true, as (start, end)."""
+        """Return the longest time spans in which `holds(interval)` is true, as (start, end)."""
         spans: list[tuple[float, float]] = []
         for index, interval in enumerate(self.intervals):
             end = self.intervals[index + 1].at if index + 1 < len(self.intervals) else self.end
@@ -97,13 +106,13 @@
         return spans
 
     def between(self, start: float, end: float) -> list[TruthInterval]:
-        """All intervals that held at some time in [start, end]."""
+        """Return the intervals that overlap [start, end]."""
         first = max(0, bisect_right(self._starts, start) - 1)
         return self.intervals[first : bisect_right(self._starts, end)]
 
 
 class _FleetState:
-    """What is true after the actions so far."""
+    """The state of members and links after the actions applied so far."""
 
     def __init__(self) -> None:
         self.up: set[str] = set()
@@ -112,7 +121,7 @@
         self.faults = ActiveFaults()
 
     def apply(self, action: FaultAction) -> None:
-        """Carry one action out."""
+        """Apply one action."""
         if action.kind == "up":
             self.up.add(action.name)
             self.left.discard(action.name)
@@ -132,7 +141,7 @@
             self.faults.remove_rule(action.number)
 
     def interval(self, at: float) -> TruthInterval:
-        """The interval that begins now."""
+        """Return the interval that begins at this time with the present state."""
         running = self.up - self.paused
         kinds = self._kinds(running)
         count = max(kinds.values(), default=-1) + 1
@@ -141,7 +150,7 @@
         for name, kind in kinds.items():
             counts[kind] += 1
             examples[kind] = name
-        # Whether a rule applies depends on the kinds of the two members alone, also within one kind.
+        # Whether a rule applies to a link depends only on the kinds of its two ends, also for ends of the same kind.
         links = [[self.faults.link(first, second) for second in examples] for first in examples]
         return TruthInterval(
             at,
@@ -155,7 +164,7 @@
         )
 
     def _kinds(self, running: set[str]) -> dict[str, int]:
-        """Numbers of kinds by member: those that the same rules name on the same side are of one kind."""
+        """Return the number of each member's kind; members that the same rules name on the same side share one."""
         rules = list(self.faults.rules.values())
         numbers: dict[tuple[tuple[bool, bool], ...], int] = {}
         kinds = {}
@@ -166,7 +175,7 @@
 
 
 def _reachable(links: list[list[LinkFaults]], counts: list[int]) -> Matrix:
-    """Between which kinds a chain of links leads that are not cut (the transitive closure)."""
+    """Return the kinds between which there is a path over links that are not cut (the transitive closure)."""
     kinds = range(len(counts))
     reachable = [[not links[a][b].cut and (a != b or counts[a] > 1) for b in kinds] for a in kinds]
     for middle in kinds:
--- a/myrtlespar/fleet_tests/helper_processes.py
+++ b/myrtlespar/fleet_tests/helper_processes.py
@@ -1,4 +1,4 @@
-"""Processes beside the members: the fault proxy that all links run through, and the fake etcd."""
+"""The helper processes of a fleet run: the fault proxy, which relays all links, and the fake etcd."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HelperProcess:
-    """A Python module of the project in a process of its own, with pipes for its control."""
+    """A module of the project in a process of its own, controlled over its standard input and output."""
 
     def __init__(self, module: str) -> None:
         self.process = subprocess.Popen(
@@ -26,8 +26,8 @@
             text=True,
         )
 
-    def read_row(self) -> dict[str, Any]:
-        """The next JSON line of its output."""
+    def read_json_line(self) -> dict[str, Any]:
+        """Read the next line of its output, a JSON object."""
         assert self.process.stdout is not None
         row: dict[str, Any] = json.loads(self.process.stdout.readline())
         return row
@@ -39,7 +39,7 @@
 
 
 class FaultProxyProcess(HelperProcess):
-    """The relay's process, and its control."""
+    """The process of the fault proxy, and its control commands."""
 
     def __init__(self, members: Sequence[str], seed: int, services: dict[str, int]) -> None:
         super().__init__("myrtlespar.fault_proxy.relay")
@@ -47,30 +47,30 @@
         self.port = int(self.ask(members=list(members), seed=seed, services=services)["port"])
 
     def ask(self, **row: Any) -> dict[str, Any]:
-        """Send one control line; its answer. The change is in force when this returns."""
+        """Send one control line and return the answer. The change is in force when this returns."""
         with self._lock:
             assert self.process.stdin is not None
             self.process.stdin.write(json.dumps(row) + "\n")
             self.process.stdin.flush()
-            return self.read_row()
+            return self.read_json_line()
 
     def on(self, number: int, rule: FaultRule) -> None:
-        """A rule comes into force."""
+        """Activate a fault rule; `number` identifies it for `off`."""
         row = {key: getattr(rule, key) for key in rule.__slots__}
         self.ask(on=number, rule={**row, "first": sorted(rule.first), "second": sorted(rule.second)})
 
     def stalls(self) -> list[tuple[str, float, float]]:
-        """When the relay's process, or one of its streams, stood still: what, begin and end in Unix ms."""
+        """Return the stalls of the proxy: the process or stream that was delayed, and start and end in Unix ms."""
         return [(str(what), float(begin), float(end)) for what, begin, end in self.ask(stalls=True)["stalls"]]
 
     def off(self, number: int) -> None:
-        """A rule ends."""
+        """Deactivate a fault rule."""
         self.ask(off=number)
 
 
 class EtcdProcess(HelperProcess):
-    """The fake etcd."""
+    """The process of the fake etcd, which listens on `port`."""
 
     def __init__(self) -> None:
         super().__init__("myrtlespar.fakes.etcd")
-        self.port = int(self.read_row()["port"])
+        self.port = int(self.read_json_line()["port"])
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -1,7 +1,7 @@
-"""The promises of membership: each is one check here, with its bound as a formula of the settings.
+"""The invariants of membership, also called promises: one check for each, with a bound computed from the settings.
 
-The checks compare what was true (`ground_truth`) with what each member observed when. The same checks verify real
-processes and the simulation. Times are milliseconds from the start of a run.
+The checks compare the ground truth with the times at which each member observed it. They verify both real processes
+and the simulation. Times are milliseconds from the start of a run.
 """
 
 from __future__ import annotations
@@ -15,23 +15,32 @@
 from myrtlespar.membership.quorum import FLEET, quorum_status
 from myrtlespar.membership.settings import MembershipSettings
 
-SLACK_MS = 250.0  # for processes that share cores, and for log lines on their way
+SLACK_MS = 250.0  # for processes that share cores, and for the delay of log lines
 
 
 @dataclass(slots=True)
 class InvariantReport:
-    """What the checks found. `broken` holds a line for each broken promise, with time and members.
-
-    The texts of the promises name a quorum status "standing" and an incarnation "life", as the logs do.
+    """The results of the checks.
+
+    The names of the promises call a quorum status "standing" and an incarnation "life", as the logs do.
+
+    Attributes:
+        broken: A line for each violation, with its time and members.
+        detect_ms: Times from the stop of a member until an observer noticed it.
+        known_ms: Times from the return of a member or its link until an observer noticed it.
+        restart_ms: Times from the start of a new process until an observer knew its incarnation.
+        standing_ms: Times from a change of members or links until an observer's quorum status was right for good.
+        false_failures: The number of members wrongly declared failed.
+        checked: The number of checks by promise.
     """
 
     broken: list[str] = field(default_factory=list)
-    detect_ms: list[float] = field(default_factory=list)  # a stopped member, until each survivor knew
-    known_ms: list[float] = field(default_factory=list)  # a member up or linked again, until each knew
-    restart_ms: list[float] = field(default_factory=list)  # a new process, until each knew of its new incarnation
-    standing_ms: list[float] = field(default_factory=list)  # a change of links, until a quorum status stayed right
+    detect_ms: list[float] = field(default_factory=list)
+    known_ms: list[float] = field(default_factory=list)
+    restart_ms: list[float] = field(default_factory=list)
+    standing_ms: list[float] = field(default_factory=list)
     false_failures: int = 0
-    checked: dict[str, int] = field(default_factory=dict)  # by promise: how often it was checked
+    checked: dict[str, int] = field(default_factory=dict)
 
     def count_check(self, promise: str) -> None:
         """Count a check of a promise."""
@@ -49,11 +58,11 @@
     """Check all promises of membership.
 
     Args:
-        truth: What was true when.
+        truth: The ground truth of the run.
         observations: What the members logged.
-        settings: Their settings, from which the bounds follow.
-        sites: The voters of each site; the fleet's are all members.
-        observers: Whose observations are checked; all members' if empty.
+        settings: The members' settings, from which the bounds are computed.
+        sites: The voters of each site; those of the fleet are all members.
+        observers: The members whose observations are checked; empty: all.
         slack_ms: Added to each bound.
     """
     checker = _MembershipChecker(truth, ObservationHistory(observations), settings, slack_ms)
@@ -73,7 +82,7 @@
 
 
 def present(interval: TruthInterval, observer: str, electors: Sequence[str]) -> frozenset[str] | None:
-    """The other electors that the observer should believe present; None where a lossy link leaves it open."""
+    """Return the other electors that the observer should believe present; None if a lossy link allows either belief."""
     members = set()
     for name in electors:
         if name == observer:
@@ -86,7 +95,7 @@
 
 
 class _MembershipChecker:
-    """The checks of one run; they add to `report`."""
+    """Runs the checks on one run and adds the results to `report`."""
 
     def __init__(
         self, truth: GroundTruth, history: ObservationHistory, settings: MembershipSettings, slack_ms: float
@@ -99,7 +108,7 @@
         self.report = InvariantReport()
 
     def no_false_failure(self, observers: set[str]) -> None:
-        """Promise: no observer fails a member that ran and was linked to it for all of standing_ms before."""
+        """Promise: no observer declares a member failed that ran and was linked to it during the last standing_ms."""
         window = self.settings.standing_ms(self.member_count) + self.slack_ms
         for row in self.history.rows:
             if row.kind != "member" or row.state != MemberState.FAILED:
@@ -116,11 +125,12 @@
                 )
 
     def failure_known(self, observer: str, member: str) -> None:
-        """Promise: a member that stopped or is cut off is not believed present after the bound.
+        """Promise: an observer does not believe a stopped or cut-off member present after the bound.
 
-        The bound is detect_ms where it does not run and the observer is linked to at least half of the members,
-        itself counted, else standing_ms. A member that runs cut off while other links are bad returns to an observer
-        with each refutation that reaches it; there only the quorum status is promised.
+        The bound is detect_ms if the member is down and the observer is linked to at least half of the members (an
+        observer counts as linked to itself), else standing_ms. The promise does not cover a running member that is cut
+        off while other links are bad: each of its refutations that gets through makes the observer believe it present
+        again. Only the quorum status is promised then.
         """
         spans = self.truth.spans(
             lambda interval: (
@@ -145,7 +155,7 @@
                 )
 
     def presence_known(self, observer: str, member: str) -> None:
-        """Promise: a member that runs and is linked is believed present at the latest heal_ms after that began."""
+        """Promise: an observer believes a running, linked member present at most heal_ms after this became so."""
         bound = self.settings.heal_ms(self.member_count) + self.slack_ms
         for start, end in self.truth.spans(lambda interval: interval.linked(observer, member)):
             steps = steps_during(self.history.of_member(observer, member), start, end)
@@ -163,7 +173,7 @@
                 )
 
     def incarnations_grow(self, observer: str, member: str) -> None:
-        """Promise: no old incarnation supersedes a new one, and one that left is not believed present again."""
+        """Promise: an old incarnation never supersedes a newer one, and one that left is not believed present again."""
         self.report.count_check("lives grow")
         newest = 0
         left = 0
@@ -186,7 +196,7 @@
                 left = incarnation
 
     def measure_restarts(self, observer: str, member: str) -> None:
-        """Figure: from a new process that serves until the observer, linked to it, knows its new incarnation."""
+        """Measure the time from a restart until an observer that is linked throughout knows the new incarnation."""
         steps = self.history.of_member(observer, member)
         actions = [action for action in self.truth.actions if action.name == member]
         downs = [action.at for action in actions if action.kind == "down"]
@@ -210,7 +220,7 @@
                 self.report.restart_ms.append(max(0.0, known_at - action.at))
 
     def quorum_status_right(self, observer: str, scope: str, electors: Sequence[str]) -> None:
-        """Promise: a quorum status is right standing_ms after the last change of who should be counted."""
+        """Promise: a quorum status is right at most standing_ms after the set of reachable electors last changed."""
         sets = {
             present(interval, observer, electors) for interval in self.truth.intervals if observer in interval.running
         }
@@ -220,7 +230,7 @@
     def _quorum_status_right_while(
         self, observer: str, scope: str, electors: Sequence[str], members: frozenset[str]
     ) -> None:
-        """Check the promise in all spans of time in which the observer should count exactly these members."""
+        """Check the promise in all time spans in which the observer should count exactly these members."""
         bound = self.settings.standing_ms(self.member_count) + self.slack_ms
         wanted = quorum_status(len(electors), len(members) + int(observer in electors), len(members))
         spans = self.truth.spans(
@@ -261,12 +271,12 @@
 
 
 def _is_present_at(steps: list[Step], start: float) -> bool:
-    """Whether the observer believed the member present at the start of a span."""
+    """Return whether the observer believed the member present at the start of a time span."""
     return bool(steps) and steps[0][1] in PRESENT_STATES and steps[0][0] <= start
 
 
 def _first_late(steps: list[Step], deadline: float, end: float, while_present: bool) -> float | None:
-    """The end of the first step past the deadline in which the member's presence is `while_present`; else None."""
+    """Return the end of the first step that lasts past the deadline and has presence `while_present`, if any."""
     for index, (_, state, _) in enumerate(steps):
         until = steps[index + 1][0] if index + 1 < len(steps) else end
         if (state in PRESENT_STATES) is while_present and until > deadline:
--- a/myrtlespar/fleet_tests/limit_invariants.py
+++ b/myrtlespar/fleet_tests/limit_invariants.py
@@ -1,4 +1,4 @@
-"""The promises of fleet limits, checked against what the fake engines ran, not against what the program says."""
+"""The invariants of fleet limits, checked against the runs of the fake engines, not the reports of the program."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from myrtlespar.quota.settings import CountedUnit, GrantSettings, Limit, LimitKind
 
-MAX_SLACK_PART = 0.3  # at most this part of a window is left out for the way from the decision to the engine
-Run = tuple[bytes, float, float]  # body, begin, end (infinity: it still runs)
+MAX_SLACK_PART = 0.3  # windows are shortened by at most this share for the delay from the decision to the engine
+Run = tuple[bytes, float, float]  # body, start, end in Unix ms; the end of a run in progress is infinite
 
 
 @dataclass(frozen=True, slots=True)
 class Peak:
-    """The highest count that was found, and when."""
+    """The highest count and its time in Unix ms."""
 
     count: int
     at: float
@@ -30,15 +30,17 @@
     slack_ms: float,
     sites: Mapping[bytes, str],
 ) -> tuple[list[str], dict[str, Any]]:
-    """Promise: in any window, started <= limit + `settings.max_excess(limit)`; runs in flight at any time likewise.
+    """Check that no limit was exceeded by more than `settings.max_excess(limit)`.
+
+    The starts in any window are counted, or, for a limit on concurrency, the runs in progress at any time.
 
     Args:
         limits: The fleet's limits by name.
-        runs: What all fake engines ran. Times are Unix ms.
-        settings: From which the allowed excess follows.
-        begin: Start of the run; only figures and messages depend on it.
-        end: Its end, likewise.
-        slack_ms: Windows are checked this much shorter, as a run starts some time after its admission.
+        runs: The runs of all fake engines.
+        settings: The settings from which the allowed excess is computed.
+        begin: Start of the test run in Unix ms; only figures and messages depend on it.
+        end: End of the test run in Unix ms, used likewise.
+        slack_ms: Windows are shortened by this time, as a run starts some time after its admission.
         sites: The site at which each body ran.
 
     Returns:
@@ -71,7 +73,7 @@
 
 
 def _runs_by_part(limit: Limit, runs: Iterable[Run], sites: Mapping[bytes, str]) -> dict[str, list[Run]]:
-    """The runs that a limit counts, by what it counts separately: callers, sites, or all together."""
+    """Return the runs that a limit applies to, by caller, by site or under one empty key, as the limit counts them."""
     parts: dict[str, list[Run]] = {}
     for run in runs:
         if not limit.cls or run[0].startswith(limit.cls.encode() + b" "):
@@ -86,7 +88,7 @@
 
 
 def _highest(limit: Limit, parts: Mapping[str, list[Run]], slack_ms: float) -> tuple[str, Peak]:
-    """The part with the highest peak."""
+    """Return the caller or site with the highest peak, and that peak."""
     highest_part = ""
     highest = Peak(0, 0.0)
     for part, runs in parts.items():
@@ -103,7 +105,7 @@
 
 
 def _rate_peak(limit: Limit, runs: list[Run], slack_ms: float) -> Peak:
-    """The most starts in a window, and when it ends."""
+    """Return the highest number of starts in a window, and the end of that window."""
     window = limit.window_ms - min(slack_ms, MAX_SLACK_PART * limit.window_ms)
     peak = Peak(0, 0.0)
     first = 0
@@ -116,10 +118,10 @@
 
 
 def _budget_peak(limit: Limit, runs: list[Run], slack_ms: float) -> Peak:
-    """The most starts in a period, and when its last was.
+    """Return the highest number of starts in a period, and the time of the last of them.
 
-    A run that starts within `slack_ms` after a period began may have been admitted in the period before: it counts in
-    neither.
+    A run that starts within `slack_ms` after the beginning of a period may have been admitted in the previous one, so
+    it is counted in neither.
     """
     counts: Counter[int] = Counter()
     peak = Peak(0, 0.0)
@@ -133,7 +135,10 @@
 
 
 def _concurrency_peak(runs: list[Run]) -> Peak:
-    """The most runs at once, and when. One that ends as another begins has ended."""
+    """Return the highest number of runs in progress at once, and its time.
+
+    A run that ends at the time at which another begins does not overlap it.
+    """
     events = sorted([(begin, 1) for _, begin, _ in runs] + [(end, -1) for _, _, end in runs])
     running = 0
     peak = Peak(0, 0.0)
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -1,6 +1,6 @@
-"""Client proxies under test load.
+"""Client proxies that send test load to a fleet.
 
-They find members on the registry's list, a second late, send requests at random times, retry rejected ones elsewhere,
+They look up members in the registry once a second, send requests at random times, retry rejected ones at other members,
 respect Retry-After times, and record the outcome of each request.
 """
 
@@ -17,43 +17,45 @@
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 from myrtlespar.fleet_tests.script_model import LoadSettings
 
-LIST_POLL_S = 1.0  # how often a proxy reads the registry's list
+LIST_POLL_S = 1.0  # interval at which a proxy reads the list of members from the registry
 LOOP_S = 0.005
 CONNECT_TIMEOUT_S = 0.3
-CONNECT_BACKOFF_S = 1.0  # a member that could not be connected to is left alone for this long
-MAX_CONNECTION_ATTEMPTS = 3  # members that one attempt of a request may turn to
+CONNECT_BACKOFF_S = 1.0  # no connection attempts to a member for this time after one failed
+MAX_CONNECTION_ATTEMPTS = 3  # members to try for one attempt of a request
 JOIN_TIMEOUT_S = 12
-TIMEOUT_MS = {name: timeout for name, _, _, timeout, _ in CLASSES}  # from the request's creation to its answer
-SLACK_MS = 1000.0  # for the machine that plays all sides
+TIMEOUT_MS = {
+    name: timeout for name, _, _, timeout, _ in CLASSES
+}  # client timeouts, from the creation of a request to its answer
+SLACK_MS = 1000.0  # for a machine that runs clients, engines and members at once
 
 
 @dataclass(slots=True)
 class LoadRequest:
-    """One request over all its attempts."""
+    """One request with all its attempts."""
 
     class_name: str
     body: bytes
     created_at: float  # Unix ms
     attempts: int = 0
     member: str = ""
-    client: ThriftClient | None = None  # none while it waits for its next attempt
+    client: ThriftClient | None = None  # None while the request waits for its next attempt
     sequence_number: int = 0
-    retry_at: float = 0.0  # monotonic s
-    outcome: str = ""  # served, refused, failed, lost (its connection ended), none (no answer in time)
+    retry_at: float = 0.0  # seconds of the monotonic clock
+    outcome: str = ""  # served, refused, failed, lost (the connection ended), none (no answer in time)
     rejected_by: list[str] = field(default_factory=list)
-    rejected_at: list[float] = field(default_factory=list)  # Unix ms, as received
-    was_resent: bool = False  # once, as it crossed the end of a connection that announced its shutdown
+    rejected_at: list[float] = field(default_factory=list)  # time of each rejection, Unix ms
+    was_resent: bool = False  # it is sent again once if its connection ended after announcing its shutdown
 
     def is_overdue(self, after_ms: float = 0.0) -> bool:
-        """Whether its client timeout will have passed `after_ms` from now."""
+        """Return whether its client timeout will have passed `after_ms` from now."""
         return time.time() * 1000 + after_ms > self.created_at + TIMEOUT_MS[self.class_name]
 
 
 class ClientProxy:
-    """One client proxy, a thread."""
+    """One client proxy, which runs in a thread."""
 
     def __init__(self, number: int, load: LoadSettings, run: FleetRun, stop: threading.Event, begin: float) -> None:
-        """`begin` is the time on the monotonic clock, in seconds, from which requests come."""
+        """Prepare a proxy; its first request comes a random time after `begin` (seconds of the monotonic clock)."""
         self.number = number
         self.load = load
         self.run = run
@@ -65,13 +67,13 @@
         self.thread = threading.Thread(target=self._serve, daemon=True)
         self._clients: dict[str, ThriftClient] = {}
         self._listed: list[str] = list(run.members)
-        self._backoff_until: dict[str, float] = {}  # monotonic s, by member
+        self._backoff_until: dict[str, float] = {}  # seconds of the monotonic clock, by member
         self._list_at = 0.0
         self._next_at = begin + self._gap_s() if load.rate else float("inf")
         self._count = 0
 
     def _gap_s(self) -> float:
-        """The time to the next request."""
+        """Return a random time to the next request, in seconds."""
         return self.random.expovariate(self.load.rate / self.load.proxies)
 
     def _serve(self) -> None:
@@ -100,11 +102,11 @@
         self._attempt(request)
 
     def _attempt(self, request: LoadRequest) -> None:
-        """Send it to the first candidate that accepts a connection; if none does, retry later."""
+        """Send a request to the first candidate that accepts a connection; if none does, retry later."""
         request.attempts += 1
         for name in self._candidates(request)[:MAX_CONNECTION_ATTEMPTS]:
             client = self._client(name)
-            if client is None:  # a refused connection proves that nothing ran
+            if client is None:  # nothing was sent, so another member may run the request
                 continue
             try:
                 self._send(request, name, client)
@@ -115,9 +117,10 @@
         self._retry(request, self.load.after_ms)
 
     def _candidates(self, request: LoadRequest) -> list[str]:
-        """Listed members in random order, without those that rejected it or whose Retry-After is not over.
+        """Return the members to try, in random order.
 
-        If that leaves none, all listed members.
+        These are the members in the registry without those that rejected the request and those whose backoff (after a
+        Retry-After or a failed connection) is not over. If that leaves none, all members in the registry.
         """
         now = time.monotonic()
         fresh = [
@@ -138,7 +141,7 @@
         request.member = name
 
     def _client(self, name: str) -> ThriftClient | None:
-        """A connection to a member; None if it does not accept one."""
+        """Return a connection to a member, or None if it accepts none."""
         client = self._clients.get(name)
         if client is not None and (client.ended.is_set() or "shutdown" in client.one_way_messages):
             self._clients.pop(name)
@@ -154,7 +157,7 @@
         return client
 
     def _check(self, request: LoadRequest, now: float) -> None:
-        """Go on with a request if its answer has come, its connection has ended or its time is over."""
+        """Advance a request if its answer arrived, its connection ended, or a retry or its timeout is due."""
         client = request.client
         if client is None:
             if now >= request.retry_at:
@@ -193,7 +196,7 @@
             self._retry(request, max(self.load.after_ms, 0.0))
 
     def _retry(self, request: LoadRequest, after_ms: float) -> None:
-        """Attempt it again after `after_ms`, or end it as refused if that is too late or one retry too many."""
+        """Schedule a retry in `after_ms`, or end the request as refused if that is too late or one retry too many."""
         if self.stop.is_set() or request.is_overdue(after_ms) or request.attempts > self.load.max_retries:
             self._end(request, "refused")
             return
@@ -207,7 +210,7 @@
 
 
 class LoadGenerator:
-    """All proxies of a run."""
+    """All client proxies of a run."""
 
     def __init__(self, run: FleetRun) -> None:
         self.stop = threading.Event()
@@ -220,7 +223,7 @@
             proxy.thread.start()
 
     def finish(self) -> list[LoadRequest]:
-        """Send nothing new, wait for what is open, and return all requests."""
+        """Stop creating requests, wait for the open ones, and return all requests."""
         self.stop.set()
         for proxy in self.proxies:
             proxy.thread.join(JOIN_TIMEOUT_S)
--- a/myrtlespar/fleet_tests/member_files.py
+++ b/myrtlespar/fleet_tests/member_files.py
@@ -1,4 +1,4 @@
-"""Configuration files of the members of a fleet under test."""
+"""Writes the configuration files of the members of a fleet under test."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from myrtlespar.fault_proxy.relay import bind_host, relay_host, service_host
 from myrtlespar.fleet_tests.script_model import Script
 
-STOP_MS = 2500  # of the graceful shutdown
-SEED_LIMIT = 2**64
+STOP_MS = 2500  # time limit of a graceful shutdown
+SEED_LIMIT = 2**64  # seeds are 64-bit numbers
 FLEET_NAME = "rehearsal"
 OPERATOR_FILE = "operator.toml"
 
 
 def write_server_config(folder: Path, name: str, number: int, port: int, seed: int) -> None:
-    """The platform's file: the server and its services behind the fault proxy at `port`."""
+    """Write the platform's configuration file: the server, and its services behind the fault proxy at `port`."""
     config = {
         "name": name,
         "listen": f"{bind_host(number)}:{port + 1}",
@@ -35,14 +35,23 @@
 
 
 def write_operator_file(folder: Path, traced: bool) -> None:
-    """The operator's file; a traced member logs every transition, and each admission under a limit of the fleet."""
+    """Write the operators' file. A traced member logs every state transition and each admission under a fleet limit."""
     (folder / OPERATOR_FILE).write_text(f"[trace]\ntransitions = {str(traced).lower()}\n")
 
 
 def write_fleet_file(
     folder: Path, name: str, numbers: Mapping[str, int], port: int, script: Script, changes: Mapping[str, Any]
 ) -> None:
-    """The fleet's file of a member; `numbers` are those of all members, `changes` keys to set or replace."""
+    """Write a member's fleet file.
+
+    Args:
+        folder: The member's folder.
+        name: Its name.
+        numbers: The numbers of all members by name, which set their addresses.
+        port: The port of the fault proxy.
+        script: The fault script.
+        changes: Keys of the file to set or replace.
+    """
     number = numbers[name]
     seeds = dict.fromkeys(members[0] for members in script.sites.values())
     engine = {"engine": {"address": f"{service_host(number, 'engine')}:{port}"}} if script.engine else {}
@@ -62,7 +71,7 @@
 
 
 def change_limits(folder: Path, version: int, changes: Mapping[str, Mapping[str, Any]]) -> None:
-    """Set `limits_version`, and change keys of limits in a member's fleet file; `changes` are by name of the limit."""
+    """Set `limits_version` and change limits in a member's fleet file; `changes` holds changed keys by limit name."""
     path = folder / "fleet.yaml"
     rows = yaml.safe_load(path.read_text())
     rows["limits_version"] = version
--- a/myrtlespar/fleet_tests/member_process.py
+++ b/myrtlespar/fleet_tests/member_process.py
@@ -1,4 +1,4 @@
-"""One member of a fleet under test: its processes, its log, and its fake engine."""
+"""One member of a fleet under test: its processes, its log and its fake engines."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 
 
 class MemberProcess:
-    """A member over all its processes. `number` (from 1) sets its addresses, `folder` holds its files."""
+    """A member with all its successive processes. `number` (from 1) sets its addresses, `folder` holds its files."""
 
     def __init__(self, name: str, number: int, folder: Path) -> None:
         self.name = name
         self.number = number
         self.folder = folder
         self.engine = FakeEngine()
-        self.engines = [self.engine]  # this one, and those that were lost with a site
+        self.engines = [self.engine]  # the present one, and those that were lost with a site
         self.process: subprocess.Popen[str] | None = None
         self.successor: subprocess.Popen[str] | None = None  # the second process of a replacement
-        self.uses_second_admin_address = False  # a replacement and the process before it have one each
+        self.uses_second_admin_address = False  # a replacement and its predecessor have different ones
         self.is_paused = False
         self.log: list[dict[str, Any]] = []
-        self.exit_codes: list[int] = []  # of processes that ended by themselves
+        self.exit_codes: list[int] = []  # of replaced processes, which end gracefully
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether its serving process runs."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def running_processes(self) -> list[subprocess.Popen[str]]:
-        """Those that have not ended: two while it is being replaced."""
+        """Its processes that have not ended; two during a replacement."""
         processes = (self.successor, self.process)
         return [process for process in processes if process is not None and process.poll() is None]
 
     def count_events(self, event: str) -> int:
-        """Lines of this kind in its log so far."""
+        """Return the number of lines with this event in its log so far."""
         return sum(row["event"] == event for row in self.log)
 
     def last_event(self, event: str) -> dict[str, Any] | None:
-        """The newest line of this kind in its log."""
+        """Return the newest line with this event in its log, if any."""
         return next((row for row in reversed(self.log) if row["event"] == event), None)
 
     def runs(self) -> list[tuple[bytes, float, float]]:
-        """What all its engines ran: body, begin and end in Unix ms; the end is infinite while a run goes on."""
+        """Return the runs of all its engines: body, start and end in Unix ms; infinite end: still in progress."""
         return [
             (body, begin, float("inf") if end is None else end)
             for engine in self.engines
@@ -56,10 +56,10 @@
         ]
 
     def replace_engine(self) -> None:
-        """Go on with a fresh fake engine."""
+        """Start a new fake engine; the previous ones stay in `engines` for the checks."""
         self.engine = FakeEngine()
         self.engines.append(self.engine)
 
     def stderr_tail(self) -> str:
-        """The end of what its processes wrote to their standard error."""
+        """Return the last STDERR_SHOWN characters of the standard error of its processes."""
         return (self.folder / "stderr.txt").read_text().strip()[-STDERR_SHOWN:]
--- a/myrtlespar/fleet_tests/network_counters.py
+++ b/myrtlespar/fleet_tests/network_counters.py
@@ -1,4 +1,4 @@
-"""Counters of the system's network that show whether it delayed or lost something on its own. Linux only."""
+"""Network counters of the system, which show whether the kernel itself lost or delayed data. Linux only."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_network_counters() -> dict[str, int]:
-    """The counters' present values by name; empty where the system has none."""
+    """Return the present values by name; empty if the system has no such counters."""
     counters: dict[str, int] = {}
     for path in SOURCES:
         if path.exists():
--- a/myrtlespar/fleet_tests/observations.py
+++ b/myrtlespar/fleet_tests/observations.py
@@ -1,6 +1,6 @@
-"""What members came to believe about each other and the quorum, as read from their logs.
+"""The beliefs of members about each other and the quorum over time, read from their logs.
 
-The log lines are read from processes of older versions too: a rolling release mixes versions.
+Logs of older versions of the program are read too, as a rolling release mixes versions.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 MEMBER_EVENT = "fleet member"
 QUORUM_EVENT = "fleet standing"
 
-Step = tuple[float, int | None, int]  # time, state (None: unknown or forgotten), incarnation
+Step = tuple[float, int | None, int]  # time in ms, state (None: unknown or forgotten), incarnation
 UNKNOWN: Step = (float("-inf"), None, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What `observer` came to believe.
+    """A change of what `observer` believes.
 
-    `kind` is `begin` (a new process of it, which believes nothing yet), `member` (the state of a member) or `standing`
-    (its quorum status, by the name that the log has for it).
+    `kind` is `begin` (the observer has a new process, which knows nothing yet), `member` (the state of a member) or
+    `standing` (the quorum status, which the log calls so).
     """
 
     at: float
     observer: str
     kind: str
-    subject: str = ""  # a member, or the scope of a quorum
+    subject: str = ""  # the member, or the scope of the quorum
     state: int | None = None  # a MemberState or QuorumStatus; None: forgotten
     incarnation: int = 0
 
 
 def observation_of(name: str, row: dict[str, Any]) -> Observation | None:
-    """The observation in a line of the member's log, if there is one. Its time is Unix ms."""
+    """Return the observation in a line of the member's log, with its time in Unix ms; None if the line has none."""
     event = row["event"]
     if event == JOINING_EVENT:
         return Observation(row["at"], name, "begin")
@@ -50,7 +50,7 @@
 
 
 class ObservationHistory:
-    """Observations by observer and subject, in order of time."""
+    """Observations by observer and subject, ordered by time."""
 
     def __init__(self, observations: Iterable[Observation]) -> None:
         self.rows = sorted(observations, key=lambda observation: observation.at)
@@ -65,15 +65,15 @@
                 steps.append((row.at, row.state, row.incarnation))
 
     def of_member(self, observer: str, member: str) -> list[Step]:
-        """The states of the member that the observer believed, as steps."""
+        """Return the states that the observer believed the member to be in."""
         return self._members.get((observer, member), [UNKNOWN])
 
     def of_quorum(self, observer: str, scope: str) -> list[Step]:
-        """The observer's quorum statuses in a scope; empty if none was observed."""
+        """Return the observer's quorum statuses in a scope; empty if it logged none."""
         return self._quorums.get((observer, scope), [])
 
     def _forget(self, begin: Observation) -> None:
-        """A new process knows nothing of what the one before it believed."""
+        """Reset the beliefs of an observer that has a new process."""
         for table in (self._members, self._quorums):
             for (observer, _), steps in table.items():
                 if observer == begin.observer:
@@ -81,6 +81,6 @@
 
 
 def steps_during(steps: list[Step], start: float, end: float) -> list[Step]:
-    """The steps that were in force at some time in [start, end)."""
+    """Return the step in force at `start` and those that begin before `end`."""
     before = [step for step in steps if step[0] <= start]
     return before[-1:] + [step for step in steps if start < step[0] < end]
--- a/myrtlespar/fleet_tests/order_invariants.py
+++ b/myrtlespar/fleet_tests/order_invariants.py
@@ -1,4 +1,4 @@
-"""The promises to single requests, checked against what the fake engines ran and what the client proxies received."""
+"""The invariants of single requests, checked against the runs of the fake engines and the answers to client proxies."""
 
 from __future__ import annotations
 
@@ -8,17 +8,20 @@
 from myrtlespar.fleet_tests.load_generator import LoadGenerator, LoadRequest
 from myrtlespar.fleet_tests.process_launcher import FleetRun
 
-ENGINE_SERVICES = {"store", "kernel"}  # dependency and execution engine: no request ends in time without them
+ENGINE_SERVICES = {"store", "kernel"}  # dependency and execution engine; while one is cut off, requests may time out
 
 
 def check_orders(run: FleetRun, load: LoadGenerator, requests: list[LoadRequest]) -> tuple[list[str], dict[str, int]]:
-    """Check all promises; a line for each broken one, and how many requests had which outcome.
+    """Check all invariants of requests.
 
     - No request is answered twice.
-    - An order is started at most once, as client proxies repeat only what was rejected or never sent.
-    - A member does not reject what its engine has started.
-    - A member that serves all along answers in time, so no request is lost there. Runs in which a service was cut off
-      are not checked for this.
+    - An order is started at most once: client proxies retry only requests that were rejected or never sent.
+    - A member does not reject a request that its engine has started.
+    - A member that is never stopped or paused answers each request in time. This is not checked in runs that cut a
+      service off.
+
+    Returns:
+        A line for each violation, and the number of requests by outcome.
     """
     broken = [
         *_orders_started_again(run),
@@ -44,7 +47,7 @@
 
 
 def _started_and_rejected(run: FleetRun, requests: list[LoadRequest]) -> list[str]:
-    started_at: dict[tuple[str, bytes], float] = {}  # by member and body: first start there
+    started_at: dict[tuple[str, bytes], float] = {}  # first start by member and body
     for member in run.members.values():
         for engine in member.engines:
             for body, at, _ in engine.runs:
@@ -58,7 +61,7 @@
 
 
 def _unanswered(run: FleetRun, requests: list[LoadRequest]) -> list[str]:
-    """Requests without an answer at members that served all along; empty if a rule cut their services off."""
+    """Return requests that members did not answer in time though they ran throughout; none if a service was cut off."""
     disturbed = {action.name for action in run.actions if action.kind in ("down", "pause", "left")}
     if any(_cuts_services(action) for action in run.actions):
         return []
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -1,6 +1,6 @@
-"""Starts a complete fleet of real processes behind the fault proxy, and carries out the actions of a script.
+"""Starts a complete fleet of real processes behind the fault proxy and carries out the actions of a script.
 
-It records what was done, and what each member logged about the others. Times are Unix milliseconds.
+Records the actions and what each member logged about the others. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 SERVING_EVENT = "serving"
 LOG_POLL_S = 0.005
-MEMBERS_PER_CORE = 3  # where processes are pinned
+MEMBERS_PER_CORE = 3  # if processes are pinned to cores
 
 
 class FleetRun:
-    """A fleet, from its start to its end."""
+    """One run of a fleet under test, from its start to its end."""
 
     def __init__(
         self,
@@ -50,9 +50,17 @@
         own: dict[str, dict[str, Any]] | None = None,
         grants: dict[str, Any] | None = None,
     ) -> None:
-        """`membership` and `grants` are tables of the fleet's file, `own` changes it for single members by name.
-
-        `env` is added to the environment of the processes; `pin` puts MEMBERS_PER_CORE of them on each core.
+        """Start the fakes and the fault proxy and write the members' files; `start` starts the members.
+
+        Args:
+            script: The fault script.
+            seed: The seed of all random choices.
+            folder: Holds one folder of files for each member.
+            membership: The table `membership` of the fleet files.
+            env: Additions to the environment of the members.
+            pin: Pin the processes to cores, MEMBERS_PER_CORE on each.
+            own: Changed keys in the fleet files of single members, by member name.
+            grants: The table `grants` of the fleet files.
         """
         self.script = script
         self.seed = seed
@@ -67,12 +75,12 @@
         }
         self.actions: list[FaultAction] = []
         self.observations: list[Observation] = []
-        self.unplayed: list[str] = []  # steps of the script that could not be carried out, and why
-        self.replaced = 0  # processes that were replaced and have ended
+        self.unplayed: list[str] = []  # steps of the script that could not be carried out, with the reasons
+        self.replaced = 0  # the number of replaced processes that have ended
         self.standstill_monitor = StandstillMonitor()
-        self.network_counters = read_network_counters()  # at the begin
+        self.network_counters = read_network_counters()  # at the start of the run
         self._lock = threading.Lock()
-        self._lost: dict[int, list[str]] = {}  # members by the number of the event that lost them
+        self._lost: dict[int, list[str]] = {}  # members lost in an event, by its number
         self.etcd = EtcdProcess() if script.engine else None
         services = {"store": self.dependency.port, "roster": self.registry.port}
         if self.etcd is not None:
@@ -82,58 +90,60 @@
         self._write_files({"grants": self.grants, "membership": membership or {}}, own or {})
 
     def client_address(self, name: str) -> tuple[str, int]:
-        """Where client proxies reach a member."""
+        """Return the address of a member for client proxies."""
         return bind_host(self.members[name].number), self.port + 1
 
     def admin_address(self, name: str) -> tuple[str, int]:
-        """Where operators reach a member's serving process; the second of a replacement has an address of its own."""
+        """Return the management address of a member's serving process; a replacement uses the other one of two."""
         member = self.members[name]
         return bind_host(member.number), self.port + 2 + member.uses_second_admin_address
 
     def ask(self, name: str, command: bytes, timeout_s: float = 3.0) -> str:
-        """Send a command to a member's management address; its complete answer, '' if it gives none."""
+        """Send a command to a member's management address and return the complete answer, or '' if none arrives."""
         return admin_client.ask(self.admin_address(name), command, timeout_s)
 
     def view(self, name: str) -> dict[str, Any] | None:
-        """A member's answer to MEMBERS, None if there is none."""
-        return admin_client.ask_row(self.admin_address(name), b"MEMBERS")
+        """Return a member's answer to the command MEMBERS, or None if none arrives."""
+        return admin_client.ask_json(self.admin_address(name), b"MEMBERS")
 
     def limits(self, name: str) -> dict[str, Any]:
-        """A member's answer to LIMITS, empty if there is none."""
-        return admin_client.ask_row(self.admin_address(name), b"LIMITS") or {}
+        """Return a member's answer to the command LIMITS, empty if none arrives."""
+        return admin_client.ask_json(self.admin_address(name), b"LIMITS") or {}
 
     def is_complete(self) -> bool:
-        """Whether each member's quorum status is `whole`."""
+        """Return whether the quorum status of each member is `whole`."""
         return all(self.quorum_status(name) == "whole" for name in self.members)
 
     def quorum_status(self, name: str) -> str | None:
-        """The last quorum status of the fleet in a member's log, in lower case; None if there is none."""
+        """Return the latest quorum status of the fleet in a member's log, in lower case; None if there is none."""
         rows = (row for row in reversed(self.members[name].log) if row["event"] == QUORUM_EVENT and not row["scope"])
         return next((row["new"] for row in rows), None)
 
     def stalls(self) -> list[tuple[str, float, float]]:
-        """When the relay, or one of its streams, stood still: what, begin and end in Unix ms."""
+        """Return the stalls of the fault proxy: the delayed process or stream, and start and end in Unix ms."""
         return self.fault_proxy.stalls()
 
     def start(self) -> None:
-        """Start all members, and wait until each believes all others present.
+        """Start all members and wait until each believes all others present.
 
-        RuntimeError if a process ended, AssertionError if it took too long.
+        Raises:
+            RuntimeError: The process of a member ended.
+            AssertionError: It took longer than WAIT_S.
         """
         self.standstill_monitor.start()
         for member in self.members.values():
             member.process = self.spawn(member)
         for member in self.members.values():
-            until(lambda: member.last_event(SERVING_EVENT) or not member.is_running, "start")  # noqa: B023
+            until(lambda: member.last_event(SERVING_EVENT) or not member.is_running, "the event serving")  # noqa: B023
             if not member.is_running:
                 raise RuntimeError(f"{member.name} ended: {member.stderr_tail()}")
             self._record_up(member)
-        until(self.is_complete, "whole views")
+        until(self.is_complete, "all members to believe each other present")
 
     def spawn(self, member: MemberProcess, beside: bool = False) -> subprocess.Popen[str]:
-        """Start a process of a member: the only one, or one `beside` that which serves.
+        """Start a process of a member; `beside`: a second one, next to the serving one.
 
-        The second one has the other management address.
+        The second process gets the management address that the first does not use.
         """
         second_address = member.uses_second_admin_address != beside
         if not beside:
@@ -162,7 +172,7 @@
         return process
 
     def close(self) -> None:
-        """End everything."""
+        """End all processes and fakes."""
         self.standstill_monitor.stop()
         for member in self.members.values():
             for process in member.running_processes:
@@ -179,12 +189,12 @@
     def record(
         self, kind: str, name: str = "", number: int = 0, rule: FaultRule | None = None, at: float = 0.0
     ) -> None:
-        """Record what was done just now, or at that Unix time in ms."""
+        """Record an action, done now or `at` a Unix time in ms."""
         with self._lock:
             self.actions.append(FaultAction(at or time.time() * 1000, kind, name, number, rule))
 
     def restart(self, member: MemberProcess) -> None:
-        """Start a process of a member, and record when it has joined."""
+        """Start a process of a member, and record the time at which it joins the fleet."""
         joined_before = member.count_events(JOINING_EVENT)
         process = self.spawn(member)
         member.process = process
@@ -192,7 +202,7 @@
         threading.Thread(target=self._await_joining, args=(member, process, joined_before), daemon=True).start()
 
     def kill(self, member: MemberProcess) -> None:
-        """SIGKILL, to both processes where it is being replaced."""
+        """Kill all processes of a member (SIGKILL); there are two during a replacement."""
         running = member.running_processes
         for process in running:
             process.kill()
@@ -203,7 +213,10 @@
         member.successor = None
 
     def signal(self, member: MemberProcess, number: signal.Signals, kind: str) -> None:
-        """Send a signal, and record it as `kind`. A resumption counts from before it, as it is noticed at once."""
+        """Send a signal and record it as `kind`.
+
+        The recorded time of `resume` lies before the signal, as other members may notice the effect at once.
+        """
         if member.process is not None and member.is_running:
             at = time.time() * 1000 if kind == "resume" else 0.0
             member.process.send_signal(number)
@@ -211,7 +224,7 @@
             self.record(kind, member.name, at=at)
 
     def change_limits(self, names: Sequence[str], version: int, changes: dict[str, dict[str, Any]]) -> None:
-        """Change limits in these members' files, and have their processes read them (SIGHUP)."""
+        """Change limits in these members' fleet files and make their processes reload them (SIGHUP)."""
         for name in names:
             member = self.members[name]
             member_files.change_limits(member.folder, version, changes)
@@ -219,7 +232,7 @@
                 member.process.send_signal(signal.SIGHUP)
 
     def replace(self, member: MemberProcess) -> None:
-        """Start a second process beside the first, which gets SIGTERM once the second serves."""
+        """Replace a member's process: start a second one, and end the first (SIGTERM) once the second serves."""
         old = member.process
         serving_before = member.count_events(SERVING_EVENT)
         new = self.spawn(member, beside=True)
@@ -227,14 +240,14 @@
         threading.Thread(target=self._hand_over, args=(member, old, new, serving_before), daemon=True).start()
 
     def lose_members(self, names: Sequence[str], number: int) -> None:
-        """Kill members and their engines; `number` is that of the event, for `return_members`."""
+        """Kill members and their engines. `number` is that of the event; `return_members` takes it."""
         self._lost[number] = [name for name in names if self.members[name].is_running]
         for name in self._lost[number]:
             self.kill(self.members[name])
             self.members[name].engine.down()
 
     def return_members(self, number: int) -> None:
-        """Start the members again that `lose_members` killed in this event, with fresh engines."""
+        """Restart the members that `lose_members` killed in this event, with new engines."""
         for name in self._lost.get(number, []):
             member = self.members[name]
             if not member.is_running:
@@ -243,7 +256,7 @@
                 self.restart(member)
 
     def _write_files(self, tables: dict[str, Any], own: dict[str, dict[str, Any]]) -> None:
-        """Write the members' files: `tables` go to all fleet files, `own` to those of single members."""
+        """Write the members' files; `tables` are set in all fleet files, `own` in those of single members by name."""
         numbers = {name: member.number for name, member in self.members.items()}
         for name, member in self.members.items():
             self.fault_proxy.ask(target=["kernel", name, member.engine.port])
@@ -266,7 +279,7 @@
                             self.observations.append(observation)
 
     def _await_joining(self, member: MemberProcess, process: subprocess.Popen[str], joined_before: int) -> None:
-        """Record that a new process is up, as the fleet sees it, from its joining on."""
+        """Record a new process as up once it has joined the fleet."""
 
         def joined_or_superseded() -> bool:
             return process is not member.process or member.count_events(JOINING_EVENT) > joined_before
@@ -275,7 +288,7 @@
             self._record_up(member)
 
     def _record_up(self, member: MemberProcess) -> None:
-        row = member.last_event(JOINING_EVENT)  # not the time of the check: others may see it long before
+        row = member.last_event(JOINING_EVENT)  # not the time of this check: other members may notice it long before
         self.record("up", member.name, at=row["at"] if row else 0.0)
 
     def _hand_over(
@@ -283,15 +296,15 @@
     ) -> None:
         _poll_while_running(new, lambda: member.count_events(SERVING_EVENT) > serving_before)
         if new.poll() is not None:
-            if member.successor is new:  # nobody killed it
+            if member.successor is new:  # it was not killed by the script
                 self.unplayed.append(f"replace: {member.name}'s second process ended: {member.stderr_tail()}")
             return
         if old is None or old.poll() is not None:
-            self.unplayed.append(f"replace: {member.name}'s first process was gone before the second served")
+            self.unplayed.append(f"replace: {member.name}'s first process ended before the second served")
             return
         joined_before = member.count_events(JOINING_EVENT)
         old.terminate()
-        self.record("down", member.name)  # its link goes; the new one's comes at once
+        self.record("down", member.name)  # its connections end; those of the new process follow at once
         member.process = new
         member.successor = None
         member.uses_second_admin_address = not member.uses_second_admin_address
@@ -302,7 +315,7 @@
 
 
 def _poll_while_running(process: subprocess.Popen[str], condition: Callable[[], bool]) -> bool:
-    """Wait until the condition holds; false if the process ended before, or WAIT_S is over."""
+    """Wait until the condition holds. Return false if the process ends first or WAIT_S pass."""
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end and process.poll() is None:
         if condition():
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -1,4 +1,4 @@
-"""Plays one script on a complete fleet of real processes, checks the promises, and prints the result."""
+"""Plays a fault script on a complete fleet of real processes, checks the promises and prints the result."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.quota.settings import GrantSettings
 
-HIDDEN_KEYS = ("observations", "views")  # of a result; too long for the line of figures
-SIGNALS = {
+HIDDEN_KEYS = ("observations", "views")  # of a result; too long for the printed line
+SIGNALS = {  # by kind of step: the signal, and the kind of action that is recorded
     "pause": (signal.SIGSTOP, "pause"),
     "resume": (signal.SIGCONT, "resume"),
     "leave": (signal.SIGTERM, "left"),
@@ -36,14 +36,14 @@
 
 @dataclass(slots=True)
 class PlayedScript:
-    """What is known once a script was played. Times are Unix ms, the length is in ms."""
+    """A finished run of a script, to be checked. `begin` is in Unix ms, `length_ms` the duration."""
 
     run: FleetRun
     load: LoadGenerator
     requests: list[LoadRequest]
     begin: float
     length_ms: float
-    views: dict[str, dict[str, Any] | None]  # by member, at the end
+    views: dict[str, dict[str, Any] | None]  # by member, at the end of the script
     proxy_counts: dict[str, Any]
 
 
@@ -55,10 +55,18 @@
     slack_ms: float = SLACK_MS,
     **options: Any,
 ) -> dict[str, Any]:
-    """Play a script and check it, each bound longer by `slack_ms`.
-
-    Returns the figures, with `broken` the lines of broken promises. Logs and files stay in the folder `keep`, if given.
-    `report_progress` is called with lines on the progress; `options` are those of FleetRun.
+    """Play a script and check its promises.
+
+    Args:
+        script: The fault script.
+        seed: The seed of all random choices.
+        keep: The folder to keep logs and files in; None: they are deleted.
+        report_progress: Called with a line for each step.
+        slack_ms: Added to each bound.
+        **options: Further arguments of FleetRun.
+
+    Returns:
+        The figures of the run; `broken` holds a line for each broken promise.
     """
     settings = MembershipSettings(**options.get("membership") or {})
     with ExitStack() as stack:
@@ -78,13 +86,13 @@
 
 
 def apply_step(run: FleetRun, step: ScriptStep) -> None:
-    """Carry one step out."""
+    """Carry out one step of a script."""
     if step.kind == "rule_on":
         assert step.rule is not None
         run.fault_proxy.on(step.number, step.rule)
         run.record(step.kind, "", step.number, step.rule)
     elif step.kind == "rule_off":
-        run.record(step.kind, "", step.number, step.rule)  # before it is so: what heals is noticed at once
+        run.record(step.kind, "", step.number, step.rule)  # before the rule ends, as members may notice that at once
         run.fault_proxy.off(step.number)
     elif step.kind == "lose":
         run.lose_members(step.names, step.number)
@@ -108,7 +116,7 @@
 
 
 def describe_step(step: ScriptStep) -> str:
-    """A step in a few words."""
+    """Return a short description of a step."""
     if step.rule is None:
         return f"{step.kind} {' '.join(step.names)}"
     rule = step.rule
@@ -121,12 +129,12 @@
 
 
 def percentile(values: list[float], share: float) -> float | None:
-    """The value below which that share lies."""
+    """Return the value below which this share of the values lies, or None if there are no values."""
     return round(sorted(values)[min(len(values) - 1, int(len(values) * share))], 1) if values else None
 
 
 def figures(report: InvariantReport, settings: MembershipSettings, member_count: int) -> dict[str, Any]:
-    """The figures of membership in a run's result."""
+    """Return the membership figures of a result."""
     rows: dict[str, Any] = {}
     for name, values in (
         ("detect", report.detect_ms),
@@ -154,9 +162,10 @@
 
 
 def print_result(result: dict[str, Any], seed: int, result_file: Path | None) -> int:
-    """Print broken promises and the figures as one JSON line, which is also written to `result_file`.
+    """Print the broken promises, and the figures as one JSON line, which is also written to `result_file` if given.
 
-    Returns the exit status: 0 if every promise held, else 1.
+    Returns:
+        The exit status: 0 if every promise held, else 1.
     """
     for line in result["broken"]:
         print(f"BROKEN {line}")
@@ -176,7 +185,7 @@
         load.start()
     began = time.monotonic()
     begin = time.time() * 1000
-    report_progress(f"{len(run.members)} members serve, all views whole; the script begins")
+    report_progress(f"{len(run.members)} members serve and know each other; the script starts")
     for step in script.steps:
         if step.at_ms <= script.length_ms:
             _sleep_until(began + step.at_ms / 1000)
@@ -195,7 +204,7 @@
 
 
 def _check(played: PlayedScript, settings: MembershipSettings, slack_ms: float) -> dict[str, Any]:
-    """Check the promises that the script names; the result of the run."""
+    """Check the promises that the script lists, and return the result of the run."""
     run = played.run
     script = run.script
     actions, observations = _relative_to_begin(played)
@@ -225,7 +234,7 @@
 
 
 def _relative_to_begin(played: PlayedScript) -> tuple[list[FaultAction], list[Observation]]:
-    """Actions and observations with the script's begin as time 0."""
+    """Return actions and observations with times from the start of the script."""
     return (
         [replace(action, at=action.at - played.begin) for action in played.run.actions],
         [replace(observation, at=observation.at - played.begin) for observation in played.run.observations],
@@ -233,7 +242,7 @@
 
 
 def _check_runs(played: PlayedScript, slack_ms: float) -> tuple[list[str], dict[str, Any]]:
-    """Check fleet limits against what all engines ran, if the script asks for it."""
+    """Check fleet limits against the runs of all engines, if the script requests it."""
     run = played.run
     script = run.script
     if not script.limits or "limits" not in script.checks:
--- a/myrtlespar/fleet_tests/script.py
+++ b/myrtlespar/fleet_tests/script.py
@@ -1,4 +1,4 @@
-"""Reads a fault script (YAML): checks it, and lays it out as single steps. Examples are in `fault_scenarios/`."""
+"""Parses and validates fault scripts (YAML). Examples are in `fault_scenarios/`."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 __all__ = ["LoadSettings", "Script", "ScriptError", "ScriptStep", "parse", "read"]
 
-CHECKED = ("members", "limits", "orders")  # what this build checks
+CHECKED = ("members", "limits", "orders")  # the checks that are implemented
 KNOWN_CHECKS = ("members", "limits", "verdicts", "orders", "site")
 CLASSES = ("render", "fetch", "order")
-MAX_MEMBERS = 60  # real processes; the simulation scales sites up by itself
+MAX_MEMBERS = 60  # of a fleet of real processes; the simulation grows the sites further itself
 MIN_SCRIPT_S = 0.1
 MAX_WEIGHT = 1e6
 MAX_RATE_PER_S = 5000
@@ -31,9 +31,14 @@
 
 
 def read(path: Path, members: int = 0) -> Script:
-    """The script in a file. ScriptError: it can't be read, or has a fault.
+    """Read the script in a file.
 
-    If a number of `members` is given, the sites are grown in proportion to that many.
+    Args:
+        path: The file.
+        members: If not 0, the sites are grown in proportion to this number of members.
+
+    Raises:
+        ScriptError: The file cannot be read, or the script is invalid.
     """
     try:
         text = path.read_text()
@@ -43,7 +48,7 @@
 
 
 def parse(text: str, members: int = 0) -> Script:
-    """The same from the script's text."""
+    """Parse the text of a script; arguments and errors are those of `read`."""
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as error:
@@ -75,13 +80,15 @@
         raise ScriptError(f"fleet.sites: expected a table of sites, got {rows!r}"[:MAX_MESSAGE_LENGTH])
     for site, count in rows.items():
         if not isinstance(site, str) or not site.isidentifier() or site in (*SERVICES, "all", "site", "engine"):
-            raise ScriptError(f"fleet.sites.{site}: expected a name of letters")
+            raise ScriptError(
+                f"fleet.sites.{site}: expected letters, digits and _, except all, site and names of services"
+            )
         if isinstance(count, bool) or not isinstance(count, int) or not 1 <= count <= MAX_MEMBERS:
             raise ScriptError(f"fleet.sites.{site}: expected a count from 1 to {MAX_MEMBERS}, got {count!r}")
     sites = {site: _member_names(site, count) for site, count in rows.items()}
     names = [name for row in sites.values() for name in row]
     if len(set(names)) != len(names):
-        raise ScriptError("fleet.sites: two members get the same name")
+        raise ScriptError("fleet.sites: two members have the same name (a site's name followed by a number)")
     if len(names) > MAX_MEMBERS:
         raise ScriptError(f"fleet.sites: at most {MAX_MEMBERS} members, got {len(names)}")
     if not members:
@@ -102,7 +109,7 @@
     mix = ScriptTable(load.rows.get("mix", {"render": 1.0}), "load.mix", CLASSES)
     weights = {name: mix.number(name, None, 0, MAX_WEIGHT) for name in mix.rows}
     if not sum(weights.values()) > 0:
-        raise ScriptError("load.mix: the shares sum to nothing")
+        raise ScriptError("load.mix: expected at least one share greater than 0")
     retry = ScriptTable(load.rows.get("retry", {}), "load.retry", ("most", "after_ms"))
     proxies = load.number("proxies", 12, 1, MAX_PROXIES)
     max_retries = retry.number("most", 0, 0, MAX_RETRIES)
@@ -119,7 +126,7 @@
 
 
 def _limits(raw: Any) -> Mapping[str, Limit]:
-    """The fleet's limits, as in its file."""
+    """Return the fleet limits by name; their keys are those of a fleet file."""
     if raw is None:
         return {}
     if not isinstance(raw, dict):
@@ -128,9 +135,10 @@
 
 
 def _limit(name: Any, row: Any) -> Limit:
-    """One limit.
+    """Return one limit.
 
-    One that names no class counts the class that its own name begins with (`order-farms` counts orders), or else all.
+    A limit without a class applies to the class whose name its own begins with (`order-farms` to orders), or else to
+    all classes.
     """
     if not isinstance(name, str) or not is_valid_limit_name(name):
         raise ScriptError(
@@ -160,5 +168,5 @@
         if name not in KNOWN_CHECKS:
             raise ScriptError(f"judge[{index}]: {name!r} is none of {', '.join(KNOWN_CHECKS)}")
         if name not in CHECKED:
-            raise ScriptError(f"judge[{index}]: this build does not judge {name}")
+            raise ScriptError(f"judge[{index}]: this build does not check {name}")
     return tuple(raw)
--- a/myrtlespar/fleet_tests/script_events.py
+++ b/myrtlespar/fleet_tests/script_events.py
@@ -1,4 +1,4 @@
-"""Events of a fault script, laid out as single steps."""
+"""Parses the events of a fault script into single steps."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MIN_DURATION_S = 0.001
 MAX_DELAY_MS = 60_000
 MAX_EVENTS = 500
-EVENT_KEYS: Mapping[str, tuple[str, ...]] = {  # by kind of event: its keys, beside at_s
+EVENT_KEYS: Mapping[str, tuple[str, ...]] = {  # keys by kind of event; each also has at_s
     "cut": ("for_s", "one_way"),
     "kill": ("restart_after_s",),
     "pause": ("for_s",),
@@ -26,10 +26,10 @@
 
 
 def parse_events(raw: Any, sites: Sites, length_ms: float) -> list[ScriptStep]:
-    """All steps of a list of events, in order of time. ScriptError names the faulty key."""
+    """Return the steps of all events, ordered by time. Raises ScriptError, which names the invalid key."""
     events = raw or []
     if not isinstance(events, list) or len(events) > MAX_EVENTS:
-        raise ScriptError(f"events: expected a list of at most {MAX_EVENTS}, got {str(events)[:60]!r}")
+        raise ScriptError(f"events: expected a list of at most {MAX_EVENTS} events, got {str(events)[:60]!r}")
     steps: list[ScriptStep] = []
     for number, event in enumerate(events):
         steps += _event(number, event, sites, length_ms)
@@ -42,7 +42,7 @@
     path = f"events[{number}]"
     kinds = [kind for kind in EVENT_KEYS if isinstance(raw, dict) and kind in raw]
     if len(kinds) != 1:
-        raise ScriptError(f"{path}: expected one of {', '.join(EVENT_KEYS)}, got {raw!r}"[:MAX_MESSAGE_LENGTH])
+        raise ScriptError(f"{path}: expected one of the keys {', '.join(EVENT_KEYS)}, got {raw!r}"[:MAX_MESSAGE_LENGTH])
     kind = kinds[0]
     table = ScriptTable(raw, path, ("at_s", kind, *EVENT_KEYS[kind]))
     at_ms = table.number("at_s", None, 0, length_ms / MS_PER_S) * MS_PER_S
@@ -57,14 +57,14 @@
 
 
 def _end_ms(table: ScriptTable, key: str, at_ms: float, low_s: float) -> float:
-    """When a duration that begins at `at_ms` ends; infinity if the script sets none."""
+    """Return the end of a duration that begins at `at_ms`; infinity if the script sets none."""
     if key not in table.rows:
         return float("inf")
     return at_ms + table.number(key, None, low_s, MAX_SCRIPT_S) * MS_PER_S
 
 
 def _with_end(step: ScriptStep, end_ms: float) -> list[ScriptStep]:
-    """A step, and the one that ends it."""
+    """Return a step, followed by the step that ends it unless `end_ms` is infinite."""
     if end_ms == float("inf"):
         return [step]
     return [step, ScriptStep(end_ms, STEP_THAT_ENDS[step.kind], step.names, step.number, step.rule)]
@@ -81,7 +81,7 @@
 def _rule(table: ScriptTable, kind: str, sites: Sites) -> FaultRule:
     ends = table.rows[kind]
     if not isinstance(ends, list) or len(ends) != 2:
-        raise ScriptError(f"{table.key(kind)}: expected two names, got {ends!r}"[:MAX_MESSAGE_LENGTH])
+        raise ScriptError(f"{table.key(kind)}: expected a list of two names, got {ends!r}"[:MAX_MESSAGE_LENGTH])
     found = [members_named(end, sites) if isinstance(end, str) else None for end in ends]
     for index, names in enumerate(found):
         if names is None:
@@ -89,7 +89,9 @@
     first = found[0] or frozenset()
     second = found[1] or frozenset()
     if first | second <= set(SERVICES):
-        raise ScriptError(f"{table.key(kind)}: no link joins {ends[0]} and {ends[1]}")
+        raise ScriptError(
+            f"{table.key(kind)}: expected a member or site at one end, got services {ends[0]} and {ends[1]}"
+        )
     one_way = table.flag("one_way")
     if kind == "cut":
         return FaultRule(first, second, one_way, cut=True)
@@ -106,7 +108,7 @@
 
 
 def _check_running(steps: list[ScriptStep], sites: Sites) -> None:
-    """Reject a graceful end of members that do not run then; killing one that is dead already changes nothing."""
+    """Reject steps that end or replace a stopped member gracefully. A kill of one has no effect and is allowed."""
     running = {name: True for names in sites.values() for name in names}
     for step in steps:
         for name in step.names:
--- a/myrtlespar/fleet_tests/script_model.py
+++ b/myrtlespar/fleet_tests/script_model.py
@@ -1,4 +1,4 @@
-"""A fault script as data. Where a key of the script has another name, the docstring has it in parentheses."""
+"""A parsed fault script. Docstrings give the key in the script in parentheses if it has another name."""
 
 from __future__ import annotations
 
@@ -9,42 +9,55 @@
 from myrtlespar.fault_proxy.faults import FaultRule
 from myrtlespar.quota.settings import Limit
 
-Sites = Mapping[str, tuple[str, ...]]  # names of members by site
+Sites = Mapping[str, tuple[str, ...]]  # member names by site
 
 
 class ScriptError(MyrtlesparError):
-    """One line that names the faulty key and says why."""
+    """A script is invalid; the message is one line that names the key and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSettings:
-    """Requests of all client proxies together. Each request is retried at most `max_retries` (`most`) times."""
+    """The requests of all client proxies together.
+
+    Attributes:
+        rate: Requests per second.
+        mix: Relative frequencies by request class.
+        proxies: The number of client proxies.
+        max_retries: The limit of retries of one request (`most`).
+        after_ms: The delay from a rejection to the retry.
+    """
 
-    rate: float = 0.0  # requests a second
-    mix: Mapping[str, float] = field(default_factory=dict)  # weights by class
+    rate: float = 0.0
+    mix: Mapping[str, float] = field(default_factory=dict)
     proxies: int = 0
     max_retries: int = 0
-    after_ms: float = 200.0  # from a rejection to the retry
+    after_ms: float = 200.0
 
 
 @dataclass(frozen=True, slots=True)
 class ScriptStep:
-    """One thing done at one time.
-
-    `kind` is `rule_on` or `rule_off` (a fault on links), `kill`, `start`, `pause`, `resume`, `lose` or `back` (members
-    with their engines), `leave` (a graceful end) or `replace` (a second process takes over).
+    """One action at one time.
+
+    Attributes:
+        at_ms: The time from the start of the script.
+        kind: `rule_on` or `rule_off` (a fault on links), `kill`, `start`, `pause`, `resume`, `lose` or `back` (kills or
+            restarts members with their engines), `leave` (a graceful end) or `replace` (a second process takes over).
+        names: The members.
+        number: The index of the event that the step belongs to.
+        rule: The fault on links of `rule_on` and `rule_off`.
     """
 
     at_ms: float
     kind: str
     names: tuple[str, ...] = ()
-    number: int = 0  # of the event it comes from
+    number: int = 0
     rule: FaultRule | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """A complete script; `steps` are in order of time, `checks` (`judge`) says which promises are checked."""
+    """A complete script. `steps` are ordered by time; `checks` (`judge`) lists the promises to check."""
 
     sites: Sites
     length_ms: float
@@ -52,13 +65,13 @@
     load: LoadSettings
     checks: tuple[str, ...]
     limits: Mapping[str, Limit] = field(default_factory=dict)
-    engine: bool = False  # whether the fleet's limits take leases from an etcd, which the script calls engine
+    engine: bool = False  # whether the fleet has an etcd ("engine" in scripts) for the leases of its limits
 
     @property
     def members(self) -> tuple[str, ...]:
-        """All names, site by site."""
+        """The names of all members, site by site."""
         return tuple(name for names in self.sites.values() for name in names)
 
     def site_of(self, name: str) -> str:
-        """The site of a member."""
+        """Return the site of a member."""
         return next(site for site, names in self.sites.items() if name in names)
--- a/myrtlespar/fleet_tests/script_table.py
+++ b/myrtlespar/fleet_tests/script_table.py
@@ -1,4 +1,4 @@
-"""A table of a fault script whose complaints name the key with its path."""
+"""Typed access to the tables of a fault script, with errors that name the path of the key."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ScriptTable:
-    """A mapping with known keys only. `path` is empty for the script itself."""
+    """A table with known keys only. `path` is the path of its own key, empty for the script itself."""
 
     def __init__(self, rows: Any, path: str, known_keys: tuple[str, ...]) -> None:
         if not isinstance(rows, dict):
@@ -23,11 +23,11 @@
                 raise ScriptError(f"{self.key(name)}: unknown key")
 
     def key(self, name: Any) -> str:
-        """A key with its path."""
+        """Return the full path of a key in this table."""
         return f"{self.path}.{name}" if self.path else str(name)
 
     def number(self, name: str, default: float | None, low: float, high: float) -> float:
-        """A number within bounds; ScriptError if it is missing and `default` is None."""
+        """Return a number from `low` to `high`. Raises ScriptError if it is missing and `default` is None."""
         value = self.rows.get(name, default)
         if value is None:
             raise ScriptError(f"{self.key(name)}: missing")
@@ -36,7 +36,7 @@
         return float(value)
 
     def flag(self, name: str) -> bool:
-        """True or false; false if it is missing."""
+        """Return a boolean; false if it is missing."""
         value = self.rows.get(name, False)
         if not isinstance(value, bool):
             raise ScriptError(f"{self.key(name)}: expected true or false, got {value!r}")
--- a/myrtlespar/fleet_tests/standstills.py
+++ b/myrtlespar/fleet_tests/standstills.py
@@ -1,4 +1,7 @@
-"""Measures for how long the process that plays clients and fake engines stands still, which makes its times late."""
+"""Detects when the test process itself, which runs the clients and fake engines, is not scheduled.
+
+A standstill delays the times that the test process records, so that a start looks later than it was.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Standstill:
-    """A time in which a thread that wanted to run did not. Unix ms."""
+    """A period in which a thread of the test process was ready to run but did not. Times are Unix ms."""
 
     begin: float
     end: float
 
     @property
     def length_ms(self) -> float:
-        """Its length."""
+        """The duration."""
         return self.end - self.begin
 
 
@@ -28,7 +31,7 @@
 
 
 class StandstillMonitor:
-    """A thread that wakes up at a short interval, and records how late it was."""
+    """A thread that sleeps for POLL_S at a time and records each delay of MIN_STANDSTILL_MS or more."""
 
     def __init__(self) -> None:
         self.standstills: list[Standstill] = []
@@ -36,15 +39,15 @@
         self._thread = threading.Thread(target=self._watch, daemon=True)
 
     def start(self) -> None:
-        """Start watching."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop the thread."""
         self._stop.set()
 
     def longest(self, begin: float, end: float) -> Standstill | None:
-        """The longest standstill that overlaps this time (Unix ms); None if there was none."""
+        """Return the longest standstill that overlaps the time from `begin` to `end` (Unix ms), if any."""
         overlapping = [row for row in self.standstills if row.end > begin and row.begin < end]
         return max(overlapping, key=_length_ms) if overlapping else None
 
--- a/myrtlespar/fleet_tests/start_times.py
+++ b/myrtlespar/fleet_tests/start_times.py
@@ -1,8 +1,9 @@
-"""When each start under a fleet limit was decided, written to the engine, and read by the fake engine.
+"""Reports when each start was decided, written to the engine, and read by the fake engine, if a limit was exceeded.
 
-A limit is promised for the decisions and checked by what the fake engines read. Where a check finds one start too many,
-these times show whether it was decided too early, or was late on its way: in the member, between the processes, or in
-the process that plays the engines. The first two times are in the member's trace (`[trace]` in the operator's file).
+A fleet limit holds for the times of the decisions, but is checked at the times at which the fake engines read the
+starts. If the check counts too many, this report shows whether a start was decided too early, or delayed in the member,
+between the processes, or in the process that runs the fake engines. The first two times come from the member's trace
+(`[trace]` in the operators' file).
 """
 
 from __future__ import annotations
@@ -22,31 +23,32 @@
 from myrtlespar.fleet_tests.standstills import StandstillMonitor
 from myrtlespar.quota.settings import Limit
 
-ADMITTED_EVENT = "admitted"  # log lines of a member's trace
+# Values in log lines of a member's trace.
+ADMITTED_EVENT = "admitted"
 STEP_EVENT = "step"
 COMMAND_MACHINE = "command"
 SENT_STATE = "SENT"
 MAX_SHOWN_STALLS = 8
-MAX_SHOWN_DELAY_MS = 2000.0  # standstills so long before a window are shown as well
+MAX_SHOWN_DELAY_MS = 2000.0  # standstills up to this time before a window are shown too
 TABLE_NAME = "start-times.txt"
 KEPT_PREFIX = "myrtlespar-broken-limit-"
 
 
 class ObservedRun(Protocol):
-    """What the report needs of a run of a fleet."""
+    """The attributes of a fleet run that the report uses."""
 
     members: dict[str, MemberProcess]
     folder: Path
     standstill_monitor: StandstillMonitor
-    network_counters: dict[str, int]  # at the begin
+    network_counters: dict[str, int]  # at the start of the run
 
     def stalls(self) -> list[tuple[str, float, float]]:
-        """When the relay, or one of its streams, stood still: what, begin and end in Unix ms."""
+        """Return the stalls of the fault proxy: the delayed process or stream, and start and end in Unix ms."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimes:
-    """The times of one start, in Unix ms; None where nothing was logged."""
+    """The times of one start in Unix ms; None if the member logged none."""
 
     member: str
     request_id: str
@@ -57,17 +59,17 @@
 
     @property
     def late_ms(self) -> float:
-        """From the decision to the fake engine."""
+        """The delay from the decision until the fake engine read the start; 0 if no decision was logged."""
         return 0.0 if self.decided_at is None else self.read_at - self.decided_at
 
 
 def logged_at(row: Mapping[str, Any]) -> float:
-    """The time of a log line in Unix ms."""
+    """Return the time of a log line in Unix ms."""
     return datetime.fromisoformat(row["timestamp"]).timestamp() * 1000.0
 
 
 def start_times(members: Iterable[MemberProcess]) -> list[StartTimes]:
-    """All starts that the fake engines read, in that order."""
+    """Return all starts that the fake engines read, ordered by `read_at`."""
     starts = [start for member in members for start in _member_starts(member)]
     return sorted(starts, key=lambda start: start.read_at)
 
@@ -104,12 +106,15 @@
     starts: Iterable[StartTimes],
     monitor: StandstillMonitor,
 ) -> list[str]:
-    """The starts in the window that ends at `last_at`, and how late the harness was; times since `begin`."""
+    """Return the starts in the window that ends at `last_at` and the longest standstill of the test process, as lines.
+
+    Arguments are in Unix ms; the lines show seconds from `begin`.
+    """
     first_at = last_at - limit.window_ms
     prefix = f"{limit.cls} " if limit.cls else ""
     lines = [
-        f"{limit_name}: starts that the engines read in the window before {(last_at - begin) / 1000:.3f} s",
-        "written: after the decision; read: after it was written; late: both",
+        f"{limit_name}: starts read by the fake engines in the window that ends at {(last_at - begin) / 1000:.3f} s",
+        "written: delay from the decision; read: delay from the write, or @ its time; late: sum of both delays",
         f"{'member':8} {'decided s':>10} {'written ms':>10} {'read ms':>8} {'late ms':>8}  body",
     ]
     for start in starts:
@@ -124,17 +129,17 @@
     return lines
 
 
-def way_lines(run: ObservedRun, begin: float) -> list[str]:
-    """What may have delayed commands between the members and the fake engines."""
+def delay_lines(run: ObservedRun, begin: float) -> list[str]:
+    """Return lines on what may have delayed commands between members and fake engines."""
     stalls = sorted(run.stalls(), key=lambda stall: stall[1] - stall[2])[:MAX_SHOWN_STALLS]
     lines = [f"{what}: stood still for {end - at:.0f} ms at {(at - begin) / 1000:.3f} s" for what, at, end in stalls]
     waits = {name: max(engine.longest_wait_ms for engine in member.engines) for name, member in run.members.items()}
     shown_waits = ", ".join(f"{name} {wait_ms:.0f}" for name, wait_ms in waits.items())
-    lines.append(f"fake engines, longest wait for their lock, ms: {shown_waits}")
+    lines.append(f"longest wait for the lock of a fake engine, ms: {shown_waits}")
     before = run.network_counters
     now = read_network_counters()
     changes = (f"{name} {now[name] - before[name]}" for name in now if name in before)
-    lines.append("system's network counters, change over the run: " + ", ".join(changes))
+    lines.append("change of the system's network counters during the run: " + ", ".join(changes))
     return lines
 
 
@@ -151,15 +156,19 @@
 def report_broken_limits(
     limits: Mapping[str, Limit], figures: Mapping[str, Mapping[str, Any]], run: ObservedRun, begin: float
 ) -> str:
-    """Print the table of each limit's fullest window, keep it with the members' files, and return the folder's name."""
+    """Print a table for the fullest window of each limit, and save it with a copy of the members' files.
+
+    Returns:
+        The folder of the copy.
+    """
     starts = start_times(run.members.values())
     lines: list[str] = []
     for name, limit in limits.items():
         lines += table(name, limit, figures[name]["most_at"], begin, starts, run.standstill_monitor)
-    lines += way_lines(run, begin)
+    lines += delay_lines(run, begin)
     print("\n".join(lines))
     kept = tempfile.mkdtemp(prefix=KEPT_PREFIX)
-    with contextlib.suppress(shutil.Error, OSError):  # a file that a process has just removed
+    with contextlib.suppress(shutil.Error, OSError):  # a process may remove a file meanwhile
         shutil.copytree(run.folder, kept, dirs_exist_ok=True)
     (Path(kept) / TABLE_NAME).write_text("\n".join(lines) + "\n")
     return kept
