--- a/myrtlespar/fakes/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -1,7 +1,7 @@
-"""Fakes of the server's peers on loopback, for the tests, `myrtlespar try`, replays and benchmarks.
+"""Fakes of the systems around the server, on loopback, for the tests, `myrtlespar try`, replays and benchmarks.
 
-They are written from the published protocols, do what a script says, faults included, and count what they received.
-They do not model speed.
+They implement the published protocols, behave as a script tells them, faults included, and count what they receive.
+They do not model the speed of the real systems.
 """
 
 from myrtlespar.fakes.ajp_peers import FakeAjpServer, FakeGateway
--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -1,4 +1,4 @@
-"""Fakes that speak AJP13: a gateway in front of the program, and an AJP server behind it."""
+"""Fakes that speak AJP13: a gateway that sends requests to the server, and an AJP server as its backend."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MAX_PACKET_BYTES = 8188
 MAX_BODY_PART_BYTES = 700
 
-# Packet types, from the server to the gateway.
+# Types of packets from an AJP server to a gateway.
 SEND_BODY_CHUNK = 3
 SEND_HEADERS = 4
 END_RESPONSE = 5
@@ -20,12 +20,12 @@
 
 
 def encode_string(value: str) -> bytes:
-    """A string of AJP13: length, bytes, NUL."""
+    """Encode a string as in AJP13: length, bytes, NUL."""
     return struct.pack(">H", len(value)) + value.encode() + b"\0"
 
 
 class FakeGateway:
-    """A web server that forwards requests to the program on one connection."""
+    """A web server that forwards requests to the server under test on one connection."""
 
     def __init__(self, port: int, secret: str = "s3") -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -33,11 +33,11 @@
         self.secret = secret
 
     def packet(self, payload: bytes) -> None:
-        """Send one packet."""
+        """Send one packet with this payload."""
         self.sock.sendall(b"\x12\x34" + struct.pack(">H", len(payload)) + payload)
 
     def forward(self, uri: str, body: bytes = b"", chunked: bool = False, method: int = 4, **headers: str) -> None:
-        """Send a Forward Request. The first part of a body with a Content-Length follows at once."""
+        """Send a Forward Request, followed by the first part of the body unless it is chunked."""
         rows = [(encode_string(name.replace("_", "-")), value) for name, value in headers.items()]
         if chunked:
             rows.append((encode_string("Transfer-Encoding"), "chunked"))
@@ -66,7 +66,7 @@
             self.part(len(body))
 
     def part(self, max_bytes: int) -> None:
-        """Send the next part of the body, or its end."""
+        """Send the next part of the body, or an empty packet if there is no more."""
         size = min(max_bytes, MAX_BODY_PART_BYTES)
         part = self.rest[:size]
         self.rest = self.rest[size:]
@@ -80,7 +80,11 @@
         return read_exactly(self.sock, size)
 
     def answer(self) -> tuple[int, dict[str, str], bytes, bool]:
-        """Read a whole answer: status, headers, body, and whether the connection may be used again."""
+        """Read a complete answer.
+
+        Returns:
+            Status, headers, body, and whether the connection may be reused.
+        """
         status = 0
         headers: dict[str, str] = {}
         body = b""
@@ -101,13 +105,13 @@
                 return status, headers, body, payload[1] == 1
 
     def ask(self, uri: str, body: bytes = b"", **more: Any) -> tuple[int, dict[str, str], bytes, bool]:
-        """Send a request and read its answer."""
+        """Send a request and read its answer, see `forward` and `answer`."""
         self.forward(uri, body, **more)
         return self.answer()
 
 
 def parse_headers(payload: bytes) -> tuple[int, dict[str, str]]:
-    """The status and headers of a Send Headers packet; coded names as hexadecimal numbers."""
+    """Return status and headers of a Send Headers packet; header names with a code appear as hexadecimal numbers."""
     status = struct.unpack(">H", payload[1:3])[0]
     at = 3
     at += 3 + struct.unpack(">H", payload[at : at + 2])[0]
@@ -130,9 +134,9 @@
     """An AJP server that answers with its name and the size of the body.
 
     Attributes:
-        script: The statuses of the next answers, or `cut` (close the connection) or `hang` (never answer).
-        seen: The Forward Requests received.
-        seen_at: When, in seconds of the monotonic clock.
+        script: The next answers: an HTTP status, `cut` (close the connection) or `hang` (never answer). Then it is 200.
+        seen: The payloads of the Forward Requests received.
+        seen_at: The time of each, in seconds of the monotonic clock.
     """
 
     def __init__(self, name: str) -> None:
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -1,9 +1,9 @@
-"""A fake of etcd: as much of the published v3 API as the project uses, in memory.
+"""A fake etcd: the part of the published v3 API that the project uses, with all data in memory.
 
     python -m myrtlespar.fakes.etcd     # prints its port; runs until its standard input ends
 
-One lock orders all changes; each change of a key is a revision. A lease that expires deletes its keys; watchers are
-notified of every change. The state lives as long as the process.
+One lock orders all changes, and each change of a key has a revision. The expiry of a lease deletes its keys. Watchers
+are notified of every change. The data is lost when the process ends.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 )
 
 EXPIRY_POLL_S = 0.02
-MAX_THREADS = 256  # each watcher and each keep-alive stream occupies one
+MAX_THREADS = 256  # each watch and each keep-alive stream occupies one
 
 
 @dataclass
 class Lease:
-    """A lease: its time to live, its expiry by the monotonic clock, and the keys attached to it."""
+    """A lease: its time to live, its expiry in seconds of the monotonic clock, and the keys attached to it."""
 
     ttl_s: int
     expires_at: float
@@ -54,11 +54,11 @@
         self.watchers: list[tuple[bytes, bytes, queue.Queue[Any]]] = []
 
     def header(self) -> Any:
-        """The header of every response, with the present revision."""
+        """Return the header for a response, with the present revision."""
         return TYPES["ResponseHeader"](cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
     def put(self, key: bytes, value: bytes, lease: int) -> None:
-        """Set a key at the present revision, and notify watchers."""
+        """Set a key at the present revision and notify watchers."""
         old = self.keys.get(key)
         if old is not None and old.lease:
             self.leases[old.lease].keys.discard(key)
@@ -75,7 +75,7 @@
         self._notify(EVENT_PUT, self.keys[key])
 
     def delete(self, first: bytes, last: bytes) -> int:
-        """Delete all keys of a range and return their number."""
+        """Delete the keys from `first` to before `last`, or only `first` if `last` is empty; return their number."""
         gone = [key for key in self.keys if key == first or (last and first <= key < last)]
         for key in gone:
             row = self.keys.pop(key)
@@ -85,7 +85,7 @@
         return len(gone)
 
     def end(self, lease: int) -> None:
-        """End a lease and delete all its keys."""
+        """End a lease and delete the keys attached to it."""
         one = self.leases.pop(lease)
         if one.keys:
             self.revision += 1
@@ -99,7 +99,7 @@
                 rows.put(TYPES["WatchResponse"](header=self.header(), events=[event]))
 
     def expire(self) -> None:
-        """End leases as they expire; never returns."""
+        """End leases when they expire. Never returns."""
         while True:
             with self.lock:
                 now = time.monotonic()
@@ -109,13 +109,13 @@
 
 
 class EtcdService:
-    """The RPC methods, named as in the codec's METHODS."""
+    """The RPC methods, with the names in METHODS of the codec."""
 
     def __init__(self, state: EtcdState) -> None:
         self.state = state
 
     def range(self, request: Any, _: grpc.ServicerContext) -> Any:
-        """Read keys."""
+        """Read a key or a range of keys."""
         with self.state.lock:
             return self._range(request)
 
@@ -131,14 +131,14 @@
         )
 
     def delete(self, request: Any, _: grpc.ServicerContext) -> Any:
-        """Delete keys."""
+        """Delete a key or a range of keys."""
         with self.state.lock:
             self.state.revision += 1
             many = self.state.delete(request.key, request.range_end)
             return TYPES["DeleteRangeResponse"](header=self.state.header(), deleted=many)
 
     def txn(self, request: Any, context: grpc.ServicerContext) -> Any:
-        """Compare, then carry out all of the success or all of the failure operations."""
+        """Evaluate all comparisons, then carry out the success operations if all hold, else the failure operations."""
         with self.state.lock:
             good = all(self._same(row) for row in request.compare)
             steps = request.success if good else request.failure
@@ -202,7 +202,7 @@
                 )
 
     def watch(self, requests: Iterator[Any], context: grpc.ServicerContext) -> Iterator[Any]:
-        """One watch per stream."""
+        """Stream the changes of a key or range; one watch per stream."""
         created = next(requests).create_request
         rows: queue.Queue[Any] = queue.Queue()
         entry = (created.key, created.range_end, rows)
@@ -217,7 +217,7 @@
 
 
 def serve(state: EtcdState) -> tuple[grpc.Server, int]:
-    """Listen on a free port of 127.0.0.1. Returns the server and the port."""
+    """Listen on a free port of 127.0.0.1, and return the server and the port."""
     server = grpc.server(ThreadPoolExecutor(MAX_THREADS))
     service = EtcdService(state)
     by_service: dict[str, dict[str, Any]] = {}
@@ -239,7 +239,7 @@
 
 
 def main() -> int:
-    """Serve until the standard input ends."""
+    """Print the port, and serve until the standard input ends."""
     server, port = serve(EtcdState())
     print(json.dumps({"port": port}), flush=True)
     sys.stdin.read()
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine that reads, runs and sends only when a script says so, to replay an order of events on sockets."""
+"""A fake engine that carries out commands and sends notices only when told to, to replay an order of events."""
 
 from __future__ import annotations
 
@@ -11,56 +11,56 @@
 from myrtlespar.fakes.tcp_server import until
 from myrtlespar.fakes.upstreams import FakeEngine
 
-READ_TIMEOUT_S = 0.4  # for a command that may never come
+READ_TIMEOUT_S = 0.4  # limit of the wait for a command, which may never arrive
 POLL_S = 0.005
-REACTION_S = 0.05  # for the program to act on a notice
+REACTION_S = 0.05  # time for the program to act on a notice
 
 
 class ScriptedEngine(FakeEngine):
-    """An engine whose commands wait in an inbox and whose notices wait in an outbox.
+    """An engine that holds commands in an inbox and notices in an outbox until a test or replay lets them through.
 
-    Greetings and marks pass when it is their turn. Periodic requests for gauges are not answered, as the answers would
-    prove that commands before them arrived, which the script leaves in doubt.
+    Greetings and marks are let through as soon as they are first in the inbox or outbox. Periodic requests for gauges
+    are not answered: the answers would prove that earlier commands arrived, which the script leaves open.
 
     Attributes:
-        inbox: Commands that arrived and were not carried out.
-        outbox: Lines that were not sent.
-        links_seen: The number of connections that were greeted.
-        at_call: By request id, the number of the call that its run waits for.
-        made: By request id, the number of calls made.
-        wrong: The ids of requests that got the reply to another call.
-        bodies: By request id, the request's body.
-        free: Commands and notices pass at once.
+        inbox: Commands that arrived and were not carried out yet.
+        outbox: Lines that were not sent yet.
+        links_seen: The number of connections opened by the server.
+        awaited_calls: The number of the call that a run waits for, by request id.
+        calls_made: The number of calls made, by request id.
+        wrong_replies: The ids of requests that received the reply to another call.
+        bodies: The body of each request, by request id.
+        passes_everything: Commands and notices are handled at once.
     """
 
     def __init__(self) -> None:
         self.inbox: list[dict[str, Any]] = []
         self.outbox: list[dict[str, Any]] = []
         self.links_seen = 0
-        self.at_call: dict[str, int] = {}
-        self.made: dict[str, int] = {}
+        self.awaited_calls: dict[str, int] = {}
+        self.calls_made: dict[str, int] = {}
         self.wrong_replies: list[str] = []
         self.bodies: dict[str, bytes] = {}
         self.passes_everything = False
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
-        """Put commands into the inbox."""
+        """Put the commands of one connection into the inbox."""
         for line in link.makefile("rb"):
             with self.lock:
                 self.inbox.append({**json.loads(line), "link": link})
-                self.pump()
+                self.handle_unscripted()
 
-    def pump(self) -> None:
-        """Let pass what the script need not name."""
+    def handle_unscripted(self) -> None:
+        """Let through greetings and marks that are next in line, or everything if `passes_everything` is set."""
         with self.lock:
             while self.inbox and (self.passes_everything or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
-                self.take()
+                self.handle_next_command()
             while self.outbox and (self.passes_everything or self.outbox[0]["t"] == "INFO"):
                 self.send_line(self.link, self.outbox.pop(0))
 
-    def take(self) -> None:
-        """Carry out the first command of the inbox."""
+    def handle_next_command(self) -> None:
+        """Carry out the first command in the inbox."""
         command = self.inbox.pop(0)
         link = command.pop("link")
         if command["t"] == "OPEN":
@@ -80,52 +80,52 @@
                 self.starts[rid] += 1
                 self.starts_by_body[body] += 1
                 self.running.add(rid)
-        elif command["rid"] in self.at_call:
-            number = self.at_call.pop(command["rid"])
+        elif command["rid"] in self.awaited_calls:
+            number = self.awaited_calls.pop(command["rid"])
             if f"call {number} of " not in base64.b64decode(command["b64"]).decode("latin-1"):
                 self.wrong_replies.append(command["rid"])
 
     def note(self, **row: Any) -> None:
-        """Put a notice into the outbox."""
+        """Number a notice and put it into the outbox."""
         with self.lock:
             self.notices.append({**row, "no": len(self.notices) + 1})
             self.outbox.append(self.notices[-1])
-            self.pump()
+            self.handle_unscripted()
 
-    # What a script may say.
+    # The actions of a script.
 
     def rid(self, body: bytes) -> str:
-        """Wait until the start of the request with this body was read, and return its id."""
+        """Wait until a start of the request with this body was carried out, and return the request id."""
         found: str = until(lambda: next((rid for rid, its in self.bodies.items() if its == body), None), f"{body!r}")
         return found
 
     def read(self) -> bool:
-        """Carry out the next start or reply, if one arrives within READ_TIMEOUT_S."""
+        """Carry out the next start or reply. Return false if none arrives within READ_TIMEOUT_S."""
         end = time.monotonic() + READ_TIMEOUT_S
         while time.monotonic() < end:
             with self.lock:
                 if self.inbox:
-                    self.take()
-                    self.pump()
+                    self.handle_next_command()
+                    self.handle_unscripted()
                     return True
             time.sleep(POLL_S)
         return False
 
     def send_next_notice(self) -> bool:
-        """Send the next notice, if there is one."""
+        """Send the next notice. Return false if there is none."""
         with self.lock:
             if not self.outbox:
                 return False
             self.send_line(self.link, self.outbox.pop(0))
-            self.pump()
+            self.handle_unscripted()
         time.sleep(REACTION_S)
         return True
 
     def ask(self, body: bytes) -> None:
-        """Let a run make its next call."""
+        """Make a run request its next call."""
         rid = self.rid(body)
-        self.made[rid] = self.at_call[rid] = self.made.get(rid, 0) + 1
-        self.note(t="IOREQ", rid=rid, b64=base64.b64encode(b"call %d of " % self.made[rid] + body).decode())
+        self.calls_made[rid] = self.awaited_calls[rid] = self.calls_made.get(rid, 0) + 1
+        self.note(t="IOREQ", rid=rid, b64=base64.b64encode(b"call %d of " % self.calls_made[rid] + body).decode())
 
     def end(self, body: bytes, status: str) -> None:
         """End a run with this status."""
@@ -135,7 +135,7 @@
         self.note(t="REAP", rid=rid, status=status, time_ms=5, **result)
 
     def break_link(self) -> None:
-        """Close the connection; what was on its way is lost."""
+        """Close the connection and discard all commands and notices in transit."""
         with self.lock:
             self.inbox.clear()
             self.outbox.clear()
@@ -145,9 +145,9 @@
             self.cut(link)
 
     def release_all(self) -> None:
-        """End all runs, and let everything pass from now on."""
+        """End all runs, and handle everything at once from now on."""
         with self.lock:
             self.passes_everything = True
-            self.pump()
+            self.handle_unscripted()
         for rid in list(self.running):
             self.end(self.bodies[rid], "PASS")
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process, with a fake of each neighbour."""
+"""The real program as a process, with fakes of its engine, dependency and registry."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The platform's settings object of a small server; `changes` replace top-level keys."""
+    """Return the platform's `settings` object for a small server; `changes` replace keys of its top level."""
     return {
         "classes": [
             {"name": name, "effect": effect, "aim_ms": aim, "give_up_ms": due, "worth": priority_weight}
@@ -52,15 +52,16 @@
 
 
 class ServerProcess:
-    """The program, with a fake of each neighbour.
+    """A process of the program, with fakes of its engine, dependency and registry.
 
     Attributes:
         engine: The fake engine.
         dependency: The fake dependency.
         registry: The fake registry.
-        ports: The ports it listens on, once it serves.
-        mgmt: The port of the management address, if it has one.
-        log: Its log lines, parsed.
+        config: The content of the platform's configuration file.
+        ports: The ports that the program listens on, once it serves.
+        mgmt: The port of the management address, if there is one.
+        log: The log lines of the program, parsed.
     """
 
     def __init__(
@@ -85,24 +86,24 @@
         """Start the program.
 
         Args:
-            tmp: The folder of its files, and its $TMPDIR unless `shared` is given.
-            operator: The content of the operators' file; empty: none.
-            late_engine: The fake engine greets only after `engine.up` is set.
-            sockets: The limit of sockets in its configuration.
-            engine: A fake engine to use instead of a plain one.
+            tmp: The folder of the program's files, and its $TMPDIR unless `shared` is given.
+            operator: The content of the operators' file; empty: there is none.
+            late_engine: The fake engine greets connections only after `engine.up` is set.
+            sockets: The limit of sockets in the configuration.
+            engine: The fake engine to use in place of a new FakeEngine.
             program: Module and arguments for `python -m`.
-            root: The checkout that it is started in.
-            mgmt: It gets a management address.
-            listen: The client address.
-            shared: Its $TMPDIR.
-            given: Keys of its configuration to add or replace.
-            wait: Wait until it serves.
-            start: A script to start in place of `program`.
-            output: A file descriptor for standard output and error in place of a pipe that is read here.
-            command: Replaces the whole command line.
+            root: The working directory, which is the checkout to run.
+            mgmt: Configure a management address.
+            listen: The address for clients.
+            shared: The $TMPDIR of the program.
+            given: Keys of the configuration to add or replace.
+            wait: Wait until the program serves.
+            start: The path of a Python script to run in place of `program`.
+            output: A file descriptor for standard output and error; by default they are read into `log`.
+            command: The whole command line, in place of `program` or `start`.
             env: Additions to the environment.
         """
-        # Longer than other functions for its parameters, each of which some test needs alone.
+        # This function is long because of its parameters, each of which some test sets alone.
         self.engine = engine or FakeEngine()
         self.dependency = FakeDependency()
         self.registry = FakeRegistry()
@@ -124,15 +125,15 @@
         self.log: list[dict[str, Any]] = []
         self.process = self._launch()
         if wait:
-            serving = until(lambda: self.event("serving"), "start")
+            serving = until(lambda: self.event("serving"), "the event serving")
             self.ports = serving["ports"]
             self.mgmt = serving.get("mgmt")
         if wait and not late_engine and engine is None:
-            # Not the greeting alone: what a test loses on the link from then on would be the mark that follows it.
-            until(lambda: self.event("kernel up") and self.engine.is_in_step(), "kernel link")
+            # The first mark follows the greeting. A test that makes the link lose data must not lose this mark.
+            until(lambda: self.event("kernel up") and self.engine.has_answered_mark(), "engine link")
 
     def _configuration(self, listen: str, sockets: int, mgmt: bool) -> dict[str, Any]:
-        """The content of the platform's configuration file."""
+        """Return the content of the platform's configuration file."""
         rows: dict[str, Any] = {
             "name": "n3",
             "listen": listen,
@@ -163,7 +164,7 @@
         return process
 
     def kill_and_start(self) -> None:
-        """Kill the program (SIGKILL) and start it again at once, under the same name and address."""
+        """Kill the program (SIGKILL) and start it again at once with the same configuration."""
         self.process.kill()
         self.process.wait(WAIT_S)
         self.log.clear()
@@ -175,11 +176,11 @@
             self.log.append(json.loads(line))
 
     def event(self, name: str) -> dict[str, Any] | None:
-        """The newest log line of this event, if there is one."""
+        """Return the latest log line with this event, if any."""
         return next((row for row in reversed(self.log) if row["event"] == name), None)
 
     def move_fakes(self) -> None:
-        """Give each neighbour a new address and reload (SIGHUP). Open connections go on for a while."""
+        """Move the fakes to new addresses and reload (SIGHUP). Open connections stay open for a while."""
         for name, fake in (("kernel", self.engine), ("store", self.dependency), ("roster", self.registry)):
             fake.relisten()
             self.config[name] = fake.address
@@ -187,14 +188,14 @@
         self.process.send_signal(signal.SIGHUP)
 
     def counters(self) -> dict[str, int]:
-        """Request the counters (SIGUSR1) and wait for them."""
+        """Request the counters (SIGUSR1), wait for their log line, and return it."""
         before = sum(row["event"] == "counters" for row in self.log)
         self.process.send_signal(signal.SIGUSR1)
         until(lambda: sum(row["event"] == "counters" for row in self.log) > before, "counters")
         return self.event("counters") or {}
 
     def ask(self, line: bytes) -> str:
-        """Send one line to the management address and return the whole reply."""
+        """Send one line to the management address and return the complete reply."""
         assert self.mgmt, "started without mgmt"
         with socket.create_connection(("127.0.0.1", self.mgmt), timeout=WAIT_S) as sock:
             sock.sendall(line)
@@ -204,12 +205,12 @@
         return data.decode()
 
     def stop(self) -> int:
-        """Send the notice to drain (SIGTERM) and return the exit status."""
+        """Send the signal to drain (SIGTERM), wait for the end, and return the exit status."""
         self.process.terminate()
         return self.process.wait(WAIT_S)
 
     def close(self) -> None:
-        """End the program and all fakes."""
+        """Kill the program and close all fakes."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait(WAIT_S)
@@ -219,7 +220,7 @@
 
 @contextlib.contextmanager
 def server_process(tmp: Path, **more: Any) -> Iterator[ServerProcess]:
-    """A program for one test; takes the arguments of ServerProcess."""
+    """Run the program for one test. Takes the arguments of ServerProcess."""
     server = ServerProcess(tmp, **more)
     try:
         yield server
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -1,4 +1,4 @@
-"""A short mixed load on the real program over both fronts, with a verdict on every invariant."""
+"""A short mixed load on the real program over both fronts, with a check of invariants."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 transitions = true
 """
 STATUS = {200: "served", 503: "refused", 500: "failed", 504: "failed"}
-SLACK_MS = 1000.0  # for a machine that runs both sides
-MAX_OUTSTANDING = 30  # requests on one client connection
+SLACK_MS = 1000.0  # for a machine that runs clients, engine and server at once
+MAX_OUTSTANDING = 30  # unanswered requests on one client connection
 POLL_S = 0.005
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request and its outcome. Times are Unix milliseconds."""
+    """One request and its outcome. Times are Unix ms."""
 
     front: str
     cls: str
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class SmokeLoad:
-    """All requests that were sent, from several threads."""
+    """The requests sent by all client threads."""
 
     rows: list[RequestRecord] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
@@ -79,7 +79,7 @@
         row = out.add(RequestRecord("ajp", cls, body, time.time() * 1000))
         try:
             status, _, result, reuse = gateway.ask(f"/{cls}", body)
-        except (OSError, EOFError):  # the drain closes what carries nothing
+        except (OSError, EOFError):  # a draining server closes idle connections
             out.rows.remove(row)
             return
         row.outcome = STATUS.get(status, str(status))
@@ -91,15 +91,15 @@
 
 
 def run_smoke_load(requests: int, seed: int, keep: Path | None) -> int:
-    """Send the load, drain the server and print a table.
+    """Send the load, drain the server, and print a table of outcomes and the invariants.
 
     Args:
-        requests: The number of requests over both fronts.
-        seed: Of the random source for classes, pauses and lengths of runs.
-        keep: Where to write the server's log, if anywhere.
+        requests: The total number of requests.
+        seed: The seed for classes, pauses and lengths of runs.
+        keep: The file to write the server's log to; None: it is discarded.
 
     Returns:
-        0 if every invariant held, else 1.
+        The exit status: 0 if every invariant held, else 1.
     """
     out = SmokeLoad()
     with tempfile.TemporaryDirectory() as tmp, server_process(Path(tmp), operator=OPERATOR) as server:
@@ -127,11 +127,11 @@
             row.result = answer.body if kind == "success" else b""
         if keep is not None:
             keep.write_text("".join(json.dumps(row) + "\n" for row in server.log))
-        return _verdict(out.rows, server, status)
+        return _print_results(out.rows, server, status)
 
 
 def _plan(requests: int, seed: int) -> list[tuple[str, bytes, float]]:
-    """Class, body, and the pause in seconds before each request."""
+    """Return class, body, and the pause before it in seconds for each request."""
     random_source = random.Random(seed)
     return [
         (
@@ -143,20 +143,20 @@
     ]
 
 
-def _broken_rules(rows: list[RequestRecord], server: ServerProcess, status: int) -> dict[str, int]:
-    """How often each invariant was broken."""
+def _violations(rows: list[RequestRecord], server: ServerProcess, status: int) -> dict[str, int]:
+    """Return the number of violations of each invariant."""
     due = {name: give_up for name, _, _, give_up, _ in CLASSES}
     starts = server.engine.starts_by_body
     return {
-        "one final answer each": sum(row.answers != 1 for row in rows),
-        "by the due time": sum(row.answered > row.sent + due[row.cls] + SLACK_MS for row in rows),
-        "orders run once at the most": sum(starts[row.body] > 1 for row in rows if row.cls == "order"),
-        "what ran is not refused": sum(row.outcome == "refused" and starts[row.body] > 0 for row in rows),
-        "served is what the run made": sum(
+        "one final answer for each request": sum(row.answers != 1 for row in rows),
+        "answers by the due time": sum(row.answered > row.sent + due[row.cls] + SLACK_MS for row in rows),
+        "orders run at most once": sum(starts[row.body] > 1 for row in rows if row.cls == "order"),
+        "no started request is refused": sum(row.outcome == "refused" and starts[row.body] > 0 for row in rows),
+        "served answers hold the result of the run": sum(
             row.outcome == "served" and row.result != b"result of " + row.body for row in rows
         ),
-        "the drain ends well": int(status != 0),
-        "no impossible step": sum(
+        "the drain ends with exit status 0": int(status != 0),
+        "no impossible state transition": sum(
             count
             for name, count in (server.event("counters") or {}).items()
             if name.startswith("impossible.") and isinstance(count, int)
@@ -164,10 +164,10 @@
     }
 
 
-def _verdict(rows: list[RequestRecord], server: ServerProcess, status: int) -> int:
-    rules = _broken_rules(rows, server, status)
+def _print_results(rows: list[RequestRecord], server: ServerProcess, status: int) -> int:
+    violations = _violations(rows, server, status)
     console = Console()
-    table = Table(title="A burst against the real server, drained at its end")
+    table = Table(title="Mixed load on the real server, with a drain at the end")
     for name in ("class", "front", "served", "refused", "failed", "median ms", "slowest ms"):
         table.add_column(name, justify="left" if name in ("class", "front") else "right")
     groups: dict[tuple[str, str], list[RequestRecord]] = defaultdict(list)
@@ -183,6 +183,6 @@
             f"{times[-1]:.0f}",
         )
     console.print(table)
-    for name, broken in rules.items():
+    for name, broken in violations.items():
         console.print(f"{'held  ' if not broken else 'BROKEN'} {name}{f': {broken} times' if broken else ''}")
-    return int(any(rules.values()))
+    return int(any(violations.values()))
--- a/myrtlespar/fakes/tcp_server.py
+++ b/myrtlespar/fakes/tcp_server.py
@@ -1,4 +1,4 @@
-"""What all fakes share: a listener with one thread per connection, exact reads, and waiting for a condition."""
+"""Common parts of the fakes: a listener with one thread per connection, reads of exact size, and polling."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from collections.abc import Callable
 from typing import Any
 
-WAIT_S = 20.0  # the timeout of every wait; nothing is expected to take so long
+WAIT_S = 20.0  # timeout of every wait; each normally ends much earlier
 POLL_S = 0.005
 
 
 def until(ready: Callable[[], Any], what: str = "") -> Any:
-    """Poll `ready` until it returns something true, and return that.
+    """Poll `ready` until it returns a true value, and return that value.
 
     Args:
         ready: The condition.
-        what: Names the condition in the error.
+        what: The name of the condition for the error message.
 
     Raises:
         AssertionError: The condition did not hold within WAIT_S.
@@ -28,11 +28,11 @@
         if value := ready():
             return value
         time.sleep(POLL_S)
-    raise AssertionError(f"never came: {what or ready}")
+    raise AssertionError(f"timed out waiting for {what or ready}")
 
 
 def read_exactly(sock: socket.socket, size: int) -> bytes:
-    """Read `size` bytes. Raises EOFError where the connection ends before."""
+    """Read exactly `size` bytes. Raises EOFError if the connection ends first."""
     out = b""
     while len(out) < size:
         if not (data := sock.recv(size - len(out))):
@@ -42,7 +42,7 @@
 
 
 class FakeServer:
-    """A TCP server on 127.0.0.1 with one thread per connection. `port` 0 picks a free one."""
+    """A TCP server on 127.0.0.1 with one thread per connection. With `port` 0 it listens on a free port."""
 
     def __init__(self, port: int = 0) -> None:
         self.links: list[socket.socket] = []
@@ -52,11 +52,11 @@
 
     @property
     def address(self) -> str:
-        """host:port."""
+        """The address as host:port."""
         return f"127.0.0.1:{self.port}"
 
     def relisten(self) -> None:
-        """Move to a new port; connections that are open stay."""
+        """Move the listener to a new port; open connections stay open."""
         old = self.listener
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
@@ -77,11 +77,11 @@
         self.cut(link)
 
     def serve(self, link: socket.socket) -> None:
-        """Serve one connection until it ends; subclasses implement it."""
+        """Serve one connection until it ends. Implemented by subclasses."""
         raise NotImplementedError
 
     def cut(self, *links: socket.socket) -> None:
-        """Close these connections, or all if none is given."""
+        """Close these connections, or all connections if none is given."""
         for link in links or tuple(self.links):
             with contextlib.suppress(OSError):
                 link.shutdown(socket.SHUT_RDWR)
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -1,4 +1,4 @@
-"""A client proxy that speaks the Thrift front's protocol."""
+"""A fake client proxy that speaks the protocol of the Thrift front."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class ThriftClient:
-    """A client proxy on one connection; a thread reads all answers.
+    """A client proxy with one connection; a thread reads all answers.
 
     Attributes:
-        seq: The newest sequence number used.
-        count: The number of answers, by sequence number.
-        answers: The newest answer, by sequence number: its kind and its value.
-        times: When that answer was read, in Unix milliseconds.
-        told: The names of one-way messages, in the order of their arrival.
+        seq: The latest sequence number used.
+        count: The number of answers by sequence number.
+        answers: Kind and value of the latest answer by sequence number.
+        times: The time at which that answer was read by sequence number, in Unix ms.
+        one_way_messages: The names of the one-way messages received, in order.
         ended: Set once the connection has ended.
     """
 
@@ -67,7 +67,7 @@
         self.ended.set()
 
     def send(self, method: str, body: bytes = b"", **fields: str) -> int:
-        """Send a request and return its sequence number. `fields` override those of the envelope."""
+        """Send a request and return its sequence number. `fields` override fields of the envelope."""
         self.seq += 1
         given = {
             "method": method,
@@ -90,10 +90,10 @@
         return self.seq
 
     def answer(self, seq: int) -> tuple[str, Any]:
-        """Wait for the answer to that request."""
+        """Wait for the answer to the request with this sequence number, and return its kind and value."""
         found: tuple[str, Any] = until(lambda: self.answers.get(seq), f"answer {seq}")
         return found
 
     def ask(self, method: str, body: bytes = b"", **fields: str) -> tuple[str, Any]:
-        """Send a request and wait for its answer."""
+        """Send a request, wait for the answer, and return its kind and value."""
         return self.answer(self.send(method, body, **fields))
--- a/myrtlespar/fakes/upstreams.py
+++ b/myrtlespar/fakes/upstreams.py
@@ -1,6 +1,6 @@
-"""Fakes of the execution engine, the dependency and the service registry, written from the protocol's page.
+"""Fakes of the execution engine, the dependency and the service registry, which implement the published protocols.
 
-On the wire and in settings they are called kernel, store and roster.
+On the wire and in settings these are called kernel, store and roster.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer
 
-REPORT_LIFETIME_S = 3.0
-SLOW_CALL_S = 0.4
+REPORT_LIFETIME_S = 3.0  # the registry lists a server for this time after its report
+SLOW_CALL_S = 0.4  # delay of the reply to a call with the script entry `slow`
 
 
 class FakeEngine(FakeServer):
-    """An execution engine that runs requests as their bodies say: `ms=50 calls=1 end=FAIL`.
+    """An execution engine whose runs do what the body of the request says, such as `ms=50 calls=1 end=FAIL`.
 
-    Runs do not slow each other.
+    Runs do not slow each other down.
 
     Attributes:
-        starts: Runs started, by request id.
-        by_body: The same, by the request's body.
-        runs: Body, begin and end of every run, in Unix milliseconds; the end is None while it runs.
+        starts: The number of runs started by request id.
+        starts_by_body: The number of runs started by body of the request.
+        runs: Body, start and end of every run, in Unix ms; the end is None while the run is in progress.
         commands: All commands that were carried out.
-        notices: All notices since its start, numbered from 1.
-        replies: The replies to calls, in the order of their arrival.
-        waits: By request id, what a run waits for during a call.
-        running: The ids of the requests that run.
-        longest_wait_ms: The longest time from the reading of a command to its handling.
-        link: The present connection of the server.
-        born: When this engine started, in Unix seconds.
-        deaf: It reads commands and ignores them.
-        mute: It runs commands and writes nothing.
-        leaves: The number of connections that it still closes right after their greeting.
-        up: Unset while the engine accepts connections and does not greet yet.
+        notices: All notices since the engine started, numbered from 1.
+        replies: The replies to calls in the order of arrival.
+        waits: The event that a run waits for during a call, by request id.
+        running: The ids of the requests with a run in progress.
+        longest_wait_ms: The longest wait of a command for the lock, after it was read.
+        link: The present connection from the server.
+        started_at: The start time that the engine reports, in Unix seconds.
+        ignores_commands: Commands are read and have no effect.
+        sends_nothing: Commands are carried out, and nothing is sent to the server.
+        connections_to_close: The number of next connections to close in place of greeting them.
+        up: Connections are accepted, but greeted only while this is set.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
-        """Carry out commands, one JSON line each."""
+        """Carry out the commands of one connection, one JSON line each."""
         for line in link.makefile("rb"):
             read_at = time.time() * 1000
             command = json.loads(line)
@@ -76,19 +76,19 @@
                 getattr(self, command["t"].lower())(link, command)
 
     def send_line(self, link: socket.socket | None, row: dict[str, Any]) -> None:
-        """Write one line, unless there is no connection or the engine is mute."""
+        """Send one line, unless there is no connection or `sends_nothing` is set."""
         with self.lock, contextlib.suppress(OSError):
             if link is not None and not self.sends_nothing:
                 link.sendall(json.dumps(row).encode() + b"\n")
 
-    def is_in_step(self) -> bool:
-        """Whether a request for gauges was answered, as the first one is that brings a link into step."""
-        with self.lock:  # the answer is written under it
+    def has_answered_mark(self) -> bool:
+        """Return whether a mark (SYSINFO) was answered; the first one on a connection completes its setup."""
+        with self.lock:  # held until the answer is sent
             return any(command["t"] == "SYSINFO" for command in self.commands)
 
     def open(self, link: socket.socket, command: dict[str, Any]) -> None:
-        """Greet a new connection, and repeat the notices that it has not seen. The connection before is closed."""
-        if not self.up.is_set():  # the connection is accepted, the engine starts later
+        """Greet a new connection, send the notices that the server lacks, and close the previous connection."""
+        if not self.up.is_set():  # the connection was accepted, but the engine is not up yet
             threading.Thread(target=self._open_later, args=(link, command), daemon=True).start()
             return None
         if self.connections_to_close:
@@ -109,14 +109,14 @@
             self.open(link, command)
 
     def sysinfo(self, link: socket.socket, command: dict[str, Any]) -> None:
-        """Answer with the gauges."""
+        """Answer a mark with the gauges."""
         busy = min(1.0, len(self.running) / 2)
         self.send_line(link, {"t": "INFO", "mark": command["mark"], "v": [busy, len(self.running), 0.1, 3]})
 
     def sched(self, link: socket.socket, command: dict[str, Any]) -> None:
-        """Start a run, unless the request runs already."""
+        """Start a run, unless the request has one in progress."""
         body = base64.b64decode(command["b64"])
-        if body.startswith(b"alien"):  # of no request that came to this server
+        if body.startswith(b"alien"):  # rejected as a request that never came to this server
             self.send_line(link, {"t": "EINVAL", "status": "SCHED", "rid": command["rid"]})
         elif command["rid"] not in self.running:
             self.starts[command["rid"]] += 1
@@ -133,7 +133,7 @@
             wait.set()
 
     def note(self, **row: Any) -> None:
-        """Number a notice, keep it and send it."""
+        """Number a notice, store it for later connections, and send it."""
         with self.lock:
             self.notices.append({**row, "no": len(self.notices) + 1})
             self.send_line(self.link, self.notices[-1])
@@ -158,12 +158,12 @@
 
 
 class FakeDependency(FakeServer):
-    """A dependency that ends calls as `script` says, one entry per call, then with OK.
+    """A dependency that answers calls as `script` says, one entry per call, and OK after the last entry.
 
     Attributes:
-        script: The status of the next calls, or one of the faults that `replies` names, `cut`, `slow` or `hang`.
+        script: For each of the next calls a status, a key of `replies`, `cut` (close the connection), `slow` or `hang`.
         calls: Request id and body of every call.
-        drops: The request ids of calls that the server gave up.
+        drops: The request ids of calls that the server cancelled (DROP).
     """
 
     def __init__(self, port: int = 0) -> None:
@@ -175,7 +175,7 @@
     def serve(self, link: socket.socket) -> None:
         """Answer calls until the connection ends."""
         file = link.makefile("rb")
-        while (line := file.readline()).endswith(b"\n"):  # without its end it was cut with the link
+        while (line := file.readline()).endswith(b"\n"):  # a partial line was cut off with the connection
             words = line.split()
             id = words[1].decode()
             if words[0] == b"DROP":
@@ -197,7 +197,7 @@
 
     @staticmethod
     def replies(id: bytes, reply: bytes) -> dict[str, bytes]:
-        """What goes out for a call with this id: the good reply under OK, and faulty ones."""
+        """Return the possible replies to a call with this id: the correct one under OK, and malformed ones."""
         good = b"%s OK %d\r\n%s\r\n" % (id, len(reply), reply)
         return {
             "OK": good,
@@ -211,16 +211,18 @@
 
 
 class FakeRegistry(FakeServer):
-    """A service registry that accepts reports and lists the servers that reported lately.
+    """A service registry that accepts reports and lists the servers with a recent report.
+
+    All times are seconds of the monotonic clock.
 
     Attributes:
         reports: Path and content of every report.
-        latest: The time of the newest report by name. All times are seconds of the monotonic clock.
-        times: When each report arrived.
-        taken: When those arrived that were answered.
-        hang: The number of reports that it still leaves unanswered.
-        mode: `silent` reads and never answers; `down` ends each connection; `cut inside` ends it within the answer;
-            `upgrade` asks for another protocol; empty: it answers.
+        latest: The time of the latest report by server name.
+        times: The time of arrival of every report.
+        answered_times: The time of arrival of every answered report.
+        hang: The number of next reports to leave unanswered.
+        mode: `silent`: reports are read and not answered; `down`: connections are closed; `cut inside`: connections are
+            closed within the answer; `upgrade`: the answer requests another protocol; empty: reports are answered.
     """
 
     def __init__(self) -> None:
@@ -233,14 +235,14 @@
         super().__init__()
 
     def listed(self) -> list[str]:
-        """The names on the registry's list now."""
+        """Return the names of the servers with a report in the last REPORT_LIFETIME_S."""
         now = time.monotonic()
         return [name for name, at in self.latest.copy().items() if now - at < REPORT_LIFETIME_S]
 
     def serve(self, link: socket.socket) -> None:
         """Answer reports until the connection ends."""
         file = link.makefile("rb")
-        while (line := file.readline()).endswith(b"\n"):  # without its end it was cut with the link
+        while (line := file.readline()).endswith(b"\n"):  # a partial line was cut off with the connection
             size = 0
             while (header := file.readline().strip()) != b"":
                 if header.lower().startswith(b"content-length:"):
