--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files use."""
+"""Fixtures that are used by several test files."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class HandoverFolders(NamedTuple):
-    """The folders of two processes of one server."""
+    """The folders of two processes of one server, the second of which replaces the first."""
 
     shared: Path  # the `$TMPDIR` of both
     old: Path
@@ -34,17 +34,17 @@
 
 @pytest.fixture
 def server(tmp_path: Path) -> Iterator[ServerProcess]:
-    """A server process with a fake of each upstream."""
+    """A server process with a fake engine, dependency and registry."""
     with server_process(tmp_path) as running:
         yield running
 
 
 @pytest.fixture
 def scripted(tmp_path: Path) -> Iterator[tuple[ServerProcess, ScriptedEngine, ThriftClient]]:
-    """A server process whose engine does only what the test says, that engine, and one client."""
+    """A server process, its scripted engine, which acts only when the test tells it to, and one client."""
     engine = ScriptedEngine()
     with server_process(tmp_path, engine=engine, given=KEYED_SETTINGS) as running:
-        until(engine.send_next_notice)  # that it is up
+        until(engine.send_next_notice)  # the greeting
         until(lambda: running.event("kernel up"))
         yield running, engine, ThriftClient(running.ports[0])
 
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def ajp_servers(tmp_path: Path) -> Iterator[tuple[ServerProcess, FakeAjpServer, FakeAjpServer]]:
-    """A server process whose orders run on one of two AJP servers, and these."""
+    """A server process that forwards orders to one of two AJP servers, and these AJP servers."""
     one = FakeAjpServer("one")
     two = FakeAjpServer("two")
     rows = "".join(f'[[worker]]\nname = "{w.name}"\naddress = "{w.address}"\nsecret = "w"\n' for w in (one, two))
@@ -84,7 +84,7 @@
 
 @pytest.fixture
 def three_members(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[FleetRun]:
-    """Three members of one site, not started; the parameter holds changed keys of single members' fleet files."""
+    """Three members of one site, not started. The fixture's parameter holds changes to the fleet files of members."""
     run = FleetRun(parse(THREE_MEMBERS), 1, tmp_path, own=getattr(request, "param", {}))
     try:
         yield run
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,7 +1,7 @@
-"""Seeded fault injection: the real program between failing fakes, with errors at its system calls.
+"""Fault injection on the real program: failing fakes and clients, and errors at its system calls.
 
-One seed is one schedule of faults and of requests. What was sent, run, called and answered is traced to the requests
-that clients made: `Trial.wrong` lists every deviation, the first one first.
+The seed determines the schedule of faults and requests. Each start, call and answer is matched with the request of a
+client, and `Trial.wrong` lists every deviation in the order in which it was found.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 @dataclass
 class Trial:
-    """One seed, played on one program."""
+    """One run of the program with the faults and requests of one seed."""
 
     seed: int
     tmp: Path
     clients: int = 6
     seconds: float = 5.0
-    rate: float = 40.0  # requests a second, over all clients
-    chance: float = 0.02  # of an error at each system call
+    rate: float = 40.0  # requests per second of all clients together
+    chance: float = 0.02  # probability of an error at each system call
     port: int = 0
     wrong: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
     def play(self) -> Trial:
-        """Start the program, play the schedule, stop it, and compare what happened with what was asked."""
+        """Start the program, play the schedule, stop the program, and compare its actions with the requests."""
         self.source = random.Random(self.seed)
         start = self.tmp / "faulty.py"
         start.write_text(FAULTY_START.format(seed=self.seed, chance=self.chance))
@@ -42,7 +42,7 @@
         self.all_clients: list[TracedClient] = []
         running = ServerProcess(self.tmp, engine=self.engine, start=str(start), wait=False)
         try:
-            serving = until(lambda: running.event("serving"), "start")
+            serving = until(lambda: running.event("serving"), "the event serving")
             self.port = serving["ports"][0]
             self._load(running)
             self._settle()
@@ -51,21 +51,19 @@
             if status != 0:
                 self.wrong.append(f"exit status {status}")
         except AssertionError as error:
-            self.wrong.append(f"hung or gone ({running.process.poll()}): {error}")
+            self.wrong.append(f"timeout (exit status of the program: {running.process.poll()}): {error}")
         finally:
             running.close()
         TrialComparison(self, running).compare()
         return self
 
-    # The schedule.
-
     def _load(self, running: ServerProcess) -> None:
         self.all_clients = [TracedClient(self.port) for _ in range(self.clients)]
         began = time.monotonic()
         requests = int(self.rate * self.seconds)
         faults = {self.source.randrange(requests): self.source.choice(FAULTS) for _ in range(int(4 * self.seconds))}
         for n in range(requests):
-            time.sleep(max(0.0, began + n / self.rate - time.monotonic()))  # the schedule: requests at their times
+            time.sleep(max(0.0, began + n / self.rate - time.monotonic()))  # until the time of request n
             if n in faults:
                 self.counts[faults[n].__name__] += 1
                 faults[n](self, running)
@@ -83,7 +81,7 @@
                     self.source.choice(list(GIVE_UP_MS)), body, self.source if self.source.random() < 0.2 else None
                 )
             except OSError:
-                client.doubtful[client.seq] = client.sent.pop(client.seq)  # written whole or not: nobody knows
+                client.doubtful[client.seq] = client.sent.pop(client.seq)  # it may have been sent completely or in part
 
     def _usable(self, slot: int) -> TracedClient:
         client = self.all_clients[slot]
@@ -94,7 +92,7 @@
         return client
 
     def _settle(self) -> None:
-        """Wait until the last answer is due, and ask whether the program is ready again."""
+        """Wait until every request is answered or abandoned, and check that the program serves a new one."""
 
         def quiet() -> bool:
             return all(
@@ -109,7 +107,7 @@
         until(lambda: last.answer(last.request("fetch", b"%d-last ms=1" % self.seed))[0] == "success", "ready again")
 
     def _leave_under_load(self) -> None:
-        """Requests right before the notice to leave: all of them are read and answered before the stop."""
+        """Send requests right before the signal to drain: all must be read and answered before the program ends."""
         client = TracedClient(self.port)
         self.all_clients.append(client)
         for n in range(12):
--- a/tests/faulty_system_calls.py
+++ b/tests/faulty_system_calls.py
@@ -1,11 +1,11 @@
-"""The start script of a program whose system calls fail now and then.
+"""A start script for the program that makes system calls fail at random.
 
-Each of the wrapped calls raises an error, or carries out only a part, with a given probability.
+Each wrapped call raises an error or, where it transfers data, transfers only a part, each with a given probability.
 """
 
 from __future__ import annotations
 
-# At the program's own system calls, in front of each with this chance.
+# A format string; `seed` is the seed of the random source, `chance` the probability of a fault at each call.
 FAULTY_START = """import errno, os, random, runpy, sys
 sys.path.insert(0, os.getcwd())
 import gevent.server, gevent.socket
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the neighbours, the clients and the process itself that a trial draws from."""
+"""The faults of the engine, dependency, registry, clients and the process itself that a trial draws from."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 if TYPE_CHECKING:
     from tests.fault_injection import Trial
 
-HELD_OPEN: list[socket.socket] = []  # connections of strangers that stay open until the test process ends
+# Connections of clients that violate the protocol, which stay open until the test process ends.
+HELD_OPEN: list[socket.socket] = []
 PAUSE_S = 0.15
 
 
-def kernel_link_cut(trial: Trial, running: ServerProcess) -> None:
+def engine_link_cut(trial: Trial, running: ServerProcess) -> None:
     if trial.engine.link is not None:
         trial.engine.cut(trial.engine.link)
 
 
-def kernel_link_cut_inside_a_notice(trial: Trial, running: ServerProcess) -> None:
+def engine_link_cut_inside_a_notice(trial: Trial, running: ServerProcess) -> None:
     with trial.engine.lock:
         link = trial.engine.link
         if link is not None:
@@ -35,40 +36,47 @@
             trial.engine.cut(link)
 
 
-def kernel_starts_anew(trial: Trial, running: ServerProcess) -> None:
+def engine_restarts(trial: Trial, running: ServerProcess) -> None:
     trial.engine.restart()
 
 
-def kernel_sends_odd_lines(trial: Trial, running: ServerProcess) -> None:
-    odd = [b"[" * 5000, b"{}", b'{"t":"INFO","mark":"gauges-1","v":[1e999]}', b"\xff\xfe", b'{"t":7,"no":"x"}', b""]
+def engine_sends_malformed_lines(trial: Trial, running: ServerProcess) -> None:
+    malformed_lines = [
+        b"[" * 5000,
+        b"{}",
+        b'{"t":"INFO","mark":"gauges-1","v":[1e999]}',
+        b"\xff\xfe",
+        b'{"t":7,"no":"x"}',
+        b"",
+    ]
     with trial.engine.lock:
         if trial.engine.link is not None:
             try:
-                trial.engine.link.sendall(trial.source.choice(odd) + b"\n")
+                trial.engine.link.sendall(trial.source.choice(malformed_lines) + b"\n")
             except OSError:
                 return
 
 
-def store_fails(trial: Trial, running: ServerProcess) -> None:
+def dependency_fails(trial: Trial, running: ServerProcess) -> None:
     kinds = ["BUSY", "ERR", "LATE", "VOID", "cut", "hang", "noise", "short", "copy", "stray", "slow", "endless"]
     running.dependency.script += [trial.source.choice(kinds) for _ in range(trial.source.randrange(1, 5))]
 
 
-def store_links_cut(trial: Trial, running: ServerProcess) -> None:
+def dependency_connections_cut(trial: Trial, running: ServerProcess) -> None:
     running.dependency.cut()
 
 
-def roster_fails(trial: Trial, running: ServerProcess) -> None:
+def registry_fails(trial: Trial, running: ServerProcess) -> None:
     running.registry.mode = trial.source.choice(["", "silent", "down", "cut inside", "upgrade"])
 
 
-def client_leaves(trial: Trial, running: ServerProcess) -> None:
+def client_disconnects(trial: Trial, running: ServerProcess) -> None:
     client = trial.source.choice(trial.all_clients)
     if not client.left:
         client.leave(trial.source.random() < 0.5)
 
 
-def client_gives_up(trial: Trial, running: ServerProcess) -> None:
+def client_cancels_a_request(trial: Trial, running: ServerProcess) -> None:
     client = trial.source.choice(trial.all_clients)
     seqs = [seq for seq in client.sent if seq not in client.answers]
     if seqs and not client.left:
@@ -80,8 +88,8 @@
             return
 
 
-def strangers(trial: Trial, running: ServerProcess) -> None:
-    """Garbage, frames without an end, silence, resets: nothing that any answer is owed for."""
+def invalid_clients(trial: Trial, running: ServerProcess) -> None:
+    """Connect clients that send garbage, incomplete frames or nothing, or reset; none of them gets an answer."""
     for _ in range(3):
         sock = socket.create_connection(("127.0.0.1", trial.port))
         whole = encode("invoke", 1, 1, idl.Front.invoke_args(fields={"method": "order", "rid": "ee" * 8}, body=b"x"))
@@ -99,7 +107,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
         else:
-            trial.counts["kept strangers"] += 1
+            trial.counts["invalid clients kept open"] += 1
             HELD_OPEN.append(sock)
 
 
@@ -113,7 +121,7 @@
 
 def pause(trial: Trial, running: ServerProcess) -> None:
     running.process.send_signal(signal.SIGSTOP)
-    time.sleep(PAUSE_S)  # the length of the pause is the fault
+    time.sleep(PAUSE_S)  # for this time the process does not run
     running.process.send_signal(signal.SIGCONT)
 
 
@@ -125,17 +133,17 @@
 
 
 FAULTS = (
-    kernel_link_cut,
-    kernel_link_cut_inside_a_notice,
-    kernel_starts_anew,
-    kernel_sends_odd_lines,
-    store_fails,
-    store_fails,
-    store_links_cut,
-    roster_fails,
-    client_leaves,
-    client_gives_up,
-    strangers,
+    engine_link_cut,
+    engine_link_cut_inside_a_notice,
+    engine_restarts,
+    engine_sends_malformed_lines,
+    dependency_fails,
+    dependency_fails,
+    dependency_connections_cut,
+    registry_fails,
+    client_disconnects,
+    client_cancels_a_request,
+    invalid_clients,
     reload,
     counters,
     pause,
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -9,18 +9,18 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on."""
+    """Return a port that no process listens on."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
 
 def connect_when_listening(port: int) -> ThriftClient:
-    """Wait until the server listens on the port, and connect a client."""
+    """Wait until the server listens on the port, and return a connected client."""
 
     def connected() -> ThriftClient | None:
         with contextlib.suppress(OSError):
             return ThriftClient(port)
         return None
 
-    client: ThriftClient = until(connected, "a listener")
+    client: ThriftClient = until(connected, "a listener on the port")
     return client
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Import rules: which part of the project may know which, as `docs/architecture.md` draws it."""
+"""Import rules: which parts of the project each part may import, as in `docs/architecture.md`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 PACKAGE = Path(__file__).parent.parent / "myrtlespar"
 
-# Each part with the parts that it may import. `net.codec` is a part of its own: bytes to messages and back, pure.
+# The parts that each part may import. `net.codec` is a part of its own, a pure one that encodes and decodes messages.
 ALLOWED: dict[str, set[str]] = {
     "errors": set(),
     "policy": {"errors"},
@@ -77,40 +77,40 @@
         "membership",
         "policy",
         "quota",
-        "server",  # the program with one mutation in it, started by `python -m`
+        "server",  # to run the program with a mutation by `python -m`
         "state_machines",
     },
     "cli": {"config", "errors", "fakes", "fleet", "fleet_tests", "model_checker", "quota", "server", "simulation"},
     "__main__": {"cli", "runtime", "server"},
-    "": {"policy"},  # the package itself offers Policy and Settings
+    "": {"policy"},  # the package itself exports Policy and Settings
 }
 PURE_PARTS = ("policy", "state_machines", "membership", "quota", "net.codec", "admin", "exchange", "errors")
 IMPURE_MODULES = {"gevent", "socket", "select", "threading", "subprocess", "time", "datetime", "secrets", "signal"}
-RANDOM_TYPE_ONLY = {"Random"}  # a source that the caller hands in
+RANDOM_TYPE_ONLY = {"Random"}  # only the type, for a random source passed in by the caller
 
 
 def modules() -> list[Path]:
-    """All modules of the package."""
+    """Return the paths of all modules of the package."""
     return sorted(PACKAGE.rglob("*.py"))
 
 
-def dotted(path: Path) -> str:
-    """A module's name below the package."""
+def module_name(path: Path) -> str:
+    """Return the dotted name of a module below the package."""
     return ".".join(path.relative_to(PACKAGE).with_suffix("").parts).removesuffix("__init__").rstrip(".")
 
 
-MODULE_NAMES = {dotted(path) for path in modules()}
+MODULE_NAMES = {module_name(path) for path in modules()}
 
 
 def part_of(module: str) -> str:
-    """The part that a module belongs to."""
+    """Return the part that a module belongs to."""
     if module.startswith("net.codec"):
         return "net.codec"
     return module.partition(".")[0]
 
 
 def typing_only(tree: ast.Module) -> set[int]:
-    """The nodes below `if TYPE_CHECKING`, which are never imported at run time."""
+    """Return the ids of the nodes below `if TYPE_CHECKING`, which are not executed at run time."""
     return {
         id(inner)
         for node in ast.walk(tree)
@@ -120,7 +120,7 @@
 
 
 def imports(path: Path) -> Iterator[tuple[str, list[str]]]:
-    """Each imported module with the names taken from it, wherever the statement stands."""
+    """Yield each imported module with the names imported from it, also from statements inside functions."""
     tree = ast.parse(path.read_text())
     skipped = typing_only(tree)
     for node in ast.walk(tree):
@@ -135,7 +135,7 @@
 
 
 def project_imports(path: Path) -> Iterator[str]:
-    """The project's own modules that a module imports, named below the package."""
+    """Yield the names below the package of the project's modules that a module imports."""
     for module, names in imports(path):
         root, _, below = module.partition(".")
         if root != "myrtlespar":
@@ -144,12 +144,12 @@
         yield from [name for name in submodules if name in MODULE_NAMES] or [below]
 
 
-@pytest.mark.parametrize("path", modules(), ids=dotted)
+@pytest.mark.parametrize("path", modules(), ids=module_name)
 def test_a_module_imports_only_parts_that_its_own_part_may_know(path: Path) -> None:
-    part = part_of(dotted(path))
+    part = part_of(module_name(path))
     for imported in project_imports(path):
         other = part_of(imported)
-        assert other in ALLOWED[part] | {part}, f"{dotted(path)} imports {imported}"
+        assert other in ALLOWED[part] | {part}, f"{module_name(path)} imports {imported}"
 
 
 def test_the_rules_have_no_cycle() -> None:
@@ -164,9 +164,11 @@
     assert {part_of(name) for name in MODULE_NAMES} == set(ALLOWED)
 
 
-@pytest.mark.parametrize("path", [path for path in modules() if part_of(dotted(path)) in PURE_PARTS], ids=dotted)
+@pytest.mark.parametrize(
+    "path", [path for path in modules() if part_of(module_name(path)) in PURE_PARTS], ids=module_name
+)
 def test_a_pure_part_imports_no_clock_socket_or_random_source(path: Path) -> None:
     for module, names in imports(path):
-        assert module.partition(".")[0] not in IMPURE_MODULES, f"{dotted(path)} imports {module}"
+        assert module.partition(".")[0] not in IMPURE_MODULES, f"{module_name(path)} imports {module}"
         if module == "random":
-            assert set(names) == RANDOM_TYPE_ONLY, f"{dotted(path)} imports {names} of random"
+            assert set(names) == RANDOM_TYPE_ONLY, f"{module_name(path)} imports {names} of random"
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Mixed faults on the real program, a schedule a seed. `benchmarks/fault_search.py` plays any number of them."""
+"""Mixed faults on the real program, one schedule for each seed. `benchmarks/fault_search.py` runs more seeds."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_scripts.py
+++ b/tests/test_fault_scripts.py
@@ -1,4 +1,4 @@
-"""Errors in fault scripts, and rules of links that add up."""
+"""Error messages for invalid fault scripts, and the combination of several fault rules on one link."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -1,6 +1,6 @@
 """Complete fleets of the real program behind the fault proxy.
 
-Checked by order and generous bounds; exact times are in `benchmarks/`.
+The tests check the order of events and generous bounds; `benchmarks/` measures exact times.
 """
 
 from __future__ import annotations
@@ -36,28 +36,30 @@
 )
 
 pytestmark = pytest.mark.fleet
-SLACK_MS = 4000.0  # machines that run tests are slow now and then
+SLACK_MS = 4000.0  # for slow test machines
 HOUR_MS = 3_600_000
-LOAD_S = 5.0
+LOAD_S = 5.0  # duration of the load
 MAX_LOAD_REQUESTS = 20_000
-MAX_OUTSTANDING = 30  # of each client
+MAX_OUTSTANDING = 30  # unanswered requests of each client
 FLOOD_DATAGRAMS = 6000
 
 
 def scenarios(area: str) -> list[Path]:
-    """The fault scripts of an area."""
+    """Return the fault scripts of an area."""
     return sorted((ROOT / "fault_scenarios" / area).glob("*.yaml"))
 
 
 @pytest.mark.parametrize("path", scenarios("membership"), ids=lambda path: path.stem)
 def test_membership_scenario_keeps_every_promise(path: Path) -> None:
-    """Each fault script of membership, with the figures that are special to two of them."""
+    """Play each fault script of membership. Two of them have further expectations."""
     done = play(read(path), 1, report_progress=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
     assert done["checked"]["lives grow"] > 0
     assert done["checked"]["standing right"] > 0
     if path.stem == "half-cut":
-        assert done["checked"].get("no false failure", 0) == 0  # nobody was failed at all
+        assert (
+            done["checked"].get("no false failure", 0) == 0
+        )  # no member was declared failed, so there was nothing to check
     if path.stem == "rolling":
         assert done["replaced"] == 6
         assert done["outcomes"].get("lost", 0) == 0
@@ -65,7 +67,7 @@
 
 @pytest.mark.parametrize("path", scenarios("limits"), ids=lambda path: path.stem)
 def test_limit_scenario_keeps_every_limit(path: Path) -> None:
-    """Each fault script of limits; every limit is used to more than half of its number."""
+    """Play each fault script of limits. The load must use more than half of every limit."""
     done = play(read(path), 1, report_progress=lambda line: None, slack_ms=SLACK_MS)
     assert done["broken"] == []
     for figures in done["limits"].values():
@@ -75,17 +77,17 @@
 
 @pytest.mark.parametrize("three_members", [{"a3": {"fleet": "another"}}], indirect=True)
 def test_member_of_another_fleet_is_counted_and_stays_out(three_members: FleetRun) -> None:
-    """Two members of one fleet find each other, the third is of another fleet."""
+    """Two members of one fleet find each other and ignore the third, which belongs to another fleet."""
     spawn_all(three_members)
-    until(lambda: states(three_members, "a1") == {"a2": "alive"}, "the two of one fleet")
-    until(lambda: states(three_members, "a2") == {"a1": "alive"}, "the two of one fleet")
-    until(lambda: count_of(three_members, "fleet.foreign") > 0, "foreign ones counted")
+    until(lambda: states(three_members, "a1") == {"a2": "alive"}, "a1 to see only a2")
+    until(lambda: states(three_members, "a2") == {"a1": "alive"}, "a2 to see only a1")
+    until(lambda: count_of(three_members, "fleet.foreign") > 0, "packets of another fleet to be counted")
     assert three_members.quorum_status("a1") == "majority"
     assert states(three_members, "a3") == {}
 
 
 def test_wall_clock_steps_change_incarnations_only(three_members: FleetRun) -> None:
-    """A member restarts with its wall clock set back and forth, and is taken for a new incarnation each time."""
+    """A member restarts with its wall clock set back or forth, and the others accept a new incarnation each time."""
     three_members.start()
     member = three_members.members["a2"]
     seen = incarnation_of(three_members, "a1", "a2")
@@ -94,18 +96,20 @@
         path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), "wall_shift_ms": shift_ms}))
         three_members.kill(member)
         three_members.restart(member)
-        until(partial(others_know_incarnation_after, three_members, "a2", seen), "the new incarnation")
+        until(
+            partial(others_know_incarnation_after, three_members, "a2", seen), "the others to know the new incarnation"
+        )
         until(
             lambda: states(three_members, "a1").get("a2") == "alive"
             and states(three_members, "a2").get("a1") == "alive",
-            "alive to each other",
+            "a1 and a2 to see each other alive",
         )
-        until(three_members.is_complete, "complete again")
+        until(three_members.is_complete, "the fleet to be complete again")
         seen = incarnation_of(three_members, "a1", "a2")
 
 
 def invalid_datagrams(valid: bytes, sender: MemberUpdate) -> list[bytes]:
-    """Datagrams that are malformed, of another version or of another fleet."""
+    """Return datagrams that are malformed, of another version or of another fleet."""
     return [
         b"",
         b"x",
@@ -119,11 +123,13 @@
 
 
 def test_malformed_foreign_replayed_and_flooding_datagrams_change_nothing(three_members: FleetRun) -> None:
-    """What does not belong on the peer link is counted, and leaves the view as it is."""
+    """Invalid, replayed and excessive datagrams are counted and do not change the view."""
     three_members.start()
     target = ("127.0.1.1", three_members.port)
     assert three_members.view("a1") is not None
-    old_update = MemberUpdate("a2", "a", f"127.8.0.2:{three_members.port}", 5, 0, ALIVE)  # an old incarnation of a2
+    old_update = MemberUpdate(
+        "a2", "a", f"127.8.0.2:{three_members.port}", 5, 0, ALIVE
+    )  # an outdated incarnation of a2
     valid = encode(Packet("rehearsal", 1, old_update, 0, 1, Ping(1)))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (*invalid_datagrams(valid, old_update), valid, valid):
@@ -133,22 +139,22 @@
         until(
             lambda: count_of(three_members, "peers.spoilt") >= 5
             and count_of(three_members, "peers.other_version") == 1,
-            "malformed ones and the one of another version counted",
+            "malformed datagrams and the one of another version to be counted",
         )
         until(
             lambda: count_of(three_members, "fleet.replayed") >= 1
             and count_of(three_members, "peers.exchange_spoilt") == 1,
-            "the replay and the malformed exchange counted",
+            "the replayed datagram and the malformed exchange to be counted",
         )
-        for _ in range(FLOOD_DATAGRAMS):  # bounded, and most of it is dropped unread
+        for _ in range(FLOOD_DATAGRAMS):  # more than the member reads; it drops most of them
             sock.sendto(os.urandom(60), target)
     until(
         lambda: count_of(three_members, "peers.spoilt") + count_of(three_members, "peers.flooded") > 1000,
-        "the flood counted",
+        "the flood to be counted",
     )
     flooded_at = time.monotonic()
     for name in three_members.members:
-        until(partial(others_answered_since, three_members, name, flooded_at), "answers after the flood")
+        until(partial(others_answered_since, three_members, name, flooded_at), "answers to probes after the flood")
     after = three_members.view("a1")
     assert after is not None
     assert incarnation_of(three_members, "a1", "a2") > 5
@@ -158,7 +164,7 @@
 
 
 def test_a_saturated_member_is_not_failed_and_fails_nobody(three_members: FleetRun) -> None:
-    """A member whose processor is busy with requests answers probes late, but in time."""
+    """A member that is saturated with requests answers probes late, but early enough not to be declared failed."""
     three_members.start()
     host, port = three_members.client_address("a1")
     end = time.monotonic() + LOAD_S
@@ -170,7 +176,7 @@
             while sent - len(client.answers) < MAX_OUTSTANDING and sent < MAX_LOAD_REQUESTS:
                 client.send("render", b"ms=1")
                 sent += 1
-            time.sleep(0.0005)  # leaves the interpreter to the reader of answers
+            time.sleep(0.0005)  # lets the thread that reads answers run
 
     threads = [threading.Thread(target=send_requests) for _ in range(3)]
     for thread in threads:
@@ -182,7 +188,7 @@
 
 
 def test_status_watch_and_metrics_show_the_view(three_members: FleetRun) -> None:
-    """What operators see of a complete fleet."""
+    """The commands `fleet status` and `fleet watch` and the metrics show a complete fleet."""
     three_members.start()
     host, port = three_members.admin_address("a1")
     status = run_command("fleet", "status", f"{host}:{port}")
@@ -200,14 +206,14 @@
 
 
 def test_voter_set_changes_by_one_member_at_a_time(three_members: FleetRun) -> None:
-    """A reload takes a later voter set that is one step away, and names why it rejects any other."""
+    """A reload accepts a later voter set that differs by one member, and logs the reason if it rejects one."""
     three_members.start()
     member = three_members.members["a1"]
     path = member.folder / "fleet.yaml"
     rows = yaml.safe_load(path.read_text())
 
     def offer(version: int, names: list[str], event: str) -> dict[str, Any]:
-        """Have the member read this voter set; the log line of that event."""
+        """Make the member reload with this voter set, and return the log line with this event."""
         seen = member.count_events(event)
         path.write_text(yaml.safe_dump({**rows, "electorate": {"version": version, "sites": {"a": names}}}))
         assert member.process is not None
@@ -218,7 +224,7 @@
     assert "more than one" in offer(2, ["a1"], "fleet reload refused")["error"]
     assert "does not follow" in offer(1, ["a1", "a2"], "fleet reload refused")["error"]
     assert offer(2, ["a1", "a2", "a3", "a4"], "fleet: roll taken over")["roll"] == 2
-    until(lambda: three_members.quorum_status("a1") == "majority", "a4 is missed")
+    until(lambda: three_members.quorum_status("a1") == "majority", "the quorum status without a4")
     view = three_members.view("a1")
     assert view is not None
     assert view["roll"] == 2
@@ -226,7 +232,7 @@
 
 
 def test_start_is_rejected_if_another_program_has_the_address(three_members: FleetRun) -> None:
-    """A start that can't be is one line that names the key, and status 2."""
+    """A start with an unusable address fails with status 2 and one line that names the key."""
     member = three_members.members["a1"]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.1.1", three_members.port))
--- a/tests/test_limit_invariants.py
+++ b/tests/test_limit_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of fleet limits that runs of real members are checked against."""
+"""The checks of fleet limits report each violation and nothing else."""
 
 from __future__ import annotations
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""What a run of a fleet says of the starts in a window that broke a limit."""
+"""The report on the times of starts that exceeded a fleet limit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RecordedRun:
-    """A run of one member, in which the relay held its commands up."""
+    """A run of one member in which the fault proxy delayed the commands to the engine."""
 
     def __init__(self, member: MemberProcess, folder: Path) -> None:
         self.members = {member.name: member}
@@ -85,7 +85,7 @@
     monitor = StandstillMonitor()
     monitor.start()
     began_at = time.time() * 1000
-    sum(range(12_000_000))  # one call into C: no other thread runs meanwhile
+    sum(range(12_000_000))  # one call into C, during which no other thread runs
     ended_at = time.time() * 1000
     until(lambda: monitor.standstills)
     monitor.stop()
