--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -25,7 +25,7 @@
     Attributes:
         inbox: Commands that arrived and were not carried out yet.
         outbox: Lines that were not sent yet.
-        links_seen: The number of connections opened by the server.
+        links_seen: The number of connections on which the command OPEN was carried out.
         awaited_calls: The number of the call that a run waits for, by request id.
         calls_made: The number of calls made, by request id.
         wrong_replies: The ids of requests that received the reply to another call.
@@ -96,7 +96,9 @@
 
     def rid(self, body: bytes) -> str:
         """Wait until a start of the request with this body was carried out, and return the request id."""
-        found: str = until(lambda: next((rid for rid, its in self.bodies.items() if its == body), None), f"{body!r}")
+        found: str = until(
+            lambda: next((rid for rid, its in self.bodies.items() if its == body), None), f"start of {body!r}"
+        )
         return found
 
     def read(self) -> bool:
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -191,12 +191,12 @@
         """Request the counters (SIGUSR1), wait for their log line, and return it."""
         before = sum(row["event"] == "counters" for row in self.log)
         self.process.send_signal(signal.SIGUSR1)
-        until(lambda: sum(row["event"] == "counters" for row in self.log) > before, "counters")
+        until(lambda: sum(row["event"] == "counters" for row in self.log) > before, "the event counters")
         return self.event("counters") or {}
 
     def ask(self, line: bytes) -> str:
         """Send one line to the management address and return the complete reply."""
-        assert self.mgmt, "started without mgmt"
+        assert self.mgmt, "the process has no management address: pass mgmt=True"
         with socket.create_connection(("127.0.0.1", self.mgmt), timeout=WAIT_S) as sock:
             sock.sendall(line)
             data = b""
--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -80,7 +80,7 @@
 
 
 class GroundTruth:
-    """The intervals of one run."""
+    """The intervals of one run, ordered by time."""
 
     def __init__(self, members: Sequence[str], actions: Iterable[FaultAction], end: float, short_ms: float) -> None:
         """Derive the intervals from the actions; all times are ms from the start of the run.
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -23,9 +23,8 @@
 CONNECT_BACKOFF_S = 1.0  # no connection attempts to a member for this time after one failed
 MAX_CONNECTION_ATTEMPTS = 3  # members to try for one attempt of a request
 JOIN_TIMEOUT_S = 12
-TIMEOUT_MS = {
-    name: timeout for name, _, _, timeout, _ in CLASSES
-}  # client timeouts, from the creation of a request to its answer
+# Client timeouts by class, from the creation of a request to its answer.
+TIMEOUT_MS = {name: timeout for name, _, _, timeout, _ in CLASSES}
 SLACK_MS = 1000.0  # for a machine that runs clients, engines and members at once
 
 
@@ -44,7 +43,7 @@
     outcome: str = ""  # served, refused, failed, lost (the connection ended), none (no answer in time)
     rejected_by: list[str] = field(default_factory=list)
     rejected_at: list[float] = field(default_factory=list)  # time of each rejection, Unix ms
-    was_resent: bool = False  # it is sent again once if its connection ended after announcing its shutdown
+    was_resent: bool = False  # sent once more after the connection announced its shutdown and ended
 
     def is_overdue(self, after_ms: float = 0.0) -> bool:
         """Return whether its client timeout will have passed `after_ms` from now."""
@@ -110,7 +109,7 @@
                 continue
             try:
                 self._send(request, name, client)
-            except OSError:  # the member may have read it
+            except OSError:  # the member may have read the request, so it must not be sent again
                 self._clients.pop(name, None)
                 self._end(request, "lost")
             return
--- a/myrtlespar/fleet_tests/member_process.py
+++ b/myrtlespar/fleet_tests/member_process.py
@@ -8,7 +8,7 @@
 
 from myrtlespar.fakes.upstreams import FakeEngine
 
-STDERR_SHOWN = 300  # characters
+STDERR_SHOWN = 300  # characters of standard error in error messages
 
 
 class MemberProcess:
@@ -25,7 +25,7 @@
         self.uses_second_admin_address = False  # a replacement and its predecessor have different ones
         self.is_paused = False
         self.log: list[dict[str, Any]] = []
-        self.exit_codes: list[int] = []  # of replaced processes, which end gracefully
+        self.exit_codes: list[int] = []  # exit codes of replaced processes
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -136,7 +136,7 @@
         for member in self.members.values():
             until(lambda: member.last_event(SERVING_EVENT) or not member.is_running, "the event serving")  # noqa: B023
             if not member.is_running:
-                raise RuntimeError(f"{member.name} ended: {member.stderr_tail()}")
+                raise RuntimeError(f"the process of {member.name} ended: {member.stderr_tail()}")
             self._record_up(member)
         until(self.is_complete, "all members to believe each other present")
 
--- a/myrtlespar/fleet_tests/script_table.py
+++ b/myrtlespar/fleet_tests/script_table.py
@@ -30,7 +30,7 @@
         """Return a number from `low` to `high`. Raises ScriptError if it is missing and `default` is None."""
         value = self.rows.get(name, default)
         if value is None:
-            raise ScriptError(f"{self.key(name)}: missing")
+            raise ScriptError(f"{self.key(name)}: missing, expected a number")
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise ScriptError(f"{self.key(name)}: expected a number from {low:g} to {high:g}, got {value!r}")
         return float(value)
