--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -83,7 +83,7 @@
         return self.seq
 
     def send_message(self, name: str, **args: Any) -> int:
-        """Send any other message of the protocol and return its sequence number."""
+        """Send a message of the protocol other than a request, and return its sequence number."""
         self.seq += 1
         kind = TMessageType.ONEWAY if name == "abort" else TMessageType.CALL
         self.sock.sendall(encode(name, kind, self.seq, getattr(idl.Front, f"{name}_args")(**args)))
