--- a/myrtlespar/fakes/__init__.py
+++ b/myrtlespar/fakes/__init__.py
@@ -1,12 +1,12 @@
-"""Fakes of the server's peers on loopback, for the tests, `myrtlespar try`, replays and benchmarks.
+"""Fakes of the systems around the server, on loopback, for the tests, `myrtlespar try`, replays and benchmarks.
 
-They are written from the published protocols, do what a script says, faults included, and count what they received.
-They do not model speed.
+They implement the published protocols, behave as a script tells them, faults included, and count what they receive.
+They do not model the speed of the real systems.
 """
 
 from myrtlespar.fakes.ajp_peers import FakeAjpServer, FakeGateway
 from myrtlespar.fakes.server_process import ROOT, ServerProcess, server_process, settings
-from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, exactly, until
+from myrtlespar.fakes.tcp_server import WAIT_S, FakeServer, read_exactly, until
 from myrtlespar.fakes.thrift_client import ThriftClient
 from myrtlespar.fakes.upstreams import FakeDependency, FakeEngine, FakeRegistry
 
@@ -21,7 +21,7 @@
     "FakeServer",
     "ServerProcess",
     "ThriftClient",
-    "exactly",
+    "read_exactly",
     "server_process",
     "settings",
     "until",
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -64,7 +64,7 @@
         if name == "read":
             return "done" if self.engine.read() else "nothing done: the engine received no command"
         if name == "hear":
-            return "done" if self.engine.hear() else "nothing done: the engine had no line to send"
+            return "done" if self.engine.send_next_notice() else "nothing done: the engine had no line to send"
         if name in ("send", "whole", "give up", "reset", "cut short"):
             self._play_client_event(ports, name, arguments[0])
         elif name in ("ask", "end", "break", "connect"):
@@ -86,7 +86,7 @@
         else:
             client = self.clients[n]
             if name == "give up" and isinstance(client, ThriftClient):
-                client.say("abort", seqid=1)
+                client.send_message("abort", seqid=1)
             else:
                 client.sock.close()
             time.sleep(REACTION_S)
@@ -118,7 +118,7 @@
 
     def broken_rules(self) -> list[str]:
         """Return the names of the rules whose violation was observed from outside."""
-        starts = self.engine.by_body
+        starts = self.engine.starts_by_body
         broken: list[str] = []
         orders = [n for n, attempt in enumerate(self.scenario.attempts) if attempt.effectful]
         if any(starts[self.body(n)] > 1 for n in orders):
@@ -128,7 +128,7 @@
             keys[self.scenario.attempts[n].key] += min(1, starts[self.body(n)])
         if any(count > 1 for key, count in keys.items() if key):
             broken.append("one start a key")
-        if self.engine.wrong:
+        if self.engine.wrong_replies:
             broken.append("true replies")
         if any(
             count > 1
@@ -147,13 +147,13 @@
         replay = ProcessReplay(scenario, mutation, Path(tmp))
         with replay.server as running:
             # The initial world of a scenario has an established engine link.
-            until(lambda: replay.engine.hear() or running.event("kernel up"), "engine greeting")
+            until(lambda: replay.engine.send_next_notice() or running.event("kernel up"), "engine greeting")
             until(lambda: running.event("kernel up"), "log event 'kernel up'")
             time.sleep(REACTION_S)
             for number, event in enumerate(events, 1):
                 done = replay.play(running.ports, running.process.pid, event)
                 result.lines.append(f"{number:3} {show(event):28} {done}")
-            replay.engine.let_go()
+            replay.engine.release_all()
             time.sleep(REMAINDER_S)
             with suppress(ProcessLookupError):
                 running.process.send_signal(signal.SIGTERM)
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -74,13 +74,13 @@
 def test_health_checks_fail_at_once_after_pause_and_succeed_after_resume(tmp_path: Path) -> None:
     with server_process(tmp_path, mgmt=True) as server:
         client = ThriftClient(server.ports[0])
-        assert client.answer(client.say("ping", full=True))[1].good
+        assert client.answer(client.send_message("ping", full=True))[1].good
         assert server.ask(b"PAUSE\n") == "done paused\n"
-        assert not client.answer(client.say("ping", full=True))[1].good
+        assert not client.answer(client.send_message("ping", full=True))[1].good
         assert client.ask("render", b"ms=5")[0] == "success"  # requests are still served
         assert server.ask(b"PAUSE\n").startswith("done")
         assert server.ask(b"RESUME\n") == "done resumed\n"
-        assert client.answer(client.say("ping", full=True))[1].good
+        assert client.answer(client.send_message("ping", full=True))[1].good
 
 
 @pytest.mark.parametrize("value", ["nowhere", "taken"])
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -116,7 +116,7 @@
     with server_process(tmp_path, sockets=64) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # the maximum number
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         for busy in clients[:10:2]:  # each in turn is idle the longest; the next one has to be closed instead
             running.process.send_signal(signal.SIGSTOP)
             new = ThriftClient(running.ports[0])
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -34,7 +34,7 @@
     with server_process(tmp_path, sockets=64, start=gate.start, given={"stop_ms": 1500}) as running:
         clients = [ThriftClient(running.ports[0]) for _ in range(11)]  # the maximum number
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         if why == "room":
             new = ThriftClient(running.ports[0])  # the first one is closed for it, as it is idle the longest
         else:
@@ -46,11 +46,11 @@
         assert seq not in clients[0].answers
         if why == "room":
             assert new.ask("order", b"crosses")[0] == "success"
-            assert running.engine.by_body[b"crosses"] == 1
+            assert running.engine.starts_by_body[b"crosses"] == 1
             assert running.counters()["in.behind_close.thrift"] == 1
         else:
             assert running.process.wait(20) == 0
-            assert not running.engine.by_body
+            assert not running.engine.starts_by_body
         counts = until(lambda: running.event("counters"))
         assert not [name for name in counts if name.startswith("impossible")], counts
 
@@ -66,14 +66,14 @@
     )
     with server_process(tmp_path, start=gate.start) as running:
         client = ThriftClient(running.ports[0])
-        assert client.answer(client.say("ping", full=False))
+        assert client.answer(client.send_message("ping", full=False))
         frame = encode("invoke", 1, 7, idl.Front.invoke_args(fields={"method": "order", "rid": "ab" * 8}, body=b"late"))
         client.sock.sendall(frame[:9])
         gate.wait_until_reached(running)
         client.sock.sendall(frame[9:])
         gate.open()
         assert client.answer(7)[0] == "success"
-        assert running.engine.by_body[b"late"] == 1
+        assert running.engine.starts_by_body[b"late"] == 1
 
 
 @pytest.mark.parametrize("how", ["close", "finish"])
@@ -133,7 +133,7 @@
         assert all(clients[0].ask("slow", b"ms=1")[0] == "success" for _ in range(30))
         seqs = [(client, client.send("slow", b"ms=60000")) for client in clients for _ in range(30)]
         for client in clients:
-            assert client.answer(client.say("ping", full=False))
+            assert client.answer(client.send_message("ping", full=False))
         kill = threading.Timer(2.0, running.process.kill)
         running.process.terminate()
         kill.start()
@@ -157,7 +157,7 @@
 
         for seq in range(1, 31):
             slow.sendall(order(seq))
-        until(lambda: len(running.engine.by_body) == 30)
+        until(lambda: len(running.engine.starts_by_body) == 30)
         if why == "exit":
             running.process.terminate()
         else:
@@ -175,4 +175,4 @@
             data += chunk
         assert all(data.count(b"result of %04d" % seq) == 1 for seq in range(1, 31))
         assert b"result of 0031" not in data
-        assert len(running.engine.by_body) == 30
+        assert len(running.engine.starts_by_body) == 30
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -68,7 +68,7 @@
     client = ThriftClient(server.ports[0])
     seq = client.send("order", b"calls=1")
     until(lambda: server.dependency.calls)
-    client.say("abort", seqid=seq)
+    client.send_message("abort", seqid=seq)
     assert until(lambda: server.dependency.drops) == [server.dependency.calls[0][0]]
 
 
@@ -78,7 +78,7 @@
         running.dependency.script = ["slow"]  # its reply comes after the request was cancelled
         seq = client.send("render", b"calls=1 dropped")
         until(lambda: running.dependency.calls)
-        client.say("abort", seqid=seq)
+        client.send_message("abort", seqid=seq)
         until(lambda: running.dependency.drops)
         assert [client.ask("render", b"calls=2 later")[0] for _ in range(3)] == ["success"] * 3
         replies = [reply for reply in running.engine.replies if b"dropped" in reply]
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -32,7 +32,7 @@
     past_grace = late.send("fetch", b"past grace")
     assert late.answer(in_grace)[0] in ("success", "refused")
     assert late.answer(past_grace)[0] == "refused"
-    assert b"past grace" not in server.engine.by_body
+    assert b"past grace" not in server.engine.starts_by_body
     assert all(client.answer(seq)[0] in ("success", "refused", "failed") for seq in seqs)
     assert server.process.wait(20) == 0
     assert client.ended.wait(20)
@@ -50,7 +50,9 @@
             running.engine.down()
         client = ThriftClient(running.ports[0])
         seqs = [client.send(method, b"ms=5") for method in ("order", "fetch")]
-        assert client.answer(client.say("ping", full=False))  # answered, so the requests before it have been read
+        assert client.answer(
+            client.send_message("ping", full=False)
+        )  # answered, so the requests before it have been read
         running.process.terminate()
         until(lambda: client.one_way_messages)
         if engine == "late":
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -101,7 +101,7 @@
         assert running.engine.link is not None
         running.engine.cut(running.engine.link)
         assert client.ask("order", b"calls=1")[0] == "success"
-        running.move()
+        running.move_fakes()
         until(lambda: running.event("reloaded"))
         assert client.ask("order", b"calls=1")[0] == "success"
 
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -150,7 +150,7 @@
             ask(n)
         running.process.send_signal(signal.SIGHUP)
         until(lambda: running.event("reloaded"))
-        check = client.say("ping", full=True)
+        check = client.send_message("ping", full=True)
         assert client.answer(check)[0] == "success"
         for n in range(15, 25):
             ask(n)
@@ -167,7 +167,7 @@
             kind, value = client.answers[seq]
             if kind == "success":
                 assert value.body.startswith(b"result of %d " % (seq - 1 if seq <= 15 else seq - 2))
-        started_twice = [body for body, count in running.engine.by_body.items() if count > 1]
+        started_twice = [body for body, count in running.engine.starts_by_body.items() if count > 1]
         assert not started_twice
         assert set(client.count) == {*sent, check}
         is_hint_sent = given_settings["family_info"].get("signal") in ("floor", "allowance", "weight")
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -9,7 +9,7 @@
 
 
 def runs_of(engine: ScriptedEngine, body: bytes) -> int:
-    return engine.by_body[body]
+    return engine.starts_by_body[body]
 
 
 @pytest.mark.parametrize("when", ["running", "at a call", "ended", "gone", "failed"])
@@ -22,23 +22,23 @@
     if when == "at a call":
         server.dependency.script = ["hang"]
         engine.ask(b"seat 1")
-        until(engine.hear)
+        until(engine.send_next_notice)
         until(lambda: server.dependency.calls)
     if when in ("ended", "failed"):
         engine.end(b"seat 1", "PASS" if when == "ended" else "FAIL")
-        until(engine.hear)
+        until(engine.send_next_notice)
         client.answer(first)
     if when == "gone":
-        client.say("abort", seqid=first)
-        assert client.answer(client.say("ping", full=False))  # answered, so the abort before it has been read
+        client.send_message("abort", seqid=first)
+        assert client.answer(client.send_message("ping", full=False))  # answered, so the abort before it has been read
     other = ThriftClient(server.ports[0])
     repeat = other.send("booking", b"seat 1", token="aa", again="1")
-    assert other.answer(other.say("ping", full=False))
+    assert other.answer(other.send_message("ping", full=False))
     if when not in ("ended", "failed"):
         assert repeat not in other.answers  # it waits for the run of the first attempt
         server.dependency.cut()
         engine.end(b"seat 1", "PASS")
-        until(engine.hear)
+        until(engine.send_next_notice)
     kind, answer = other.answer(repeat)
     assert kind == ("failed" if when == "failed" else "success")
     assert when == "failed" or answer.body == b"result of seat 1"
@@ -52,14 +52,14 @@
     server, engine, client = scripted
     first = client.send("booking", b"seat 2", token="bb")
     until(engine.read)
-    client.say("abort", seqid=first)
+    client.send_message("abort", seqid=first)
     engine.end(b"seat 2", "NOOP")  # the engine learned first that the client had gone: nothing was started
-    until(engine.hear)
+    until(engine.send_next_notice)
     repeat = client.send("booking", b"seat 2", token="bb", again="1")
     until(engine.read)
     engine.bodies.pop(next(iter(engine.bodies)))  # the run of the first attempt
     engine.end(b"seat 2", "PASS")
-    until(engine.hear)
+    until(engine.send_next_notice)
     assert client.answer(repeat)[0] == "success"
     # Another request with the same token: it neither gets the result of the first one nor is kept from running.
     other = client.send("booking", b"another request", token="bb")
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -40,7 +40,7 @@
             assert probe.answer(probe.request("order", b"probe %d" % process_number))[0] == "success"
             until(lambda: len(running.registry.reports) > process_number, "a report")  # noqa: B023
             all_clients += [probe, *send_load(port, engine, process_number)]
-            until(lambda: any(b"process %d," % process_number in body for body in engine.by_body), "starts")  # noqa: B023
+            until(lambda: any(b"process %d," % process_number in body for body in engine.starts_by_body), "starts")  # noqa: B023
             if process_number < PROCESS_COUNT - 1:
                 running.kill_and_start()
         last = all_clients[-CLIENT_COUNT:]
--- a/tests/test_mixed_load.py
+++ b/tests/test_mixed_load.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, exactly
+from myrtlespar.fakes import FakeGateway, ServerProcess, ThriftClient, read_exactly
 
 
 def test_thrift_and_ajp_clients_at_full_load_get_no_duplicate_and_no_late_answer(ajp_server: ServerProcess) -> None:
@@ -32,7 +32,7 @@
             gateway.forward("/" + name, body, Idempotency_Key=key)
             if name == "order" and (n % 5 == 0 or n % 12 == 0):
                 if n % 5 == 0:
-                    exactly(gateway.sock, 1)  # close in the middle of the answer
+                    read_exactly(gateway.sock, 1)  # close in the middle of the answer
                 else:
                     time.sleep(0.01)  # close while the order is queued or runs
                 gateway.sock.close()
@@ -53,7 +53,9 @@
             ajp_server.process.terminate()
     for thread in threads:
         thread.join(30)
-    orders = {body: count for body, count in ajp_server.engine.by_body.items() if int(body.split(b"n=")[1]) % 3 == 0}
+    orders = {
+        body: count for body, count in ajp_server.engine.starts_by_body.items() if int(body.split(b"n=")[1]) % 3 == 0
+    }
     assert all(count == 1 for client in clients for count in client.count.values())
     assert len(kinds) == 160
     assert late == []
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,7 +25,7 @@
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len(server.dependency.calls) >= calls_before + 3)  # noqa: B023
         old = [*server.dependency.links, *server.registry.links]
-        server.move()
+        server.move_fakes()
         seqs += [client.send(method, b"ms=40 calls=2") for method in ("order", "render")]
         until(lambda: len([row for row in server.log if row["event"] == "kernel up"]) > n + 1)  # noqa: B023
         for seq in seqs:
@@ -66,7 +66,7 @@
         running.path.write_text(text)
         until(lambda: running.event("reloaded"))
         assert ThriftClient(running.ports[0]).ask("order", b"on the new link")[0] == "success"
-        assert running.engine.by_body[b"on the new link"] == 1
+        assert running.engine.starts_by_body[b"on the new link"] == 1
         old_engine.down()
 
 
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -55,21 +55,21 @@
             self.send()
         elif first_event == "call":
             self.engine.ask(b"it")
-            self.engine.hear()
+            self.engine.send_next_notice()
         else:
             self.engine.end(b"it", "PASS")
-            self.engine.hear()
+            self.engine.send_next_notice()
 
     def cause_second(self, second_event: str) -> None:
         """Cause the second event, which coincides with the first."""
         if second_event == "abort":
-            self.first.say("abort", seqid=self.seq)
+            self.first.send_message("abort", seqid=self.seq)
         elif second_event == "reset":
             reset(self.first)
         elif second_event == "half close":
             self.first.sock.shutdown(socket.SHUT_WR)
         elif second_event == "link cut":
-            self.engine.free = True
+            self.engine.passes_everything = True
             assert self.engine.link is not None
             self.engine.cut(self.engine.link)
         elif second_event == "repeat":
@@ -79,7 +79,7 @@
 
     def allowed_answers(self, first_event: str, second_event: str) -> set[str]:
         """Return the kinds of answers that the request may get."""
-        if (first_event, second_event) == ("request", "link cut") and not self.engine.by_body[b"it"]:
+        if (first_event, second_event) == ("request", "link cut") and not self.engine.starts_by_body[b"it"]:
             return {"failed"}  # the start was sent on the link that was cut: it is lost and never sent again
         return {"success", "refused"} if second_event == "SIGTERM" else {"success"}
 
@@ -98,7 +98,7 @@
     with stopped(server):
         scenario.cause_first(first_event)
         scenario.cause_second(second_event)
-    engine.let_go()  # from now on the engine handles commands by itself, and runs end
+    engine.release_all()  # from now on the engine handles commands by itself, and runs end
     if second_event not in ("abort", "reset"):
         finish(engine, lambda: scenario.seq in first.answers)
         assert first.answer(scenario.seq)[0] in scenario.allowed_answers(first_event, second_event)
@@ -114,7 +114,7 @@
     counts = until(lambda: server.event("counters"))
     assert not [name for name in counts if name.startswith("impossible")], counts
     assert set(first.count.values()) <= {1}
-    assert engine.by_body[b"it"] <= 1
+    assert engine.starts_by_body[b"it"] <= 1
 
 
 def finish(engine: ScriptedEngine, ready: Callable[[], bool]) -> None:
