--- a/myrtlespar/policy/client_timeouts.py
+++ b/myrtlespar/policy/client_timeouts.py
@@ -61,7 +61,8 @@
         """Update the learned timeout of a caller whose request was abandoned: a low quantile of its departures' ages.
 
         The learned timeout is used only if enough departures agree with it. Callers may time out before the latency
-        objective. Departures at scattered ages, of copies that another server answered, never agree and have no effect.
+        objective. Departures at scattered ages, as of requests that the caller also sent to another server, which
+        answered first, never agree and have no effect.
         """
         age_ms = max(1.0, now - request.arrived)
         key = (request.sender, request.class_index)
--- a/myrtlespar/policy/concurrency_limit.py
+++ b/myrtlespar/policy/concurrency_limit.py
@@ -10,7 +10,8 @@
 # Fraction of the survivable concurrency for runs on the cores and in calls together, as all calls may return at once.
 MAX_SURVIVABLE_FRACTION = 0.9
 MAX_LIMIT_PER_CORE = 1.2  # upper bound of the limit, as a multiple of the cores; more runs only slow each other
-READING_LATE_FRACTION = 0.5  # fraction of the cores that runs may take while the read delay exceeds O
+# Fraction of the cores that runs may take while the read delay exceeds O, the overload threshold.
+READING_LATE_FRACTION = 0.5
 LIMIT_RISE = 1.0  # runs added to the limit in a tick with idle cores and waiting requests
 LIMIT_FALL = 0.25  # runs removed from the limit in a tick with all cores busy
 IDLE_BELOW = 0.92  # busy fraction of the cores below which some count as idle
--- a/myrtlespar/policy/fault_detection.py
+++ b/myrtlespar/policy/fault_detection.py
@@ -9,9 +9,11 @@
 from myrtlespar.policy.policy_clock import PolicyClock
 
 SLOWED_THRESHOLD = 1.7  # multiple of the usual core time above which this server is logged as slowed
-HANG_DETECTION_RUNS = 12  # runs of the slowest class: without progress for the time they need, the cores hang
+# The cores are taken to hang after no progress for the time in which they could do this many runs of the slowest class.
+HANG_DETECTION_RUNS = 12
 FAILING_FRACTION = 0.5  # fraction of failing runs above which requests are better served by other servers
-PROBE_INTERVAL_MS = 500.0  # between trial requests while runs, or trial calls while calls to the dependency, fail
+# Between trial requests while most runs fail, and between trial calls while most calls to the dependency fail.
+PROBE_INTERVAL_MS = 500.0
 
 
 class FaultDetection:
--- a/myrtlespar/policy/load_advertisement.py
+++ b/myrtlespar/policy/load_advertisement.py
@@ -1,4 +1,7 @@
-"""The load value that is sent to callers with every answer, so that they send less to a loaded server."""
+"""The load value that is sent to callers with every answer, so that they send less to a loaded server.
+
+O and A are thresholds of the wait: `delayed_rejection` raises the overload flag above O and clears it below A.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 from myrtlespar.policy.server_state import ServerState
 from myrtlespar.policy.settings import LoadSignal
 
-LEVEL_RISE_PER_S = 0.5  # at a wait of 2 O; proportional to the excess of the wait over O
+LEVEL_RISE_PER_S = 0.5  # at a wait of 2 O; the rise is proportional to the excess of the wait over O
 LEVEL_FALL_PER_S = 0.25  # while the wait is below A
 MAX_EXCESS = 2.0  # excess of the wait over O, in multiples of O, above which the level rises no faster
-MAX_LEVEL = 0.5  # above it callers stop and get no newer value: all servers go idle and are flooded in turns
+MAX_LEVEL = 0.5  # above it callers stop sending and get no newer value: all servers go idle and are flooded in turns
 MIN_CHANGE_FRACTION = 0.02  # smaller changes of the value are not advertised
 
 
@@ -67,7 +70,7 @@
 
     def _allowance(self) -> float:
         """Return how many open requests each caller may have: capacity divided by the effective number of callers."""
-        # Requests on the cores, at calls, and waiting without the wait exceeding O.
+        # The capacity: requests on the cores, at calls, and as many waiting ones as keep the wait within O.
         waiting = self._cores * self._overload.overload_threshold_ms() / max(1.0, self._costs.mean_core_ms)
         capacity = self._cores + self._concurrency.at_calls + waiting
         open_requests = self._table.open_by_sender.values()
--- a/myrtlespar/policy/messages.py
+++ b/myrtlespar/policy/messages.py
@@ -58,9 +58,9 @@
     REJECTED = "rejected"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
-    CUT_OFF = "cut off"
+    CUT_OFF = "cut off"  # the connection broke before the outcome was received
     STOPPED = "stopped"
-    MOOT = "moot"
+    MOOT = "moot"  # dropped before it began
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
         waited_ms: Time from the arrival of the request at this server until it was read.
         deadline: When the caller stops waiting, on the policy's clock; 0 if the caller did not state a deadline.
         tenant: Index of the request's tenant in the settings.
-        sender: Number of the caller that sent the request.
+        sender: Number that identifies the caller which sent the request.
         rank: Priority rank given by the caller; the policy does not use it.
         prior: Id of an earlier request with the same idempotency key; empty if there is none.
         is_retry: The caller marked the request as a retry.
--- a/myrtlespar/policy/policy.py
+++ b/myrtlespar/policy/policy.py
@@ -160,7 +160,7 @@
         outcome = event.outcome
         if (outcome is RunOutcome.OK or outcome is RunOutcome.ERROR) and not request.answered:
             self.faults.note_outcome(failed=outcome is RunOutcome.ERROR)
-        # A run that was stopped after its latency objective would have taken at least this long.
+        # Costs are also learned from a run stopped after its latency objective: it would have taken at least that long.
         stopped_late = outcome is RunOutcome.STOPPED and request.useful_until <= self._clock.now
         if outcome is RunOutcome.OK or stopped_late:
             self.costs.learn(request, event.elapsed_ms)
--- a/myrtlespar/policy/scheduler.py
+++ b/myrtlespar/policy/scheduler.py
@@ -50,7 +50,8 @@
     def start_work(self) -> None:
         """Start requests up to the concurrency limit, as far as memory and the limits of the fleet allow.
 
-        The limit is lower while the read delay of arrivals exceeds O, as runs take cores from the reading of requests.
+        The limit is lower while the read delay of arrivals exceeds O (the overload threshold), as runs take cores from
+        the reading of requests.
         """
         self._expire()
         concurrency = self._concurrency
--- a/myrtlespar/policy/server_health.py
+++ b/myrtlespar/policy/server_health.py
@@ -8,7 +8,8 @@
 from myrtlespar.policy.messages import SetHealth
 from myrtlespar.policy.server_capacity import ServerCapacity
 
-# Multiple of O that the read delay must exceed for bad health: the delay then takes up the whole slack of a request.
+# Multiple of O, the overload threshold, that the read delay must exceed for bad health: the delay then takes up the
+# whole slack of a request.
 UNHEALTHY_THRESHOLD_FACTOR = 1.0 / OVERLOAD_SLACK_FRACTION
 
 
--- a/myrtlespar/policy/settings.py
+++ b/myrtlespar/policy/settings.py
@@ -66,8 +66,11 @@
         fall_multiple: Concurrency at which a warm server breaks down, as a multiple of the cores.
         answer_slack_ms: How long after its deadline an answer still counts as in time.
         drain_grace_ms: Requests that arrive within this time after draining began still run.
+        round_ms: Shortest time limit of a call; also added to the time for which keys are remembered and subtracted
+            from `drain_grace_ms`.
         run_memory_factor: Memory of a run as a multiple of the memory of its request.
         key_kb: Memory of a remembered idempotency key.
+        shared_dependency: All servers call the same dependency, so that `calls_share` limits the calls in flight.
         calls_share: Calls to the shared dependency that this server may have in flight on average; 0 for no limit.
         calls_over_ms: Averaging time of `calls_share`.
         linger_ms: How long the dependency may go on processing an abandoned call.
