--- a/myrtlespar/state_machines/attempts.py
+++ b/myrtlespar/state_machines/attempts.py
@@ -189,11 +189,11 @@
         ),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.NEVER_RAN): Transition(AttemptState.OVER, _UNWANTED_NEVER_RAN),
-        # The policy may decide these before it is notified that the caller is gone. The first end is final.
+        # The policy may still decide these, as it may not know yet that no client waits. They have no effect.
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.RUNNING_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.RUNNING_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.ENDED): Transition(AttemptState.OVER, _UNWANTED_ENDED),
-        # The policy may decide these before it is notified that the caller is gone. They have no effect.
+        # The policy may still decide these, as it may not know yet that no client waits. They have no effect.
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.CALL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.FAIL): Transition(AttemptState.AT_CALL_UNWANTED),
         (AttemptState.AT_CALL_UNWANTED, AttemptEvent.REFUSE): Transition(AttemptState.AT_CALL_UNWANTED),
--- a/myrtlespar/state_machines/dependency_calls.py
+++ b/myrtlespar/state_machines/dependency_calls.py
@@ -246,9 +246,9 @@
     def _take_idle_connection(self, request_id: str, now: float) -> DependencyConnection | None:
         """Remove an idle connection from the pool for a call of this request, or return None.
 
-        Connections that were idle for too long are not used, as the dependency may have dropped them. Neither is one
-        that recently carried a call of the same request: a duplicate of the earlier reply would be mistaken for the
-        reply to this call.
+        Connections that were idle for too long are not used, as the dependency may have dropped them. A connection that
+        recently carried a call of the same request is not used either: a duplicate of the earlier reply would be
+        mistaken for the reply to this call.
         """
         idle_since_min = now - self.limits.max_idle_ms
         for connection in reversed(self.idle):
--- a/myrtlespar/state_machines/engine_link.py
+++ b/myrtlespar/state_machines/engine_link.py
@@ -2,9 +2,9 @@
 
 When the link breaks, an unknown number of the last commands may be lost. A start may be sent again only if a
 second run does no harm. The start of an effectful request is never sent again: its run may end while the second start
-is in transit, and the engine would run it again. Neither is a reply to a dependency call: the run may be at its next
-call when the second reply arrives. Such commands are sent once, and abandoned when they may be lost and no client
-waits for them.
+is in transit, and the engine would run it again. A reply to a dependency call is never sent again either: the run may
+be at its next call when the second reply arrives. Such commands are sent once, and abandoned when they may be lost and
+no client waits for them.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
     READ = auto()  # confirmed by a notice of its run, or by the answer to a mark requested after it
     BREAK = auto()  # the link that it was sent on broke
     REPEAT = auto()  # send it again, as a second run would do no harm
-    GIVE_UP = auto()  # abandoned, as no client waits for it, or a start that is not allowed
+    GIVE_UP = auto()  # abandoned, as no client waits for it or its start is not allowed
 
 
 class CommandAction(IntEnum):
--- a/myrtlespar/state_machines/process.py
+++ b/myrtlespar/state_machines/process.py
@@ -176,8 +176,8 @@
     def answer_reserve_ms(self, unanswered: int) -> float:
         """Return how many ms before the kill the process must begin to send this many outstanding answers.
 
-        A check for overdue requests may come one interval late. Each answer takes its delivery time, and the same time
-        again to be decided.
+        A check for overdue requests may come one interval late. The average time to deliver an answer counts twice for
+        each answer, as deciding it takes about as long.
         """
         return 2 * self.overdue_check_ms + 2 * self.average_answer_ms * unanswered
 
--- a/myrtlespar/state_machines/request_tracker.py
+++ b/myrtlespar/state_machines/request_tracker.py
@@ -145,7 +145,9 @@
     def fail_overdue(self, now: float) -> list[RequestEffect]:
         """Fail every attempt that is past its due time, and remove expired keys.
 
-        This prevents an attempt from staying open for ever after a lost run or a fault of the policy.
+        This prevents an attempt from staying open for ever after a lost run or a fault of the policy. An attempt fails
+        `overdue_ms` late, as the policy may still fail it before; a follower, which the policy doesn't know, fails at
+        once.
         """
         effects: list[RequestEffect] = []
         deadline = self.process.answer_deadline(self.unanswered)
--- a/myrtlespar/state_machines/silence_watch.py
+++ b/myrtlespar/state_machines/silence_watch.py
@@ -21,7 +21,7 @@
         self._period_ms = period_ms
         self._silent_ms = 0.0
         self._checked_at = 0.0
-        self._oldest_request: str | None = None  # the one that was unanswered at the last check
+        self._oldest_request: str | None = None  # the oldest unanswered request at the last check
 
     def check(self, now: float, oldest_request: str | None, last_received_at: float) -> bool:
         """Return whether the peer has been silent for the timeout.
