--- a/myrtlespar/coordinator/effect_executor.py
+++ b/myrtlespar/coordinator/effect_executor.py
@@ -31,7 +31,7 @@
     AnswerKind.REFUSED: 1,
     AnswerKind.FAILED: 2,
 }  # index into the counts of a class in `answer_counts`
-ANSWER_TIME_WEIGHT = 1 / 16  # weight of the newest answer in the moving average, as the time of a single one varies
+ANSWER_TIME_WEIGHT = 1 / 16  # weight of the newest answer in the moving average; small, as single times vary
 MAX_ANSWER_TIME_MS = 5.0  # bound on one answer in the average; an answer takes under 0.3 ms of a whole core
 
 
--- a/myrtlespar/coordinator/lost_run_search.py
+++ b/myrtlespar/coordinator/lost_run_search.py
@@ -12,9 +12,10 @@
 class LostRunSearch:
     """Compares the tracked runs with the engine's gauge.
 
-    Only runs that no client waits for are treated as lost, since the others fail at their due time. The oldest of them
-    are lost if more runs are tracked than the gauge shows for `window_ms`. A run at a dependency call, which the gauge
-    does not count, is lost after twice its client timeout; so is any run if the engine does not provide the gauge.
+    Only runs that no client waits for are treated as lost, since the others fail at their due time. If for `window_ms`
+    more runs are tracked than the gauge shows, the oldest of these unwanted runs are lost, as many as the surplus.
+    A run at a dependency call, which the gauge does not count, is lost after twice its client timeout; so is any
+    unwanted run if the engine does not provide the gauge.
     `gauge_names` are the gauges in the order of their values. Times are Unix milliseconds.
     """
 
--- a/myrtlespar/request_coordinator.py
+++ b/myrtlespar/request_coordinator.py
@@ -276,7 +276,7 @@
                 self._ticks.add(now + after_ms, token)
             case api.Log(text):
                 log.info("policy", text=text)
-            case _:  # to stop or share runs, or to skip calls: no setting that `config` reads leads to these actions
+            case _:  # `Stop`, `ReuseResult` and `SkipCall`: no setting that `config` reads leads to these actions
                 log.error("unsupported action of the policy", action=repr(action))
 
     def _close_stuck_requests(self, now: float) -> None:
