--- a/myrtlespar/handover/receiver.py
+++ b/myrtlespar/handover/receiver.py
@@ -14,7 +14,7 @@
 class HandoverState(Enum):
     """Whether the replacement may run requests with an idempotency key."""
 
-    WAITING = "waiting"  # the old process may still run: requests with a key are rejected, as they could run in both
+    WAITING = "waiting"  # the old process may still run: requests with a key could run twice, so they are rejected
     OPEN = "open"  # requests with a key may run
 
 
