--- a/myrtlespar/config/sizing.py
+++ b/myrtlespar/config/sizing.py
@@ -12,7 +12,7 @@
 MIN_DESCRIPTORS = 24  # lower bound of the setting `limits.sockets`
 MIN_CONNECTIONS = 4  # lower bound however little memory there is, as fewer could not serve clients
 RESERVED_DESCRIPTORS = 48  # descriptors for upstream connections, listeners, log and event loop
-DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12  # descriptors for each allowed connection to the dependency
+DESCRIPTORS_PER_DEPENDENCY_CONNECTION = 12  # one connection to the dependency is allowed for this many
 
 BASE_MEMORY_MB = 22.0  # memory of the process with a few connections
 CONNECTION_MEMORY_KB = 24.0  # memory of one more connection: its greenlet and a partial message
@@ -61,7 +61,8 @@
     )
     if not windows_ms:
         return limits
-    # The windows are enough: a key is remembered from the end of its run, while its window starts before the run.
+    # The longest window is long enough: a key is remembered for this time from the end of its run, while its window
+    # starts before the run.
     return replace(
         limits,
         idempotency_key_ms=max(windows_ms),
--- a/myrtlespar/resource_limits.py
+++ b/myrtlespar/resource_limits.py
@@ -28,7 +28,7 @@
     handover_max_deadline_ms: float = 3000.0
     handover_margin_ms: float = 700.0
     reload_retry_ms: float = 50.0  # between attempts to read an invalid file, which may be half written
-    reload_timeout_ms: float = 3000.0  # for all such attempts; the registry keeps an entry without reports for as long
+    reload_timeout_ms: float = 3000.0  # for all attempts; equals how long the registry keeps an entry without reports
 
     # Clients' connections, over all listeners.
     max_connections: int = 900
@@ -43,7 +43,7 @@
     send_buffer_bytes: int = 131072  # kernel send buffer of one connection
     send_timeout_ms: float = 5000.0  # longest time for which a peer may block one send
     max_consecutive_rejected: int = 500  # rejected messages in a row, after which the connection is closed
-    message_timeout_ms: float = 2000.0  # to a client's first message, and from the first to the last byte of each
+    message_timeout_ms: float = 2000.0  # without a complete message, on a new connection or in the middle of a message
     idle_check_ms: float = 250.0  # between checks for idle connections
     close_linger_ms: float = 50.0  # longest transit time of a request sent just before the connection closed
 
@@ -51,7 +51,7 @@
     overdue_check_ms: float = 50.0  # between checks for overdue answers
     overdue_grace_ms: float = 60.0  # an unanswered request is failed this long after its deadline, as a safeguard
     max_idempotency_keys: int = 4096
-    idempotency_key_ms: float = 60000.0  # how long a key is remembered after the last attempt
+    idempotency_key_ms: float = 60000.0  # how long a key is remembered after the end of its run
     max_waiting_repeats: int = 8  # repeats that wait for the result of one run
 
     # Connections to all upstreams.
@@ -96,4 +96,4 @@
     ajp_request_timeout_ms: float = 2000.0  # from the first to the last byte of a request
     max_ajp_reply_bytes: int = 262144  # of the answer of an AJP server
     max_idle_backend_connections: int = 8  # kept open for each AJP server
-    backend_retry_ms: float = 2000.0  # how long an unreachable AJP server is tried last
+    backend_retry_ms: float = 2000.0  # how long an unreachable AJP server is tried only after the others
