--- a/myrtlespar/quota/admission_queue.py
+++ b/myrtlespar/quota/admission_queue.py
@@ -1,9 +1,10 @@
 """Admits requests under limits, and queues requests that find no capacity.
 
-Without a queue, capacity that becomes available a window later would be idle until the next request arrives. Queued
-requests are admitted in the order that the caller gives; a new request is behind all that wait for one of its keys. The
-caller decides whether a request is queued: `try_acquire` returns when there may be capacity. A request never leaves the
-queue by itself: the caller removes it with `take_ready` and calls `try_acquire` again, or drops it with `release`.
+Without a queue, capacity that becomes available after a rejection would be idle until the next request arrives. Queued
+requests are admitted in the order that the caller gives; a new request gets only the capacity that is left after all
+queued requests for the same key. `try_acquire` never blocks: its result says when there may be capacity, and the caller
+decides whether to queue the request. A request never leaves the queue by itself: the caller removes it with
+`take_ready` and calls `try_acquire` again, or drops it with `release`.
 """
 
 from __future__ import annotations
@@ -54,8 +55,8 @@
     ) -> tuple[str, AdmissionCheck]:
         """Acquire capacity under every key, or under none of them.
 
-        A request that was queued, or one with `is_retry`, goes ahead of all queued requests and does not count as
-        demand again.
+        A request that `take_ready` returned, or one with `is_retry`, goes ahead of all queued requests and does not
+        count as demand again.
 
         Returns:
             The key without capacity (empty if the request is admitted), and the check of that key.
@@ -82,10 +83,10 @@
         return "", ADMITTED
 
     def reacquire(self, now: float, request_id: str, keys: Sequence[str], acquired_at: float, was_sent: bool) -> bool:
-        """Acquire the capacity of a start again, which was acquired at `acquired_at` but is sent only now.
+        """Acquire capacity again for a start that was admitted at `acquired_at` but is sent only now.
 
-        Unless `was_sent`, the start has not taken place, so the capacity acquired before is given back first. Another
-        member may have used it meanwhile.
+        In between, the capacity acquired then may have been used again, also by another member. Unless `was_sent`, the
+        start has not taken place, so that capacity is given back first.
 
         Returns:
             Whether there was capacity.
@@ -142,7 +143,7 @@
                 self.coordinator.run_ended(key)
 
     def release_after(self, now: float, request_id: str, after_ms: float) -> None:
-        """Release a request after `after_ms`, as it may be executed until then though it has ended for this member."""
+        """Release a request after `after_ms`: it has ended for this member, but may still be executed elsewhere."""
         keys = self._in_flight_keys.pop(request_id, None)
         if keys:
             self._lingering_count += 1
@@ -150,7 +151,7 @@
             heapq.heappush(self._lingering, LingeringRun(ends_at, self._lingering_count, keys))
 
     def release_due(self, now: float) -> None:
-        """Release the requests whose time, passed to `release_after`, is over."""
+        """Release the requests whose `after_ms`, as passed to `release_after`, has elapsed."""
         while self._lingering and self._lingering[0].ends_at <= now:
             for key in heapq.heappop(self._lingering).keys:
                 self.coordinator.run_ended(key)
--- a/myrtlespar/quota/budget.py
+++ b/myrtlespar/quota/budget.py
@@ -10,7 +10,8 @@
   valid once a majority has agreed. A new leader starts from the greatest total that a majority reports, so no amount is
   allocated twice.
 
-This keeps, for the amounts spent by all incarnations within a period, each by its own clock:
+This guarantees for each period, where `spent` is the sum over all incarnations and each determines the current period
+by its own clock:
 
     spent <= reserved <= budget
 """
--- a/myrtlespar/quota/budget_account.py
+++ b/myrtlespar/quota/budget_account.py
@@ -63,7 +63,10 @@
     def check_admission(
         self, now: float, wall_ms: float, key: str, limit: Limit, ahead: int, is_retry: bool
     ) -> AdmissionCheck:
-        """Check whether 1 may be spent behind `ahead` queued requests; unless `is_retry`, it counts as demand."""
+        """Check whether one more request may be spent behind `ahead` queued ones.
+
+        Unless `is_retry`, the check counts as demand, whatever its result.
+        """
         balance = self.balance(wall_ms, key, limit)
         balance.last_demand_at = now
         if not is_retry:
@@ -76,7 +79,7 @@
         return AdmissionCheck(False, max(1.0, retry_after_ms), drawn, balance.spent, balance.available, 0.0)
 
     def draw_requests(self, now: float) -> list[BudgetDrawRequest]:
-        """Return the requests to shard leaders that are due: to draw what is short, and to return what is idle.
+        """Return the requests to shard leaders that are due: to draw missing amounts and to return idle ones.
 
         Drops the balances of past periods.
         """
@@ -90,7 +93,7 @@
                 requests.append(request)
         return requests
 
-    def _draw_request(self, now: float, entry: BudgetPeriod, balance: BudgetBalance) -> BudgetDrawRequest | None:
+    def _draw_request(self, now: float, period: BudgetPeriod, balance: BudgetBalance) -> BudgetDrawRequest | None:
         idle_ms = now - balance.last_demand_at
         is_idle = idle_ms > self.settings.cold_ms
         if is_idle and balance.available > 0 and balance.epoch:
@@ -104,7 +107,7 @@
         # A return is sent repeatedly for some time, as a message may be lost.
         if wanted or (balance.returned_to_leader and idle_ms < 2 * self.settings.cold_ms):
             return BudgetDrawRequest(
-                0, entry.key, entry.number, balance.drawn_total, balance.epoch, balance.returned_to_leader, wanted
+                0, period.key, period.number, balance.drawn_total, balance.epoch, balance.returned_to_leader, wanted
             )
         return None
 
--- a/myrtlespar/quota/budget_allocator.py
+++ b/myrtlespar/quota/budget_allocator.py
@@ -58,9 +58,11 @@
             query = BudgetReserveRequest(request.shard_id, epoch, request.key, request.period, 0)
             return DrawResult(reservation=query)
         totals = entry.drawn_by.setdefault(sender, DrawnTotals(request.drawn_total))
-        # A late response of an earlier leader may have raised the drawn total, which already counts as allocated.
+        # A late response of an earlier leader may have raised the drawn total. The difference already counts as
+        # allocated, as `handed_out` includes all that earlier leaders reserved.
         totals.drawn = max(totals.drawn, request.drawn_total)
-        if request.epoch == epoch and request.returned_total > totals.returned:  # others may draw it now
+        if request.epoch == epoch and request.returned_total > totals.returned:
+            # Amounts returned to this leader can be drawn by other members.
             entry.handed_out -= request.returned_total - totals.returned
             totals.returned = request.returned_total
         has_latest_response = request.drawn_total == totals.drawn
@@ -95,6 +97,6 @@
 
     def drop_expired(self, current_periods: Mapping[str, int]) -> None:
         """Drop periods before the previous one, as a member's clock may be behind; `current_periods` is by limit."""
-        for entry in list(self.entries):
-            if entry.number < current_periods.get(entry.key.partition("/")[0], 0) - 1:
-                del self.entries[entry]
+        for period in list(self.entries):
+            if period.number < current_periods.get(period.key.partition("/")[0], 0) - 1:
+                del self.entries[period]
--- a/myrtlespar/quota/budget_exchange.py
+++ b/myrtlespar/quota/budget_exchange.py
@@ -81,10 +81,10 @@
             self._receive_as_leader(now, sender, message, limit)
 
     def _reserve(self, sender: Incarnation, request: BudgetReserveRequest) -> None:
-        """Persist a reservation of the leader to which this voter has promised the shard; reject one of other leaders.
+        """Persist a reservation of the leader to which this voter has promised the shard; reject all others.
 
-        A later leader has received only the totals persisted before the promise to it, so a reservation of an earlier
-        leader must not be added after that.
+        This leader counts only on totals that were persisted before the promise to it. A reservation that an earlier
+        leader requested must not be persisted after that, as the same amount could then be allocated twice.
         """
         promise = self._leadership.lease_voter.promises[request.shard_id]
         if promise.candidate != sender or promise.epoch != request.epoch or self._grant_holder.retired:
--- a/myrtlespar/quota/budget_journal.py
+++ b/myrtlespar/quota/budget_journal.py
@@ -20,15 +20,15 @@
 
     def reserve(self, request: BudgetReserveRequest) -> BudgetReserveResponse:
         """Record the total and return the response, which may be sent once the journal is on disk."""
-        entry = BudgetPeriod(request.key, request.period)
-        total = max(request.reserved_total, self.totals.get(entry, 0))
+        period = BudgetPeriod(request.key, request.period)
+        total = max(request.reserved_total, self.totals.get(period, 0))
         if total:
-            self.totals[entry] = total
+            self.totals[period] = total
         return BudgetReserveResponse(request.shard_id, request.epoch, request.key, request.period, total)
 
     def drop_expired(self, limits: Mapping[str, Limit], wall_ms: float) -> None:
         """Drop the periods that have ended by every member's clock; `wall_ms` is Unix time."""
-        for entry in list(self.totals):
-            limit = limits.get(entry.key.partition("/")[0])
-            if limit is None or entry.number < period_number(limit, wall_ms) - 1:
-                del self.totals[entry]
+        for period in list(self.totals):
+            limit = limits.get(period.key.partition("/")[0])
+            if limit is None or period.number < period_number(limit, wall_ms) - 1:
+                del self.totals[period]
--- a/myrtlespar/quota/grant_holder.py
+++ b/myrtlespar/quota/grant_holder.py
@@ -57,7 +57,7 @@
         return self.settings.split(limit, self.member_count, self.settled).guaranteed_share
 
     def adopt_limits(self, limits: Mapping[str, Limit], settled: bool) -> None:
-        """Replace the limits by name; usage stays counted."""
+        """Replace the limit of each key by the one with the same name in `limits`; usage so far stays counted."""
         self.settled = settled
         for key, allowance in self.allowances.items():
             allowance.limit = limits[key.partition("/")[0]]
--- a/myrtlespar/quota/grant_ledger.py
+++ b/myrtlespar/quota/grant_ledger.py
@@ -49,7 +49,7 @@
         """Drop the entries that the holder no longer uses, as it has adopted a later response.
 
         The holder reports what it has in use from earlier grants: starts in the last window, or runs in flight. If that
-        exceeds the adopted amount, it can only shrink, so the adopted entry is raised to it.
+        use exceeds the adopted grant, it can only shrink, so the entry of the adopted grant is raised to it.
         """
         if not any(entry.sequence_number == demand.acknowledged for entry in self.entries):
             return
--- a/myrtlespar/quota/key_allowance.py
+++ b/myrtlespar/quota/key_allowance.py
@@ -15,7 +15,7 @@
 SHIFT_STANDARD_DEVIATIONS = 3.0
 EXTRA_UPWARD_TOLERANCE = 3  # added to the tolerance for an increase
 IDLE_WINDOWS = 1.5
-MIN_REQUEST_CHANGE = 1.25  # a mean within this plus a tenth of the amount last requested changes no request
+MIN_REQUEST_CHANGE = 1.25  # the request changes if the mean differs by more than this plus a tenth of the last request
 MEAN_TIME_CONSTANT_MS = 8000.0  # time constant of the moving average
 MIN_ACTIVE_MEAN = 0.5  # a key without demand counts as idle at or below this mean
 
@@ -51,7 +51,7 @@
         return self.granted_amount if now < self.granted_until else 0
 
     def outstanding(self, now: float, settings: GrantSettings) -> int:
-        """Return the greatest amount that may be in use beyond the guaranteed share; below 1: nothing."""
+        """Return the greatest amount that may be in use beyond the guaranteed share; none if below 1."""
         fading = [past.amount for past in self.expired_grants if past.usage_ends_at > now]
         largest = max([self.granted(now), *fading])
         expired_at = self.granted_until
--- a/myrtlespar/quota/lease.py
+++ b/myrtlespar/quota/lease.py
@@ -38,7 +38,10 @@
     """One voter's promises of all shards."""
 
     def __init__(self, settings: GrantSettings, now: float, engine: bool = False) -> None:
-        """Start without promises. If an `engine` grants the leases, votes only require an epoch that is not lower."""
+        """Start without promises.
+
+        If an `engine` grants the leases, votes only require that the epoch is not lower than the latest promised one.
+        """
         self.settings = settings
         self.engine = engine
         self.no_vote_before = now if engine else now + settings.safe_wait_ms(settings.lease_ms)
@@ -75,7 +78,10 @@
         return now < self.expires_at
 
     def request_votes(self, now: float, sequence_number: int) -> LeaseRequest:
-        """Return the request to send to all voters; without a lease, its epoch is later than any seen so far."""
+        """Return the request to send to all voters; without a lease, its epoch is later than any seen so far.
+
+        Its `shard_id` is always 0, as an election does not know the id of its shard.
+        """
         if not self.holds_lease(now) and (self.expires_at or not self.epoch):
             self._begin_epoch(self.epoch + 1)
         self.requested_at[sequence_number] = now
--- a/myrtlespar/quota/limit_coordinator.py
+++ b/myrtlespar/quota/limit_coordinator.py
@@ -161,7 +161,8 @@
         if outstanding > pool:
             self._outbox.count(
                 LimitCounter.LOWERED,
-                f"{key}: up to {outstanding} may still be in use; grants fall to the lower pool of {pool} as that ends",
+                f"{key}: up to {outstanding} may still be in use; "
+                f"grants fall to the lower pool of {pool} as that use ends",
             )
 
     def outdated_voters(self) -> list[str]:
--- a/myrtlespar/quota/limit_versions.py
+++ b/myrtlespar/quota/limit_versions.py
@@ -78,8 +78,9 @@
     def settled_version(self, now: float) -> int:
         """Return the latest version known to be settled, which is announced to the holders; 0 if none is.
 
-        While the current version is not settled, this is the previous one. A member that missed its settling could
-        otherwise never adopt the current version, and the current version can't settle before that member adopts it.
+        While the current version is not settled, this is the previous one. A member that does not know yet that the
+        previous version is settled could otherwise never adopt the current one, which can't settle before that member
+        adopts it.
         """
         return self.version if self.is_settled(now) else self._settled_before
 
--- a/myrtlespar/quota/settings.py
+++ b/myrtlespar/quota/settings.py
@@ -221,8 +221,9 @@
     def max_reallocation_ms(self, limit: Limit) -> float:
         """Return the time from a shift of demand between members to the grant for the new demand, without message loss.
 
-        This is a request that wants less, one that acknowledges the lower grant, the time until the last use of the
-        higher grant has ended, and one request that gets the amount; each request takes a round trip.
+        It adds up one holder's request that wants less, its next request, which acknowledges the lower grant, the time
+        until all use of the higher grant has ended, and the other holder's request that gets the amount; each request
+        takes a round trip.
         """
         return 3 * self.ask_ms + self.safe_wait_ms(limit.linger_ms) + self.ask_ms
 
--- a/myrtlespar/quota/usage_windows.py
+++ b/myrtlespar/quota/usage_windows.py
@@ -61,7 +61,7 @@
                 return
 
     def available_at(self, now: float, allowance: int, ahead: int = 0) -> float:
-        """Return when one more may start behind `ahead` queued requests, if those start as soon as they can.
+        """Return when one more request may start behind `ahead` queued ones, if those start as soon as they can.
 
         The result is infinity without an allowance.
         """
