--- a/myrtlespar/fleet/lease_source.py
+++ b/myrtlespar/fleet/lease_source.py
@@ -57,7 +57,7 @@
         self.etcd.close()
 
     def _step(self, pause_s: float) -> None:
-        """Send the request that is due, or wait until one may be; pause after a request without a reply."""
+        """Send the request that is due, or wait until one may be due; pause after a request without a reply."""
         request, effects = self.coordinator.next_engine_request(self.now())
         self.apply_effects(effects)
         if request is None:
--- a/myrtlespar/fleet/limits_driver.py
+++ b/myrtlespar/fleet/limits_driver.py
@@ -145,7 +145,8 @@
             rejection = (
                 f"limits_version: version {self.settings.limits_version} is not yet known to be adopted by all members"
             )
-            # The operator does not repeat the reload, and the other members can't settle before this one adopts.
+            # Operators do not repeat a reload that was rejected, and no member can settle the new version before this
+            # member has adopted it.
             self._reload_when_settled = True
         if rejection:
             self.counters.add("limits.change_refused")
--- a/myrtlespar/fleet/settings.py
+++ b/myrtlespar/fleet/settings.py
@@ -248,14 +248,14 @@
 
 def _limit_change_error(old: Limit, new: Limit) -> str:
     """Return why a change of one limit can't be adopted, as text to append to its name; empty if it can."""
-    number = old.at_once if old.per_s is None else old.per_s
-    same = msgspec.structs.replace(new, before=old.before, per_s=old.per_s, at_once=old.at_once)
-    if same != old or (new.per_s is None) != (old.per_s is None):
+    current_amount = old.at_once if old.per_s is None else old.per_s
+    with_old_amounts = msgspec.structs.replace(new, before=old.before, per_s=old.per_s, at_once=old.at_once)
+    if with_old_amounts != old or (new.per_s is None) != (old.per_s is None):
         return ": only the amount can be changed without a restart of all members"
-    if (new.per_s, new.at_once) != (old.per_s, old.at_once) and new.before != number:
-        return f".before: expected the current amount {number:g}, got {new.before}"
-    if new.before is not None and new.before != number:
-        return f".before: expected the current amount {number:g}, got {new.before:g}"
+    if (new.per_s, new.at_once) != (old.per_s, old.at_once) and new.before != current_amount:
+        return f".before: expected the current amount {current_amount:g}, got {new.before}"
+    if new.before is not None and new.before != current_amount:
+        return f".before: expected the current amount {current_amount:g}, got {new.before:g}"
     return ""
 
 
