--- a/myrtlespar/membership/dissemination.py
+++ b/myrtlespar/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of updates on outgoing packets: each is sent a bounded number of times, the least sent first."""
+"""Dissemination of updates on outgoing packets: each is sent a bounded number of times, the least often sent first."""
 
 from __future__ import annotations
 
--- a/myrtlespar/membership/maintenance.py
+++ b/myrtlespar/membership/maintenance.py
@@ -37,7 +37,7 @@
         self._reported_one_way = False
 
     def run(self, now: float) -> None:
-        """Do all maintenance, and set the timer of the next."""
+        """Do all maintenance, and set the timer for the next run."""
         self.timers.put(now + MAINTENANCE_MS, TimerKind.MAINTENANCE)
         self._forget(now)
         self_id = self.view.self_id
@@ -63,7 +63,7 @@
             self.outbox.effects.append(change)
 
     def _report_one_way(self, now: float) -> None:
-        """Report failed members whose packets still arrive; the next report comes only after there were none."""
+        """Report absent members whose packets still arrive; report again only after a run that found none."""
         one_way = self.reachability.one_way(self.view, now) if len(self.view.failed) else []
         if bool(one_way) == self._reported_one_way:
             return
--- a/myrtlespar/membership/member.py
+++ b/myrtlespar/membership/member.py
@@ -148,7 +148,7 @@
         return self.outbox.take_effects()
 
     def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
-        """Handle one packet. One of another fleet, a replayed one, or one of an earlier incarnation is only counted."""
+        """Handle one packet; a replayed one, or one of another fleet or an earlier incarnation, is only counted."""
         self._check_lateness(now)
         sender = packet.sender
         if packet.fleet != self.fleet:
@@ -157,8 +157,8 @@
             return self._ignore("own_name")
         entry = self.view.entries.get(sender.name)
         if entry is not None and not entry.accept_packet(sender.incarnation, packet.sequence_number):
-            # a new process whose clock was set back has a lower incarnation: the reply has the higher one, so that
-            # it picks one above that
+            # A new process whose clock was set back has a lower incarnation. The reply carries the higher one known
+            # here, so that the process chooses an incarnation above it.
             if sender.incarnation < entry.packet_incarnation and self.outbox.push_budget.take(now):
                 self.outbox.send(now, sender.address, GossipPush(), sender.name, True)
             return self._ignore("replayed")
@@ -202,7 +202,7 @@
         return self.outbox.take_effects()
 
     def leave(self, now: float) -> list[MembershipEffect]:
-        """Leave the fleet: notify some members, which disseminate it. From then on nothing is refuted."""
+        """Leave the fleet: notify some members, which notify the others. From then on, no update is refuted."""
         self.self_state.leave(now)
         for name in self.view.present.sample(self.random, 4 * self.settings.fanout):
             self.outbox.send(now, self.view.entries[name].update.address, GossipPush(), name)
@@ -290,7 +290,7 @@
         else:
             believed_failed = not entry.present and sender.state == ALIVE and entry.update.state == FAILED
             if believed_failed and self.outbox.push_budget.take(now):
-                self.outbox.send(now, sender.address, GossipPush(), sender.name)  # so that it can refute
+                self.outbox.send(now, sender.address, GossipPush(), sender.name)  # so that the sender can refute
 
     def _ignore(self, counter: str) -> list[MembershipEffect]:
         self.outbox.count(counter)
--- a/myrtlespar/membership/messages.py
+++ b/myrtlespar/membership/messages.py
@@ -104,7 +104,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """Answer to a probe: `target` is alive. It is the sender, or the member that the sender was asked to probe."""
+    """Answer to a probe: `target` is alive. That is the sender, or the member that the sender was asked to probe."""
 
     probe_id: int
     target: str
--- a/myrtlespar/membership/probe_rounds.py
+++ b/myrtlespar/membership/probe_rounds.py
@@ -48,7 +48,7 @@
         self.last_answer_at = now  # when any member last answered a probe of ours, directly or not
 
     def begin_period(self, now: float) -> None:
-        """Send the probes of this period, and set the timer of the next."""
+        """Send the probes of this period, and set the timer for the next period."""
         period_ms = self.settings.probe_ms * (0.9 + 0.2 * self.random.random())
         self.timers.put(now + period_ms, TimerKind.PROBE_PERIOD)
         for name in self.prober.targets(self.view):
--- a/myrtlespar/membership/quorum.py
+++ b/myrtlespar/membership/quorum.py
@@ -15,7 +15,7 @@
 class QuorumStatus(IntEnum):
     """Quorum status: how many voters a member believes present, itself included if it is a voter.
 
-    The names are shown to operators and stand in logs.
+    The names are shown to operators and appear in logs.
     """
 
     ALONE = 0  # no other voter
--- a/myrtlespar/membership/reachability.py
+++ b/myrtlespar/membership/reachability.py
@@ -1,4 +1,4 @@
-"""Broken links and differing views, for operators and for view exchanges; no member is declared failed for them."""
+"""Broken links and differing views, for operators and view exchanges; no member is declared failed because of them."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
             self._put(view, row)
 
     def one_way(self, view: View, now: float) -> list[str]:
-        """Return absent members whose packets still arrive: they receive no packets of ours, or of any member."""
+        """Return absent members whose packets still arrive: packets from us, or from any member, do not reach them."""
         return [
             name
             for name, entry in view.entries.items()
--- a/myrtlespar/membership/sampled_set.py
+++ b/myrtlespar/membership/sampled_set.py
@@ -43,7 +43,7 @@
     def sample(self, random: Random, count: int, exclude: frozenset[str] = frozenset()) -> list[str]:
         """Return up to `count` different names outside `exclude`.
 
-        The number of draws is bounded, so there are rarely fewer than could be found.
+        The number of random draws is bounded, so in rare cases fewer names are returned than the set contains.
         """
         if count >= len(self._names):
             return [name for name in self._names if name not in exclude]
--- a/myrtlespar/membership/self_state.py
+++ b/myrtlespar/membership/self_state.py
@@ -49,7 +49,8 @@
             self.prober.worsen_health()
             self.outbox.count("accused")
         if update.incarnation > self.update.incarnation:
-            # receivers know sequence numbers of that incarnation from the earlier process: ours need a new incarnation
+            # In that incarnation, receivers would drop our packets as replays of those of the earlier process, so ours
+            # need a later one.
             self._set(now, update.incarnation + 1, 0, ALIVE)
         else:
             self._set(now, update.incarnation, update.refutation + 1, ALIVE)
--- a/myrtlespar/membership/update_merger.py
+++ b/myrtlespar/membership/update_merger.py
@@ -68,9 +68,10 @@
 
         Args:
             now: Monotonic time, ms.
-            update: The update; about this member itself, it is refuted if need be.
+            update: The update. If it is about this member itself, it is refuted if it is wrong.
             direct: Whether it came from the member that it is about.
-            from_sync: Whether it came with a complete view; a member new to us is then not disseminated.
+            from_sync: Whether it came with a complete view; an update about a member new to us is then not
+                disseminated.
         """
         if update.name == self.view.self_id:
             if self.self_state.refute(now, update):
--- a/myrtlespar/membership/view.py
+++ b/myrtlespar/membership/view.py
@@ -17,7 +17,7 @@
 )
 from myrtlespar.membership.sampled_set import SampledSet
 
-MAX_MEMBERS = 16384  # in one view; further members are counted and left out
+MAX_MEMBERS = 16384  # in one view; updates about further members are counted and ignored
 REPLAY_WINDOW = 1024  # packets; a duplicate, or one that is this many behind the newest, is dropped
 PROBE_CANDIDATES = 3  # sampled members, of which the least recently probed one is probed
 
@@ -27,7 +27,7 @@
     """One other member. Times are monotonic milliseconds of the driver's clock."""
 
     update: MemberUpdate
-    since: float  # when the view last changed its state
+    since: float  # when the member's state last changed in this view
     evidence_at: float  # time of the latest evidence of this state
     last_packet_at: float = float("-inf")  # receipt of the last packet from the member itself
     last_answered_at: float = float("-inf")  # its last answer to a probe of ours, direct or indirect
