--- a/myrtlespar/fault_proxy/faults.py
+++ b/myrtlespar/fault_proxy/faults.py
@@ -15,7 +15,7 @@
 MAX_RELIABLE_DELAY_MS = 200.0
 MAX_GOOD_DROP = 0.1
 MAX_GOOD_DELAY_MS = 130.0
-REORDER_MS = 20.0  # a reordered packet is delayed by this and the link's jitter: packets sent within it come first
+REORDER_MS = 20.0  # a reordered packet is delayed by this plus the link's jitter, so that later packets overtake it
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlespar/fault_proxy/relay.py
+++ b/myrtlespar/fault_proxy/relay.py
@@ -84,7 +84,7 @@
         self.targets: dict[tuple[str, str], int] = {}  # by service and member ('' for all): port on 127.0.0.1
         self.counts: Counter[str] = Counter()
         self.port = 0
-        # What stalled, and the begin and end of the stall in Unix ms.
+        # "relay" for this process or "SENDER to RECIPIENT" for a stream; start and end of the stall in Unix ms.
         self.stalls: deque[tuple[str, float, float]] = deque(maxlen=MAX_STALLS)
         self._random: dict[tuple[str, str], Random] = {}
         self._datagram_sockets: dict[str, socket.socket] = {}
@@ -169,7 +169,7 @@
         sock.bind(address)
 
     def _random_for(self, sender: str, recipient: str) -> Random:
-        """Return the pair's own random source; so the traffic of one directed pair changes no other's faults."""
+        """Return the random source of one directed pair; its traffic then does not affect the faults of other pairs."""
         random = self._random.get((sender, recipient))
         if random is None:
             random = Random(zlib.crc32(f"{self.seed} {sender} {recipient}".encode()))
