--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -66,7 +66,7 @@
         return effects
 
     def receive(self, now: float, packet: Packet) -> list[MembershipEffect]:
-        """Process a heartbeat, unless it is of an old incarnation or of one that has left."""
+        """Process a heartbeat, unless its incarnation is older than the known one or has left."""
         sender = packet.sender
         known = self.members.get(sender.name)
         if known is not None and sender.incarnation < known.incarnation + (known.state == LEFT):
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -84,7 +84,7 @@
 
 
 def unaffected_members(script: Script, sites: Mapping[str, Sequence[str]]) -> list[str]:
-    """Return some members of each site that no step of the script affects alone."""
+    """Return some members of each site, without those that are the only member in a step of the script."""
     named = {name for step in script.steps for name in step.names if len(step.names) == 1}
     per_site = max(1, MAX_OBSERVERS // len(sites))
     return [name for names in sites.values() for name in [name for name in names if name not in named][:per_site]]
