--- a/myrtlespar/net/admin_server.py
+++ b/myrtlespar/net/admin_server.py
@@ -20,7 +20,7 @@
 from myrtlespar.runtime.clock import unix_ms
 from myrtlespar.runtime.counters import Counters
 
-MAX_CONNECTIONS = 64  # one more closes the oldest one
+MAX_CONNECTIONS = 64  # accepting one more closes the oldest
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted before their greenlets run
 ACCEPT_BACKLOG = 64  # connections that wait to be accepted
 LINE_TIMEOUT_S = 5.0  # for each read of the line
--- a/myrtlespar/net/ajp_front.py
+++ b/myrtlespar/net/ajp_front.py
@@ -93,7 +93,7 @@
         try:
             while self._accepts_requests():
                 packet = self._read_packet()
-                if not self._accepts_requests():  # it arrived while this side was closing
+                if not self._accepts_requests():  # the packet arrived while this side was closing
                     self.coordinator.counters.add("in.behind_close.ajp")
                     break
                 rejected_before = self.consecutive_rejected
@@ -135,7 +135,7 @@
             raise codec.MalformedPacketError(f"unexpected packet of type {kind}")
 
     def _handle_ping(self) -> None:
-        """Answer a ping, which Apache sends before a request; it uses another server if there is no answer.
+        """Answer a ping, which Apache sends before a request; without an answer, Apache uses another server.
 
         While draining or unhealthy, the connection is closed instead.
         """
@@ -172,7 +172,8 @@
     def _read_body(self) -> bytes | None:
         """Return the complete body; if it is too long, reject the request and return None.
 
-        The gateway sends the first chunk of a body with a content-length unasked; every other chunk is requested.
+        The gateway sends the first chunk of a body with a content-length by itself; every other chunk has to be
+        requested with a Get Body Chunk packet.
         """
         content_length = self._request.header("content-length")
         chunked = "chunked" in self._request.header("transfer-encoding").lower()
@@ -202,7 +203,7 @@
 
     def _submit(self, rule: PathRule, body: bytes) -> None:
         request = self._request
-        if not body and not rule.target:  # the engine only gets a body: without one, path and query
+        if not body and not rule.target:  # the engine gets no path or query, so these replace an empty body
             query = request_query(request)
             body = (request.uri + (f"?{query}" if query else "")).encode("latin-1")
             if len(body) > self.limits.max_body_bytes:
--- a/myrtlespar/net/engine_client.py
+++ b/myrtlespar/net/engine_client.py
@@ -63,11 +63,11 @@
         )
         self._link: Outbox | None = None
         self._connected_at = 0.0  # when the current link was connected, in Unix milliseconds
-        self._last_notice_at = 0.0
-        self._engine_started_at: float | None = None
+        self._last_notice_at = 0.0  # in Unix milliseconds
+        self._engine_started_at: float | None = None  # in Unix milliseconds; None before the first greeting
         self._started_on_link: set[str] = set()  # runs started on the current link that have not ended
         self._gauges: list[float] = []
-        self._gauges_at = 0.0
+        self._gauges_at = 0.0  # when the gauges were received, in Unix milliseconds
 
     # Called by the coordinator.
 
@@ -113,7 +113,8 @@
             elif self._link is None:
                 continue
             elif isinstance(effect, WriteCommand):
-                if not self._link.put(effect.command.line):  # nothing was sent, so it can't have been lost
+                if not self._link.put(effect.command.line):
+                    # No byte was sent, so the engine can't have read the command, and sending it again is safe.
                     self._commands.send_failed(effect.command)
                 elif effect.command.is_start:
                     self._started_on_link.add(effect.command.request_id)
@@ -139,7 +140,8 @@
             except (ValueError, TypeError, OverflowError) as error:  # malformed number in a notice
                 log.error("malformed notice from the engine; reconnecting", error=str(error)[:MAX_LOGGED_ERROR_CHARS])
                 counters.add("kernel.bad_notice")
-            finally:  # also after an unexpected exception: the next link could not be opened without `broken`
+            finally:
+                # Also after an unexpected exception: `CommandLog` accepts a new link only after `broken`.
                 if self._link is not None:
                     self._link = None
                     self._commands.broken()
@@ -178,7 +180,7 @@
         greeted = False
         while True:
             notice = codec.decode_notice(reader.read_line())
-            if notice is None:  # if it was numbered, the next number shows a gap
+            if notice is None:  # malformed; if the line was a numbered notice, the next number shows the gap
                 self._coordinator.counters.add("kernel.bad_notice")
                 notice = {}
             if not notice and not self._commands.is_synchronized:
@@ -239,9 +241,10 @@
     def _handle_greeting(self, notice: dict[str, Any]) -> None:
         """Determine from the engine's age in the greeting whether it was restarted.
 
-        It was if it started after the last notice was read, and more than `same_engine_start_ms` after the known
-        start. The start is computed from the time of the connection: computed from the time of the greeting, the same
-        start would seem later after a pause of this machine or over a slow link.
+        The engine was restarted if it started after the last notice was read, and more than `same_engine_start_ms`
+        after the start that is known from the last greeting. The start is computed from the time of the connection:
+        computed from the time of the greeting, the same start would seem later after a pause of this machine or over a
+        slow link.
         """
         age_ms = codec.finite_number(notice.get("time_ms", 0.0))
         started_at = self._connected_at - age_ms
@@ -282,7 +285,8 @@
         elif command == codec.START_COMMAND:
             self._commands.run_reported(request_id)
             self._started_on_link.discard(request_id)
-            # MOOT, not ERROR, as nothing was started: clients may make up ids, and must not cause failed runs by that.
+            # MOOT, not ERROR, as nothing was started. If it counted as a failed run, a client with made-up ids could
+            # make the policy reject the requests of others.
             self._coordinator.run_ended(request_id, RunOutcome.MOOT, 0.0)
 
     def _handle_numbered(self, notice: dict[str, Any]) -> None:
--- a/myrtlespar/net/listener.py
+++ b/myrtlespar/net/listener.py
@@ -83,7 +83,8 @@
         self.idle_timeout_ms = 0.0
         self._max_connections = max_connections
         self._open_connection = open_connection
-        # For connections with an unfinished message: messages read until then, and ms since the last one was complete.
+        # For each connection whose next message is incomplete: `messages_read` at the latest check, and for how many
+        # ms of checks that number has not changed.
         self._unfinished: dict[ConnectionType, tuple[int, float]] = {}
         self._socket = bind_with_retries(key, address, 0, True, limits.bind_timeout_ms, limits, is_cancelled)
         self._server = Acceptor(self._socket, self._serve)
--- a/myrtlespar/net/peer_transport.py
+++ b/myrtlespar/net/peer_transport.py
@@ -1,8 +1,9 @@
 """The peer link: passes time and messages to `membership.member.Member`, and carries out the effects that it returns.
 
 It consists of greenlets: a reader of datagrams (`peer_datagrams`), a clock, and a bounded number of short TCP exchanges
-(`peer_sync`). Messages that are malformed, foreign, replayed or over the rate limit are counted and ignored. After a
-late tick of the clock the member postpones its deadlines, so that a saturated process does not declare others failed.
+(`peer_sync`). Messages that are malformed, from another fleet, replayed or over the rate limit are counted and ignored.
+After a late tick of the clock the member postpones its deadlines, so that a saturated process does not declare others
+failed.
 """
 
 from __future__ import annotations
--- a/myrtlespar/net/thrift_front.py
+++ b/myrtlespar/net/thrift_front.py
@@ -93,7 +93,7 @@
         try:
             while self._accepts_requests():
                 frame = self._read_frame()
-                if not self._accepts_requests():  # it arrived while this side was closing
+                if not self._accepts_requests():  # the frame arrived while this side was closing
                     self.coordinator.counters.add("in.behind_close.thrift")
                     break
                 rejected_before = self.consecutive_rejected
