--- a/myrtlespar/cli/check.py
+++ b/myrtlespar/cli/check.py
@@ -36,14 +36,18 @@
     help="Time limit for each scenario; when it is reached, there is no verdict.",
 )
 @click.option(
-    "--states", default=8_000_000, show_default=True, type=click.IntRange(1), help="The same limit in explored states."
+    "--states",
+    default=8_000_000,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Limit on the explored states of each scenario; when it is reached, there is no verdict.",
 )
 @click.option(
     "--memory-mb",
     default=6000,
     show_default=True,
     type=click.IntRange(64),
-    help="The same limit in memory of the main process.",
+    help="Limit on the memory of the main process; when it is reached, there is no verdict.",
 )
 @click.pass_context
 def check(
--- a/myrtlespar/cli/fleet/check.py
+++ b/myrtlespar/cli/fleet/check.py
@@ -35,7 +35,7 @@
     default=600.0,
     show_default=True,
     type=click.FloatRange(0, 86400, min_open=True),
-    help="Time limit for each plan or bug; when it is reached, there is no verdict.",
+    help="Time limit for each plan (a set of fault schedules) or planted bug; when it is reached, there is no verdict.",
 )
 @click.option(
     "--area",
--- a/myrtlespar/cli/fleet/emulate.py
+++ b/myrtlespar/cli/fleet/emulate.py
@@ -14,10 +14,14 @@
     type=click.IntRange(0, 20_000),
     help="Scale the sites in proportion to this number of members; 0: as in the script.",
 )
-@click.option("--baseline", is_flag=True, help="Use plain heartbeats instead, all to all with a fixed timeout.")
+@click.option(
+    "--baseline",
+    is_flag=True,
+    help="Replace the membership protocol by plain heartbeats, all to all with a fixed timeout.",
+)
 @click.option("--json", "result", type=click.Path(), help="Also write the JSON line of results to this file.")
 def emulate(script: str, seed: int, members: int, baseline: bool, result: str | None) -> int:
-    """Play a fault script on the pure modules in virtual time. Load, dependency and engines are not modelled.
+    """Play a fault script in virtual time, without processes or sockets. Load, dependency and engines are not modelled.
 
     The exit status is that of `run`. The same script, seed and size give the same figures except for the speed.
     """
--- a/myrtlespar/cli/fleet/limits.py
+++ b/myrtlespar/cli/fleet/limits.py
@@ -11,7 +11,10 @@
 )
 @click.pass_context
 def limits(ctx: click.Context, addresses: tuple[str, ...]) -> int | None:
-    """Show each key in use at these members: limit, kind, standing, granted, used and keeper."""
+    """Show each key in use at these members, with its limit, kind, use and keeper (the member that grants it).
+
+    "standing" is the share that a member may use without a grant, "granted" what the keeper has granted in addition.
+    """
     ctx.obj = addresses
     if ctx.invoked_subcommand is not None:
         return None
