--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; shared fixtures are in `conftest.py`, planted stops in `gates.py`."""
+"""Tests; shared fixtures are in `conftest.py`; `gates.py` stops the program at a chosen call."""
--- a/tests/policy/test_cost_hints.py
+++ b/tests/policy/test_cost_hints.py
@@ -6,7 +6,7 @@
 
 
 def run_with_hints(server: PolicyServer, hint_of: dict[int, float]) -> None:
-    """Perform 60 runs, every second one (1 in `hint_of`) ten times as long as the others (0)."""
+    """Perform 60 runs, alternately of 50 ms with the cost hint `hint_of[0]` and of 500 ms with `hint_of[1]`."""
     now = 10.0
     for n in range(60):
         long = n % 2
--- a/tests/policy/test_dependency_calls.py
+++ b/tests/policy/test_dependency_calls.py
@@ -60,14 +60,13 @@
         server.arrive(10.0 * n, id, 3)
     server.at(40.0, api.CallNeeded("a"), api.CallNeeded("b"))
     assert {call.id for call in server.actions(api.Call)} == {"a", "b"}
-    server.at(
-        50.0, api.CallerGone("a"), api.RunEnded("a", RunOutcome.STOPPED, 50.0)
-    )  # the dependency may still process the call
+    # The dependency may still process the call of request a.
+    server.at(50.0, api.CallerGone("a"), api.RunEnded("a", RunOutcome.STOPPED, 50.0))
     server.at(60.0, api.CallNeeded("c"))
     assert not server.actions(api.Call, "c")
     server.at(1000.0)
     assert not server.actions(api.Call, "c")
-    server.at(1100.0)  # the linger time of the call of a has passed
+    server.at(1100.0)  # the linger time of that call has passed
     assert server.actions(api.Call, "c")
 
 
--- a/tests/policy/test_drain_deadline.py
+++ b/tests/policy/test_drain_deadline.py
@@ -30,7 +30,7 @@
 def test_drain_after_a_stall_counts_from_the_last_batch_before_the_stall() -> None:
     server = PolicyServer(drain_grace_ms=2000.0)
     server.at(1000)
-    server.policy.handle(1460.0, [api.Drain(9000.0)])  # the event may have happened right after 1000
+    server.policy.handle(1460.0, [api.Drain(9000.0)])  # the drain may have begun right after the batch at 1000 ms
     out = server.policy.handle(3300.0, [api.Arrival("late", 0, 20.0, waited_ms=200.0)])
     assert not any(isinstance(a, api.Run) for a in out)
     assert any(isinstance(a, api.Reject) and a.id == "late" for a in out)
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -36,7 +36,7 @@
         for client in clients:
             assert client.answer(client.say("ping", full=False))
         if why == "room":
-            new = ThriftClient(running.ports[0])  # the first one is closed for it, as it is idle the longest
+            new = ThriftClient(running.ports[0])  # the server closes clients[0] for it, as that is idle the longest
         else:
             running.process.terminate()
         gate.wait_until_reached(running)
@@ -78,7 +78,10 @@
 
 @pytest.mark.parametrize("how", ["close", "finish"])
 def test_a_request_that_is_unread_at_our_close_is_never_handled(how: str) -> None:
-    """For example when a client that does not read has filled its outbox: what it sent can still be read then."""
+    """Data that arrived before the close can still be read after it.
+
+    This happens for example when the server closes a connection because the client does not read its answers.
+    """
     submitted: list[Any] = []
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         limits = ResourceLimits()
@@ -144,7 +147,7 @@
 
 @pytest.mark.parametrize("why", ["exit", "spoilt"])
 def test_a_slow_reader_gets_every_answer_although_its_bytes_cross_our_close(tmp_path: Path, why: str) -> None:
-    """Answers that it has not read are in the system's buffers at the close; a reset would discard them."""
+    """Answers that the client has not read are in the system's buffers at the close; a reset would discard them."""
     gate = Gate(tmp_path, "myrtlespar.net.outbox:Outbox.finish")
     with server_process(tmp_path, start=gate.start, given={"stop_ms": 2500}) as running:
         slow = socket.socket()
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -166,7 +166,7 @@
 def test_an_engine_whose_answers_came_while_the_process_stood_still_is_not_taken_for_silent(tmp_path: Path) -> None:
     """After a pause of the process the silence check may run before the reader.
 
-    It then found no answer for the length of the pause, closed a working link, and orders on it failed.
+    The check then found no answer for the length of the pause and closed a working link, and orders on it failed.
     """
     gate = Gate(
         tmp_path,
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("malformed", ["BOOTED", "INFO"])
 def test_a_malformed_greeting_or_mark_is_requested_again(tmp_path: Path, malformed: str) -> None:
-    """The link waited for it forever, although the engine was up and sent other notices."""
+    """Guards against a link that waits forever for a malformed greeting or mark, although the engine is up."""
 
     class MalformingEngine(FakeEngine):
         left = 2
--- a/tests/test_engine_restarts.py
+++ b/tests/test_engine_restarts.py
@@ -14,7 +14,7 @@
 
 
 def restart(engine: FakeEngine, born: float) -> None:
-    """Replace the engine by a new one without runs, whose notices start at 1."""
+    """Replace the engine by a new one without runs, started at `born` (Unix seconds), whose notices start at 1."""
     with engine.lock:
         engine.notices = []
         engine.waits = {}
@@ -57,8 +57,8 @@
         assert client.answer(seq)[0] == "failed"
         assert client.ask("fetch", b"calls=1")[0] == "success"
         rids = {row["rid"] for row in engine.commands if row["t"] == "IODONE"}
-        assert len(rids) == 1, "a reply for a run of the old engine"
-        assert not engine.replies[0].endswith(b"order"), "a reply for a run of the old engine"
+        assert len(rids) == 1, "the new engine got a reply for a run of the old one"
+        assert not engine.replies[0].endswith(b"order"), "the new engine got a reply for a run of the old one"
 
 
 def test_a_delayed_greeting_is_not_taken_for_a_restart(tmp_path: Path) -> None:
--- a/tests/test_etcd_client.py
+++ b/tests/test_etcd_client.py
@@ -19,7 +19,7 @@
 
 
 class ReleasedShards:
-    """Records the shards whose keys the engine reports as deleted."""
+    """Records the shards whose keys etcd reports as deleted."""
 
     def __init__(self) -> None:
         self.shards: set[int] = set()
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -15,7 +15,7 @@
 from myrtlespar.fakes import ThriftClient, server_process, until
 
 EXAMPLES = 25
-SLACK_MS = 500.0  # allowed after a deadline: 150 ms by the protocol's pages, the rest for a busy machine
+SLACK_MS = 500.0  # allowed after a deadline: the protocol allows 150 ms, the rest is for a busy machine
 numbers = st.one_of(st.integers(0, 5), st.floats(0, 1e6, allow_subnormal=False))
 names = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=30)
 
@@ -50,7 +50,7 @@
     return rows
 
 
-# Long, as it lists every setting with its possible values.
+# This function is long because it lists every setting with its possible values.
 @st.composite
 def all_settings(draw: st.DrawFn) -> dict[str, Any]:
     """Return a settings object with all required settings and any of the optional ones."""
@@ -120,7 +120,8 @@
     }
 
 
-# Long, as it follows one process from its first request to its exit: the start of a process takes most of the time.
+# This test is long because it follows one process from its first request to its exit, as the start of a process takes
+# most of the time.
 @seed(20261202)
 @settings(
     max_examples=EXAMPLES,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -166,7 +166,7 @@
             while len(connections) < MAX_CONNECTIONS and not ends_within(new, CONNECT_INTERVAL_S):
                 connection = socket.create_connection(("127.0.0.1", old.ports[0]), 10)
                 connections.append(connection)
-                connection.sendall(check)  # once it is answered, the connection is not closed as one that sends nothing
+                connection.sendall(check)  # a connection that sends nothing would be closed
                 assert len(exactly(connection, int.from_bytes(exactly(connection, 4), "big"))) > 8
             assert new.wait(20) == 2
             assert b"mgmt" in new.communicate()[1]
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -57,7 +57,7 @@
     until(engine.hear)
     repeat = client.send("booking", b"seat 2", token="bb", again="1")
     until(engine.read)
-    engine.bodies.pop(next(iter(engine.bodies)))  # the run of the first attempt
+    engine.bodies.pop(next(iter(engine.bodies)))  # forget the first attempt, as `end` finds a run by its body
     engine.end(b"seat 2", "PASS")
     until(engine.hear)
     assert client.answer(repeat)[0] == "success"
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -34,7 +34,7 @@
 
 
 def test_a_peer_that_reads_while_the_process_is_paused_loses_nothing() -> None:
-    """A pause of the process does not count as the peer's: gevent handles sockets before timeouts."""
+    """A pause of this process is not taken for a peer that does not read: gevent handles sockets before timeouts."""
     ours, peer = socket.socketpair()
     outbox = Outbox(ours, 4_000_000, 200.0)
     messages = [bytes([number]) * 50_000 for number in range(60)]
--- a/tests/test_policy_fleet_limits.py
+++ b/tests/test_policy_fleet_limits.py
@@ -32,7 +32,7 @@
     Attributes:
         capacity: Requests that are admitted now.
         after_ms: Time until there may be more capacity.
-        call_capacity: Whether calls are admitted, if above 0.
+        call_capacity: Calls are admitted while it is above 0.
         offered_retries: Retries left in the retry budget.
         waiting: Order of each queued request, by id.
         rejected: Each rejected request with the Retry-After that the policy suggested.
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -30,10 +30,11 @@
 def test_a_member_that_was_paused_at_the_start_still_adopts_a_lowered_limit() -> None:
     """A member that missed the settling of the previous version rejected a lowered limit permanently.
 
-    The previous version settles 3.2 to 3.6 s after the load begins, and the cut begins at 4 s, so a pause of 1.2 s is
-    enough to miss it. Members that had adopted the change no longer announced the previous version as settled, so this
-    member also rejected every later reload (`fleet reload refused`, `limits_version: version 1 is not yet known to be
-    adopted by all members`, settled false). All others waited for it: 4 starts in a window where 12 are allowed.
+    The previous version settles (is known to be adopted by all members) 3.2 to 3.6 s after the load begins, and the
+    network cut begins at 4 s, so a pause of 1.2 s is enough to miss the settling. Members that had adopted the change
+    no longer announced the previous version as settled, so this member also rejected every later reload (`fleet reload
+    refused`, `limits_version: version 1 is not yet known to be adopted by all members`, settled false). All others
+    waited for this member: 4 starts in a window where 12 are allowed.
     """
     done = lower_a_limit(1, stopped_member="c2")
     assert done["broken"] == [], done
--- a/tests/test_quota_lease_session.py
+++ b/tests/test_quota_lease_session.py
@@ -1,4 +1,4 @@
-"""The lease session at an engine, and the coordinator that depends on it."""
+"""The lease session at an engine (etcd), and the coordinator that depends on the session."""
 
 from __future__ import annotations
 
--- a/tests/test_quota_usage_windows.py
+++ b/tests/test_quota_usage_windows.py
@@ -29,24 +29,25 @@
 def test_starts_that_are_counted_when_they_are_sent_exceed_the_allowance_in_no_window(
     starts: list[tuple[float, float]], allowance: int
 ) -> None:
-    """A start is recorded when admitted, given back when sent, and recorded again then if there is capacity."""
+    """A start is recorded at its admission; when it is sent, the record is replaced by a new one if there is room."""
     window = UsageWindow(SPAN_MS)
-    events: list[tuple[float, int, float | None]] = []  # time, order, time of the decision (None for a decision)
+    # Time, order of events at the same time, and None for an admission or the time of the admission for a send.
+    events: list[tuple[float, int, float | None]] = []
     now = 0.0
     for number, (gap_ms, delay_ms) in enumerate(starts):
         now += gap_ms
         events += [(now, 2 * number, None), (now + delay_ms, 2 * number + 1, now)]
     sent: list[float] = []
-    decided: set[float] = set()
-    for at, _, decided_at in sorted(events, key=lambda event: event[:2]):
-        if decided_at is None:
-            if window.in_use(at) < allowance and at not in decided:
+    admitted: set[float] = set()
+    for at, _, admitted_at in sorted(events, key=lambda event: event[:2]):
+        if admitted_at is None:
+            if window.in_use(at) < allowance and at not in admitted:
                 window.record(at)
-                decided.add(at)
-        elif decided_at in decided:
+                admitted.add(at)
+        elif admitted_at in admitted:
             window.in_use(at)
-            window.give_back(decided_at)
-            decided.discard(decided_at)
+            window.give_back(admitted_at)
+            admitted.discard(admitted_at)
             if window.in_use(at) < allowance:
                 window.record(at)
                 sent.append(at)
--- a/tests/test_simultaneous_events.py
+++ b/tests/test_simultaneous_events.py
@@ -106,7 +106,7 @@
         finish(engine, lambda: scenario.repeat in client.answers)
         assert client.answer(scenario.repeat)[0] == "success"
     if second_event != "SIGTERM":
-        last = ThriftClient(server.ports[0])  # an existing connection that sent nothing may have been closed for that
+        last = ThriftClient(server.ports[0])  # a new connection, as one that never sent anything may be closed
         after = last.send("tide", b"after")
         finish(engine, lambda: after in last.answers)
         assert last.answer(after)[0] == "success"
--- a/tests/traced_peers.py
+++ b/tests/traced_peers.py
@@ -169,7 +169,7 @@
         return self.seq
 
     def leave(self, reset: bool) -> None:
-        """Close the connection, by a reset if `reset`; the server owes no answers on it any more."""
+        """Close the connection, by a reset if `reset`; the server need not answer open requests any more."""
         self.left = True
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/trial_comparison.py
+++ b/tests/trial_comparison.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from tests.fault_injection import Trial
 
-SLACK_MS = 600.0  # 100 ms by the settings, 50 ms by the protocol's page, the rest for a busy machine
-CROSSING_MS = 50.0 + 250.0  # 50 ms by the protocol's page; a thread of the test may notice the close 250 ms late
+SLACK_MS = 600.0  # the settings allow 100 ms, the protocol 50 ms, the rest is for a busy machine
+CROSSING_MS = 50.0 + 250.0  # the protocol allows 50 ms; a thread of the test may notice the close 250 ms late
 ORDER_METHOD = "order"
 FAULT_EVENTS = (
     "uncaught exception",
@@ -104,7 +104,7 @@
         count = client.count[seq]
         if count > 1:
             wrong.append(f"{count} answers to {request}")
-        # By the protocol's page, a request that crosses a close within 50 ms is sent again, so it must not have run.
+        # By the protocol, clients resend a request that crosses a close within 50 ms, so it must not have run.
         crossed = request.sent_ms > client.ended_ms - CROSSING_MS and request.rid not in self.starts
         counts["crossed"] += crossed
         if count == 0 and not (client.left or seq in client.aborted or crossed):
