--- a/myrtlespar/fakes/ajp_peers.py
+++ b/myrtlespar/fakes/ajp_peers.py
@@ -134,9 +134,10 @@
     """An AJP server that answers with its name and the size of the body.
 
     Attributes:
-        script: The next answers: an HTTP status, `cut` (close the connection) or `hang` (never answer). Then it is 200.
+        script: The next answers: an HTTP status, `cut` (close the connection) or `hang` (never answer).
+            After the last entry the status is 200.
         seen: The payloads of the Forward Requests received.
-        seen_at: The time of each, in seconds of the monotonic clock.
+        seen_at: The arrival time of each of these requests, in seconds of the monotonic clock.
     """
 
     def __init__(self, name: str) -> None:
--- a/myrtlespar/fakes/etcd.py
+++ b/myrtlespar/fakes/etcd.py
@@ -30,7 +30,7 @@
 )
 
 EXPIRY_POLL_S = 0.02
-MAX_THREADS = 256  # each watch and each keep-alive stream occupies one
+MAX_THREADS = 256  # each watch and each keep-alive stream occupies one thread
 
 
 @dataclass
--- a/myrtlespar/fakes/scripted_engine.py
+++ b/myrtlespar/fakes/scripted_engine.py
@@ -19,8 +19,9 @@
 class ScriptedEngine(FakeEngine):
     """An engine that holds commands in an inbox and notices in an outbox until a test or replay lets them through.
 
-    Greetings and marks are let through as soon as they are first in the inbox or outbox. Periodic requests for gauges
-    are not answered: the answers would prove that earlier commands arrived, which the script leaves open.
+    OPEN commands, marks and the answers to marks are let through as soon as they are first in the inbox or outbox. The
+    greeting waits in the outbox as notices do. Periodic requests for gauges are not answered: the answers would prove
+    that earlier commands arrived, which the script leaves open.
 
     Attributes:
         inbox: Commands that arrived and were not carried out yet.
@@ -30,7 +31,7 @@
         calls_made: The number of calls made, by request id.
         wrong_replies: The ids of requests that received the reply to another call.
         bodies: The body of each request, by request id.
-        passes_everything: Commands and notices are handled at once.
+        passes_everything: Whether commands and notices are handled at once, without waiting in inbox and outbox.
     """
 
     def __init__(self) -> None:
@@ -52,7 +53,7 @@
                 self.handle_unscripted()
 
     def handle_unscripted(self) -> None:
-        """Let through greetings and marks that are next in line, or everything if `passes_everything` is set."""
+        """Let through OPEN commands, marks and their answers if next in line, or all if `passes_everything` is set."""
         with self.lock:
             while self.inbox and (self.passes_everything or self.inbox[0]["t"] in ("OPEN", "SYSINFO")):
                 self.handle_next_command()
--- a/myrtlespar/fakes/server_process.py
+++ b/myrtlespar/fakes/server_process.py
@@ -103,7 +103,7 @@
             command: The whole command line, in place of `program` or `start`.
             env: Additions to the environment.
         """
-        # This function is long because of its parameters, each of which some test sets alone.
+        # The parameter list is long because different tests change different settings.
         self.engine = engine or FakeEngine()
         self.dependency = FakeDependency()
         self.registry = FakeRegistry()
--- a/myrtlespar/fakes/smoke_load.py
+++ b/myrtlespar/fakes/smoke_load.py
@@ -39,7 +39,7 @@
 transitions = true
 """
 STATUS = {200: "served", 503: "refused", 500: "failed", 504: "failed"}
-SLACK_MS = 1000.0  # for a machine that runs clients, engine and server at once
+SLACK_MS = 1000.0  # allowance for the delays of a machine that runs clients, engine and server at once
 MAX_OUTSTANDING = 30  # unanswered requests on one client connection
 POLL_S = 0.005
 
--- a/myrtlespar/fakes/thrift_client.py
+++ b/myrtlespar/fakes/thrift_client.py
@@ -26,7 +26,7 @@
         seq: The latest sequence number used.
         count: The number of answers by sequence number.
         answers: Kind and value of the latest answer by sequence number.
-        times: The time at which that answer was read by sequence number, in Unix ms.
+        times: The time at which the latest answer was read, in Unix ms, by sequence number.
         one_way_messages: The names of the one-way messages received, in order.
         ended: Set once the connection has ended.
     """
