--- a/myrtlespar/fleet_tests/ground_truth.py
+++ b/myrtlespar/fleet_tests/ground_truth.py
@@ -12,7 +12,7 @@
 
 from myrtlespar.fault_proxy.faults import ActiveFaults, FaultRule, LinkFaults
 
-Matrix = list[list[bool]]  # by the kinds of two members (see TruthInterval), from the first to the second
+Matrix = list[list[bool]]  # [sender's kind][receiver's kind]; TruthInterval explains kinds
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     reachable: Matrix  # there is a path over links that are not cut
 
     def linked(self, first: str, second: str) -> bool:
-        """Return whether both run and reach each other over reliable links, directly or through one other member."""
+        """Return whether both members run and reach each other over reliable links, directly or through one other."""
         if first not in self.running or second not in self.running:
             return False
         first_kind = self.kinds[first]
@@ -65,7 +65,9 @@
         )
 
     def apart(self, observer: str, member: str) -> bool:
-        """Return whether a running observer should believe the member gone: it is down, or unreachable in a direction.
+        """Return whether a running observer should believe the member gone.
+
+        This is so if the member is down, or if no path leads from one to the other in at least one direction.
 
         If the only links between the two are lossy, the observer may believe either, and both `linked` and `apart`
         are false.
--- a/myrtlespar/fleet_tests/invariants.py
+++ b/myrtlespar/fleet_tests/invariants.py
@@ -15,7 +15,7 @@
 from myrtlespar.membership.quorum import FLEET, quorum_status
 from myrtlespar.membership.settings import MembershipSettings
 
-SLACK_MS = 250.0  # for processes that share cores, and for the delay of log lines
+SLACK_MS = 250.0  # allowance for processes that share cores and for the delay of log lines
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
         truth: The ground truth of the run.
         observations: What the members logged.
         settings: The members' settings, from which the bounds are computed.
-        sites: The voters of each site; those of the fleet are all members.
+        sites: The voters of each site. For the quorum of the whole fleet, all members count as voters.
         observers: The members whose observations are checked; empty: all.
         slack_ms: Added to each bound.
     """
@@ -108,7 +108,10 @@
         self.report = InvariantReport()
 
     def no_false_failure(self, observers: set[str]) -> None:
-        """Promise: no observer declares a member failed that ran and was linked to it during the last standing_ms."""
+        """Promise: no observer declares a member failed wrongly.
+
+        It is wrong if the member was running and linked to the observer throughout the last standing_ms.
+        """
         window = self.settings.standing_ms(self.member_count) + self.slack_ms
         for row in self.history.rows:
             if row.kind != "member" or row.state != MemberState.FAILED:
@@ -155,7 +158,7 @@
                 )
 
     def presence_known(self, observer: str, member: str) -> None:
-        """Promise: an observer believes a running, linked member present at most heal_ms after this became so."""
+        """Promise: an observer believes a member present at most heal_ms after the member became running and linked."""
         bound = self.settings.heal_ms(self.member_count) + self.slack_ms
         for start, end in self.truth.spans(lambda interval: interval.linked(observer, member)):
             steps = steps_during(self.history.of_member(observer, member), start, end)
@@ -173,7 +176,10 @@
                 )
 
     def incarnations_grow(self, observer: str, member: str) -> None:
-        """Promise: an old incarnation never supersedes a newer one, and one that left is not believed present again."""
+        """Promise: an old incarnation never supersedes a newer one.
+
+        An incarnation that left the fleet is not believed present again.
+        """
         self.report.count_check("lives grow")
         newest = 0
         left = 0
--- a/myrtlespar/fleet_tests/load_generator.py
+++ b/myrtlespar/fleet_tests/load_generator.py
@@ -21,11 +21,11 @@
 LOOP_S = 0.005
 CONNECT_TIMEOUT_S = 0.3
 CONNECT_BACKOFF_S = 1.0  # no connection attempts to a member for this time after one failed
-MAX_CONNECTION_ATTEMPTS = 3  # members to try for one attempt of a request
+MAX_CONNECTION_ATTEMPTS = 3  # limit of members to try for one attempt of a request
 JOIN_TIMEOUT_S = 12
 # Client timeouts by class, from the creation of a request to its answer.
 TIMEOUT_MS = {name: timeout for name, _, _, timeout, _ in CLASSES}
-SLACK_MS = 1000.0  # for a machine that runs clients, engines and members at once
+SLACK_MS = 1000.0  # allowance for the delays of a machine that runs clients, engines and members at once
 
 
 @dataclass(slots=True)
--- a/myrtlespar/fleet_tests/member_process.py
+++ b/myrtlespar/fleet_tests/member_process.py
@@ -19,10 +19,10 @@
         self.number = number
         self.folder = folder
         self.engine = FakeEngine()
-        self.engines = [self.engine]  # the present one, and those that were lost with a site
+        self.engines = [self.engine]  # the present engine, and those that were lost with a site
         self.process: subprocess.Popen[str] | None = None
         self.successor: subprocess.Popen[str] | None = None  # the second process of a replacement
-        self.uses_second_admin_address = False  # a replacement and its predecessor have different ones
+        self.uses_second_admin_address = False  # a replacement and its predecessor use different addresses
         self.is_paused = False
         self.log: list[dict[str, Any]] = []
         self.exit_codes: list[int] = []  # exit codes of replaced processes
@@ -30,12 +30,12 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its serving process runs."""
+        """Whether the serving process of the member runs."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def running_processes(self) -> list[subprocess.Popen[str]]:
-        """Its processes that have not ended; two during a replacement."""
+        """The processes of the member that have not ended; two during a replacement."""
         processes = (self.successor, self.process)
         return [process for process in processes if process is not None and process.poll() is None]
 
--- a/myrtlespar/fleet_tests/process_launcher.py
+++ b/myrtlespar/fleet_tests/process_launcher.py
@@ -33,7 +33,7 @@
 
 SERVING_EVENT = "serving"
 LOG_POLL_S = 0.005
-MEMBERS_PER_CORE = 3  # if processes are pinned to cores
+MEMBERS_PER_CORE = 3  # used only if processes are pinned to cores
 
 
 class FleetRun:
@@ -80,7 +80,7 @@
         self.standstill_monitor = StandstillMonitor()
         self.network_counters = read_network_counters()  # at the start of the run
         self._lock = threading.Lock()
-        self._lost: dict[int, list[str]] = {}  # members lost in an event, by its number
+        self._lost: dict[int, list[str]] = {}  # members killed by a `lose` event, by the number of the event
         self.etcd = EtcdProcess() if script.engine else None
         services = {"store": self.dependency.port, "roster": self.registry.port}
         if self.etcd is not None:
@@ -94,7 +94,10 @@
         return bind_host(self.members[name].number), self.port + 1
 
     def admin_address(self, name: str) -> tuple[str, int]:
-        """Return the management address of a member's serving process; a replacement uses the other one of two."""
+        """Return the management address of a member's serving process.
+
+        Each member has two such addresses; a replacement process uses the one that its predecessor does not.
+        """
         member = self.members[name]
         return bind_host(member.number), self.port + 2 + member.uses_second_admin_address
 
@@ -189,7 +192,7 @@
     def record(
         self, kind: str, name: str = "", number: int = 0, rule: FaultRule | None = None, at: float = 0.0
     ) -> None:
-        """Record an action, done now or `at` a Unix time in ms."""
+        """Record an action and its time: `at` (Unix ms), or the current time if `at` is 0."""
         with self._lock:
             self.actions.append(FaultAction(at or time.time() * 1000, kind, name, number, rule))
 
@@ -282,13 +285,15 @@
         """Record a new process as up once it has joined the fleet."""
 
         def joined_or_superseded() -> bool:
+            """Return whether the process has joined, or another process of the member has taken its place."""
             return process is not member.process or member.count_events(JOINING_EVENT) > joined_before
 
         if _poll_while_running(process, joined_or_superseded) and process is member.process:
             self._record_up(member)
 
     def _record_up(self, member: MemberProcess) -> None:
-        row = member.last_event(JOINING_EVENT)  # not the time of this check: other members may notice it long before
+        # The time in the log is used, as other members may notice the joining long before this check.
+        row = member.last_event(JOINING_EVENT)
         self.record("up", member.name, at=row["at"] if row else 0.0)
 
     def _hand_over(
@@ -304,7 +309,8 @@
             return
         joined_before = member.count_events(JOINING_EVENT)
         old.terminate()
-        self.record("down", member.name)  # its connections end; those of the new process follow at once
+        # The connections of the old process end here; the new process opens its own at once.
+        self.record("down", member.name)
         member.process = new
         member.successor = None
         member.uses_second_admin_address = not member.uses_second_admin_address
--- a/myrtlespar/fleet_tests/runner.py
+++ b/myrtlespar/fleet_tests/runner.py
@@ -26,7 +26,7 @@
 from myrtlespar.membership.settings import MembershipSettings
 from myrtlespar.quota.settings import GrantSettings
 
-HIDDEN_KEYS = ("observations", "views")  # of a result; too long for the printed line
+HIDDEN_KEYS = ("observations", "views")  # keys of a result whose values are too long for the printed line
 SIGNALS = {  # by kind of step: the signal, and the kind of action that is recorded
     "pause": (signal.SIGSTOP, "pause"),
     "resume": (signal.SIGCONT, "resume"),
@@ -92,7 +92,8 @@
         run.fault_proxy.on(step.number, step.rule)
         run.record(step.kind, "", step.number, step.rule)
     elif step.kind == "rule_off":
-        run.record(step.kind, "", step.number, step.rule)  # before the rule ends, as members may notice that at once
+        # Recorded before the proxy removes the rule, as members may notice the effect at once.
+        run.record(step.kind, "", step.number, step.rule)
         run.fault_proxy.off(step.number)
     elif step.kind == "lose":
         run.lose_members(step.names, step.number)
--- a/myrtlespar/fleet_tests/script_events.py
+++ b/myrtlespar/fleet_tests/script_events.py
@@ -108,7 +108,7 @@
 
 
 def _check_running(steps: list[ScriptStep], sites: Sites) -> None:
-    """Reject steps that end or replace a stopped member gracefully. A kill of one has no effect and is allowed."""
+    """Reject steps that end or replace a stopped member gracefully. Killing one has no effect and is allowed."""
     running = {name: True for names in sites.values() for name in names}
     for step in steps:
         for name in step.names:
--- a/myrtlespar/fleet_tests/standstills.py
+++ b/myrtlespar/fleet_tests/standstills.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 POLL_S = 0.005
-MIN_STANDSTILL_MS = 20.0  # shorter ones are not recorded
+MIN_STANDSTILL_MS = 20.0  # shorter standstills are not recorded
 
 
 @dataclass(frozen=True, slots=True)
--- a/myrtlespar/fleet_tests/start_times.py
+++ b/myrtlespar/fleet_tests/start_times.py
@@ -168,7 +168,7 @@
     lines += delay_lines(run, begin)
     print("\n".join(lines))
     kept = tempfile.mkdtemp(prefix=KEPT_PREFIX)
-    with contextlib.suppress(shutil.Error, OSError):  # a process may remove a file meanwhile
+    with contextlib.suppress(shutil.Error, OSError):  # a process may remove a file while it is copied
         shutil.copytree(run.folder, kept, dirs_exist_ok=True)
     (Path(kept) / TABLE_NAME).write_text("\n".join(lines) + "\n")
     return kept
