--- a/myrtlespar/simulation/baseline.py
+++ b/myrtlespar/simulation/baseline.py
@@ -120,6 +120,7 @@
     """Return a factory of heartbeat members."""
 
     def make(start: MemberStart) -> FleetMember:
+        """Create the heartbeat member of one process."""
         self_update = MemberUpdate(start.name, start.site, start.address, start.incarnation, 0, ALIVE)
         return HeartbeatMember(self_update, start.random, start.now, start.seeds, start.voter_set)
 
--- a/myrtlespar/simulation/fleet.py
+++ b/myrtlespar/simulation/fleet.py
@@ -33,9 +33,9 @@
 MAX_SEEDS = 3
 MAX_MEMBERS_ALL_VOTERS = 300  # in a larger fleet only VOTERS_PER_SITE members of each site are voters
 VOTERS_PER_SITE = 5
-MAX_PENDING_MESSAGES = 400  # for a paused member; about as many as a socket buffer holds
+MAX_PENDING_MESSAGES = 400  # limit for a paused member; about as many as a socket buffer holds
 IP_UDP_HEADER_BYTES = 28
-TCP_EXCHANGE_BYTES = 200  # of one message over TCP: headers, handshake and acknowledgements
+TCP_EXCHANGE_BYTES = 200  # overhead of one message over TCP: headers, handshake and acknowledgements
 
 
 def address_of(number: int) -> str:
--- a/myrtlespar/simulation/limits.py
+++ b/myrtlespar/simulation/limits.py
@@ -40,8 +40,8 @@
     starts_by_member: Counter[MemberSecond] = field(default_factory=Counter)
     attempts: Counter[int] = field(default_factory=Counter)  # by second of the run
     max_in_window: int = 0  # most starts within any window; not measured if the limit applies to each caller
-    message_count: int = 0  # between members
-    byte_count: int = 0  # of those messages; 0 unless bytes are measured
+    message_count: int = 0  # messages between members
+    byte_count: int = 0  # encoded size of the messages between members; 0 unless bytes are measured
 
 
 class SimulatedLimits:
@@ -93,7 +93,7 @@
         self.result = LimitsResult()
         self._request_count = 0
         self._isolated: frozenset[str] = frozenset()
-        self._deadlines: dict[str, float] = {}  # of queued requests, by request ID
+        self._deadlines: dict[str, float] = {}  # deadlines of queued requests in ms, by request ID
         self._recent_starts: deque[float] = deque()  # times within the last window of the limit
         self._start(settings.ask_ms)
 
--- a/myrtlespar/simulation/member_factory.py
+++ b/myrtlespar/simulation/member_factory.py
@@ -68,6 +68,7 @@
     """Return a factory of members that run the membership protocol."""
 
     def make(start: MemberStart) -> FleetMember:
+        """Create the `Member` of one process, with the factory's settings."""
         return Member(
             start.name,
             start.site,
--- a/myrtlespar/simulation/node.py
+++ b/myrtlespar/simulation/node.py
@@ -34,7 +34,7 @@
     member: FleetMember
     running: bool = True
     paused: bool = False
-    pending_messages: list[Message] = field(default_factory=list)  # arrived while the process was paused
+    pending_messages: list[Message] = field(default_factory=list)  # messages that arrived while the process was paused
     next_tick_at: float = float("inf")
     sent_bytes: int = 0
-    datagram_count: int = 0  # sent and received
+    datagram_count: int = 0  # datagrams sent and received
--- a/myrtlespar/simulation/runner.py
+++ b/myrtlespar/simulation/runner.py
@@ -23,7 +23,7 @@
 START_SPREAD_MS = 400.0  # the members start at random times within this period
 START_SPREAD_PER_MEMBER_MS = 2
 MAX_MEMBERS_ALL_PAIRS = 64  # in larger fleets only the observations of a few members are checked
-MAX_OBSERVERS = 8  # over all sites, but at least one of each site
+MAX_OBSERVERS = 8  # limit over all sites together, but each site has at least one observer
 MAX_JOINING_MEMBERS = 300  # larger fleets start with complete views
 
 
--- a/myrtlespar/simulation/script_player.py
+++ b/myrtlespar/simulation/script_player.py
@@ -8,7 +8,7 @@
 from myrtlespar.simulation.fleet import SimulatedFleet
 
 PROCESS_START_MS = 300.0  # from the start of a process to its first packet
-ADDRESS_TAKEOVER_MS = 50.0  # until a new process can bind the address of the one it replaces
+ADDRESS_TAKEOVER_MS = 50.0  # time until a new process can bind the address of the process that it replaces
 
 
 class ScriptPlayer:
