--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -22,6 +22,7 @@
     event_loop = EventLoop()
 
     def reschedule(number: int) -> None:
+        """Set the timer with this number again."""
         event_loop.call_at(event_loop.now + 1.0 + number % 7, reschedule, number)
 
     for number in range(TIMER_COUNT):
@@ -40,11 +41,13 @@
     count = 0
 
     def reschedule(event: Any) -> None:
+        """Count an event and set its timer again."""
         nonlocal count
         count += 1
         environment.timeout(1.0 + event.value % 7, event.value).callbacks.append(reschedule)
 
     def process(number: int) -> Generator[Any, Any, None]:
+        """Count the events of one timer. Never returns."""
         nonlocal count
         while True:
             yield environment.timeout(1.0 + number % 7)
--- a/benchmarks/fleet_beside.py
+++ b/benchmarks/fleet_beside.py
@@ -5,7 +5,7 @@
 The demand is the same for all three: twice the limit, 80% of it at one member (calm), then 80% at another member
 (moved). Then a third of the members, the busy one among them, are cut off from the rest (cut) and reconnected (healed).
 The central counter is at a member of the larger side. Each request asks the counter, waits for the reply, and is
-admitted if the last window has capacity.
+admitted if the window that ends now has capacity.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from myrtlespar.simulation.event_loop import EventLoop
 from myrtlespar.simulation.limits import MemberSecond, SimulatedLimits
 
-PHASES = {  # the first second of the run that is measured, and the one after the last
+PHASES = {  # by phase: the first measured second of the run, and the second after the last measured one
     "calm": (6, 15),
     "moved": (17, 25),
     "cut": (29, 39),
--- a/benchmarks/fleet_cases.py
+++ b/benchmarks/fleet_cases.py
@@ -22,7 +22,8 @@
 from myrtlespar.fleet_tests.runner import play
 from myrtlespar.fleet_tests.script import Script, read
 
-# The clocks of successive members run slow, right and fast by this part, the most that the settings allow.
+# The clocks of successive members run too slow, exactly and too fast in turn.
+# The deviation is this fraction, the largest that the settings allow.
 CLOCK_DRIFT = 0.01
 
 
--- a/benchmarks/fleet_change.py
+++ b/benchmarks/fleet_change.py
@@ -50,7 +50,7 @@
 
 
 class ChangeTimes(NamedTuple):
-    """When the load began, when the limit was lowered, and when the load ended. Unix ms."""
+    """When the load began, the limit was lowered, the late member got the change, and the load ended. Unix ms."""
 
     begin: float
     changed_at: float
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -55,6 +55,7 @@
     from myrtlespar.runtime.counters import Counters
 
     def make(n: int, now: float) -> Member:
+        """Create the member with this number; its only seed is the member with number 1."""
         return Member(
             f"m{n}",
             f"s{n % 3}",
--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -81,6 +81,7 @@
             run.close()
 
     def check_with_slack(slack_ms: float) -> tuple[list[str], dict[str, Any]]:
+        """Check the limit with this allowance for the time from an admission to the start at the engine."""
         return check_limits(script.limits, runs, GrantSettings(), began_unix_ms, began_unix_ms + 22_000, slack_ms, {})
 
     seconds = [0] * 22
@@ -94,7 +95,7 @@
         "moved": round(sum(seconds[14:22]) / 8 / per_s, 3),
         "by_second": seconds,
         "broken": check_with_slack(SLACK_MS)[0],
-        # By the slack that is allowed for the time from an admission to the start at the engine.
+        # The most starts in a window, by the slack allowed for the time from an admission to the start at the engine.
         "most_by_slack_ms": {
             slack: check_with_slack(slack)[1]["order-farms"]["most"] for slack in (0.0, 25.0, 50.0, 100.0)
         },
@@ -151,7 +152,7 @@
 
     The first fleet's limit is ten starts per second times the number of members. The demand is twice the limit, 80% of
     it at one member, and at another member after 12 s. In the second fleet each of 10,000 callers sends about one
-    request, and then there is no more demand; it shows what remains of the callers' keys.
+    request, and then there is no more demand; its result tells how many keys of callers the members still store.
     """
     per_s = 10.0 * size
     fleet = SimulatedLimits(size, Limit(per_s=per_s), GrantSettings(), seed, measure_bytes=True, max_wait_ms=1000.0)
--- a/benchmarks/fleet_repeats.py
+++ b/benchmarks/fleet_repeats.py
@@ -41,10 +41,10 @@
         self.budgets = [RetryBudget(settings) for _ in range(members)] if settings is not None else []
         self.unconditional_retry_share = unconditional_retry_share
         self.members = members
-        self.requests = 0  # whose first attempt was within the outage
-        self.attempts = 0  # of requests that began within the outage
-        self.accepted_retries = 0  # those of the attempts that were retries and accepted by the retry budget
-        self.calm_requests = 0  # whose first attempt was outside the outage
+        self.requests = 0  # requests whose first attempt was within the outage
+        self.attempts = 0  # attempts of requests that began within the outage
+        self.accepted_retries = 0  # attempts among these that were retries and accepted by the retry budget
+        self.calm_requests = 0  # requests whose first attempt was outside the outage
         self.calm_failures = 0  # requests that began outside the outage and were never admitted
         for _ in range(members):
             self.event_loop.call_at(self.random.expovariate(REQUESTS_PER_S) * 1000, self.send_request)
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -42,8 +42,8 @@
 PRESENT_STATES = ("alive", "suspect")
 QUORUM_COMPLETE = 'fleet_standing{scope="fleet"} 3'  # a line of METRICS; 3 is the value of a complete quorum
 LOAD_S = 8.0  # the first leases are granted about three seconds after the start of a fleet
-LOAD_PAUSE_S = 0.03  # of each client between two requests: three members are offered about 100 requests a second
-CHECKED_WINDOW_SHARE = 0.7  # of a limit's window; the rest allows for the time from admission to engine
+LOAD_PAUSE_S = 0.03  # pause of each client between two requests; gives about 100 requests per second for three members
+CHECKED_WINDOW_SHARE = 0.7  # checked part of a limit's window; the rest allows for the time from admission to start
 
 
 class CheckFailedError(Exception):
@@ -107,7 +107,10 @@
 
 
 def fleet_file(number: int, port: int, folder: Path) -> Path:
-    """Write the fleet settings of member `number`. Without standing shares, each start rests on a majority's lease."""
+    """Write the fleet settings of member `number`.
+
+    The limit has no standing shares, so each start needs a lease that a majority of the members granted.
+    """
     limit = {"per_s": STARTS_PER_S, "kind": "strict", "standing": 0}
     rows = {
         "fleet": "mixed-versions",
--- a/benchmarks/served_path.py
+++ b/benchmarks/served_path.py
@@ -3,9 +3,9 @@
     python -m benchmarks.served_path --against ../earlier --rounds 5 --requests 3000
     python -m benchmarks.served_path --against ../earlier --figures    # also with METRICS requested
 
-Each round starts the two in turn on the same machine with the same fakes. It measures the CPU time that the operating
-system accounts to the server between the first and the last request. Prints both figures and their ratio for each
-round, and the medians.
+Each round starts the two checkouts in turn on the same machine with the same fakes. It measures the CPU time that the
+operating system accounts to the server between the first and the last request. Prints both figures and their ratio for
+each round, and the medians.
 
 With --figures, each round also runs this checkout with the management address on and METRICS requested every 0.5 s.
 The operators' day-long runs request it as often.
@@ -55,7 +55,8 @@
         began = 0.0
         while len(client.answers) < requests + WARM_UP_REQUESTS and time.monotonic() < end:
             if sent == WARM_UP_REQUESTS and not began and len(client.answers) >= WARM_UP_REQUESTS:
-                began = cpu_s(server.process.pid)  # the requests up to here warm the server up and are not measured
+                # The measurement begins here, after the first WARM_UP_REQUESTS requests have warmed the server up.
+                began = cpu_s(server.process.pid)
             limit = requests + WARM_UP_REQUESTS if began else WARM_UP_REQUESTS
             while sent < limit and sent - len(client.answers) < MAX_OUTSTANDING:
                 client.send(("render", "fetch", "order")[sent % 3], b"ms=1 calls=1" if sent % 5 == 0 else b"ms=1")
