--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,7 +27,7 @@
 class HandoverFolders(NamedTuple):
     """The folders of two processes of one server, the second of which replaces the first."""
 
-    shared: Path  # the `$TMPDIR` of both
+    shared: Path  # the `$TMPDIR` of both processes
     old: Path
     new: Path
 
@@ -44,7 +44,7 @@
     """A server process, its scripted engine, which acts only when the test tells it to, and one client."""
     engine = ScriptedEngine()
     with server_process(tmp_path, engine=engine, given=KEYED_SETTINGS) as running:
-        until(engine.send_next_notice)  # the greeting
+        until(engine.send_next_notice)  # waits for the greeting and sends it
         until(lambda: running.event("kernel up"))
         yield running, engine, ThriftClient(running.ports[0])
 
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -63,7 +63,7 @@
         requests = int(self.rate * self.seconds)
         faults = {self.source.randrange(requests): self.source.choice(FAULTS) for _ in range(int(4 * self.seconds))}
         for n in range(requests):
-            time.sleep(max(0.0, began + n / self.rate - time.monotonic()))  # until the time of request n
+            time.sleep(max(0.0, began + n / self.rate - time.monotonic()))  # waits until request n is due
             if n in faults:
                 self.counts[faults[n].__name__] += 1
                 faults[n](self, running)
@@ -81,9 +81,8 @@
                     self.source.choice(list(ANSWER_DUE_MS)), body, self.source if self.source.random() < 0.2 else None
                 )
             except OSError:
-                client.possibly_sent[client.seq] = client.sent.pop(
-                    client.seq
-                )  # it may have been sent completely or in part
+                # The request may have been sent completely, in part or not at all.
+                client.possibly_sent[client.seq] = client.sent.pop(client.seq)
 
     def _usable(self, slot: int) -> TracedClient:
         client = self.all_clients[slot]
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -121,7 +121,7 @@
 
 def pause(trial: Trial, running: ServerProcess) -> None:
     running.process.send_signal(signal.SIGSTOP)
-    time.sleep(PAUSE_S)  # for this time the process does not run
+    time.sleep(PAUSE_S)  # the process is paused for this time
     running.process.send_signal(signal.SIGCONT)
 
 
--- a/tests/test_fleet_real.py
+++ b/tests/test_fleet_real.py
@@ -36,11 +36,11 @@
 )
 
 pytestmark = pytest.mark.fleet
-SLACK_MS = 4000.0  # for slow test machines
+SLACK_MS = 4000.0  # allowance for slow test machines
 HOUR_MS = 3_600_000
 LOAD_S = 5.0  # duration of the load
 MAX_LOAD_REQUESTS = 20_000
-MAX_OUTSTANDING = 30  # unanswered requests of each client
+MAX_OUTSTANDING = 30  # limit of unanswered requests of each client
 FLOOD_DATAGRAMS = 6000
 
 
@@ -57,9 +57,8 @@
     assert done["checked"]["lives grow"] > 0
     assert done["checked"]["standing right"] > 0
     if path.stem == "half-cut":
-        assert (
-            done["checked"].get("no false failure", 0) == 0
-        )  # no member was declared failed, so there was nothing to check
+        # No member was declared failed, so there was nothing to check.
+        assert done["checked"].get("no false failure", 0) == 0
     if path.stem == "rolling":
         assert done["replaced"] == 6
         assert done["outcomes"].get("lost", 0) == 0
@@ -127,9 +126,8 @@
     three_members.start()
     target = ("127.0.1.1", three_members.port)
     assert three_members.view("a1") is not None
-    old_update = MemberUpdate(
-        "a2", "a", f"127.8.0.2:{three_members.port}", 5, 0, ALIVE
-    )  # an outdated incarnation of a2
+    # An update with an outdated incarnation of a2.
+    old_update = MemberUpdate("a2", "a", f"127.8.0.2:{three_members.port}", 5, 0, ALIVE)
     valid = encode(Packet("rehearsal", 1, old_update, 0, 1, Ping(1)))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (*invalid_datagrams(valid, old_update), valid, valid):
