--- a/myrtlespar/model_checker/command.py
+++ b/myrtlespar/model_checker/command.py
@@ -28,7 +28,7 @@
 ALL_HOLD = 0
 RULE_BROKEN = 1
 FAULTY_INPUT = 2
-NO_VERDICT = 3
+NO_VERDICT = 3  # a bound stopped an exploration before all states were visited
 
 
 class FaultyReplayError(MyrtlesparError):
@@ -54,6 +54,7 @@
     status = ALL_HOLD
 
     def progress(so_far: ExplorationResult) -> None:
+        """Print how far the exploration has come, and its speed, to standard error."""
         rate = so_far.states / max(0.001, so_far.seconds)
         print(f"  {so_far.scenario}: {so_far.states:,} states, depth {so_far.depth}, {rate:,.0f}/s", file=sys.stderr)
 
@@ -70,7 +71,7 @@
                 save(result, folder / f"{name}.yaml")
             status = RULE_BROKEN
         elif not result.complete:
-            print(f"  stopped by {result.stopped_by}: all explored states hold, the others are unknown")
+            print(f"  stopped by {result.stopped_by}: no rule is broken in the explored states, the others are unknown")
             status = status or NO_VERDICT
     if set(QUICK) <= set(names) and status == ALL_HOLD:
         status = report_unused_transitions(used_transitions)
@@ -104,21 +105,21 @@
         print(f"  {line}")
 
 
-def describe_path(scenario: str, path: list[Event]) -> list[str]:
-    """Return one line for each event, with its number and the state after it.
+def describe_path(name: str, path: list[Event]) -> list[str]:
+    """Return one line for each event of a path in the scenario `name`, with the event's number and the state after it.
 
     Raises:
         FaultyReplayError: An event is not possible in the state before it.
     """
     limit_steps()
-    bounds = ALL[scenario]
+    scenario = ALL[name]
     coverage = TransitionCoverage()
-    packed = deserialize(serialize(begin(bounds)))
+    packed = deserialize(serialize(begin(scenario)))
     lines: list[str] = []
     for number, event in enumerate(path, 1):
-        if event not in enabled_events(unpack(bounds, packed)):
+        if event not in enabled_events(unpack(scenario, packed)):
             raise FaultyReplayError(f"event {number}: {show(event)!r} is not possible in the state before it")
-        world, violations = step(bounds, packed, event, coverage)
+        world, violations = step(scenario, packed, event, coverage)
         lines.append(f"{number:3} {show(event):28} {world.describe()}{''.join(f'  ! {rule}' for rule in violations)}")
         packed = deserialize(serialize(world))
     return lines
@@ -206,6 +207,7 @@
     """
 
     def find_mutation(name: str) -> tuple[str, str]:
+        """Run the search for one mutation, and return its name and the line that the search printed."""
         command_line = [
             sys.executable,
             "-m",
--- a/myrtlespar/model_checker/engine_events.py
+++ b/myrtlespar/model_checker/engine_events.py
@@ -59,7 +59,7 @@
 
 
 def break_link(world: World) -> None:
-    """Break the link to the engine."""
+    """Break the link to the engine; all lines in transit are lost."""
     world.count_fault("break")
     world.cut_link()
 
@@ -113,6 +113,7 @@
 
 
 def _engine_booted(world: World, incarnation: int) -> None:
+    """Handle the engine's greeting; if the engine was restarted, end the runs that were lost with the old process."""
     link = world.commands
     if incarnation != world.known_engine and world.known_engine >= 0:
         link.restarted()
@@ -170,8 +171,8 @@
     for other_index, other in enumerate(world.scenario.attempts):
         other_id = ATTEMPT_IDS[other_index]
         if other_index != index and attempt.key and other.key == attempt.key and world.engine.starts.get(other_id):
-            over = world.concluded_at.get(other_id, float("inf")) + world.scenario.key_ms
-            if world.callers[other_index].incarnation == caller.incarnation and world.now < over:
+            key_expires_at = world.concluded_at.get(other_id, float("inf")) + world.scenario.key_ms
+            if world.callers[other_index].incarnation == caller.incarnation and world.now < key_expires_at:
                 world.violations.append("one start a key")
 
 
@@ -187,7 +188,7 @@
 
 
 def end_run(world: World, rid: str, status: str) -> None:
-    """End a run with this status."""
+    """Let the engine end a run, and send the notice of it with this status."""
     world.engine.end(rid, status)
 
 
@@ -197,7 +198,7 @@
 
 
 def restart_engine(world: World) -> None:
-    """Restart the engine."""
+    """Restart the engine: the link breaks, and all runs and notices are lost."""
     world.count_fault("kernel")
     world.cut_link()
     world.engine.restart()
--- a/myrtlespar/model_checker/environment.py
+++ b/myrtlespar/model_checker/environment.py
@@ -10,6 +10,7 @@
 
 # A line on the engine link: its kind and arguments, of plain types so that states can be stored with marshal.
 LinkLine = tuple[Any, ...]
+# The statuses with which the engine reports the end of a run.
 ENDS = ("PASS", "FAIL", "KILLED", "NOOP")
 # Effects of the request tracker that notify the policy.
 POLICY_NOTIFICATIONS = (
--- a/myrtlespar/model_checker/fleet/command.py
+++ b/myrtlespar/model_checker/fleet/command.py
@@ -62,6 +62,7 @@
     """
 
     def search(name: str) -> tuple[str, str]:
+        """Run the search for one mutation, and return its name and the line that the search printed."""
         command_line = [sys.executable, "-m", "myrtlespar.model_checker.fleet.command", area, name, str(seconds)]
         done = subprocess.run(command_line, capture_output=True, text=True, check=False)
         return name, done.stdout.strip() or f"no result: {done.stderr.strip()[-300:]}"
--- a/myrtlespar/model_checker/fleet/explore.py
+++ b/myrtlespar/model_checker/fleet/explore.py
@@ -16,7 +16,7 @@
 
 __all__ = ["PLANS", "ExplorationResult", "explore"]
 
-TASKS_PER_JOB = 8  # so that no worker process is left with most of the work
+TASKS_PER_JOB = 8  # tasks for each worker process, so that no worker process gets most of the work
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
 
 
 class Task(NamedTuple):
-    """One share of a plan's runs. The number of the first fault decides to which share a run belongs."""
+    """One share of a plan's runs. The step and the number of the first fault decide to which share a run belongs."""
 
     plan: str
     share: int
--- a/myrtlespar/model_checker/fleet/final_invariants.py
+++ b/myrtlespar/model_checker/fleet/final_invariants.py
@@ -49,9 +49,11 @@
     third_runs = world.members[third] is not None and third not in world.left
 
     def one_way(sender: str, receiver: str) -> bool:
+        """Return whether the direct link in this direction is not cut."""
         return (sender, receiver) not in world.cuts
 
     def both_ways(origin: str, target: str) -> bool:
+        """Return whether the direct links between two members are not cut in either direction."""
         return one_way(origin, target) and one_way(target, origin)
 
     if both_ways(first, second) or (third_runs and both_ways(first, third) and both_ways(third, second)):
--- a/myrtlespar/model_checker/fleet/plans.py
+++ b/myrtlespar/model_checker/fleet/plans.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 
+# Kinds of faults; "losses" are lost packets, "packets" are duplicated and delayed ones.
 ALL_KINDS = frozenset(("losses", "packets", "crash", "cut", "stop", "leave"))
 
 
--- a/myrtlespar/model_checker/fleet/step_invariants.py
+++ b/myrtlespar/model_checker/fleet/step_invariants.py
@@ -121,6 +121,7 @@
             self.record_violation("only a member raises its own counter", text, now)
         if change.new_state == SUSPECT:
             self._check_suspicion(name, change, now)
+        # Up to two lost or delayed packets may not make one undisturbed member declare another one failed.
         is_undisturbed = not {name, change.name} & self.history.affected
         if change.new_state == FAILED and is_undisturbed and self.history.lost_packets <= 2:
             self.record_violation("who is well is not failed", f"{name} declared {change.name} failed", now)
--- a/myrtlespar/model_checker/fleet/world.py
+++ b/myrtlespar/model_checker/fleet/world.py
@@ -147,6 +147,7 @@
             case EventKind.DELAYED_MESSAGE:
                 self._deliver(name, event.content)
             case EventKind.DUPLICATE_MESSAGE:
+                # A disturbed receiver, such as a restarted one, need not recognize the second copy.
                 self._deliver(name, event.content, duplicate=name not in self.history.affected)
 
     def _deliver(self, receiver: str, message: Message, duplicate: bool = False) -> None:
@@ -233,8 +234,11 @@
         elif isinstance(fault, Crash):
             self._crash(fault)
         elif isinstance(fault, Cut):
-            first = {fault.links[0][0]}
-            self._record_disruption(*({end for link in fault.links for end in link} if len(fault.links) < 4 else first))
+            # A cut of 4 links isolates one member in both directions, and counts as a disruption of that member only.
+            isolated = {fault.links[0][0]}
+            self._record_disruption(
+                *({end for link in fault.links for end in link} if len(fault.links) < 4 else isolated)
+            )
             self.cuts |= set(fault.links)
             self.schedule(fault.duration_ms, EventKind.HEAL, "", fault.links)
         elif isinstance(fault, Stop):
--- a/myrtlespar/model_checker/process_events.py
+++ b/myrtlespar/model_checker/process_events.py
@@ -100,7 +100,7 @@
     world.apply_effects(world.tracker.fail_overdue(world.now))
     world.apply_call_effects(world.calls.expire(world.now))
     process = world.tracker.process
-    for _ in range(3):
+    for _ in range(3):  # by the kill, at most three steps lead from any stage of the shutdown to the stop
         if world.now >= process.kill_at and process.state == ProcessState.FLUSHING:
             flushed(world)
         elif world.now >= process.kill_at and process.state != ProcessState.STOPPED:
--- a/myrtlespar/model_checker/quota/events.py
+++ b/myrtlespar/model_checker/quota/events.py
@@ -32,5 +32,7 @@
     number: int
     kind: EventKind
     member: str
-    payload: Any = None  # by kind: the number of an incarnation, a message, or the pairs of a cut
+    # By kind: the number of an incarnation, a message, the pairs of a cut, the member that is believed to have failed
+    # (SHUN), or whether delayed events are handled in reverse order (RESUME).
+    payload: Any = None
     detail: Any = None  # by kind: the sender of a packet, a request, a reply, or a journal
--- a/myrtlespar/model_checker/quota/explore.py
+++ b/myrtlespar/model_checker/quota/explore.py
@@ -19,7 +19,7 @@
 RECOVERED_MS = 1600.0  # the last part of `RECOVERY_MS`, in which the limit must be in use again
 MIN_RECOVERED_USE = 0.75  # least use after the recovery, as a fraction of the limit
 MAX_LATER_USE = 1.001  # greatest use once all members have adopted the later limit, as a fraction of it
-SHARES_PER_JOB = 4  # so that no worker process is left with most of the work
+SHARES_PER_JOB = 4  # shares for each worker process, so that no process gets most of the work
 # A fault has not ended while one of these events is scheduled.
 FAULT_END_EVENTS = frozenset(
     (EventKind.START, EventKind.RESUME, EventKind.HEAL, EventKind.BELIEVE, EventKind.LOUD, EventKind.ADOPT)
@@ -57,7 +57,10 @@
 
 
 class ExplorerJob(NamedTuple):
-    """One share of a plan's runs in one of its `SETTINGS`. The first fault decides to which share a run belongs."""
+    """One share of a plan's runs in one of its `SETTINGS`.
+
+    The step and the number of the first fault decide to which share a run belongs.
+    """
 
     plan: str
     settings: str
@@ -151,7 +154,7 @@
     starts_before = world.usage.total_starts()
     while world.now < end and not world.violations:
         world.step()
-    if world.settings.limit.per_day is not None:
+    if world.settings.limit.per_day is not None:  # of a budget, only the greatest use is checked
         return
     limit = world.settings.later_limit or world.settings.limit
     starts = world.usage.total_starts() - starts_before
--- a/myrtlespar/model_checker/quota/world.py
+++ b/myrtlespar/model_checker/quota/world.py
@@ -210,6 +210,7 @@
         limit = self.settings.limit
         in_use = self.usage.record_start(limit, name, self.now, self.clock(name))
         if limit.counted_unit is CountedUnit.AT_ONCE:
+            # The durations of runs vary in a reproducible way.
             run_ms = limit.run_most_ms - (self.event_count % 5) * 12.0
             self.schedule(run_ms, EventKind.END, name, incarnation)
         if in_use > self.settings.max_in_use:
--- a/myrtlespar/model_checker/quota/world_settings.py
+++ b/myrtlespar/model_checker/quota/world_settings.py
@@ -17,7 +17,7 @@
 # 7 starts per window: a pool of 4 for grants, and a guaranteed share of 1 for each member.
 RATE_LIMIT = Limit(per_s=35.0, window_ms=200, standing=0.5)
 BOUNDED_LIMIT = Limit(per_s=35.0, window_ms=200, standing=0.5, kind=LimitKind.BOUNDED)
-# A run lasts longer than a lease, so that the voters' silence after a restart does not cover it.
+# A run lasts longer than a lease, so that it is still in flight when the voters' silence after a restart ends.
 CONCURRENCY_LIMIT = Limit(at_once=7, run_most_ms=450, standing=0.5)
 # Changes between 6 and 5 starts per window, where a whole unit moves from the guaranteed share of every member to the
 # pool, or back.
--- a/myrtlespar/model_checker/replay_on_process.py
+++ b/myrtlespar/model_checker/replay_on_process.py
@@ -52,9 +52,9 @@
         self.clients: dict[int, ThriftClient | FakeGateway] = {}
         self.sent: set[int] = set()
 
-    def body(self, word: str | int) -> bytes:
-        """Return the request body that identifies an attempt, given by index or id, on all sockets."""
-        return b"try " + (ATTEMPT_IDS[word] if isinstance(word, int) else word).encode()
+    def body(self, attempt: str | int) -> bytes:
+        """Return the request body by which clients and the engine identify an attempt, given by its index or id."""
+        return b"try " + (ATTEMPT_IDS[attempt] if isinstance(attempt, int) else attempt).encode()
 
     def play(self, ports: list[int], pid: int, event: Event) -> str:
         """Cause one event, and return a text on what was done for it."""
--- a/myrtlespar/model_checker/state_decoding.py
+++ b/myrtlespar/model_checker/state_decoding.py
@@ -67,7 +67,9 @@
     world.listening = listening
     world.stopped = stopped
     world.known_engine = known_engine
-    world.callers = [Caller(stage, list(answers), gone, of, late) for stage, answers, gone, of, late in callers]
+    world.callers = [
+        Caller(stage, list(answers), gone, sent_to, late) for stage, answers, gone, sent_to, late in callers
+    ]
     world.fault_counts = dict(fault_counts)
     world.concluded_at = dict(concluded_at)
     world.policy = PolicyModel(*map(list, policy))
--- a/myrtlespar/model_checker/state_encoding.py
+++ b/myrtlespar/model_checker/state_encoding.py
@@ -141,6 +141,7 @@
 
 
 def _with_ranked_marks(items: list[Any], mark_names: dict[str, str]) -> PackedState:
+    """Rename the marks in lines of the link; all marks that are no longer pending get one name."""
     return tuple(
         [(item[0], mark_names.get(item[1], "lost-0")) if item[0] in ("MARK", "INFO") else item for item in items]
     )
--- a/myrtlespar/model_checker/trace_checker.py
+++ b/myrtlespar/model_checker/trace_checker.py
@@ -70,6 +70,7 @@
                     f"{machine} {who}: step starts in {state}, but the previous one ended in {before}"
                 )
         self.steps += 1
+        # Closed connections still receive events, and a trace has only one process, so their states stay recorded.
         if after in FINAL_STATES and machine != "process" and machine != "connection":
             self.last_seen.pop((machine, who), None)
         else:
