--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -44,6 +44,8 @@
     assert not free_result.violations
     assert ordered_result.states < free_result.states
     assert ordered_result.used_transitions == free_result.used_transitions
+    # Remove the action that records the outcome for the idempotency key: both explorations must find this fault, with
+    # counter-examples of the same length.
     running = ATTEMPT_TABLE.transitions[AttemptState.RUNNING]
     transition = running[AttemptEvent.ENDED]
     without_outcome = (AttemptAction.LEAVE, AttemptAction.DELIVER, AttemptAction.TELL_ENDED)
